--- a/cloverwell/authorisation.py
+++ b/cloverwell/authorisation.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -34,6 +35,8 @@
 
 Answer = Served | Declined | Failed
 
+LEAST_TOLD_MS = 1  # `d` counts whole milliseconds: less can't be told, and an attempt that would is not sent
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
@@ -44,13 +47,25 @@
     write_by_ms: float  # no byte of it leaves later
     done: Callable[[Attempt, Outcome, bytes | Flow], None]
     pool: Pool
+    ends_ms: float  # it is given up then, at its client's deadline at the latest
     dear: bool = False  # it may not run twice: a reset behind its last byte loses the request
     asked_ms: float = 0.0  # when it was asked for
     moves: int = 0  # connections that were found closed before its last byte
     timer: Timer | None = None
-    written_ms: float | None = None  # when its last byte was handed to the transport
+    told_ms: int = 0  # the time that its command told its node, once the first byte was formatted
+    written_ms: float | None = None  # when its last byte was handed to the machine
     over: bool = False
 
+    def left_ms(self, now: float, held_ms: float = 0.0) -> int:
+        """The time that its command may tell its node, in whole ms, if it is formatted now.
+
+        Node and proxy then stop at the same moment. `held_ms`: so much later will its last byte leave."""
+        return math.floor(self.ends_ms - now - held_ms)
+
+    def over_told_ms(self, now: float) -> float:
+        """By how much it told more than its client has left, if its last byte is written now."""
+        return now + self.told_ms - self.authorisation.deadline_ms
+
     def end(self, outcome: Outcome, body: bytes | Flow = b"") -> None:
         # A late answer or a second break must not be reported again, or reach another authorisation.
         if self.over:
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -140,9 +140,10 @@
         pool = self._pools.of(leg.box)
         self._counts.highest("list.age_ms", self.list_age_ms())
         dear = f.never_twice(settings, authorisation.class_number)
-        attempt = Attempt(leg, authorisation, write_by, self._ended, pool, dear, asked_ms=now)
+        ends = min(now + leg.timeout_ms, authorisation.deadline_ms)
+        attempt = Attempt(leg, authorisation, write_by, self._ended, pool, ends, dear, asked_ms=now)
         authorisation.legs[leg.number] = attempt
-        attempt.timer = self._wheel.not_before(now + leg.timeout_ms, lambda: self._timed_out(attempt))
+        attempt.timer = self._wheel.not_before(ends, lambda: self._timed_out(attempt))
         if authorisation.clear_ms > now:
             self._wheel.not_before(authorisation.clear_ms, lambda: attempt.over or pool.start(attempt))
         else:
@@ -155,6 +156,7 @@
         authorisation = attempt.authorisation
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
         authorisation.legs.pop(attempt.leg.number, None)
+        self._count_told(attempt)
         if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
             authorisation.ran_ms = min(authorisation.ran_ms or attempt.written_ms, attempt.written_ms)
         if outcome is Outcome.SERVED:
@@ -165,6 +167,12 @@
         self._forget(authorisation)
         self.settle()
 
+    def _count_told(self, attempt: Attempt) -> None:
+        """No attempt tells its node more time than its client has left; what did would show here."""
+        if attempt.written_ms is not None and (over := attempt.over_told_ms(attempt.written_ms)) > 0.0:
+            self._counts.add("told.over")
+            self._counts.highest("told.over_ms", over)
+
     def _overdue(self, authorisation: Authorisation) -> None:
         # The module ends every request in time; this guards the client against a fault in either of us.
         if authorisation.finish(Failed()):
--- a/cloverwell/net/box_connection.py
+++ b/cloverwell/net/box_connection.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
+from enum import Enum, auto
 from typing import TYPE_CHECKING
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.authorisation import Attempt
+from cloverwell.authorisation import LEAST_TOLD_MS, Attempt
 from cloverwell.connections.back import Use
 from cloverwell.facade import Outcome
 from cloverwell.flow import Flow
@@ -24,6 +26,23 @@
 REST_MS = 15.0  # behind an answer, a second one or noise may come some milliseconds late
 
 
+class Sent(Enum):
+    """What became of an attempt that a connection was given."""
+
+    OUT = auto()  # its first byte has left
+    BROKEN = auto()  # not a byte has: the connection is no good
+    LATE = auto()  # not a byte has: it has no time left to tell its node
+
+
+@dataclass(slots=True)
+class HeldBack:
+    """An attempt of which all but the last bytes is written: it has not run, and can't yet."""
+
+    attempt: Attempt
+    rest: bytes
+    timer: Timer
+
+
 class BoxConnection(RingLineReceiver):
     """A connection to a box: its legs in order, each ended by the answer whose turn it is."""
 
@@ -37,8 +56,7 @@
         self.rests_until_ms = 0.0  # no leg is written to it before
         self._age_ms: float | None = None  # how long it had stood idle before its oldest leg
         self._first_ms = 0.0  # when that leg's first byte was written
-        # A leg of which all but the last byte is written: it has not run, and can't yet.
-        self._split: tuple[Attempt, bytes, Timer] | None = None
+        self._held_back: HeldBack | None = None
         self.flow: Flow | None = None  # a long value that is coming
         self.flow_ms = 0.0  # when a piece of it came last
         self._last = False  # nothing may follow on it
@@ -54,7 +72,12 @@
 
     @property
     def free(self) -> bool:
-        return not (self.ended or self.legs or self._split or self.flow)
+        return not (self.ended or self.legs or self._held_back or self.flow)
+
+    @property
+    def halfway(self) -> bool:
+        """A command has begun to leave and is not whole."""
+        return self._held_back is not None
 
     def age_ms(self, now: float) -> float | None:
         """How long it has stood idle; None on a fresh one."""
@@ -65,40 +88,55 @@
         """What may come late behind its last answer has come by now, and is seen before the next leg."""
         return not self.served or now - self.idle_since_ms >= REST_MS
 
-    def send(self, attempt: Attempt, use: Use = Use.WHOLE) -> bool:
-        """False if not a byte has been handed over."""
+    def send(self, attempt: Attempt, use: Use = Use.WHOLE) -> Sent:
+        now = self._pool.now()
+        wait = self._pool.hold_ms() if use is Use.SPLIT else 0.0
+        # The wheel rounds the wait up, to its next tick.
+        left = attempt.left_ms(now, wait + self._pool.tick_ms if wait else 0.0)
+        if left < LEAST_TOLD_MS:
+            return Sent.LATE
+        if not self.legs and self._spoilt():
+            return Sent.BROKEN
+        attempt.told_ms = left
         data = self.command(attempt)
         rest = data[-1:] if use is Use.SPLIT else b""
-        if (not self.legs and self._spoilt()) or not self.put(data[:-1] if rest else data):
-            return False
-        now = self._pool.now()
+        kept = self.put_command(data[:-1] if rest else data)
+        if kept is None:
+            return Sent.BROKEN
         if not self.legs:
             self._age_ms, self._first_ms = self.age_ms(now), now
-        if rest:
-            wait = self._pool.hold_ms()
-            self._split = (attempt, rest, self._pool.later(now + wait, self._write_rest))
+        if rest := kept + rest:
+            timer = self._pool.later(now + wait, self._write_rest)
+            self._held_back = HeldBack(attempt, rest, timer)
         else:
-            attempt.written_ms = now
-            self.legs.append(attempt)
-        return True
+            self._written(attempt)
+        return Sent.OUT
+
+    def _written(self, attempt: Attempt) -> None:
+        attempt.written_ms = self._pool.now()
+        self.legs.append(attempt)
 
     def _write_rest(self) -> None:
-        """No reset has come: the box is there, and the leg may run."""
-        attempt, rest, _ = self._split
-        self._split = None
-        if self._pool.now() > attempt.write_by_ms:
+        """No reset has come: the box is there, and the leg may run, if its time still allows it."""
+        held = self._held_back
+        if self._pool.too_late(held.attempt):
+            self._held_back = None
             self.drop(Outcome.RESET)
-            attempt.end(Outcome.NOT_CONNECTED)
-        elif self._spoilt() or not self.put(rest):
-            self.drop(Outcome.RESET)
-            self._pool.move(attempt)
+            held.attempt.end(Outcome.NOT_CONNECTED)
+            return
+        # What was told counts from the last byte on: one that left too slowly is written anew elsewhere.
+        if self._spoilt() or held.attempt.over_told_ms(self._pool.now()) > 0.0:
+            return self.drop(Outcome.RESET)
+        kept = held.rest if self._writing else self.put_command(held.rest)
+        if kept is None:
+            return self.drop(Outcome.RESET)
+        if kept:
+            held.rest = kept
+            held.timer = self._pool.later(self._pool.now() + self._pool.tick_ms, self._write_rest)
         else:
-            attempt.written_ms = self._pool.now()
-            self.legs.append(attempt)
-
-    def unsent(self, attempt: Attempt) -> bool:
-        """It is the last here, and the machine has not taken all that was to leave."""
-        return self._writing and bool(self.legs) and attempt is self.legs[-1]
+            self._held_back = None
+            self._written(held.attempt)
+        return None
 
     def _spoilt(self) -> bool:
         """The box has closed it, or sent what no leg is owed: that would be read as this one's answer, or the
@@ -182,7 +220,7 @@
 
     def give_up(self, attempt: Attempt, outcome: Outcome) -> bool:
         """Ends that leg and with it the connection; False if the leg is not here."""
-        if self._split is not None and self._split[0] is attempt:
+        if self._held_back is not None and self._held_back.attempt is attempt:
             self.drop(outcome, attempt)
             return True
         if attempt not in self.legs:
@@ -216,15 +254,11 @@
 
     def _take_unsent(self) -> Attempt | None:
         """The attempt whose last byte has not left, if there is one: it is not out at the box."""
-        if self._split is not None:
-            (attempt, _, timer), self._split = self._split, None
-            timer.cancel()
-            return attempt
-        if self.legs and self.unsent(self.legs[-1]):
-            attempt = self.legs.pop()
-            attempt.written_ms = None
-            return attempt
-        return None
+        held, self._held_back = self._held_back, None
+        if held is None:
+            return None
+        held.timer.cancel()
+        return held.attempt
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         by_box = not self.ended
--- a/cloverwell/net/cache_leg.py
+++ b/cloverwell/net/cache_leg.py
@@ -10,7 +10,7 @@
 class CacheConnection(BoxConnection):
     def command(self, attempt: Attempt) -> bytes:
         authorisation = attempt.authorisation
-        info = authorisation.info_with(attempt.leg.timeout_ms)
+        info = authorisation.info_with(attempt.told_ms)
         if not authorisation.write:
             return f"mg {authorisation.key} v O{authorisation.id} P{info}\r\n".encode()
         line = f"ms {authorisation.key} {len(authorisation.value)} O{authorisation.id} P{info}\r\n"
--- a/cloverwell/net/lines.py
+++ b/cloverwell/net/lines.py
@@ -166,6 +166,25 @@
                 self._drain()
         return True
 
+    def put_command(self, data: bytes) -> bytes | None:
+        """As `put`, but where the machine does not take all at once, the last byte is kept back.
+
+        Gives what is kept back, which may be nothing; None if not a byte was taken."""
+        if self.ended or len(data) > self._out.room:
+            return None
+        if not self._writing:
+            try:
+                data = data[self._socket.send(data) :]
+            except BlockingIOError:
+                pass
+            except OSError:
+                return None
+        if len(data) > 1:
+            self._out.write(data[:-1])
+            if not self._writing:
+                self._drain()
+        return data[-1:]
+
     def _drain(self) -> None:
         self._writing = bool(len(self._out))
         if self._writing:
--- a/cloverwell/net/origin_leg.py
+++ b/cloverwell/net/origin_leg.py
@@ -23,7 +23,7 @@
         authorisation = attempt.authorisation
         headers = {
             "Request-Id": authorisation.id,
-            "Request-Info": authorisation.info_with(attempt.leg.timeout_ms),
+            "Request-Info": authorisation.info_with(attempt.told_ms),
         }
         method, body = ("PUT", authorisation.value) if authorisation.write else ("GET", None)
         host, port = self._pool.address
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -19,7 +19,7 @@
 from cloverwell.connections.budget import Side
 from cloverwell.connections.figures import What
 from cloverwell.facade import Outcome
-from cloverwell.net.box_connection import BoxConnection
+from cloverwell.net.box_connection import BoxConnection, Sent
 
 if TYPE_CHECKING:
     from cloverwell.net.pools import Pools
@@ -61,6 +61,7 @@
         self.log = pools.log
         self.now = pools.wheel.now
         self.later = pools.wheel.not_before
+        self.tick_ms = pools.wheel.granularity_ms
         self.connections: list[BoxConnection] = []
         self.idle: list[BoxConnection] = []  # used last at the end
         self.opening = 0
@@ -77,7 +78,7 @@
 
     # Legs --------------------------------------------------------------------------------------
 
-    def _too_late(self, attempt: Attempt) -> bool:
+    def too_late(self, attempt: Attempt) -> bool:
         """Not a byte of it may leave any more: its own time is over, or its box may get nothing new.
 
         It may have waited, for a connection or for the close of the one before, and timers lag."""
@@ -85,7 +86,7 @@
         return self.address is None or now > attempt.write_by_ms or self._back.late(self.box, now)
 
     def start(self, attempt: Attempt) -> None:
-        if self._too_late(attempt):
+        if self.too_late(attempt):
             attempt.end(Outcome.NOT_CONNECTED)
             return
         now = self.now()
@@ -97,14 +98,18 @@
         attempt.moves += 1
         if attempt.over:
             return
-        if attempt.moves > MAX_MOVES or self._too_late(attempt):
+        if attempt.moves > MAX_MOVES or self.too_late(attempt):
             attempt.end(Outcome.NOT_CONNECTED)
         else:
             self._place(attempt)
 
     def _place(self, attempt: Attempt) -> None:
         while (connection := self._pop_idle()) is not None:
-            if self._hand_to(connection, attempt):
+            sent = self._hand_to(connection, attempt)
+            if sent is Sent.LATE:
+                self.freed(connection)
+                attempt.end(Outcome.NOT_CONNECTED)
+            if sent is not Sent.BROKEN:
                 return
         expected = self.opening + self._resting > len(self._waiting)
         if expected or self._pools.may_open(self):
@@ -113,21 +118,24 @@
                 self._open()
             return
         shared = [c for c in self.connections if self._may_share(c, attempt)]
-        if not shared or not min(shared, key=lambda c: len(c.legs)).send(attempt):
+        sent = min(shared, key=lambda c: len(c.legs)).send(attempt) if shared else Sent.BROKEN
+        if sent is Sent.LATE:
+            attempt.end(Outcome.NOT_CONNECTED)
+        elif sent is Sent.BROKEN:
             self._wait(attempt)
 
-    def _hand_to(self, connection: BoxConnection, attempt: Attempt) -> bool:
+    def _hand_to(self, connection: BoxConnection, attempt: Attempt) -> Sent:
         age = connection.age_ms(self.now())
         use = self._back.use(self.box, age, attempt.dear)
         if use is Use.RETIRE:
             self.retire(connection)
-            return False
-        if not connection.send(attempt, use):
+            return Sent.BROKEN
+        sent = connection.send(attempt, use)
+        if sent is Sent.BROKEN:
             connection.drop(Outcome.RESET)
-            return False
-        if age is not None:
+        elif sent is Sent.OUT and age is not None:
             self._figures.add(What.REUSED, self.box)
-        return True
+        return sent
 
     def _may_share(self, connection: BoxConnection, attempt: Attempt) -> bool:
         # Giving up one leg resets all behind it, and an order that is reset may never be sent again. The
@@ -138,6 +146,7 @@
             and bool(connection.legs)
             and len(legs) <= self._pools.legs_each
             and connection.flow is None
+            and not connection.halfway
             and not any(leg.authorisation.write for leg in legs)
         )
 
@@ -166,7 +175,7 @@
 
     def unsent(self, attempt: Attempt) -> bool:
         """Its last byte has certainly not left: nothing of it may have run."""
-        return attempt.written_ms is None or any(one.unsent(attempt) for one in self.connections)
+        return attempt.written_ms is None
 
     @property
     def holds(self) -> bool:
@@ -232,9 +241,10 @@
         rests_ms = connection.rests_until_ms - self.now()
         while connection.free and self._waiting and not connection.moved and rests_ms <= 0.0:
             attempt = self._waiting.popleft()
-            if self._too_late(attempt):
+            sent = Sent.LATE if self.too_late(attempt) else self._hand_to(connection, attempt)
+            if sent is Sent.LATE:
                 attempt.end(Outcome.NOT_CONNECTED)
-            elif not self._hand_to(connection, attempt):
+            elif sent is Sent.BROKEN:
                 return self.start(attempt)
         if not connection.free:
             return None
--- a/lab/legs.py
+++ b/lab/legs.py
@@ -90,11 +90,15 @@
         self._count += 1
         name, now = f"r{self._count}", self.now()
         authorisation = SimpleNamespace(
-            id=name, key="k", write=False, info_with=lambda wait_ms: f"c=page,d={int(wait_ms)}"
+            id=name,
+            key="k",
+            write=False,
+            info_with=lambda wait_ms: f"c=page,d={int(wait_ms)}",
+            deadline_ms=now + timeout_ms,
         )
         leg = Leg(name, self._names[place], 0, timeout_ms)
         pool = self.pools.of(self._names[place])
-        attempt = Attempt(leg, authorisation, now + 250.0, self._ended, pool, dear)
+        attempt = Attempt(leg, authorisation, now + 250.0, self._ended, pool, now + timeout_ms, dear)
         attempt.timer = self.wheel.not_before(
             now + timeout_ms, lambda: pool.give_up(attempt, Outcome.TIMED_OUT)
         )
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -9,7 +9,7 @@
 from cloverwell.facade import Leg, Outcome
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
 from cloverwell.net.acquirer import FLOW_PIECE
-from cloverwell.net.box_connection import FLOW_READ
+from cloverwell.net.box_connection import FLOW_READ, Sent
 
 SIZE = LONG + 1000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"x" * (SIZE % 256)
@@ -205,8 +205,8 @@
     behind = Authorisation("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
     leg = Leg("O2", "s1", 0, 400.0)
-    attempt = Attempt(leg, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool)
-    assert box.send(attempt)
+    attempt = Attempt(leg, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool, 1e9)
+    assert box.send(attempt) is Sent.OUT
     box.dataReceived(HEAD + VALUE[:100])
     assert box.give_up(attempt, Outcome.TIMED_OUT) and ends == [Outcome.TIMED_OUT]
     assert transport.aborted is not copies  # the value goes on, or breaks off so that the leg is out no more
