--- a/cloverwell/net/acquirer.py
+++ b/cloverwell/net/acquirer.py
@@ -12,6 +12,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.authorisation import Answer, Authorisation, Declined, Served
+from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
 from cloverwell.net.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
 
@@ -63,6 +64,7 @@
         self._paused = False  # for a while, behind an error
         self._begun = False  # a command has begun and is not whole
         self._flow: Flow | None = None  # the long value that is on its way out
+        self._arrival = Arrival()
 
     def dataReceived(self, data: bytes) -> None:
         if self.ended or self._lost:
@@ -73,6 +75,8 @@
             # The close stands behind what is read now. It was sent long ago, and is nobody's any more.
             self.end(abort=True)
             return
+        if not self._held:  # else it stands behind what came before
+            self._arrival.read(self._side.wheel.now(), not (len(self._in) or self._wanted))
         super().dataReceived(data)
         begun, self._begun = self._begun, self.halfway
         if self._begun and not begun:
@@ -83,13 +87,16 @@
     def hold(self) -> None:
         super().hold()
         self._side.not_read[self] = None
+        self._arrival.not_read(self._side.wheel.now())
 
     def release(self) -> None:
         self._side.not_read.pop(self, None)
+        if self._held and not self._unread():
+            self._arrival.nothing_there()
         super().release()
 
     def has_left(self) -> bool:
-        """Its client has closed, which reading would tell, were it read: what waits here is for nobody."""
+        """Its client has closed, which reading would tell: what waits here is for nobody."""
         return bool(self._turns) and hung_up(self._socket)
 
     def _pause(self, wait_ms: float) -> None:
@@ -123,7 +130,7 @@
                 self._store(words)
             case _:
                 self._reject("unknown command")
-        return None
+        return None if self._wanted else self._arrival.ended()
 
     def _read(self, words: list[str]) -> None:
         try:
@@ -166,7 +173,9 @@
         if not data.endswith(b"\r\n"):
             return self._lose("bad data chunk")
         turn.authorisation.value = data[:-2]
-        return self._take(turn)
+        self._take(turn)
+        self._arrival.ended()
+        return None
 
     def _authorise(self, key: str, flags: list[str], write: bool) -> Turn:
         if not 0 < len(key) <= MAX_KEY or not key.isprintable():
@@ -225,6 +234,8 @@
 
     def _take(self, turn: Turn) -> None:
         self._errors = 0
+        # `d` counts from its first byte, which may have lain unread, or come long before a slow last one.
+        turn.authorisation.left_ms -= self._arrival.age_ms(self._side.wheel.now())
         self._turns.append(turn)
         self._side.busy(self)
         if len(self._turns) >= AHEAD:
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -1,4 +1,4 @@
-"""The four rules, checked from the outside: by what crossed the sockets, not by what the proxy says.
+"""The five rules, checked from the outside: by what crossed the sockets, not by what the proxy says.
 
 1. *answered*: each request that a live proxy took gets exactly one final answer before its client gives up,
    and what serves it was made for it by a box or the origin.
@@ -8,6 +8,7 @@
 3. *drain*: nothing new to a box later than the world's `drain_s` after the proxy was told that it drains or
    is gone.
 4. *cold*: within any `fall_s` no cold box is sent more than `fall_times` what it can do.
+5. *told*: no attempt tells its node more time than its client has left when its last byte comes in there.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 
 SLACK_S = 0.07  # 20 ms of the rule and 50 ms of sockets
 DRAIN_SLACK_S = 0.05
+TOLD_SLACK_S = 0.02  # the ways from the client, to the node, and the clock's whole milliseconds
 FALL_SLACK = 1.05
-RULES = ("answered", "once", "drain", "cold")
+RULES = ("answered", "once", "drain", "cold", "told")
 MOST_BREACHES = 50
 
 
@@ -62,8 +64,8 @@
     def taken(self, case: Case) -> None:
         self.cases[case.name] = case
 
-    def attempt(self, now: float, name: str, box: str) -> None:
-        """A whole command has come in at a box or the origin."""
+    def attempt(self, now: float, name: str, box: str, told_ms: float) -> None:
+        """A whole command has come in at a box or the origin, which it told to work for so long at most."""
         case = self.cases.get(name)
         if case is None:
             return self.breach("answered", now, name, f"{box} was sent a request that no client sent")
@@ -80,6 +82,9 @@
             self.breach("once", now, name, "sent again after its window")
         case.doubtful += 1
         case.doubtful_s = now if case.doubtful_s is None else case.doubtful_s
+        over_s = now + told_ms / 1000.0 - case.deadline_s
+        if told_ms < 1 or over_s > TOLD_SLACK_S:
+            self.breach("told", now, name, f"told {box} {told_ms:g} ms, {over_s:.3f} s too much")
         told = self._told.get((case.proxy, box))
         if told is not None and now - told > self.rules.drain_s + DRAIN_SLACK_S:
             self.breach("drain", now, name, f"sent to {box} {now - told:.2f} s after it was told to go")
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -13,6 +13,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.flow import LONG
+from lab.answers import in_pieces, told_ms
 from lab.net import Address
 from lab.server import Job, Keys, Server
 
@@ -20,18 +21,6 @@
     from lab.play import Play
 
 
-def in_pieces(play: Play, transport: Any, data: bytes, done: Any) -> None:
-    """A long answer, a piece now and then."""
-    size = int(1024 * play.world.boxes.piece_kb)
-    if transport.closed:
-        return
-    transport.write(data[:size])
-    if len(data) > size:
-        play.net.callLater(play.world.boxes.piece_ms / 1000.0, in_pieces, play, transport, data[size:], done)
-    else:
-        done()
-
-
 class Node(Factory):
     """What boxes and the origin have in common: jobs on a server, and trouble."""
 
@@ -133,7 +122,7 @@
         self._fresh_s = box.play.world.boxes.handshake_ms / 1000.0
         self._order: list[list[Any]] = []  # [job, answer or None, name], answered in order
         self._idle_s = box.now
-        self._value: tuple[str, str] | None = None
+        self._value: tuple[str, str, float] | None = None  # key, request and told time of a write
         self._left = 0
         self._giving = False  # a long value, piece by piece
 
@@ -153,24 +142,25 @@
     def lineReceived(self, line: bytes) -> None:
         words = line.decode().split(" ")
         name = next(word[1:] for word in words if word.startswith("O"))
+        told = told_ms(next(word[1:] for word in words if word.startswith("P")))
         if words[0] == "ms":
-            self._value, self._left = (words[1], name), int(words[2]) + 2
+            self._value, self._left = (words[1], name, told), int(words[2]) + 2
             self.setRawMode()
             return
-        self._run(words[1], name, write=False)
+        self._run(words[1], name, told, write=False)
 
     def rawDataReceived(self, data: bytes) -> None:
         taken, rest = data[: self._left], data[self._left :]
         self._left -= len(taken)
         if not self._left:
-            key, name = self._value
+            key, name, told = self._value
             self.setLineMode()
-            self._run(key, name, write=True)
+            self._run(key, name, told, write=True)
             self.dataReceived(rest) if rest else None
 
-    def _run(self, key: str, name: str, write: bool) -> None:
+    def _run(self, key: str, name: str, told: float, write: bool) -> None:
         box, play = self.box, self.box.play
-        play.attempt(name, box)
+        play.attempt(name, box, told)
         entry: list[Any] = [box.job_of(name), None, name]
         self._order.append(entry)
         work_s = play.work_of(name)
@@ -307,7 +297,7 @@
 
     def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
         play, name, key = self.play, headers["request-id"], target[1:]
-        play.judge.attempt(self.now, name, "origin")
+        play.judge.attempt(self.now, name, "origin", told_ms(headers["request-info"]))
         web.name = name
         work_s = play.work_of(name) * play.world.origin.work_factor
         self._load(work_s)
--- a/lab/play.py
+++ b/lab/play.py
@@ -89,9 +89,9 @@
             _, owner = next(ring.clockwise(point(key)))
             self.boxes[owner].keys.store(key)
 
-    def attempt(self, name: str, box: Box) -> None:
+    def attempt(self, name: str, box: Box, told_ms: float) -> None:
         """A whole command at a box: the judge sees it, and whether it came from another zone is counted."""
-        self.judge.attempt(box.now, name, box.name)
+        self.judge.attempt(box.now, name, box.name, told_ms)
         case = self.judge.cases.get(name)
         self.counts["box_attempts"] += 1
         self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != box.zone
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from cloverwell import dispatcher, facade, service
-from cloverwell.authorisation import Authorisation, Served
+from cloverwell.authorisation import Attempt, Authorisation, Served
 from cloverwell.cli.main import cli
 from cloverwell.connections.back import Back
 from cloverwell.flow import Flow
@@ -299,6 +299,10 @@
     assert "cold" in broken(zones(1, **strict))
 
 
+def tells_what_was_left_when_it_was_chosen(patch):
+    patch.setattr(Attempt, "left_ms", lambda self, now, held_ms=0.0: int(self.leg.timeout_ms))
+
+
 CRASH = [Fault("crash", 1.0, 2.0, 0.5)]
 DRAIN = [Fault("drain", 1.0, 0.5, 0.5)]
 MUTANTS = [
@@ -309,6 +313,8 @@
     (drops_what_is_open_at_its_end, [Fault("proxy_restart", 2.0, 0.5, 1.0)], "answered"),
     (tries_without_end, [], "once"),
     (keeps_using_a_drained_box, DRAIN, "drain"),
+    (tells_what_was_left_when_it_was_chosen, [], "told"),
+    (tells_what_was_left_when_it_was_chosen, CRASH, "told"),
 ]
 
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -271,3 +271,50 @@
         name = protocol.legs[0].authorisation.id
         words = "200 r" if party == "origin" else f"VA 1 O{name}|a"
         player.play(f"{party}#{place + 1} send {words}")
+
+
+# Since when a client's request is on its way ---------------------------------------------------------
+
+
+def test_a_value_that_comes_slowly_counts_from_its_first_byte():
+    player = Player()
+    client, _ = player.connection("client", 0)
+    client.dataReceived(b"ms k1 1 O1 Pc=order,t=acme,d=900\r\n")
+    player.play("wait 300")
+    client.dataReceived(b"a\r\n")
+    told = told_ms(sent(player, "origin"))
+    assert len(told) == 1 and 0 < told[0] <= 900 - 300
+
+
+def test_a_command_behind_a_slow_one_counts_from_its_own_first_byte():
+    player = Player()
+    client, _ = player.connection("client", 0)
+    client.dataReceived(b"mg k1 v O1 Pc=page,t=acme,")
+    player.play("wait 300")
+    client.dataReceived(b"d=900\r\nmg k2 v O2 Pc=page,t=acme,d=900\r\n")
+    # Each has a connection of its own: what stands on the second is the second's.
+    assert told_ms(sent(player, "s1", 1))[0] <= 600 < told_ms(sent(player, "s1", 2))[0] <= 900
+
+
+def test_what_lay_unread_while_its_client_was_not_read_counts_from_then():
+    # 64 commands are in hand: the client is not read until one of them is answered, 100 ms later.
+    player = Player()
+    client, transport = player.connection("client", 0)
+    transport.unread = b"m"  # stands in the machine
+    reads = b"".join(b"mg k1 v O%d Pc=page,t=acme,d=1900\r\n" % number for number in range(64))
+    client.dataReceived(reads)
+    player.play("s1 expect mg k1 v O0 *\nwait 100\ns1 send VA 1 O0|a")
+    transport.unread = b""
+    client.dataReceived(b"ms k9 1 O99 Pc=order,t=acme,d=900|a\r\n".replace(b"|", b"\r\n"))
+    told = told_ms(sent(player, "origin"))
+    assert len(told) == 1 and 0 < told[0] <= 900 - 100
+
+
+def test_what_comes_after_such_a_time_counts_from_when_it_is_read():
+    player = Player()
+    client, _ = player.connection("client", 0)
+    reads = b"".join(b"mg k1 v O%d Pc=page,t=acme,d=1900\r\n" % number for number in range(64))
+    client.dataReceived(reads)
+    player.play("s1 expect mg k1 v O0 *\nwait 100\ns1 send VA 1 O0|a")
+    client.dataReceived(b"ms k9 1 O99 Pc=order,t=acme,d=900|a\r\n".replace(b"|", b"\r\n"))
+    assert told_ms(sent(player, "origin"))[0] > 870
