--- /dev/null
+++ b/tests/test_restarts.py
@@ -0,0 +1,202 @@
+"""Nine in ten restarted processes are ready within 10 s, whatever discovery does, and then serve.
+
+A proxy listens with the list that it had (`known`), before discovery is asked. One that has no list yet
+refuses at once, and serves as soon as it has one.
+"""
+
+import json
+import signal
+import socket
+import time
+
+import pytest
+from test_lab import broken, short
+from test_processes import says_mn
+
+from cloverwell.service import Service
+from lab.judge import RULES
+from lab.play import Play
+from lab.processes import PATIENCE_S, Clients, Place
+from lab.web import serving
+from lab.world import Discovery
+
+READY_S = 10.0  # the page's, for nine in ten
+READY_SHARE = 0.9
+PROXIES = 30
+KILLED_S, DEAD_S, BACK_S = 1.0, 0.5, 5.0  # when all are killed, for how long, and discovery is back
+TOLD_S = 6.0
+DISCOVERIES = {
+    "up": Discovery(),
+    "down": Discovery(),
+    "slow": Discovery(calls_per_s=5.0, wait_s=30.0),  # the last call is answered 6 s after the first
+    "overbooked": Discovery(calls_per_s=2.0, wait_s=1.0),  # nearly all calls are refused
+}
+
+
+class Restarts(Play):
+    """All proxies are killed at once; what they then start with can be chosen."""
+
+    known_rows = None  # None: the list as it is
+    _starting = False
+
+    def __init__(self, world, seed):
+        self.started_s, self.ready_s = {}, {}
+        super().__init__(world, seed)
+
+    def start(self, proxy, left=None):
+        self._starting = True
+        super().start(proxy, left)
+        self._starting = False
+        self.started_s[proxy.name] = self.net.seconds()
+        self.ready_s.pop(proxy.name, None)
+        heard = proxy.watch.heard
+
+        def first_heard(yes):
+            if yes and proxy.service is not None:
+                self.ready_s.setdefault(proxy.name, self.net.seconds())
+            heard(yes)
+
+        proxy.watch.heard = first_heard
+
+    def members(self):
+        if self._starting and self.known_rows is not None:
+            return self.known_rows
+        return super().members()
+
+    def kill_all(self):
+        for proxy in self.proxies:
+            self.kill(proxy)
+
+    def start_all(self):
+        for proxy in self.proxies:
+            self.start(proxy)
+
+    def took_s(self):
+        """From each process's start to its first yes."""
+        return [self.ready_s[name] - at for name, at in self.started_s.items() if name in self.ready_s]
+
+    def settings(self, number):
+        return super().settings(number) | {"granularity": 20.0}  # coarse timers: for the test's speed
+
+    def knowing(self):
+        return sum(
+            proxy.service.table.listing().revision >= self.discovery.revision for proxy in self.proxies
+        )
+
+
+def restarted(discovery, known_rows=None, seed=1):
+    world = short("calm", 8.0, [], 60.0, proxies=PROXIES, discovery=DISCOVERIES[discovery])
+    play = Restarts(world, seed)
+    later = play.net.callLater
+    later(KILLED_S, setattr, play, "known_rows", known_rows)
+    later(KILLED_S, play.kill_all)
+    if discovery == "down":
+        later(KILLED_S, play.discovery.die)
+        later(BACK_S, play.discovery.live)
+    later(KILLED_S + DEAD_S, play.start_all)
+    return play
+
+
+@pytest.mark.parametrize("discovery", DISCOVERIES)
+def test_thirty_restarted_at_once_are_ready_in_time_and_serve_from_the_list_they_had(discovery):
+    play = restarted(discovery)
+    summary = play.run()
+    assert_ready(play)
+    assert not broken(summary), summary["breaches"]
+    assert summary["service"] > 0.85, summary["ends"]
+
+
+@pytest.mark.parametrize("discovery", DISCOVERIES)
+def test_thirty_that_never_had_a_list_are_ready_in_time_refuse_and_then_serve(discovery):
+    play = restarted(discovery, known_rows=[])
+    for people in play.people:
+        people.start()
+    # However slow discovery is, it answers each call in its turn: so long after all the calls it has come.
+    from_s = {"down": BACK_S, "slow": KILLED_S + DEAD_S + PROXIES / 5.0}.get(discovery, KILLED_S + DEAD_S)
+    play.net.run_for(from_s + TOLD_S - 0.4)
+    assert_ready(play)
+    if discovery != "overbooked":  # there some calls are refused again and again
+        assert play.knowing() == PROXIES
+    play.net.run_for(5.0)
+    assert not any(play.judge.counts[rule] for rule in RULES), play.judge.breaches
+
+
+def assert_ready(play):
+    assert all(proxy.starts == 2 for proxy in play.proxies)
+    ready = [took for took in play.took_s() if took <= READY_S]
+    assert len(ready) >= READY_SHARE * PROXIES, play.took_s()
+
+
+def test_processes_that_listen_late_are_seen(monkeypatch):
+    """What is measured above can fail."""
+    play = restarted("up")
+    start = Service.start
+
+    def start_late(service, **how):
+        service._reactor.callLater(READY_S + 1.0, lambda: start(service, **how))
+
+    play.net.callLater(KILLED_S, monkeypatch.setattr, Service, "start", start_late)
+    play.net.run_for(KILLED_S + DEAD_S + READY_S + 2.0)
+    with pytest.raises(AssertionError):
+        assert_ready(play)
+
+
+# Real processes -----------------------------------------------------------------------------------
+
+FEW = 4
+
+
+@pytest.fixture
+def places(tmp_path):
+    made = []
+    for number in range(FEW):
+        folder = tmp_path / str(number)
+        folder.mkdir()
+        made.append(Place(folder))
+    yield made
+    for place in made:
+        place.close()
+
+
+@pytest.mark.parametrize("delay_s", [0.0, 2.5])
+@pytest.mark.parametrize("known", ["known", "none"])
+def test_real_processes_killed_at_once_are_ready_and_serve(places, delay_s, known):
+    told = [json.loads(place.config.read_text()) for place in places]
+    # One box for all: discovery tells the same to each.
+    members = told[0]["known"]["members"]
+    with serving(("127.0.0.1", 0), members, delay_s) as discovery:
+        for place, config in zip(places, told, strict=True):
+            config["discovery"] = f"127.0.0.1:{discovery.server_address[1]}"
+            if known == "none":
+                config["known"] = {"revision": 0, "complete": True, "members": []}
+            place.config.write_text(json.dumps(config))
+        for process in [place.start() for place in places]:
+            process.ready().end(signal.SIGKILL)
+        begun = time.monotonic()
+        for place in places:
+            place.start()
+        waiting = set(places)
+        while waiting and time.monotonic() - begun < READY_S:
+            waiting -= {place for place in waiting if says_mn(place)}
+            time.sleep(0.01)
+        assert not waiting
+        for place in places:
+            clients = Clients(place.listen, 1)
+            clients.more(5)
+            clients.stop()
+        if known == "none":  # answers until the list came were refusals; after it they are the box's
+            for place in places:
+                place.processes[-1].says("serves on")
+                assert eventually_served(place)
+
+
+def eventually_served(place):
+    until = time.monotonic() + PATIENCE_S
+    while time.monotonic() < until:
+        with socket.create_connection(place.listen, PATIENCE_S) as conn:
+            conn.settimeout(PATIENCE_S)
+            conn.sendall(b"mg k v Oq Pc=page,t=acme,d=900\r\n")
+            if conn.recv(100).startswith(b"VA"):
+                return True
+        time.sleep(0.02)
+    return False
