--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -68,6 +68,7 @@
     refusals: int = 0  # in a row, while some stood
     cap: float = math.inf  # it has refused more
     cap_ms: float = 0.0  # when that was
+    answered_ms: float = -math.inf  # the last answer of a leg
 
 
 @dataclass(slots=True)
@@ -136,7 +137,7 @@
             entry.connect_ms += weight * (took_ms - entry.connect_ms)
 
     def refused(self, box: str, opened: int, now: float) -> None:
-        """No connection came up, while so many stood: it takes no more, or is not there."""
+        """It refused a connection while so many stood: it takes no more, or is not there."""
         entry = self._boxes.get(box)
         if entry is None or not opened:
             return
@@ -145,12 +146,21 @@
         if entry.refusals >= FULL:
             entry.cap, entry.cap_ms = float(opened), now
 
+    def timed_out(self, box: str, opened: int, asked_ms: float, now: float) -> None:
+        """A connection that was asked for at `asked_ms` never came up, while so many stood.
+
+        A box that is full still answers on those that stand. One that is cut off or gone answers nothing, and
+        tells nothing of its room: capped at what stood then, it would get hardly a leg once it is back."""
+        entry = self._boxes.get(box)
+        if entry is not None and entry.answered_ms > asked_ms:
+            self.refused(box, opened, now)
+
     def answered(self, box: str, age_ms: float | None, took_ms: float, now: float) -> None:
         """A leg got its answer; `age_ms`: its connection had stood idle so long, None on a fresh one."""
         entry = self._boxes.get(box)
         if entry is None:
             return
-        entry.refusals = 0
+        entry.refusals, entry.answered_ms = 0, now
         self._round(entry, took_ms, now)
         entry.answer_ms += 0.1 * (took_ms - entry.answer_ms)
         kin = self._kinds[entry.kind]
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING
 
 from twisted.internet.address import IPv4Address
+from twisted.internet.error import ConnectionRefusedError
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
@@ -44,7 +45,8 @@
         return self._pool.build(self._asked_ms)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self._pool.failed()
+        refused = reason.check(ConnectionRefusedError) is not None
+        self._pool.failed(self._asked_ms, refused)
 
 
 class Pool:
@@ -213,12 +215,17 @@
         timeout = self._pools.connect_timeout_ms / 1000.0
         self._pools.reactor.connectTCP(host, port, _Opener(self), timeout=timeout)
 
-    def failed(self) -> None:
-        """A connection could not be made: the leg that has waited longest ends, others have their own."""
+    def failed(self, asked_ms: float, refused: bool) -> None:
+        """A connection could not be made: the leg that has waited longest ends, others have their own.
+
+        `refused`: the box said so; else it never came up."""
         self.opening -= 1
         self._pools.budget.give_back(Side.BACK)
         self._figures.add(What.REFUSED, self.box)
-        self._back.refused(self.box, len(self.connections), self.now())
+        if refused:
+            self._back.refused(self.box, len(self.connections), self.now())
+        else:
+            self._back.timed_out(self.box, len(self.connections), asked_ms, self.now())
         if len(self._waiting) > self.opening + self._resting:
             self._waiting.popleft().end(Outcome.NOT_CONNECTED)
 
