--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -203,6 +203,13 @@
             kin.share += LONG * (1.0 - kin.share)
             self.limits.learn(box, entry.kind, age_ms, True, now, silent=True)
 
+    def mute(self, box: str, written_ms: float, now: float) -> bool:
+        """A leg written then, which is out, should long have its answer, and none has come of any since."""
+        entry = self._boxes.get(box)
+        if entry is None:
+            return False
+        return entry.answered_ms < written_ms < now - SILENT_TIMES * max(entry.answer_ms, 1.0)
+
     # What to do ---------------------------------------------------------------------------------
 
     def use(self, box: str, age_ms: float | None, dear: bool) -> Use:
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -279,12 +279,18 @@
     def _pop_idle(self) -> BoxConnection | None:
         """The one used last: of those behind whose last answer nothing comes any more, if there are any."""
         now = self.now()
+        if self.origin and self.idle and self._mute(now):
+            self.hang_up()  # those that stood beside the dead ones are dead as well, or may be
         ready = [connection for connection in self.idle if connection.rests_until_ms <= now]
         found = next((one for one in reversed(ready) if one.quiet(now)), ready[-1] if ready else None)
         if found is not None:
             self._take_up(found)
         return found
 
+    def _mute(self, now: float) -> bool:
+        written = [c.legs[0].written_ms for c in self.connections if c.legs]
+        return bool(written) and self._back.mute(self.box, min(written), now)
+
     def _take_up(self, connection: BoxConnection) -> None:
         self.idle.remove(connection)
         del self._pools.idle[connection]
--- a/olivestair/decide.py
+++ b/olivestair/decide.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from random import Random
 
-from olivestair import api
+from olivestair import api, places
 from olivestair.api import Effect, Group, ListKind, ServerState, Status
 from olivestair.ring import Ring, point
 from olivestair.state import FRESH, RATE_MS, Pace, Record, Server, Span, Turn
@@ -564,8 +564,8 @@
 
     def _fill_origin(self, now: float) -> None:
         while self._queue and self._origins:
-            origin = min(self._origins, key=lambda s: len(s.out))
-            if len(origin.out) >= origin.limit:
+            origin = places.vacant(self._origins, self._origin_pace.mean_ms, now)
+            if origin is None:
                 return
             rec = self._queue.pop(0)[3]
             # What would come too late keeps the origin from what it can still do in time.
@@ -593,7 +593,7 @@
         if len(ages) > 1 and sum(ages) / len(ages) > age * self._crowd_ms(server):
             self._bound(now, server, True)
         if server.origin:
-            return
+            return self._fill_origin(now)  # what hangs gives way in time
         # Its own latency, so that a slow server is not taken for a dead one and its work sent twice.
         usual, quiet = max(server.pace.mean_ms, self._pace.mean_ms), now - server.heard_ms
         if quiet >= QUIET_FACTOR * usual and server.probed_ms is None and now >= server.trial_ms:
