--- a/lab/net.py
+++ b/lab/net.py
@@ -254,6 +254,7 @@
         self.paths: dict[Address, Path] = {}
         self.open = 0  # ends whose descriptor is held
         self.delay: Callable[[str, str], float] | None = None  # one way between two hosts, in s
+        self.cuts: set[tuple[str, str]] = set()  # from whom to whom no connection comes up
         self._owned: dict[object, dict[End, None]] = {}
         self.stopped = False
 
@@ -285,6 +286,15 @@
                 end.closed = True
                 self.open -= 1
 
+    def cut(self, owner: object, near: str, far: str) -> None:
+        """Connections of that process to the host `far` fall silent for good; new ones do not come up.
+
+        `near` is the process's own host; `cuts` holds the pair until it is taken out of it."""
+        self.cuts.add((near, far))
+        for end in self._owned.get(owner, {}):
+            if end.getPeer().host == far:
+                end.forget_flow()
+
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress: Any = None
     ) -> None:
@@ -292,7 +302,7 @@
         near, owner = bindAddress or ("127.0.0.1", None)
         if self.delay is not None:
             path = Path(self.delay(near, host), path.refuse, path.silent)
-        if path.silent:
+        if path.silent or (near, host) in self.cuts:
             self.callLater(timeout, self._fail, factory, ConnectTimeout())
             return
         self.callLater(path.latency_s, self._arrive, (host, port), factory, path, near, owner)
--- a/lab/play.py
+++ b/lab/play.py
@@ -274,7 +274,7 @@
                 step = fault.for_s / len(whom) if fault.kind == "drain" else 0.0
                 for place, name in enumerate(whom):
                     later(place * step, getattr(self, f"_{fault.kind}"), self.boxes[name], fault)
-            case "proxy_crash" | "proxy_restart" | "proxy_drain" | "proxy_replace":
+            case "proxy_crash" | "proxy_restart" | "proxy_drain" | "proxy_replace" | "origin_cut":
                 whom = self._whom(fault, names)
                 self.note(f"{fault.kind} {' '.join(whom)}")
                 for proxy in self.proxies:
@@ -349,6 +349,10 @@
                 proxy.watch.drain(fault.for_s)
             case "proxy_replace" if proxy.service is not None:
                 self.replace(proxy, fault.for_s)
+            case "origin_cut" if proxy.service is not None:
+                pair = proxy.address[0], self.origin.address[0]
+                self.net.cut(proxy.service.inside, *pair)
+                self.net.callLater(fault.for_s, self.net.cuts.discard, pair)
 
     # The day ------------------------------------------------------------------------------------
 
--- a/lab/world.py
+++ b/lab/world.py
@@ -30,11 +30,12 @@
     "discovery_down",
     "zone_lost",
     "origin_slow",
+    "origin_cut",
 ]
 
 WORLDS = Path(__file__).parent / "worlds"
 ON_BOXES = ("hang", "crash", "drain")
-ON_PROXIES = ("proxy_crash", "proxy_restart", "proxy_drain", "proxy_replace")
+ON_PROXIES = ("proxy_crash", "proxy_restart", "proxy_drain", "proxy_replace", "origin_cut")
 
 
 class WorldError(Exception):
