--- a/lab/people.py
+++ b/lab/people.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 from bisect import bisect
 from collections import defaultdict
 from dataclasses import dataclass
@@ -133,6 +134,7 @@
         self.traffic = play.world.traffic
         shares = self.traffic.zone_shares or [1.0 / play.world.zones] * play.world.zones
         self._per_s = self.traffic.per_s * shares[zone]  # arrivals in this zone
+        self._shares = self._draw_shares()
         self.wishes: list[Wish] = []
         self.hot = 0.0  # share of the traffic that asks for one key
         self.opening: dict[Till, Wish] = {}
@@ -150,6 +152,19 @@
     def now(self) -> float:
         return self.play.net.seconds()
 
+    def _draw_shares(self) -> dict[str, float]:
+        """The proxies' shares in the traffic, by name; alike in every zone's eyes."""
+        rng, spread = Random(f"shares {self.play.seed}"), self.traffic.proxy_spread
+        return {proxy.name: math.exp(rng.gauss(0.0, spread)) for proxy in self.play.proxies}
+
+    def _pick(self, proxies: list[Proxy]) -> Proxy:
+        if not self.traffic.proxy_spread:
+            return self.rng.choice(proxies)
+        return self.rng.choices(proxies, [self._shares[proxy.name] for proxy in proxies])[0]
+
+    def speed_up(self, times: float) -> None:
+        self._per_s *= times
+
     def popular(self) -> list[str]:
         """Keys that are kept when the day begins, the most popular last."""
         room = self.play.world.boxes.keys * self.play.world.boxes.count // 2
@@ -199,7 +214,7 @@
             wish.end = wish.end or "gave up"
             return
         wish.tries += 1
-        proxy = self.rng.choice(self._proxies())
+        proxy = self._pick(self._proxies())
         idle = self._idle[proxy.name]
         if idle:
             self._send(idle.pop(), wish)
--- a/olivestair/decide.py
+++ b/olivestair/decide.py
@@ -28,6 +28,7 @@
 HEAT_WORTH = 10.0  # more worths of its request has a fetch whose key brings a mean server's load
 HEAT_MAX = 0.5  # of a mean server's load that one key may bring: a hotter one is spread over more members
 MARGIN_MS = 2.0  # final answers precede the deadline by this and two rounds of the wire
+COLD_SPILL, COLD_MOST = 1, 4  # tokens passed by of cold servers: for another cold one, and for any
 MEMBERS = 3  # R, the preference set: a key asked of more servers only spreads a jam and copies
 LIMIT_START = 24.0  # requests out at one server from all balancers together: first guess, some cores' worth
 LIMIT_MIN, LIMIT_CORES = 1.0, 6.0  # of this balancer's part; and of all parts, since so many do not wait
@@ -209,14 +210,16 @@
             rings.reverse()
         seen, zones, later = set[Server](), set[int](), list[Server]()
         for ring in rings:
-            got = sum(server in ring for server in seen)  # a server may be on both rings
+            got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
             most = near if self._few and ring is self._home else len(ring)
             for token, server in ring.clockwise(place):
-                if got >= most:
+                if got >= most or passed > COLD_MOST:
                     break
                 if server in seen:
                     continue
-                if token % 1024 < 1024 * self._share(now, server):  # low bits: a lot
+                warm = self._warm(now, server)  # where most are cold, each would get what all others leave
+                may = warm or passed <= COLD_SPILL
+                if may and token % 1024 < 1024 * self._share(now, server):  # low bits: a lot
                     seen.add(server)
                     got += 1
                     if self._few and ring is self._abroad and server.entry.zone in zones:
@@ -224,8 +227,10 @@
                     else:
                         zones.add(server.entry.zone)
                         yield server
-                elif self._few and ring is self._home and not self._warm(now, server):
+                elif self._few and ring is self._home and not warm:
                     break  # all of home may be as cold, and must not get what it leaves
+                else:
+                    passed += not warm
         yield from later
 
     def _choose(self, now: float, rec: Record) -> Server | None:
@@ -300,12 +305,8 @@
 
     def _spent(self, event: api.Request) -> float:
         """What the client's earlier tries took: a try has the usual time of its class, or what is left."""
-        span = self._spans[event.request_class]
-        near = abs(event.left_ms - span.left_ms) <= SLACK_MS / 2
-        span.votes = min(span.votes + 1, HEAT_WINDOW) if near else span.votes - 1
-        if span.votes < 0:  # the majority of what has come
-            span.left_ms, span.votes, near = event.left_ms, 1, True
-        return 0.0 if near else max(0.0, self._set.classes[event.request_class].deadline_ms - event.left_ms)
+        usual = self._spans[event.request_class].is_usual(event.left_ms, SLACK_MS / 2, HEAT_WINDOW)
+        return 0.0 if usual else max(0.0, self._set.classes[event.request_class].deadline_ms - event.left_ms)
 
     def _beyond_share(self, now: float, tenant: int) -> bool:
         if tenant >= len(self._quotas) or not self._set.tenants[tenant].quota_per_s:
--- a/olivestair/state.py
+++ b/olivestair/state.py
@@ -70,6 +70,14 @@
     left_ms: float = 0.0
     votes: int = 0
 
+    def is_usual(self, left_ms: float, near_ms: float, most: int) -> bool:
+        """Whether a try with so much left is a first one; it votes on what that is, by so many at most."""
+        near = abs(left_ms - self.left_ms) <= near_ms
+        self.votes = min(self.votes + 1, most) if near else self.votes - 1
+        if self.votes < 0:  # the majority of what has come
+            self.left_ms, self.votes, near = left_ms, 1, True
+        return near
+
 
 @dataclass(slots=True)
 class Turn:
