--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from cloverwell.net.routing_table import Listing, TableError, split_address
+from cloverwell.net.routing_table import MAX_LIST, Listing, TableError, split_address
 
 VERSION = 1
 MAX_HELLO = 1024
-MAX_ESTATE = 1024 * 1024
+MAX_ESTATE = MAX_LIST
 END = b"\n"
 
 T = TypeVar("T")
--- a/cloverwell/net/pools.py
+++ b/cloverwell/net/pools.py
@@ -65,7 +65,8 @@
     def _sweep(self) -> None:
         now = self.wheel.now()
         for box, pool in list(self._pools.items()):
-            pool.sweep(now)
+            if not pool.unused:  # a fleet may have a thousand, and one proxy uses few of them at a time
+                pool.sweep(now)
             if not pool.left:
                 pool.open_ahead(now)
             elif pool.unused:  # successors have new names: the pools of the gone would gather
--- a/cloverwell/net/routing_table.py
+++ b/cloverwell/net/routing_table.py
@@ -29,7 +29,7 @@
 )
 ANSWER_MS = 1900.0  # what other calls may take
 MOST_WAIT_MS = 60_000.0  # that discovery lets a call wait
-MAX_LIST = 1024 * 1024
+MAX_LIST = 4 * 1024 * 1024  # no cap on its lines: a thousand of them, with long names and indented
 
 PHASES = {
     "in_service": ServerState.READY,
--- /dev/null
+++ b/tests/test_thousand_nodes.py
@@ -0,0 +1,158 @@
+"""Lists of 1,024 nodes and settings of 1,024 proxies: nothing is cut off, and memory goes by need."""
+
+import io
+import json
+import tracemalloc
+
+import msgspec
+import pytest
+from twisted.internet.protocol import Factory, Protocol
+
+from cloverwell.config import Config, Limits
+from cloverwell.connections.figures import Figures, What
+from cloverwell.handover import messages
+from cloverwell.log import Log
+from cloverwell.net.routing_table import Listing, Member
+from cloverwell.service import Service
+from lab.boxes import Box
+from lab.net import Net
+from lab.proxy import SETTINGS
+from lab.world import World
+from olivestair.settings import read_settings
+
+NODES = 1024
+PROXIES = 1024
+ORIGIN = Member("origin", "127.0.2.1:80", flavor="origin")
+LISTEN = ("127.0.0.1", 11211)
+DISCOVERY = ("127.0.3.1", 8500)
+LONG_NAME = "cache-node-" + "x" * 889  # a list is bounded by its lines, not by what they hold
+
+
+def address(number):
+    return f"10.{number // 250}.1.{number % 250 + 1}", 11211
+
+
+def member(number, name="cache-node"):
+    host, port = address(number)
+    up_since_ms = 500_000_000 + number  # long ago: it is warm
+    return Member(f"{name}-{number}", f"{host}:{port}", "east", "large", 7, up_since_ms=up_since_ms)
+
+
+def service(net, known, settings=SETTINGS):
+    """A proxy of a fleet of 1,024, on a site that allows 32 MB and 256 descriptors."""
+    told = read_settings(settings | {"peers-total": PROXIES})
+    limits = Limits(sockets=256, memory_mb=32.0)
+    config = Config("p", LISTEN, DISCOVERY, 1, limits, Listing(41, True, known), told)
+    made = Service(net, config, Log(net.now_ms, io.StringIO()), net.now_ms, -1.0e9)
+    made.start()
+    return made
+
+
+class Discovery(Protocol):
+    """Answers the first call with that body, and no other."""
+
+    body = b""
+
+    def dataReceived(self, data):
+        head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(Discovery.body)}\r\n\r\n".encode()
+        if Discovery.body:
+            self.transport.write(head + Discovery.body)
+            Discovery.body = b""
+
+
+def told(net, body):
+    Discovery.body = body
+    net.listenTCP(DISCOVERY[1], Factory.forProtocol(Discovery), interface=DISCOVERY[0])
+
+
+def indented(members):
+    listing = {"revision": 42, "complete": True, "members": [msgspec.to_builtins(one) for one in members]}
+    return json.dumps(listing, indent=8).encode()
+
+
+class Client(Protocol):
+    def __init__(self):
+        self.got = b""
+
+    def dataReceived(self, data):
+        self.got += data
+
+
+def ask(net, number, wait_ms=900):
+    factory, made = Factory.forProtocol(Client), []
+    factory.buildProtocol = lambda addr: made.append(Client()) or made[0]
+    factory.clientConnectionFailed = lambda connector, reason: None
+    net.connectTCP(*LISTEN, factory)
+    net.run_for(0.01)
+    made[0].transport.write(f"mg k{number} v O{number} Pc=page,t=acme,d={wait_ms}\r\n".encode())
+    net.run_for(0.2)
+    return made[0].got
+
+
+@pytest.mark.parametrize("name", ["cache-node", LONG_NAME])
+def test_a_list_of_1024_nodes_is_taken_whole_however_it_is_written(name):
+    net = Net()
+    proxy = service(net, [ORIGIN])
+    body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
+    told(net, body)
+    proxy.table.watch()
+    net.run_for(6.0)
+    assert len(proxy.table.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
+    assert len(proxy.pools.names()) == NODES + 1
+
+
+def test_every_one_of_1024_nodes_is_asked_for_its_keys():
+    net = Net()
+    boxes = [Box(net, address(number), seed=number) for number in range(NODES)]
+    proxy = service(net, [*map(member, range(NODES)), ORIGIN])
+    balancer = proxy.dispatcher._facade._balancer
+    owners = {next(balancer._walk(net.now_ms(), place << 47, 1)).entry.server for place in range(1 << 17)}
+    assert len(boxes) == NODES and len(owners) == NODES
+    assert all(ask(net, number).startswith(b"VA ") for number in range(40))
+
+
+def test_the_figures_of_1024_nodes_are_counted_by_name():
+    figures = Figures()
+    for number in range(NODES):
+        figures.add(What.OPENED, f"cache-node-{number}")
+    assert len(figures.by(What.OPENED)) == NODES
+
+
+def test_another_process_takes_over_a_list_of_1024_nodes():
+    members = [member(number, LONG_NAME) for number in range(NODES)]
+    line = messages.encode(messages.Estate(messages.VERSION, 256, Listing(42, True, members)))
+    assert len(line) < messages.MAX_ESTATE
+    assert len(messages.decode(line, messages.Estate).table.members) == NODES
+
+
+def test_the_lab_plays_as_many_proxies():
+    world = msgspec.convert({"proxies": PROXIES, "boxes": {"count": NODES}}, World)
+    assert world.proxies == PROXIES
+
+
+def memory_of(nodes):
+    """Bytes that a proxy with so many nodes holds once the list is read."""
+    tracemalloc.start()
+    before = tracemalloc.get_traced_memory()[0]
+    net = Net()
+    proxy = service(net, [*map(member, range(nodes)), ORIGIN])
+    net.run_for(1.0)
+    size = tracemalloc.get_traced_memory()[0] - before
+    tracemalloc.stop()
+    assert len(proxy.pools.names()) == nodes + 1
+    return size
+
+
+def test_memory_goes_by_the_list_and_leaves_room_where_32_mb_are_allowed():
+    few, many = memory_of(200), memory_of(NODES)
+    each = (many - few) / (NODES - 200)
+    assert each < 20_000 and many < 16 * 1024 * 1024, (few, many)
+
+
+def test_what_no_request_uses_costs_no_sweep(monkeypatch):
+    net = Net()
+    proxy = service(net, [*map(member, range(NODES)), ORIGIN])
+    swept = []
+    monkeypatch.setattr(type(proxy.pools.of("origin")), "sweep", lambda pool, now: swept.append(pool.box))
+    net.run_for(0.5)
+    assert not swept
