--- a/lab/world.py
+++ b/lab/world.py
@@ -115,7 +115,7 @@
     read_kb_s: Positive = 100_000.0  # what a client reads of a long value
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
     zone_shares: list[Share] = []  # of the traffic, by zone; none: alike
-    proxy_spread: NotNegative = 0.0  # of the logarithms of the proxies' shares; 1: some get 5 times the mean
+    proxy_spread: NotNegative = 0.0  # of the logarithms of the proxies' shares; 1: some get 4 times the mean
     back_off_ms: NotNegative = 50.0
     leave_share: Share = 0.0  # of the tries: the client closes before its answer, unless that comes sooner
     leave_ms: tuple[Positive, Positive] = (5.0, 300.0)  # so long after it has sent
