--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -167,7 +167,7 @@
         hit = not write and box.keys.hit(key)
         done_s = work_s if hit else 0.1 * work_s
         cold = box.now - box.server.born_s < box.server.warm_s
-        play.judge_work(box, name, work_s, cold)
+        play.judge_work(box, name, work_s, done_s, cold)
         wait, self._fresh_s = self._fresh_s, 0.0
         play.net.callLater(wait, self._start, key, name, entry, done_s, hit, box.now)
 
--- a/lab/play.py
+++ b/lab/play.py
@@ -97,12 +97,12 @@
         self.counts["box_attempts"] += 1
         self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != box.zone
 
-    def judge_work(self, box: Box, name: str, work_s: float, cold: bool) -> None:
+    def judge_work(self, box: Box, name: str, work_s: float, done_s: float, cold: bool) -> None:
         """A request counts as what it asks for: who sends does not know what the box holds."""
         case = self.judge.cases.get(name)
         told = case is None or self.judge.knows_start(case.proxy, box.name, self._up_ms(box))
         capacity = box.server.capacity(box.now)
-        self.judge.work(box.now, box.name, work_s, capacity, cold, self.mean_work_s, told)
+        self.judge.work(box.now, box.name, work_s, capacity, cold, self.mean_work_s, told, done_s)
 
     def _delay(self, near: str, far: str) -> float:
         """One way between two hosts: their second number is their zone."""
--- a/lab/world.py
+++ b/lab/world.py
@@ -143,6 +143,7 @@
     drain_s: Positive = 1.0  # how long a box that is told to go may still be sent something new
     fall_s: Positive = 3.0  # in any such time, no cold box is sent more than
     fall_times: Positive = 3.0  # so many times what it can do
+    fall_asked_times: Positive = 3.0  # the same of what it is asked for, where a miss counts as a hit
 
 
 class World(Struct, forbid_unknown_fields=True):
