--- a/lab/play.py
+++ b/lab/play.py
@@ -21,8 +21,8 @@
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
 from lab.world import ON_BOXES, Class, Fault, World
-from olivestair.decide import TOKENS
 from olivestair.ring import Ring, point
+from olivestair.rings import TOKENS
 from olivestair.settings import read_settings
 
 EPOCH_S = 1_000_000.0  # Unix time when the virtual clock shows 0
@@ -85,7 +85,6 @@
         ring: Ring[str] = Ring()
         for name in sorted(self.boxes):
             ring.put(name, name, TOKENS)
-        ring.settle()
         for key in self.people[0].popular():
             _, owner = next(ring.clockwise(point(key)))
             self.boxes[owner].keys.store(key)
--- a/olivestair/decide.py
+++ b/olivestair/decide.py
@@ -9,11 +9,11 @@
 
 from olivestair import api, places
 from olivestair.api import Effect, Group, ListKind, ServerState, Status
-from olivestair.ring import Ring, point
+from olivestair.ring import point
+from olivestair.rings import Rings
 from olivestair.state import FRESH, RATE_MS, Pace, Record, Server, Span, Turn
 from olivestair.timers import Timers
 
-TOKENS = 128  # S of the largest server, the others in proportion: the RFC cites a spread near 10% at 100
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
 WAKE, RESUBSCRIBE = 0, 1  # timer tokens
 QUIET_ODDS = 8.0  # silence x requests out / mean latency that marks: chance alone would do that once in e^8
@@ -21,7 +21,6 @@
 LOOK_MS = 25.0  # pace of the looks at a server that has been silent so long
 QUIET_SHARE = 0.34  # silence marks at most this part of the ring: more than that is an overload, not deaths
 PROBE_MIN_MS = 15.0  # a probe's mean latency is taken as no less: eight of them outlast most pauses
-ZONE_PEERS = 4  # balancers a zone from which on each asks the servers of its own zone first
 TRIAL_MS = 500.0  # pace of trials of a marked server: a few a death, back within a second
 LONG_MARK_MS = 2000.0  # marked so long, a server has likely restarted: cold until the list says more
 HEAT_WINDOW = 100  # requests of this balancer among which a hot key is told: all balancers see the same mix
@@ -64,15 +63,9 @@
         self._set = settings
         self._rng = Random(seed)
         self._servers: dict[str, Server] = {}
-        zones = max(1, len(settings.zones))
-        self._zoned = settings.cross_price > 0 and zones > 1
-        # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
-        self._few = self._zoned and settings.peers_total < ZONE_PEERS * zones
-        self._home: Ring[Server] = Ring()
-        self._abroad: Ring[Server] = Ring()  # servers of other zones, where that matters
-        self._home_part = 1.0  # of the keys: as far as home has the capacity
+        self._rings = Rings(settings)
+        self._home, self._abroad, self._few = self._rings.home, self._rings.abroad, self._rings.few
         self._origins: list[Server] = []
-        self._members = 0  # servers on the ring
         self._records: dict[str, Record] = {}
         self._fetches: dict[str, list[Record]] = {}  # key -> requests that wait for its fetch
         self._turns: dict[str, Turn] = {}  # key -> its in-turn requests
@@ -134,13 +127,15 @@
         told = {entry.server: entry for entry in event.entries}  # told twice, the last counts
         ready = {name: entry for name, entry in told.items() if entry.state is ServerState.READY}
         lost = self._servers if event.kind is not ListKind.DELTA else told
+        gone: list[Server] = []
         for name in [name for name in lost if name in self._servers and name not in ready]:
-            self._home.remove(self._servers[name])
-            self._abroad.remove(self._servers[name])
-            self._leave(now, self._servers.pop(name))
+            gone.append(server := self._servers.pop(name))
+            self._leave(now, server)
         for entry in ready.values():
             self._keep(now, entry)
-        self._set_ring()
+        self._origins = [server for server in self._origins if not server.left]
+        kept = [self._servers[name] for name in ready]
+        self._rings.change([s for s in gone if not s.origin], [s for s in kept if not s.origin])
 
     def _keep(self, now: float, entry: api.ServerEntry) -> None:
         server = self._servers.get(entry.server)
@@ -153,6 +148,7 @@
             kin = self._kinds.setdefault(entry.kind, Pace(self._pace.mean_ms))
             server = Server(entry, origin, pace, kin, limit, least)
             self._servers[entry.server] = server
+            self._origins += [server] * origin
         if started:  # it is cold, unless that is long ago, and worth a try at once
             server.warm_from_ms = entry.started_ms or -math.inf
             server.missed_ms, server.probed_ms = None, None
@@ -165,28 +161,6 @@
             self._close(now, server)
             self._timers.at(now + HANG_UP_AGAIN * self._set.hang_up_within_ms, self._close, server)
 
-    def _set_ring(self) -> None:
-        caches = [s for s in self._servers.values() if not s.origin]
-        self._origins = [s for s in self._servers.values() if s.origin]
-        self._members = len(caches)
-        largest = max((s.entry.weight for s in caches), default=1.0)  # weights have no unit
-        for server in caches:
-            size = server.entry.weight / largest if self._set.sizes_fixed and largest else 1.0
-            far = self._zoned and server.entry.zone != self._set.zone
-            for ring, on in (self._home, not far), (self._abroad, far or self._few):
-                if on:  # as it was, nothing moves: a large fleet's list comes often
-                    ring.put(server, server.entry.server, max(1, round(TOKENS * size)))
-                else:
-                    ring.remove(server)
-        self._home.settle()
-        self._abroad.settle()
-        # Zones have about as many requests, but not as many servers: what home can't carry goes abroad.
-        # With few balancers zones differ by what they are asked, and jams tell what home can't carry.
-        all_sizes = sum(s.entry.weight for s in caches)
-        mine = sum(s.entry.weight for s in caches if s.entry.zone == self._set.zone)
-        even = self._zoned and not self._few
-        self._home_part = len(self._set.zones) * mine / max(all_sizes, 1e-9) if even else 1.0
-
     def _share(self, now: float, server: Server) -> float:
         """The part of its tokens that is active: misses and load rise with what it can do."""
         start, age = self._set.start_capacity, max(0.0, now - server.warm_from_ms)
@@ -206,7 +180,7 @@
         Those at home first, where a crossing has its price; keys that home has no capacity for, abroad.
         With few balancers only `near` at home, then every other zone's own first, where copies are."""
         rings = [self._home, self._abroad]
-        if (place >> 10) % 1024 >= 1024 * self._home_part:
+        if (place >> 10) % 1024 >= 1024 * self._rings.home_part:
             rings.reverse()
         seen, zones, later = set[Server](), set[int](), list[Server]()
         for ring in rings:
@@ -296,7 +270,7 @@
             rec.turn.line.append(rec)
         if event.key is not None and not event.write:
             self._keys.append(event.key)
-            rec.heat = (self._keys.count(event.key) - 1) / HEAT_WINDOW * self._members
+            rec.heat = (self._keys.count(event.key) - 1) / HEAT_WINDOW * len(self._rings)
         # With few balancers zones differ, so each member of the preference set is judged instead.
         crowded = not (event.write or self._few) and self._drop_early(now, self._pace, rec.excess)
         if use <= now or crowded:
@@ -333,7 +307,7 @@
         server = self._choose(now, rec)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
-            full = all(self._warm(now, s) for s in self._servers.values()) and self._members
+            full = all(self._warm(now, s) for s in self._servers.values()) and len(self._rings)
             return self._finish(now, rec, "bounds", RATE_MS) if full else self._ask_origin(now, rec)
         # Where cancels are permitted `_look` frees it, and a busy server does no work twice.
         self._send(now, rec, server, (rec.use_ms - now) / (1 if self._set.may_cancel else 2))
@@ -605,7 +579,7 @@
             odds += (now - server.probed_ms) / max(PROBE_MIN_MS, self._probe_pace.mean_ms)
         if odds >= QUIET_ODDS:
             marked = sum(s.missed_ms is not None for s in self._servers.values())
-            if marked + 1 <= max(1, QUIET_SHARE * self._members):
+            if marked + 1 <= max(1, QUIET_SHARE * len(self._rings)):
                 self._mark(now, server)
 
     def _send_again(self, now: float, server: Server) -> None:
--- a/olivestair/ring.py
+++ b/olivestair/ring.py
@@ -1,12 +1,16 @@
 """The ring's arithmetic: tokens in order, who owns them, and the way clockwise. It decides nothing."""
 
-from bisect import bisect_left
-from collections.abc import Hashable, Iterator
+from bisect import bisect_left, insort
+from collections.abc import Hashable, Iterable, Iterator
 from hashlib import blake2b, shake_128
+from itertools import chain
 from struct import unpack
 from typing import Generic, TypeVar
 
 Owner = TypeVar("Owner", bound=Hashable)
+BUCKET_BITS = 8  # first bits of a token, which name its bucket
+BUCKET_SHIFT = 64 - BUCKET_BITS
+MANY = 8  # tokens a bucket, over which it costs less to sort than to find the place of each
 
 
 def point(name: str) -> int:
@@ -20,12 +24,12 @@
 
 
 class Ring(Generic[Owner]):
-    """Changes gather until `settle`, so that a list with many entries sorts the tokens once."""
+    """All tokens in order, in buckets by their first bits: a change costs its own tokens, not all of them.
+
+    Tokens are hashes, so buckets fill evenly: at 1,000 owners with 128 tokens each holds some 500."""
 
     def __init__(self) -> None:
-        self._order: list[int] = []
-        self._added: list[int] = []
-        self._removed = False
+        self._buckets: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]
         self._owners: dict[int, Owner] = {}
         self._tokens: dict[Owner, list[int]] = {}
 
@@ -38,31 +42,38 @@
 
     def put(self, owner: Owner, name: str, number: int) -> None:
         """Gives the owner that many tokens; nothing changes if it has them."""
-        if len(self._tokens.get(owner, ())) != number:
-            self.remove(owner)
-            self._tokens[owner] = tokens(name, number)
-            self._added += self._tokens[owner]
-            self._owners.update(dict.fromkeys(self._tokens[owner], owner))
+        self.put_all([(owner, name, number)])
+
+    def put_all(self, wanted: Iterable[tuple[Owner, str, int]]) -> None:
+        """The same for several owners, each there once: at a start that is a whole fleet."""
+        added: list[int] = []
+        for owner, name, number in wanted:
+            if len(self._tokens.get(owner, ())) != number:
+                self.remove(owner)
+                mine = self._tokens[owner] = tokens(name, number)
+                self._owners.update(dict.fromkeys(mine, owner))
+                added += mine
+        if len(added) > MANY * len(self._buckets):
+            for token in added:
+                self._buckets[token >> BUCKET_SHIFT].append(token)
+            for bucket in self._buckets:
+                bucket.sort()
+        else:
+            for token in added:
+                insort(self._buckets[token >> BUCKET_SHIFT], token)
 
     def remove(self, owner: Owner) -> None:
+        """Takes the owner's tokens, if it has any."""
         for token in self._tokens.pop(owner, ()):
             del self._owners[token]
-            self._removed = True
-
-    def settle(self) -> None:
-        """Merges what was added into the order: a whole sort for each list cost a large fleet its CPU."""
-        if self._removed:
-            self._order = [token for token in self._order if token in self._owners]
-            # A token may have gone and come back within one list.
-            self._added = list(set(self._added).intersection(self._owners).difference(self._order))
-        if self._added:
-            self._order += self._added
-            self._order.sort()
-        self._added, self._removed = [], False
+            bucket = self._buckets[token >> BUCKET_SHIFT]
+            del bucket[bisect_left(bucket, token)]
 
     def clockwise(self, place: int) -> Iterator[tuple[int, Owner]]:
         """All tokens with their owners, from the first at or after the place, wrapping to zero."""
-        start, size = bisect_left(self._order, place), len(self._order)
-        for step in range(start, start + size):
-            token = self._order[step % size]
+        first = place >> BUCKET_SHIFT
+        begun = self._buckets[first]
+        start = bisect_left(begun, place)
+        buckets = chain(self._buckets[first + 1 :], self._buckets[:first])
+        for token in chain(begun[start:], chain.from_iterable(buckets), begun[:start]):
             yield token, self._owners[token]
--- /dev/null
+++ b/olivestair/rings.py
@@ -0,0 +1,72 @@
+"""Where the servers stand: their tokens at home and abroad, kept as lists change them."""
+
+from collections.abc import Collection
+
+from olivestair import api
+from olivestair.ring import Ring
+from olivestair.state import Server
+from olivestair.weights import Weights
+
+TOKENS = 128  # S of the largest server, the others in proportion: the RFC cites a spread near 10% at 100
+ZONE_PEERS = 4  # balancers a zone from which on each asks the servers of its own zone first
+
+
+class Rings:
+    """The two rings of one balancer; a list costs what it changes, since a large fleet's come often."""
+
+    def __init__(self, settings: api.Settings) -> None:
+        self._set = settings
+        zones = max(1, len(settings.zones))
+        self._zoned = settings.cross_price > 0 and zones > 1
+        # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
+        self.few = self._zoned and settings.peers_total < ZONE_PEERS * zones
+        self.home: Ring[Server] = Ring()
+        self.abroad: Ring[Server] = Ring()  # servers of other zones, where that matters
+        self.home_part = 1.0  # of the keys: as far as home has the capacity
+        self._servers: dict[str, Server] = {}
+        self._weights = Weights()
+        self._largest = 1.0  # weight; weights have no unit
+
+    def __len__(self) -> int:
+        """How many servers there are."""
+        return len(self._servers)
+
+    def change(self, gone: Collection[Server], kept: Collection[Server]) -> None:
+        """Takes servers out, and puts others where their entries say, whether they are new or not."""
+        for server in gone:
+            self._remove(server)
+        for server in kept:
+            self._servers[server.entry.server] = server
+            self._weights.put(server.entry.server, server.entry.zone, server.entry.weight)
+        before, self._largest = self._largest, self._weights.largest
+        resized = self._set.sizes_fixed and self._largest != before  # in proportion to it, all of them
+        self._place(self._servers.values() if resized else kept)
+        if self._zoned and not self.few:
+            # Zones have about as many requests, but not as many servers: what home can't carry goes abroad.
+            # With few balancers zones differ by what they are asked, and jams tell what home can't carry.
+            mine, total = self._weights.in_zone(self._set.zone), self._weights.total
+            self.home_part = len(self._set.zones) * mine / max(total, 1e-9)
+
+    def _remove(self, server: Server) -> None:
+        del self._servers[server.entry.server]
+        self._weights.remove(server.entry.server)
+        self.home.remove(server)
+        self.abroad.remove(server)
+
+    def _place(self, servers: Collection[Server]) -> None:
+        """Gives each its tokens where it stands; one that has them keeps them."""
+        for ring, stands in (self.home, self._at_home), (self.abroad, self._abroad):
+            ring.put_all((s, s.entry.server, self._tokens_of(s)) for s in servers if stands(s))
+            for server in servers:
+                if not stands(server):
+                    ring.remove(server)
+
+    def _tokens_of(self, server: Server) -> int:
+        fixed = self._set.sizes_fixed and self._largest
+        return max(1, round(TOKENS * (server.entry.weight / self._largest if fixed else 1.0)))
+
+    def _at_home(self, server: Server) -> bool:
+        return not self._zoned or server.entry.zone == self._set.zone
+
+    def _abroad(self, server: Server) -> bool:
+        return self.few or not self._at_home(server)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -3,8 +3,8 @@
 from collections import Counter
 
 from olivestair import api
-from olivestair.decide import TOKENS
 from olivestair.ring import point, tokens
+from olivestair.rings import TOKENS
 
 KEYS = [f"key-{i}" for i in range(600)]
 
