--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -35,6 +35,7 @@
 PEAK_WEIGHT = 0.15
 WIDTHS = 1.5  # mean deviations of the peaks that are kept at hand above their mean
 SILENT_TIMES = 4.0  # mean answers: a leg that has had none of one for so long is on a connection that is dead
+SILENT = 0.5  # a share over which dead connections of a kind are taken to say nothing
 FULL = 4  # connections refused in a row, while others stand, that show a box to hold no more
 CAP_BACK_MS = 2000.0  # a box that refused a connection is asked for one more after so long
 ROUND_MS = 10_000.0  # the quickest round trip is the least of so long, and of as long before
@@ -188,7 +189,7 @@
         if age_ms is not None:
             surprise = kin.share < COMMON
             kin.worry += SLOW * (1.0 - kin.worry)
-            kin.drops *= 0.5
+            self._drops(kin, 0.5 * kin.drops)
             self.limits.learn(box, entry.kind, age_ms, True, now, surprise)
 
     def silent(self, box: str, age_ms: float | None, after_ms: float, now: float) -> None:
@@ -199,7 +200,7 @@
         entry = self._boxes.get(box)
         if entry is not None and age_ms is not None and after_ms > SILENT_TIMES * max(entry.answer_ms, 1.0):
             kin = self._kinds[entry.kind]
-            kin.drops = 1.0
+            self._drops(kin, 1.0)
             kin.share += LONG * (1.0 - kin.share)
             self.limits.learn(box, entry.kind, age_ms, True, now, silent=True)
 
@@ -210,6 +211,12 @@
             return False
         return entry.answered_ms < written_ms < now - SILENT_TIMES * max(entry.answer_ms, 1.0)
 
+    def _drops(self, kin: Kin, drops: float) -> None:
+        """Whether dead connections are silent decides which limit holds for each box of the kind."""
+        before, kin.drops = kin.drops, drops
+        if (before > SILENT) != (drops > SILENT):
+            self.limits.changed(None)
+
     # What to do ---------------------------------------------------------------------------------
 
     def use(self, box: str, age_ms: float | None, dear: bool) -> Use:
@@ -254,7 +261,7 @@
     def limit_ms(self, entry: Box, box: str) -> float:
         """Where dead connections say nothing, what the kind has shown holds for each; else each shows it."""
         own = self.limits.limit_ms(box, entry.kind)
-        silent = self._kinds[entry.kind].drops > 0.5
+        silent = self._kinds[entry.kind].drops > SILENT
         return min(own, self.limits.kin_limit_ms(entry.kind)) if silent else own
 
     def may_open(self, box: str, opened: int, now: float) -> bool:
@@ -292,9 +299,7 @@
     def ahead(self, box: str, opened: int, now: float) -> int:
         """How many to open now, before a leg needs them."""
         entry = self._boxes.get(box)
-        if entry is None or entry.left_ms is not None or now < entry.cold_until_ms:
-            return 0
-        if entry.connect_ms < DEAR_MS or entry.cap < math.inf:
+        if entry is None or not self._may_want(entry) or now < entry.cold_until_ms:
             return 0
         # The spare ones take turns with those in use: each is used about once in `target` gaps.
         wanted = self.target(box, now)
@@ -302,6 +307,22 @@
             return 0
         return min(AHEAD_EACH, max(0, wanted - opened))
 
+    def _may_want(self, entry: Box) -> bool:
+        """Whether connections to it may be opened ahead at all."""
+        return entry.left_ms is None and entry.connect_ms >= DEAR_MS and entry.cap == math.inf
+
+    def plans(self, box: str) -> bool:
+        """Whether each leg to the box may change what `ahead` says."""
+        entry = self._boxes.get(box)
+        return entry is not None and self._may_want(entry)
+
+    def ahead_again_ms(self, box: str) -> float:
+        """Until then `ahead` stays 0 where it was 0 just now, if nothing befalls the box meanwhile."""
+        entry = self._boxes.get(box)
+        if entry is None or not self._may_want(entry):
+            return math.inf
+        return max(entry.cold_until_ms, entry.window_ms)
+
     def _round(self, entry: Box, took_ms: float, now: float) -> None:
         if now >= entry.round_end_ms:
             entry.round_before_ms, entry.round_ms = entry.round_ms, math.inf
--- a/cloverwell/connections/stale.py
+++ b/cloverwell/connections/stale.py
@@ -13,6 +13,9 @@
 
 import math
 from bisect import bisect_right
+from collections.abc import Callable
+
+from cloverwell.connections.schedule import Schedule
 
 # Ages in ms; each step is about a quarter. What is older counts as the last.
 EDGES = (0, 8, 16, 25, 35, 45, 60, 80, 100, 125, 150, 190, 240, 300, 370, 460, 580, 720, 900)
@@ -46,9 +49,21 @@
 class Ages:
     """Legs by the idle age of their connection: how many, and how many of them were reset at once."""
 
-    __slots__ = ("_bad", "_found", "_good", "_half_life_ms", "_silent", "_turned_ms", "gain", "limit_ms")
-
-    def __init__(self, now: float) -> None:
+    __slots__ = (
+        "_bad",
+        "_found",
+        "_good",
+        "_half_life_ms",
+        "_silent",
+        "_turned_ms",
+        "box",
+        "gain",
+        "limit_ms",
+    )
+
+    def __init__(self, now: float, box: str | None = None) -> None:
+        """`box`: whose they are; None for those of a kind."""
+        self.box = box
         self._good = [0.0] * len(EDGES)
         self._bad = [0.0] * len(EDGES)
         self._silent = 0.0  # of the bad ones, those that were not reset
@@ -68,8 +83,7 @@
 
     def forget(self, now: float) -> None:
         """Halves the evidence every half-life, in eighths."""
-        step = self._half_life_ms / 8.0
-        if now - self._turned_ms < step:
+        if now - self._turned_ms < self._half_life_ms / 8.0:
             return
         factor = 0.5 ** min(8.0, (now - self._turned_ms) / self._half_life_ms)
         self._turned_ms = now
@@ -78,6 +92,16 @@
         self._silent *= factor
         self._find()
 
+    @property
+    def turns_ms(self) -> float:
+        """When it forgets next."""
+        return self._turned_ms + self._half_life_ms / 8.0
+
+    @property
+    def shown(self) -> tuple[float, bool]:
+        """The limit, and whether its evidence stands by itself: all that the limits of boxes hang on."""
+        return self.limit_ms, self.gain >= EVIDENCE[1]
+
     def doubt(self, age_ms: float) -> None:
         """What was known of connections so old holds no longer: they will have to show it again."""
         for place in range(bucket(age_ms), len(EDGES)):
@@ -127,7 +151,9 @@
         self.most_ms = most_ms
         self._boxes: dict[str, Ages] = {}
         self._kinds: dict[str, Ages] = {}
-        self._now = now
+        self._turns: Schedule[Ages] = Schedule()
+        # Told when the limit of a box may have changed, or with None that of each.
+        self.changed: Callable[[str | None], None] = lambda box: None
 
     def __len__(self) -> int:
         return len(self._boxes)
@@ -144,16 +170,27 @@
     ) -> None:
         """`surprise`: one is lost where hardly any is: the box may have changed its mind; `silent`: no reset
         came."""
-        for table, name in ((self._boxes, box), (self._kinds, kind)):
-            if name not in table:
-                table[name] = Ages(now)
+        for table, name, whose in ((self._boxes, box, box), (self._kinds, kind, None)):
+            ages = table.get(name)
+            if ages is None:
+                ages = table[name] = Ages(now, whose)
+                self._turns.add(ages)
             if surprise:
-                table[name].doubt(age_ms)
-            table[name].learn(age_ms, stale, now, silent)
+                ages.doubt(age_ms)
+            before = ages.shown
+            ages.learn(age_ms, stale, now, silent)
+            self._learnt(ages, before)
+
+    def _learnt(self, ages: Ages, before: tuple[float, bool]) -> None:
+        self._turns.at(ages, ages.turns_ms)
+        if ages.shown != before:
+            self.changed(ages.box)
 
     def forget(self, box: str) -> None:
         """The box is gone."""
-        self._boxes.pop(box, None)
+        ages = self._boxes.pop(box, None)
+        if ages is not None:
+            self._turns.discard(ages)
 
     def limit_ms(self, box: str, kind: str) -> float:
         """An idle connection that is older is of no use: the box itself has shown that."""
@@ -186,6 +223,7 @@
 
     def tick(self, now: float) -> None:
         """Forgets what is old."""
-        for table in (self._boxes, self._kinds):
-            for ages in table.values():
-                ages.forget(now)
+        for ages in self._turns.sweep(now):
+            before = ages.shown
+            ages.forget(now)
+            self._learnt(ages, before)
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -97,6 +97,8 @@
             return
         now = self.now()
         self._back.started(self.box, len(self.connections) - len(self.idle) + 1, now)
+        if self._back.plans(self.box):
+            self._pools.wake(self)
         self._place(attempt)
 
     def move(self, attempt: Attempt) -> None:
@@ -161,6 +163,7 @@
             attempt.end(Outcome.NOT_CONNECTED)
             return
         self._waiting.append(attempt)
+        self._pools.wake(self)
         # Too long without a connection is a failure to connect: nothing was written, it never ran.
         self._pools.wheel.at(attempt.write_by_ms, lambda: self._unheard(attempt))
 
@@ -224,6 +227,7 @@
 
         `refused`: the box said so; else it never came up."""
         self.opening -= 1
+        self._pools.wake(self)
         self._pools.budget.give_back(Side.BACK)
         self._figures.add(What.REFUSED, self.box)
         if refused:
@@ -236,11 +240,13 @@
     def mistaken(self) -> None:
         """One that came up leads to where the box was: who waits gets another."""
         self.opening -= 1
+        self._pools.wake(self)
         self._pools.budget.give_back(Side.BACK)
         self._open_for_waiting()
 
     def opened(self, connection: BoxConnection) -> None:
         self.opening -= 1
+        self._pools.wake(self)
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
         self._figures.add(What.OPENED, self.box)
@@ -328,6 +334,7 @@
         self.begun.pop(connection, None)
         if connection in self.connections:
             self.connections.remove(connection)
+            self._pools.wake(self)
             self._pools.budget.give_back(Side.BACK)
         if self._pools.idle.pop(connection, None) is not None:
             self.idle.remove(connection)
@@ -353,9 +360,26 @@
         while len(self._waiting) > self.opening + self._resting and self._pools.may_open(self):
             self._open()
 
-    def open_ahead(self, now: float) -> None:
-        for _ in range(self._back.ahead(self.box, self.held, now)):
+    def open_ahead(self, now: float) -> bool:
+        """Whether any were wanted: then more may be, or there was no room for them."""
+        wanted = self._back.ahead(self.box, self.held, now)
+        for _ in range(wanted):
             if not self._pools.spare_room():
-                return
+                break
             self._figures.add(What.AHEAD, self.box)
             self._open()
+        return wanted > 0
+
+    def due_ms(self, now: float) -> float:
+        """Just swept: until then the sweep has nothing to do here, unless something befalls the pool.
+
+        A connection that falls idle, or begins a long value, after now has its time only later."""
+        if self._waiting or self.left:
+            return now
+        if not self.connections:
+            return self._back.ahead_again_ms(self.box)
+        flows = [connection.flow_ms for connection in self.connections if connection.flow]
+        still_ms = min(flows, default=now) + FLOW_STILL_MS
+        idle_ms = self.idle[0].idle_since_ms if self.idle else now
+        old_ms = idle_ms + self._back.idle_limit_ms(self.box)
+        return min(still_ms, old_ms, self._back.ahead_again_ms(self.box))
--- a/cloverwell/net/pools.py
+++ b/cloverwell/net/pools.py
@@ -10,6 +10,7 @@
 from cloverwell.connections.back import Back
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.connections.figures import Figures
+from cloverwell.connections.schedule import Schedule
 from cloverwell.log import Log
 from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.pool import Pool
@@ -48,6 +49,8 @@
         self.hold = hold  # whether a leg that we close stays out until the close can have reached its box
         self.borrow: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
+        self._schedule: Schedule[Pool] = Schedule()
+        self.back.limits.changed = self._limits_changed
         self.idle: OrderedDict[BoxConnection, Pool] = OrderedDict()  # of all boxes, longest idle first
         self.begun: dict[BoxConnection, int] = {}  # part of an answer is there: looks since more of it came
         self._sweep()
@@ -64,22 +67,41 @@
 
     def _sweep(self) -> None:
         now = self.wheel.now()
-        for box, pool in list(self._pools.items()):
-            if not pool.unused:  # a fleet may have a thousand, and one proxy uses few of them at a time
-                pool.sweep(now)
-            if not pool.left:
-                pool.open_ahead(now)
-            elif pool.unused:  # successors have new names: the pools of the gone would gather
-                del self._pools[box]
-                self.back.forget(box)
-                self.figures.forget(box)
+        for pool in self._schedule.sweep(now):
+            self._visit(pool, now)
         self.back.limits.tick(now)
         self.wheel.at(now + SWEEP_MS, self._sweep)
 
+    def _visit(self, pool: Pool, now: float) -> None:
+        pool.sweep(now)
+        if pool.left and pool.unused:  # successors have new names: the pools of the gone would gather
+            del self._pools[pool.box]
+            self._schedule.discard(pool)
+            self.back.forget(pool.box)
+            self.figures.forget(pool.box)
+            return
+        wanted = not pool.left and pool.open_ahead(now)
+        self._schedule.at(pool, now if wanted else pool.due_ms(now))
+
+    def wake(self, pool: Pool) -> None:
+        """Something befell the pool that its next sweep may have to answer."""
+        self._schedule.wake(pool)
+
+    def _limits_changed(self, box: str | None) -> None:
+        """The idle limit of a box may be another, or that of all: what is idle may be due sooner."""
+        if box is None:
+            self._schedule.wake_all()
+        elif (pool := self._pools.get(box)) is not None:
+            self._schedule.wake(pool)
+
+    def _add(self, box: str, origin: bool) -> Pool:
+        pool = self._pools[box] = Pool(self, box, origin)
+        self._schedule.add(pool)
+        return pool
+
     def of(self, box: str) -> Pool:
         if box not in self._pools:  # it left while its choice was on the way: a failure to connect
-            self._pools[box] = Pool(self, box, origin=False)
-            self._pools[box].left = True
+            self._add(box, origin=False).left = True
         return self._pools[box]
 
     def names(self) -> set[str]:
@@ -89,8 +111,9 @@
         """A box that the routing table names, with its address as it is now."""
         pool = self._pools.get(box)
         if pool is None:
-            pool = self._pools[box] = Pool(self, box, origin)
+            pool = self._add(box, origin)
         pool.left = False
+        self.wake(pool)
         self.back.named(box, pool.kind, cold_until_ms)
         if pool.address != (host, port):
             pool.hang_up()
@@ -110,6 +133,7 @@
         """The box drains or is gone: a connection that falls idle from now on is of no more use."""
         if (pool := self._pools.get(box)) is not None:
             pool.left = True
+            self.wake(pool)
             self.back.left(box, self.wheel.now())
             pool.hang_up()
 
