--- a/cloverwell/peers/view.py
+++ b/cloverwell/peers/view.py
@@ -5,6 +5,9 @@
 suspected, and dead only when the suspicion has stood: it hears of it, and denies it by a higher incarnation.
 What is news rides on the pings and acks, a bounded number of times.
 
+What a proxy sends in a second does not grow with the tier: each calls few of those who are lost to it, and of
+all who hear of a suspicion few ping the suspect, since a whole tier would drown it.
+
 Proxies are known by their number in the tier, not by address: an address differs from one proxy to another.
 An incarnation is the start's Unix time in ms, and one more for each denial; denials are rarer than that,
 so a restart's is always higher. Times are milliseconds of one monotonic clock.
@@ -12,6 +15,7 @@
 
 from __future__ import annotations
 
+import heapq
 import math
 from dataclasses import dataclass, field
 from random import Random
@@ -27,8 +31,6 @@
     State,
 )
 
-EVERYBODY = -1  # as the receiver of a message: whoever can be reached
-
 
 @dataclass(slots=True, frozen=True)
 class Figures:
@@ -38,12 +40,14 @@
     answer_ms: float = 80.0  # without an ack so long, others are asked
     helpers: int = 3  # how many of them
     suspect_ms: float = 600.0  # a suspicion that stands so long is a death
-    call_ms: float = 1000.0  # between calls to everybody, while somebody has not been heard of or is dead
+    call_ms: float = 1000.0  # between calls to those who have not been heard of or are dead
+    calls: int = 16  # to how many of them at once: each has its turn
+    suspect_pings: int = 16  # a suspect gets from the whole tier, on average, in each `answer_ms`
 
 
 @dataclass(slots=True, frozen=True)
 class Out:
-    """A message to be sent to a proxy, or to everybody."""
+    """A message to be sent to a proxy, by its number."""
 
     to: int
     message: Message
@@ -64,6 +68,7 @@
     state: State
     since_ms: float  # of that state
     asked_ms: float = -math.inf  # while it is suspected: its last ping
+    ours: bool = False  # it is suspected since it did not answer this proxy
 
 
 @dataclass(slots=True)
@@ -100,6 +105,9 @@
         self._errands: dict[int, tuple[int, int, float]] = {}  # our sequence -> (asker, its sequence, when)
         self._news: dict[int, int] = {}  # number -> how often its state is to be told yet
         self._call_ms = -math.inf
+        self._lost = set(range(self.total)) - {self.number}  # not heard of yet, or dead
+        self._suspects: set[int] = set()
+        self._call_turn: list[int] = []  # whom of the lost to call in this round yet
 
     # What is known ------------------------------------------------------------------------------
 
@@ -166,9 +174,14 @@
             return
         self._hold(now, rumour)
 
-    def _hold(self, now: float, rumour: Rumour) -> None:
+    def _hold(self, now: float, rumour: Rumour, ours: bool = False) -> None:
         """What is news: it is told on, so often that all hear it with hardly any doubt."""
-        self.known[rumour.proxy] = Known(rumour.incarnation, rumour.state, now)
+        self.known[rumour.proxy] = Known(rumour.incarnation, rumour.state, now, ours=ours)
+        for state, numbers in ((State.DEAD, self._lost), (State.SUSPECT, self._suspects)):
+            if rumour.state is state:
+                numbers.add(rumour.proxy)
+            else:
+                numbers.discard(rumour.proxy)
         self.changes.append(Change(rumour.proxy, rumour.state, rumour.incarnation))
         self._news[rumour.proxy] = 3 * math.ceil(math.log2(self.total + 1))
 
@@ -177,24 +190,43 @@
     def tick(self, now: float) -> list[Out]:
         """To be called at least a few times in each period."""
         out = self._judge(now) + self._advance(now)
-        lost = len(self.known) < self.total - 1 or any(k.state is State.DEAD for k in self.known.values())
-        if lost and now - self._call_ms >= self.figures.call_ms:
+        if self._lost and now - self._call_ms >= self.figures.call_ms:
             # Whoever has just started, or comes back, learns of us and we of it.
             self._call_ms = now
-            out.append(self._out(EVERYBODY, Kind.PING, self._next_sequence()))
+            out += self._call()
         return out
 
+    def _call(self) -> list[Out]:
+        """Calls some of the lost ones, each once before any a second time. News would be lost on them."""
+        called: set[int] = set()
+        while len(called) < min(self.figures.calls, len(self._lost)):
+            if not self._call_turn:
+                self._call_turn = sorted(self._lost)
+                self._rng.shuffle(self._call_turn)
+            called |= {self._call_turn.pop()} & self._lost
+        return [
+            Out(number, self._message(Kind.PING, self._next_sequence(), NOBODY, self._told_dead(number)))
+            for number in sorted(called)
+        ]
+
+    def _told_dead(self, number: int) -> tuple[Rumour, ...]:
+        """What one that lives has to hear of itself, if it is held for dead or suspected."""
+        held = self.known.get(number)
+        if held is None or held.state is State.ALIVE:
+            return ()
+        return (Rumour(number, held.incarnation, held.state),)
+
     def _judge(self, now: float) -> list[Out]:
         """A suspect is pinged again and again, since a lost datagram must not stand for it; then it dies."""
         out = []
-        for number, known in list(self.known.items()):
-            if known.state is not State.SUSPECT:
-                continue
+        for number in sorted(self._suspects):
+            known = self.known[number]
             if now - known.since_ms >= self.figures.suspect_ms:
                 self._hold(now, Rumour(number, known.incarnation, State.DEAD))
             elif now - known.asked_ms >= self.figures.answer_ms:
                 known.asked_ms = now
-                out.append(self._out(number, Kind.PING, self._next_sequence()))
+                if known.ours or self._rng.random() * self.total < self.figures.suspect_pings:
+                    out.append(self._out(number, Kind.PING, self._next_sequence()))
         return out
 
     def _advance(self, now: float) -> list[Out]:
@@ -210,16 +242,16 @@
             return []
         known = self.known[trial.whom]
         if not trial.answered and known.state is State.ALIVE:
-            self._hold(now, Rumour(trial.whom, known.incarnation, State.SUSPECT))
+            self._hold(now, Rumour(trial.whom, known.incarnation, State.SUSPECT), ours=True)
         return self._begin(now)
 
     def _begin(self, now: float) -> list[Out]:
         """Pings the next one: each once in an order drawn anew, so that a death is met within a round."""
         self._trial = None
-        living = self.alive() - {self.number}
-        self._turn = [number for number in self._turn if number in living]
+        while self._turn and self._turn[-1] in self._lost:
+            self._turn.pop()
         if not self._turn:
-            self._turn = sorted(living)
+            self._turn = sorted(self.alive() - {self.number})
             self._rng.shuffle(self._turn)
         if not self._turn:
             return []
@@ -228,15 +260,16 @@
         return [self._out(whom, Kind.PING, self._trial.sequence)]
 
     def _out(self, to: int, kind: Kind, sequence: int, whom: int = NOBODY) -> Out:
-        return Out(to, Message(kind, self.number, self.incarnation, sequence, whom, self._rumours(to)))
+        return Out(to, self._message(kind, sequence, whom, self._rumours(to)))
+
+    def _message(self, kind: Kind, sequence: int, whom: int, rumours: tuple[Rumour, ...]) -> Message:
+        return Message(kind, self.number, self.incarnation, sequence, whom, rumours)
 
     def _rumours(self, to: int) -> tuple[Rumour, ...]:
         """What is to be told yet, the least told first; a suspect always hears that it is one."""
-        told = []
-        held = self.known.get(to)
-        if held is not None and held.state is not State.ALIVE:
-            told.append(Rumour(to, held.incarnation, held.state))
-        for number in sorted(self._news, key=lambda n: (-self._news[n], n))[: MOST_RUMOURS - len(told)]:
+        told = list(self._told_dead(to))
+        room = MOST_RUMOURS - len(told)
+        for number in heapq.nsmallest(room, self._news, key=lambda n: (-self._news[n], n)):
             self._news[number] -= 1
             if not self._news[number]:
                 del self._news[number]
--- a/cloverwell/peers/wire.py
+++ b/cloverwell/peers/wire.py
@@ -1,24 +1,28 @@
 """The datagrams between proxies: bytes to messages and back, without I/O.
 
-A head of 13 bytes, then rumours of 8 each; all numbers big-endian.
+A head of 15 bytes, then rumours of 9 each; all numbers big-endian.
 
-    version 1 | kind 1 | sender 1 | sender's incarnation 6 | sequence 2 | whom 1 | rumours 1
-    rumour: proxy 1 | incarnation 6 | state 1
+    version 1 | kind 1 | sender 2 | sender's incarnation 6 | sequence 2 | whom 2 | rumours 1
+    rumour: proxy 2 | incarnation 6 | state 1
 
-The platform takes 256 bytes at the most, so a datagram carries up to 30 rumours.
+The platform takes 256 bytes at the most, so a datagram carries up to 26 rumours. Version 1 had one byte for a
+proxy's number, and is refused like any other that is not this one.
 """
 
 from __future__ import annotations
 
+import struct
 from dataclasses import dataclass
 from enum import IntEnum
 
-VERSION = 1
+VERSION = 2
 MOST_BYTES = 256
-HEAD, RUMOUR = 13, 8
+_HEAD = struct.Struct(">BBH6sHHB")
+_RUMOUR = struct.Struct(">H6sB")
+HEAD, RUMOUR = _HEAD.size, _RUMOUR.size
 MOST_RUMOURS = (MOST_BYTES - HEAD) // RUMOUR
-MOST_PROXIES = 255  # a number has one byte, and the last one names nobody
-NOBODY = 255
+NOBODY = 2**16 - 1
+MOST_PROXIES = NOBODY  # a number has two bytes, and the last one names nobody
 MOST_INCARNATION = 2**48 - 1
 
 
@@ -61,9 +65,17 @@
 
 def encode(message: Message) -> bytes:
     rumours = message.rumours[:MOST_RUMOURS]
-    head = bytes((VERSION, message.kind, message.sender)) + message.incarnation.to_bytes(6, "big")
-    head += message.sequence.to_bytes(2, "big") + bytes((message.whom, len(rumours)))
-    told = (bytes((r.proxy,)) + r.incarnation.to_bytes(6, "big") + bytes((r.state,)) for r in rumours)
+    incarnation = message.incarnation.to_bytes(6, "big")
+    head = _HEAD.pack(
+        VERSION,
+        message.kind,
+        message.sender,
+        incarnation,
+        message.sequence,
+        message.whom,
+        len(rumours),
+    )
+    told = (_RUMOUR.pack(r.proxy, r.incarnation.to_bytes(6, "big"), r.state) for r in rumours)
     return head + b"".join(told)
 
 
@@ -71,25 +83,20 @@
     """Raises `WireError`: `long`, `short`, `version`, `kind`, `state` or `length`."""
     if len(data) > MOST_BYTES:
         raise WireError("long")
-    if len(data) < HEAD:
+    if not data:
         raise WireError("short")
-    if data[0] != VERSION:
+    if data[0] != VERSION:  # its head may have another length
         raise WireError("version")
-    if data[1] not in iter(Kind):
+    if len(data) < HEAD:
+        raise WireError("short")
+    _, kind, sender, incarnation, sequence, whom, number = _HEAD.unpack_from(data)
+    if kind not in iter(Kind):
         raise WireError("kind")
-    if len(data) != HEAD + RUMOUR * data[12]:
+    if len(data) != HEAD + RUMOUR * number:
         raise WireError("length")
     rumours = []
-    for start in range(HEAD, len(data), RUMOUR):
-        proxy, state = data[start], data[start + 7]
+    for proxy, life, state in _RUMOUR.iter_unpack(data[HEAD:]):
         if state not in iter(State):
             raise WireError("state")
-        rumours.append(Rumour(proxy, int.from_bytes(data[start + 1 : start + 7], "big"), State(state)))
-    return Message(
-        Kind(data[1]),
-        data[2],
-        int.from_bytes(data[3:9], "big"),
-        int.from_bytes(data[9:11], "big"),
-        data[11],
-        tuple(rumours),
-    )
+        rumours.append(Rumour(proxy, int.from_bytes(life, "big"), State(state)))
+    return Message(Kind(kind), sender, int.from_bytes(incarnation, "big"), sequence, whom, tuple(rumours))
