--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,13 +1,16 @@
-"""What the number of boxes costs one proxy: its start, a change of the list, a quiet second, and memory.
+"""What the number of nodes costs one proxy: its start, a change of the list, a quiet second, memory, bytes.
 
-    python benchmarks/fleet_size.py [--boxes 12 60 200] [--json]
+    python benchmarks/fleet_size.py [--boxes 24 48 96 190 480 1000] [--runs 3] [--json]
 
 Each size is measured in a process of its own, on the virtual network: CPU time and memory are this machine's.
+Each figure is the median of the runs, and the line through them by least squares says what a node costs.
+Bytes are those of discovery's wire: a whole list as its body, a change as the watch's call and answer.
 """
 
 import argparse
 import gc
 import json
+import statistics
 import subprocess
 import sys
 import time
@@ -18,6 +21,16 @@
 
 IDLE_S = 20
 CHANGES = 20
+WARM_LEGS = 100  # nodes that have a connection as a quiet second is measured once more
+FIGURES = {
+    "start_ms": "ms of CPU for a start",
+    "change_ms": "ms of CPU for a change of one node",
+    "idle_ms_per_s": "ms of CPU a quiet second",
+    "idle_open_ms_per_s": "the same with connections to up to 100 nodes",
+    "rss_grown_mb": "MB resident by the nodes",
+    "list_bytes": "bytes of a whole list",
+    "change_bytes": "bytes of a change",
+}
 
 
 def rss_mb() -> float:
@@ -25,6 +38,43 @@
     return pages * 4096 / 1e6
 
 
+def list_bytes(boxes: int) -> int:
+    """The body of a whole list, with names and addresses as long as in service."""
+    import msgspec
+
+    from cloverwell.net.routing_table import Listing
+
+    members = [_member(number) for number in range(boxes)]
+    return len(msgspec.json.encode(Listing(123_456, True, members)))
+
+
+def change_bytes() -> int:
+    """A call of the watch and its answer with one member, heads included."""
+    import msgspec
+
+    from cloverwell.net.http import request
+    from cloverwell.net.routing_table import Listing
+
+    body = msgspec.json.encode(Listing(123_457, False, [_member(7)]))
+    call = request("GET", "/v1/servers?after=123456&wait_ms=4000", "10.20.30.40:8500", {})
+    return len(call) + len(f"HTTP/1.1 200 \r\nContent-Length: {len(body)}\r\n\r\n") + len(body)
+
+
+def _member(number: int):
+    from cloverwell.net.routing_table import Member
+
+    return Member(
+        f"cache-{number:04d}-7f3a",
+        f"10.20.{number // 250}.{number % 250}:11211",
+        "region-1-zone-b",
+        "standard-16",
+        number % 12,
+        "in_service",
+        1.0,
+        1_700_000_000_000.0,
+    )
+
+
 def measure(boxes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
     from cloverwell.net.routing_table import Listing, Member
@@ -35,10 +85,14 @@
     world = World(boxes)
     start_ms = 1000.0 * (time.process_time() - begun)
     cloverwell.__main__.collect_garbage()
-    world.net.run_for(1.0)
-    begun = time.process_time()
-    world.net.run_for(IDLE_S)
-    idle_ms = 1000.0 * (time.process_time() - begun) / IDLE_S
+
+    def quiet_ms_per_s() -> float:
+        world.net.run_for(1.0)
+        begun = time.process_time()
+        world.net.run_for(IDLE_S)
+        return 1000.0 * (time.process_time() - begun) / IDLE_S
+
+    idle_ms = quiet_ms_per_s()
     table, member = world.service.table, None
     begun = time.process_time()
     for number in range(CHANGES):
@@ -48,38 +102,62 @@
         table._take(Listing(42 + number, False, [member]))
         world.service.dispatcher.settle()
     change_ms = 1000.0 * (time.process_time() - begun) / CHANGES
+    grown_mb = rss_mb() - before_mb
+    # Connections last: they are retired after the settings' 4.5 s, within the time that is measured.
+    for number in range(min(boxes, WARM_LEGS)):
+        world.service.pools.of(f"s{number}")._open()
     return {
         "boxes": boxes,
         "start_ms": start_ms,
         "change_ms": change_ms,
         "idle_ms_per_s": idle_ms,
+        "idle_open_ms_per_s": quiet_ms_per_s(),
         "rss_mb": rss_mb(),
-        "rss_grown_mb": rss_mb() - before_mb,
+        "rss_grown_mb": grown_mb,
+        "list_bytes": list_bytes(boxes),
+        "change_bytes": change_bytes(),
     }
 
 
+def median_of(boxes: int, runs: int) -> dict[str, object]:
+    found = []
+    for _ in range(runs):
+        run = subprocess.run([sys.executable, __file__, "--one", str(boxes)], capture_output=True, check=True)
+        found.append(json.loads(run.stdout))
+    row: dict[str, object] = {name: statistics.median(one[name] for one in found) for name in found[0]}
+    row["range"] = {name: [min(o[name] for o in found), max(o[name] for o in found)] for name in FIGURES}
+    return row
+
+
 def main() -> int:
+    from lab.fit import fit
+
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--boxes", type=int, nargs="+", default=[12, 60, 200])
+    parser.add_argument("--boxes", type=int, nargs="+", default=[24, 48, 96, 190, 480, 1000])
+    parser.add_argument("--runs", type=int, default=3, help="of each size (3)")
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--one", type=int, help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.one:
         print(json.dumps(measure(args.one)))
         return 0
-    rows = []
-    for boxes in args.boxes:
-        run = subprocess.run([sys.executable, __file__, "--one", str(boxes)], capture_output=True, check=True)
-        rows.append(json.loads(run.stdout))
+    rows = [median_of(boxes, args.runs) for boxes in args.boxes]
+    lines = {}
+    if len(set(args.boxes)) >= 3:
+        lines = {name: fit(args.boxes, [row[name] for row in rows]) for name in FIGURES}
     if args.json:
-        print(json.dumps(rows, indent=1))
+        fits = {name: line.as_dict() for name, line in lines.items()}
+        print(json.dumps({"runs": args.runs, "rows": rows, "per_node": fits}, indent=1))
         return 0
-    print("boxes  start ms  change ms  idle ms/s  RSS MB  of it by the boxes")
+    print("boxes  start ms  change ms  idle ms/s  with 100 open  RSS MB  of it by the boxes  list bytes")
     for row in rows:
         print(
-            f"{row['boxes']:5d} {row['start_ms']:9.1f} {row['change_ms']:10.2f} {row['idle_ms_per_s']:10.2f}"
-            f" {row['rss_mb']:7.1f} {row['rss_grown_mb']:8.1f}"
+            f"{row['boxes']:5.0f} {row['start_ms']:9.1f} {row['change_ms']:10.2f}"
+            f" {row['idle_ms_per_s']:10.2f} {row['idle_open_ms_per_s']:14.2f}"
+            f" {row['rss_mb']:7.1f} {row['rss_grown_mb']:8.1f} {row['list_bytes']:23.0f}"
         )
+    for name, line in lines.items():
+        print(f"{FIGURES[name]}: {line.at_zero:.3g} + {line.slope:.3g} (+- {line.slope_error:.2g}) a node")
     return 0
 
 
