--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable
 
 from cloverwell import facade as f
-from cloverwell.authorisation import Attempt, Authorisation, Declined, Failed, Served
 from cloverwell.counts import Counts
 from cloverwell.facade import Facade, Outcome
 from cloverwell.flow import Flow
 from cloverwell.log import Log
 from cloverwell.net.pools import Pools
+from cloverwell.request import Attempt, Declined, Failed, Request, Served
 from cloverwell.wheel import Wheel
 
-# Before its client gives up, an authorisation that nothing has ended is failed. The module ends its legs two
+# Before its client gives up, a request that nothing has ended is failed. The module ends its legs two
 # ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be declined.
 GUARD_MS = 1.0
 WAY_MS = 1.0  # a request's way here and an answer's way back
@@ -25,7 +25,7 @@
         self._pools = pools
         self._log = log
         self._counts = counts
-        self._open: dict[str, Authorisation] = {}
+        self._open: dict[str, Request] = {}
         self._settling = False
         self._close_by_ms = math.inf
         self.watch: Callable[[], None] = lambda: None  # the routing table's
@@ -36,29 +36,27 @@
     def open_count(self) -> int:
         return len(self._open)
 
-    def take(self, authorisation: Authorisation) -> None:
-        """A new authorisation: from here on it gets exactly one final answer."""
+    def take(self, request: Request) -> None:
+        """A new request: from here on it gets exactly one final answer."""
         now = self._wheel.now()
         self._counts.add("taken")
         # `d` counts from the client's send: what the loop was held up may have passed in a socket's buffer.
-        authorisation.left_ms -= WAY_MS + self._wheel.lag_ms
-        authorisation.left_ms = min(authorisation.left_ms, self._close_by_ms - now)
-        authorisation.deadline_ms = now + authorisation.left_ms
-        if authorisation.id in self._open:
+        request.left_ms -= WAY_MS + self._wheel.lag_ms
+        request.left_ms = min(request.left_ms, self._close_by_ms - now)
+        request.deadline_ms = now + request.left_ms
+        if request.id in self._open:
             # Ids are never used twice; one that is would mix up two clients' answers.
             self._counts.add("failed.twice")
-            authorisation.finish(Failed())
+            request.finish(Failed())
             return
         bound = self._facade.settings.max_open
         if bound and len(self._open) >= bound:
             self._counts.add("declined.open")
-            authorisation.finish(Declined(self._facade.settings.max_retry_after_ms))
+            request.finish(Declined(self._facade.settings.max_retry_after_ms))
             return
-        self._open[authorisation.id] = authorisation
-        authorisation.guard = self._wheel.at(
-            authorisation.deadline_ms - GUARD_MS, lambda: self._overdue(authorisation)
-        )
-        self._carry_out(self._facade.pick(authorisation), authorisation)
+        self._open[request.id] = request
+        request.guard = self._wheel.at(request.deadline_ms - GUARD_MS, lambda: self._overdue(request))
+        self._carry_out(self._facade.pick(request), request)
         self.settle()
 
     def close_by(self, when_ms: float) -> None:
@@ -67,24 +65,24 @@
         self._wheel.at(when_ms - GUARD_MS, self._close)
 
     def _close(self) -> None:
-        for authorisation in list(self._open.values()):
-            self._overdue(authorisation)
+        for request in list(self._open.values()):
+            self._overdue(request)
 
-    def gone(self, authorisations: list[Authorisation]) -> None:
+    def gone(self, requests: list[Request]) -> None:
         """The acquirer side has left: nobody waits for these answers.
 
         All are closed before any attempt is given up: its place must not go to another of them."""
-        closed = [authorisation for authorisation in authorisations if not authorisation.over]
-        for authorisation in closed:
-            authorisation.close()
-            self._facade.report(authorisation, f.Gone())
-        for authorisation in closed:
-            for attempt in list(authorisation.legs.values()):
+        closed = [request for request in requests if not request.over]
+        for request in closed:
+            request.close()
+            self._facade.report(request, f.Gone())
+        for request in closed:
+            for attempt in list(request.legs.values()):
                 # A write that is out is let finish. One that waits for a connection, or for the close of the
                 # one before, is not sent on for nobody.
-                if not authorisation.write or attempt.pool.unsent(attempt):
+                if not request.write or attempt.pool.unsent(attempt):
                     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
-            self._forget(authorisation)
+            self._forget(request)
         if closed:
             self.settle()
 
@@ -107,11 +105,11 @@
     def _carry_out_other(self, choice: f.Choice) -> None:
         match choice:
             case f.Leg(name) | f.Decline(name) | f.Fail(name):
-                if (authorisation := self._open.get(name)) is not None:
-                    self._carry_out(choice, authorisation)
+                if (request := self._open.get(name)) is not None:
+                    self._carry_out(choice, request)
             case f.CallOff(name, number):
-                authorisation = self._open.get(name)
-                if authorisation is not None and (attempt := authorisation.legs.get(number)) is not None:
+                request = self._open.get(name)
+                if request is not None and (attempt := request.legs.get(number)) is not None:
                     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
             case f.HangUp(box):
                 self._pools.hang_up(box)
@@ -120,36 +118,36 @@
             case f.Note(text):
                 self._log.info("decision", text)
 
-    def _carry_out(self, choice: f.Choice, authorisation: Authorisation) -> None:
+    def _carry_out(self, choice: f.Choice, request: Request) -> None:
         match choice:
             case f.Leg():
-                self._start(choice, authorisation)
+                self._start(choice, request)
             case f.Decline(_, retry_after_ms, reason):
                 self._counts.add(f"declined.{reason}")
-                authorisation.finish(Declined(retry_after_ms))
-                self._forget(authorisation)
+                request.finish(Declined(retry_after_ms))
+                self._forget(request)
             case f.Fail(_, reason):
                 self._counts.add(f"failed.{reason}")
-                authorisation.finish(Failed())
-                self._forget(authorisation)
+                request.finish(Failed())
+                self._forget(request)
 
-    def _start(self, leg: f.Leg, authorisation: Authorisation) -> None:
+    def _start(self, leg: f.Leg, request: Request) -> None:
         now = self._wheel.now()
         settings = self._facade.settings
         write_by = now + min(leg.timeout_ms, settings.connect_timeout_ms)
-        window = f.resend_window_ms(settings, authorisation.class_number)
-        if window is not None and authorisation.ran_ms is not None:
+        window = f.resend_window_ms(settings, request.class_number)
+        if window is not None and request.ran_ms is not None:
             # The boxes drop a repeat for so long: one that waits for a connection must not leave after.
-            write_by = min(write_by, authorisation.ran_ms + window)
+            write_by = min(write_by, request.ran_ms + window)
         pool = self._pools.of(leg.box)
         self._counts.highest("list.age_ms", self.list_age_ms())
-        dear = f.never_twice(settings, authorisation.class_number)
-        ends = min(now + leg.timeout_ms, authorisation.deadline_ms)
-        attempt = Attempt(leg, authorisation, write_by, self._ended, pool, ends, dear, asked_ms=now)
-        authorisation.legs[leg.number] = attempt
+        dear = f.never_twice(settings, request.class_number)
+        ends = min(now + leg.timeout_ms, request.deadline_ms)
+        attempt = Attempt(leg, request, write_by, self._ended, pool, ends, dear, asked_ms=now)
+        request.legs[leg.number] = attempt
         attempt.timer = self._wheel.not_before(ends, lambda: self._timed_out(attempt))
-        if authorisation.clear_ms > now:
-            self._wheel.not_before(authorisation.clear_ms, lambda: attempt.over or pool.start(attempt))
+        if request.clear_ms > now:
+            self._wheel.not_before(request.clear_ms, lambda: attempt.over or pool.start(attempt))
         else:
             pool.start(attempt)
 
@@ -157,18 +155,18 @@
         attempt.pool.give_up(attempt, Outcome.TIMED_OUT)
 
     def _ended(self, attempt: Attempt, outcome: Outcome, body: bytes | Flow) -> None:
-        authorisation = attempt.authorisation
+        request = attempt.request
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
-        authorisation.legs.pop(attempt.leg.number, None)
+        request.legs.pop(attempt.leg.number, None)
         self._count_told(attempt)
         if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
-            authorisation.ran_ms = min(authorisation.ran_ms or attempt.written_ms, attempt.written_ms)
+            request.ran_ms = min(request.ran_ms or attempt.written_ms, attempt.written_ms)
         if outcome is Outcome.SERVED:
-            authorisation.finish(Served(body))
-        choice = self._facade.report(attempt.leg, outcome, authorisation.over)
-        if not authorisation.over:
-            self._carry_out(choice, authorisation)
-        self._forget(authorisation)
+            request.finish(Served(body))
+        choice = self._facade.report(attempt.leg, outcome, request.over)
+        if not request.over:
+            self._carry_out(choice, request)
+        self._forget(request)
         self.settle()
 
     def _count_told(self, attempt: Attempt) -> None:
@@ -177,17 +175,17 @@
             self._counts.add("told.over")
             self._counts.highest("told.over_ms", over)
 
-    def _overdue(self, authorisation: Authorisation) -> None:
+    def _overdue(self, request: Request) -> None:
         # The module ends every request in time; this guards the client against a fault in either of us.
-        if authorisation.finish(Failed()):
-            self._log.warn("overdue", f"authorisation {authorisation.id} was failed at its deadline")
-            self._facade.report(authorisation, f.Gone())
-            for attempt in list(authorisation.legs.values()):
+        if request.finish(Failed()):
+            self._log.warn("overdue", f"request {request.id} was failed at its deadline")
+            self._facade.report(request, f.Gone())
+            for attempt in list(request.legs.values()):
                 attempt.pool.give_up(attempt, Outcome.TIMED_OUT)
-            self._forget(authorisation)
+            self._forget(request)
             self.settle()
 
-    def _forget(self, authorisation: Authorisation) -> None:
-        if not authorisation.over or authorisation.legs:
+    def _forget(self, request: Request) -> None:
+        if not request.over or request.legs:
             return
-        self._open.pop(authorisation.id, None)
+        self._open.pop(request.id, None)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -1,6 +1,6 @@
 """The decision module in blocking style: pick, report, tick. Its events and actions end here.
 
-`pick` and `report` return the choice for the authorisation in hand; whatever the module decides on the way
+`pick` and `report` return the choice for the request in hand; whatever the module decides on the way
 for others is kept for the next `tick`, which the loop calls after each of them.
 """
 
@@ -32,7 +32,7 @@
 
 
 class Subject(Protocol):
-    """What the facade has to know of an authorisation."""
+    """What the facade has to know of a request."""
 
     id: str
     class_number: int
@@ -47,7 +47,7 @@
 class Leg:
     """One attempt, to be made now."""
 
-    authorisation: str
+    request: str
     box: str
     number: int
     timeout_ms: float
@@ -62,7 +62,7 @@
 class Decline:
     """Final answer: a new try does no harm, best after that time."""
 
-    authorisation: str
+    request: str
     retry_after_ms: float
     reason: str = ""  # a word for the counts
 
@@ -71,7 +71,7 @@
 class Fail:
     """Final answer that promises nothing."""
 
-    authorisation: str
+    request: str
     reason: str = ""
 
 
@@ -79,7 +79,7 @@
 class CallOff:
     """Stop waiting for a leg that is out."""
 
-    authorisation: str
+    request: str
     number: int
 
 
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Gone:
-    """The acquirer side has gone away; reported with the authorisation."""
+    """The acquirer side has gone away; reported with the request."""
 
 
 Choice = Leg | Wait | Decline | Fail | CallOff | HangUp | Watch | Note
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """An authorisation's legs: chosen so far, which numbers them, and out now."""
+    """A request's legs: chosen so far, which numbers them, and out now."""
 
     chosen: int = 0
     out: int = 0
@@ -143,19 +143,19 @@
         self._now = now
         self._timers: list[tuple[float, int]] = []
         self._pending: deque[Choice] = deque()
-        self._legs: dict[str, Tally] = {}  # of the authorisations that had a leg and are not over
+        self._legs: dict[str, Tally] = {}  # of the requests that had a leg and are not over
 
-    def pick(self, authorisation: Subject) -> Choice:
-        """The first choice for a new authorisation."""
+    def pick(self, request: Subject) -> Choice:
+        """The first choice for a new request."""
         event = api.Request(
-            authorisation.id,
-            authorisation.class_number,
-            authorisation.left_ms,
-            authorisation.key,
-            authorisation.tenant,
-            authorisation.write,
+            request.id,
+            request.class_number,
+            request.left_ms,
+            request.key,
+            request.tenant,
+            request.write,
         )
-        return self._hand_over(self._now(), event, authorisation.id)
+        return self._hand_over(self._now(), event, request.id)
 
     def report(
         self, subject: "Leg | Subject | Watch", outcome: Outcome | Gone | News | NoNews, over: bool = False
@@ -164,7 +164,7 @@
         now = self._now()
         match outcome:
             case Outcome():
-                name = subject.authorisation
+                name = subject.request
                 ended = over or outcome is Outcome.SERVED
                 self._legs[name].out -= 1
                 if ended:
@@ -189,10 +189,10 @@
         due, self._pending = list(self._pending), deque()
         return due
 
-    def _forget(self, authorisation: str) -> None:
-        """The authorisation is over: its tally goes with its last leg."""
-        if (tally := self._legs.get(authorisation)) is not None and not tally.out:
-            del self._legs[authorisation]
+    def _forget(self, request: str) -> None:
+        """The request is over: its tally goes with its last leg."""
+        if (tally := self._legs.get(request)) is not None and not tally.out:
+            del self._legs[request]
 
     def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Choice:
         choice: Choice = WAIT
@@ -202,7 +202,7 @@
                 continue
             meant = self._read(action)
             for_one = isinstance(meant, Leg | Decline | Fail)
-            if for_one and choice is WAIT and meant.authorisation == mine:
+            if for_one and choice is WAIT and meant.request == mine:
                 choice = meant
             else:
                 self._pending.append(meant)
--- a/cloverwell/net/acquirer.py
+++ b/cloverwell/net/acquirer.py
@@ -11,10 +11,10 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.authorisation import Answer, Authorisation, Declined, Served
 from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
 from cloverwell.net.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
+from cloverwell.request import Answer, Declined, Request, Served
 from cloverwell.wheel import HELD_UP_MS
 
 if TYPE_CHECKING:
@@ -39,16 +39,16 @@
 class Turn:
     """One command's place in the order of answers."""
 
-    __slots__ = ("authorisation", "data", "flow")
+    __slots__ = ("data", "flow", "request")
 
     def __init__(self, data: bytes | None = None) -> None:
         self.data = data
-        self.authorisation: Authorisation | None = None
+        self.request: Request | None = None
         self.flow: Flow | None = None  # behind `data`
 
 
 class Acquirer(RingLineReceiver):
-    """One client's connection: commands become authorisations, answers leave in the order of the commands."""
+    """One client's connection: commands become requests, answers leave in the order of the commands."""
 
     in_bytes = MAX_WRITE + 2 * MAX_LINE
     piece_bytes = FLOW_PIECE
@@ -57,7 +57,7 @@
         super().__init__()
         self._side = side
         self._turns: deque[Turn] = deque()
-        self._write: Turn | None = None  # its authorisation waits for the value
+        self._write: Turn | None = None  # its request waits for the value
         self._skip = 0  # bytes to pass over, of a value that is not wanted
         self._error = ""  # what is wrong with the command whose value is passed over
         self._errors = 0  # malformed commands in a row
@@ -101,9 +101,9 @@
     @property
     def waits(self) -> bool:
         """A request of it is open."""
-        return any(turn.authorisation is not None for turn in self._turns)
+        return any(turn.request is not None for turn in self._turns)
 
-    def leave(self) -> list[Authorisation]:
+    def leave(self) -> list[Request]:
         """Its client has gone, and all that waits here is nobody's: hands over what is open, for its end."""
         self.end(abort=True)
         turns, self._turns = self._turns, deque()
@@ -112,7 +112,7 @@
         for turn in turns:
             if turn.flow is not None:
                 turn.flow.drop()
-        return [turn.authorisation for turn in turns if turn.authorisation is not None]
+        return [turn.request for turn in turns if turn.request is not None]
 
     def _pause(self, wait_ms: float) -> None:
         if not self._paused:
@@ -151,7 +151,7 @@
         try:
             if len(words) < 3 or words[2] != "v":
                 raise CommandError("mg needs a key and v")
-            turn = self._authorise(words[1], words[3:], write=False)
+            turn = self._parse_request(words[1], words[3:], write=False)
         except CommandError as error:
             return self._reject(str(error))
         return self._take(turn)
@@ -166,7 +166,7 @@
         try:
             if number > MAX_WRITE:
                 raise CommandError("value too large")
-            self._write = self._authorise(words[1], words[3:], write=True)
+            self._write = self._parse_request(words[1], words[3:], write=True)
         except CommandError as error:
             # The length is known: the value is passed over, and the connection stays in step.
             self._error, self._skip = str(error), number + 2
@@ -187,12 +187,12 @@
         turn, self._write = self._write, None
         if not data.endswith(b"\r\n"):
             return self._lose("bad data chunk")
-        turn.authorisation.value = data[:-2]
+        turn.request.value = data[:-2]
         self._take(turn)
         self._arrival.ended()
         return None
 
-    def _authorise(self, key: str, flags: list[str], write: bool) -> Turn:
+    def _parse_request(self, key: str, flags: list[str], write: bool) -> Turn:
         if not 0 < len(key) <= MAX_KEY or not key.isprintable():
             raise CommandError("bad key")
         named = {flag[:1]: flag[1:] for flag in flags if flag}
@@ -213,7 +213,7 @@
         if not wait.isdigit() or not 0 < len(wait) <= 9 or not 0 < int(wait) <= MAX_WAIT_MS:
             raise CommandError("missing or bad d")
         turn = Turn()
-        turn.authorisation = Authorisation(
+        turn.request = Request(
             id=name,
             class_number=classes[values["c"]],
             tenant=tenants.get(values.get("t", ""), 0),
@@ -226,22 +226,22 @@
         )
         return turn
 
-    def _give(self, turn: Turn, authorisation: Authorisation, answer: Answer) -> None:
-        turn.authorisation = None  # each knows the other: a cycle for every request is work for the collector
-        turn.data = self._words(authorisation, answer)
+    def _give(self, turn: Turn, request: Request, answer: Answer) -> None:
+        turn.request = None  # each knows the other: a cycle for every request is work for the collector
+        turn.data = self._words(request, answer)
         if isinstance(answer, Served) and isinstance(answer.body, Flow):
             turn.flow = answer.body
             turn.flow.wanted = True
         self._flush()
 
-    def _words(self, authorisation: Authorisation, answer: Answer) -> bytes:
+    def _words(self, request: Request, answer: Answer) -> bytes:
         match answer:
             case Served(Flow() as flow):
-                return f"VA {flow.length} O{authorisation.id}\r\n".encode()
-            case Served(body) if authorisation.write:
-                return b"HD O" + authorisation.id.encode() + b" c" + body + b"\r\n"
+                return f"VA {flow.length} O{request.id}\r\n".encode()
+            case Served(body) if request.write:
+                return b"HD O" + request.id.encode() + b" c" + body + b"\r\n"
             case Served(body):
-                return f"VA {len(body)} O{authorisation.id}\r\n".encode() + body + b"\r\n"
+                return f"VA {len(body)} O{request.id}\r\n".encode() + body + b"\r\n"
             case Declined(retry_after_ms):
                 wait = f" {round(retry_after_ms)}" if retry_after_ms >= 1 else ""
                 return f"SERVER_ERROR busy{wait}\r\n".encode()
@@ -250,15 +250,15 @@
     def _take(self, turn: Turn) -> None:
         self._errors = 0
         # `d` counts from its first byte, which may have lain unread, or come long before a slow last one.
-        turn.authorisation.left_ms -= self._arrival.age_ms(self._side.wheel.now())
+        turn.request.left_ms -= self._arrival.age_ms(self._side.wheel.now())
         self._turns.append(turn)
         self._side.busy(self)
         if len(self._turns) >= AHEAD:
             self.hold()
         if self._side.crowded():
-            turn.authorisation.finish(Declined(self._side.busy_ms))
+            turn.request.finish(Declined(self._side.busy_ms))
         else:
-            self._side.dispatcher.take(turn.authorisation)
+            self._side.dispatcher.take(turn.request)
 
     def _reject(self, reason: str) -> None:
         self._errors += 1
--- a/cloverwell/net/box_connection.py
+++ b/cloverwell/net/box_connection.py
@@ -11,11 +11,11 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.authorisation import LEAST_TOLD_MS, Attempt
 from cloverwell.connections.back import Use
 from cloverwell.facade import Outcome
 from cloverwell.flow import Flow
 from cloverwell.net.lines import PEEK, RingLineReceiver
+from cloverwell.request import LEAST_TOLD_MS, Attempt
 from cloverwell.wheel import Timer
 
 if TYPE_CHECKING:
--- a/cloverwell/net/cache_leg.py
+++ b/cloverwell/net/cache_leg.py
@@ -1,20 +1,20 @@
 """Legs to a cache box, in memcache meta commands."""
 
-from cloverwell.authorisation import Attempt
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
 from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.lines import FramingError
+from cloverwell.request import Attempt
 
 
 class CacheConnection(BoxConnection):
     def command(self, attempt: Attempt) -> bytes:
-        authorisation = attempt.authorisation
-        info = authorisation.info_with(attempt.told_ms)
-        if not authorisation.write:
-            return f"mg {authorisation.key} v O{authorisation.id} P{info}\r\n".encode()
-        line = f"ms {authorisation.key} {len(authorisation.value)} O{authorisation.id} P{info}\r\n"
-        return line.encode() + authorisation.value + b"\r\n"
+        request = attempt.request
+        info = request.info_with(attempt.told_ms)
+        if not request.write:
+            return f"mg {request.key} v O{request.id} P{info}\r\n".encode()
+        line = f"ms {request.key} {len(request.value)} O{request.id} P{info}\r\n"
+        return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
         if not self.legs:
@@ -59,8 +59,8 @@
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
         # An answer under another id is another request's: it must not reach this one. Nor may a receipt be
         # taken for a value.
-        authorisation = self.legs[0].authorisation
-        if b"O" + authorisation.id.encode() not in flags:
+        request = self.legs[0].request
+        if b"O" + request.id.encode() not in flags:
             raise FramingError("an answer under another id")
-        if write not in (None, authorisation.write):
+        if write not in (None, request.write):
             raise FramingError("an answer of another kind")
--- a/cloverwell/net/http.py
+++ b/cloverwell/net/http.py
@@ -9,7 +9,9 @@
 MAX_HEADERS = 64
 
 
-def request(method: str, target: str, host: str, headers: dict[str, str], body: bytes | None = None) -> bytes:
+def encode_request(
+    method: str, target: str, host: str, headers: dict[str, str], body: bytes | None = None
+) -> bytes:
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body is not None:
--- a/cloverwell/net/origin_leg.py
+++ b/cloverwell/net/origin_leg.py
@@ -3,13 +3,13 @@
 import re
 from urllib.parse import quote
 
-from cloverwell.authorisation import Attempt
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
 from cloverwell.net.box_connection import BoxConnection
-from cloverwell.net.http import HttpReceiver, request
+from cloverwell.net.http import HttpReceiver, encode_request
 from cloverwell.net.lines import FramingError
 from cloverwell.net.pool import Pool
+from cloverwell.request import Attempt
 
 RECEIPT = re.compile(rb"[!-~]{1,250}")  # a word of the meta commands
 
@@ -20,26 +20,26 @@
         self._reset()
 
     def command(self, attempt: Attempt) -> bytes:
-        authorisation = attempt.authorisation
+        request = attempt.request
         headers = {
-            "Request-Id": authorisation.id,
-            "Request-Info": authorisation.info_with(attempt.told_ms),
+            "Request-Id": request.id,
+            "Request-Info": request.info_with(attempt.told_ms),
         }
-        method, body = ("PUT", authorisation.value) if authorisation.write else ("GET", None)
+        method, body = ("PUT", request.value) if request.write else ("GET", None)
         host, port = self._pool.address
-        return request(method, "/" + quote(authorisation.key), f"{host}:{port}", headers, body)
+        return encode_request(method, "/" + quote(request.key), f"{host}:{port}", headers, body)
 
     def _check(self, headers: dict[str, str]) -> None:
         if not self.legs:
             raise FramingError("an answer that no leg waits for")
-        if headers.get("request-id", self.legs[0].authorisation.id) != self.legs[0].authorisation.id:
+        if headers.get("request-id", self.legs[0].request.id) != self.legs[0].request.id:
             raise FramingError("an answer under another id")
 
     def long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
         if status != 200 or not LONG < length <= LONGEST:
             return False
         self._check(headers)
-        if self.legs[0].authorisation.write:
+        if self.legs[0].request.write:
             return False
         self._last = headers.get("connection", "").lower() == "close"
         self.begin(length)
@@ -58,7 +58,7 @@
             self.ended = True  # no further leg is written to it
         if status == 200:
             outcome = Outcome.SERVED
-            if self.legs[0].authorisation.write and not RECEIPT.fullmatch(body):
+            if self.legs[0].request.write and not RECEIPT.fullmatch(body):
                 raise FramingError("not a receipt")  # in the client's line it would be noise, or a second one
         elif status in (503, 504) and headers.get("not-started") == "1":
             outcome = Outcome.BUSY
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -15,12 +15,12 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from cloverwell.authorisation import Attempt
 from cloverwell.connections.back import Use
 from cloverwell.connections.budget import Side
 from cloverwell.connections.figures import What
 from cloverwell.facade import Outcome
 from cloverwell.net.box_connection import BoxConnection, Sent
+from cloverwell.request import Attempt
 
 if TYPE_CHECKING:
     from cloverwell.net.pools import Pools
@@ -155,7 +155,7 @@
             and len(legs) <= self._pools.legs_each
             and connection.flow is None
             and not connection.halfway
-            and not any(leg.authorisation.write for leg in legs)
+            and not any(leg.request.write for leg in legs)
         )
 
     def _wait(self, attempt: Attempt) -> None:
@@ -198,8 +198,8 @@
         there: a further attempt, to a box nearer by, is written no sooner.
         """
         if self.holds and attempt.written_ms is not None:
-            authorisation = attempt.authorisation
-            authorisation.clear_ms = max(authorisation.clear_ms, self.now() + self._back.reach_ms(self.box))
+            request = attempt.request
+            request.clear_ms = max(request.clear_ms, self.now() + self._back.reach_ms(self.box))
         attempt.end(outcome)
 
     def answered(self, age_ms: float | None, first_ms: float) -> None:
--- a/cloverwell/net/routing_table.py
+++ b/cloverwell/net/routing_table.py
@@ -13,7 +13,7 @@
 from cloverwell.counts import Counts
 from cloverwell.facade import News, NoNews
 from cloverwell.log import Log
-from cloverwell.net.http import HttpReceiver, request
+from cloverwell.net.http import HttpReceiver, encode_request
 from cloverwell.net.list_retry import ANSWER_MS as RETRY_ANSWER_MS
 from cloverwell.net.list_retry import ListRetry
 from cloverwell.net.pools import Pools
@@ -328,7 +328,7 @@
 
     def call(self, target: str) -> None:
         self._target, self._heard = target, False
-        self.put(request("GET", target, self._host, {}))
+        self.put(encode_request("GET", target, self._host, {}))
 
     def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
         if headers.get("connection", "").lower() == "close":
--- a/cloverwell/authorisation.py
+++ b/cloverwell/request.py
@@ -43,7 +43,7 @@
     """A leg that is out: it ends exactly once, and tells its owner how."""
 
     leg: Leg
-    authorisation: Authorisation
+    request: Request
     write_by_ms: float  # no byte of it leaves later
     done: Callable[[Attempt, Outcome, bytes | Flow], None]
     pool: Pool
@@ -64,10 +64,10 @@
 
     def over_told_ms(self, now: float) -> float:
         """By how much it told more than its client has left, if its last byte is written now."""
-        return now + self.told_ms - self.authorisation.deadline_ms
+        return now + self.told_ms - self.request.deadline_ms
 
     def end(self, outcome: Outcome, body: bytes | Flow = b"") -> None:
-        # A late answer or a second break must not be reported again, or reach another authorisation.
+        # A late answer or a second break must not be reported again, or reach another request.
         if self.over:
             return
         self.over = True
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Authorisation:
+class Request:
     """Of one request: `answer` is called exactly once unless the acquirer side leaves first."""
 
     id: str
@@ -88,7 +88,7 @@
     left_ms: float
     value: bytes
     info: str  # its names and values as they came
-    answer: Callable[[Authorisation, Answer], None]
+    answer: Callable[[Request, Answer], None]
     deadline_ms: float = 0.0
     over: bool = False
     legs: dict[int, Attempt] = field(default_factory=dict)  # those out, by number
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -265,7 +265,7 @@
         now = self.wheel.now()
         longest_ms = max(cls.deadline_ms for cls in self._config.settings.classes)
         if self.serving.stop(now, longest_ms, self._heir_serves):
-            self._log.info("stop", f"draining, {self.dispatcher.open_count} authorisations open")
+            self._log.info("stop", f"draining, {self.dispatcher.open_count} requests open")
             self.dispatcher.close_by(self.serving.answers_by_ms())
             self._empty()
 
--- a/lab/legs.py
+++ b/lab/legs.py
@@ -9,7 +9,6 @@
 from random import Random
 from types import SimpleNamespace
 
-from cloverwell.authorisation import Attempt
 from cloverwell.connections.back import Back, Use
 from cloverwell.connections.budget import Budget
 from cloverwell.connections.figures import Figures
@@ -17,6 +16,7 @@
 from cloverwell.log import Log
 from cloverwell.net.cache_leg import CacheConnection
 from cloverwell.net.pools import Pools
+from cloverwell.request import Attempt
 from cloverwell.wheel import Wheel
 from lab.boxes import Box
 from lab.net import Net
@@ -89,7 +89,7 @@
     def leg(self, place: int, dear: bool = False, timeout_ms: float = 1000.0) -> Attempt:
         self._count += 1
         name, now = f"r{self._count}", self.now()
-        authorisation = SimpleNamespace(
+        request = SimpleNamespace(
             id=name,
             key="k",
             write=False,
@@ -98,7 +98,7 @@
         )
         leg = Leg(name, self._names[place], 0, timeout_ms)
         pool = self.pools.of(self._names[place])
-        attempt = Attempt(leg, authorisation, now + 250.0, self._ended, pool, now + timeout_ms, dear)
+        attempt = Attempt(leg, request, now + 250.0, self._ended, pool, now + timeout_ms, dear)
         attempt.timer = self.wheel.not_before(
             now + timeout_ms, lambda: pool.give_up(attempt, Outcome.TIMED_OUT)
         )
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -286,7 +286,7 @@
 
 
 def forgets_nobody(patch):
-    patch.setattr(Dispatcher, "gone", lambda self, authorisations: None)
+    patch.setattr(Dispatcher, "gone", lambda self, requests: None)
 
 
 def knows_late(patch, ms):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 from scenario import Player
 
-from cloverwell.authorisation import Attempt, Authorisation
 from cloverwell.facade import Leg, Outcome
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
 from cloverwell.net.acquirer import FLOW_PIECE
 from cloverwell.net.box_connection import FLOW_READ, Sent
+from cloverwell.request import Attempt, Request
 
 SIZE = LONG + 1000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"x" * (SIZE % 256)
@@ -202,7 +202,7 @@
     player = Player()
     _, (box, transport) = asked(player)
     player.service.pools.hold = not copies
-    behind = Authorisation("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
+    behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
     leg = Leg("O2", "s1", 0, 400.0)
     attempt = Attempt(leg, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool, 1e9)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,12 +11,12 @@
 from click.testing import CliRunner
 
 from cloverwell import dispatcher, facade, service
-from cloverwell.authorisation import Attempt, Authorisation, Served
 from cloverwell.cli.main import cli
 from cloverwell.connections.back import Back
 from cloverwell.flow import Flow
 from cloverwell.net.cache_leg import CacheConnection
 from cloverwell.net.pools import Pools
+from cloverwell.request import Attempt, Request, Served
 from cloverwell.serving import Serving
 from lab.cli import lab
 from lab.judge import RULES
@@ -144,17 +144,17 @@
 def _ended_twice(real):
     def ended(self, attempt, outcome, body):
         real(self, attempt, outcome, body)
-        if outcome is facade.Outcome.SERVED and attempt.authorisation.over:
-            side = attempt.authorisation.answer.func.__self__
-            side.put(f"VA {len(body)} O{attempt.authorisation.id}\r\n".encode() + body + b"\r\n")
+        if outcome is facade.Outcome.SERVED and attempt.request.over:
+            side = attempt.request.answer.func.__self__
+            side.put(f"VA {len(body)} O{attempt.request.id}\r\n".encode() + body + b"\r\n")
 
     return ended
 
 
 def serves_another_value(patch):
-    real = Authorisation.finish
+    real = Request.finish
     patch.setattr(
-        Authorisation,
+        Request,
         "finish",
         lambda self, answer: real(self, Served(b"x") if isinstance(answer, Served) else answer),
     )
@@ -163,9 +163,9 @@
 def forgets_some(patch):
     real = dispatcher.Dispatcher.take
 
-    def take(self, authorisation):
-        if not authorisation.id.endswith("7"):
-            real(self, authorisation)
+    def take(self, request):
+        if not request.id.endswith("7"):
+            real(self, request)
 
     patch.setattr(dispatcher.Dispatcher, "take", take)
 
@@ -173,12 +173,12 @@
 def answers_late(patch):
     real = dispatcher.Dispatcher.take
 
-    def take(self, authorisation):
-        authorisation.left_ms += 5000.0
-        real(self, authorisation)
+    def take(self, request):
+        request.left_ms += 5000.0
+        real(self, request)
 
     patch.setattr(dispatcher.Dispatcher, "take", take)
-    patch.setattr(Authorisation, "info_with", lambda self, wait_ms: self.info)
+    patch.setattr(Request, "info_with", lambda self, wait_ms: self.info)
 
 
 def drops_what_is_open_at_its_end(patch):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,10 +7,10 @@
 from scenario import Player, Transport
 
 from cloverwell.__main__ import collect_garbage
-from cloverwell.authorisation import Authorisation
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.connections.front import RESERVE
 from cloverwell.net.ring_buffer import SMALLEST
+from cloverwell.request import Request
 from lab.proxy import SETTINGS
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -20,7 +20,7 @@
 def test_scenario(path):
     player = Player(operator=path.stem.startswith("operators"))
     player.play(path.read_text())
-    # Whatever happened, nothing is kept of an authorisation once its time is over.
+    # Whatever happened, nothing is kept of a request once its time is over.
     player.play("wait 2100")
     dispatcher = player.service.dispatcher
     assert dispatcher.open_count == 0 and not dispatcher._facade._legs
@@ -235,9 +235,9 @@
     gc.disable()
     try:
         player.play("client send mg k v O1 Pc=page,t=acme,d=900\ns1 expect mg *")
-        assert any(type(thing) is Authorisation for thing in gc.get_objects())
+        assert any(type(thing) is Request for thing in gc.get_objects())
         player.play("s1 send VA 1 O1|a\nclient expect VA 1 O1|a\nwait 6000")
-        assert not any(type(thing) is Authorisation for thing in gc.get_objects())
+        assert not any(type(thing) is Request for thing in gc.get_objects())
     finally:
         gc.enable()
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -268,7 +268,7 @@
         return
     protocol, _ = player.opened[party][place]
     if protocol.legs:
-        name = protocol.legs[0].authorisation.id
+        name = protocol.legs[0].request.id
         words = "200 r" if party == "origin" else f"VA 1 O{name}|a"
         player.play(f"{party}#{place + 1} send {words}")
 
