--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries the facade's choices out: legs into pools, answers to the acquirer side, calls to discovery."""
+"""Carries the facade's choices out: legs into pools, answers to the clients' side, calls to discovery."""
 
 import math
 from collections.abc import Callable
@@ -69,7 +69,7 @@
             self._overdue(request)
 
     def gone(self, requests: list[Request]) -> None:
-        """The acquirer side has left: nobody waits for these answers.
+        """The client has left: nobody waits for these answers.
 
         All are closed before any attempt is given up: its place must not go to another of them."""
         closed = [request for request in requests if not request.over]
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Gone:
-    """The acquirer side has gone away; reported with the request."""
+    """The client has gone away; reported with the request."""
 
 
 Choice = Leg | Wait | Decline | Fail | CallOff | HangUp | Watch | Note
@@ -160,7 +160,7 @@
     def report(
         self, subject: "Leg | Subject | Watch", outcome: Outcome | Gone | News | NoNews, over: bool = False
     ) -> Choice:
-        """How a leg or a watch ended, or that the acquirer side left; `over`: its answer has been given."""
+        """How a leg or a watch ended, or that the client left; `over`: its answer has been given."""
         now = self._now()
         match outcome:
             case Outcome():
--- a/cloverwell/net/acquirer.py
+++ b/cloverwell/net/client_connection.py
@@ -1,4 +1,4 @@
-"""The acquirer side: clients that speak the memcache meta commands."""
+"""One client's connection, in the memcache meta commands."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cloverwell.wheel import HELD_UP_MS
 
 if TYPE_CHECKING:
-    from cloverwell.net.acquirer_side import AcquirerSide
+    from cloverwell.net.client_connections import ClientConnections
 
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
 MAX_KEY, MAX_ID, MAX_WAIT_MS = 250, 64, 3_600_000
@@ -47,13 +47,13 @@
         self.flow: Flow | None = None  # behind `data`
 
 
-class Acquirer(RingLineReceiver):
+class ClientConnection(RingLineReceiver):
     """One client's connection: commands become requests, answers leave in the order of the commands."""
 
     in_bytes = MAX_WRITE + 2 * MAX_LINE
     piece_bytes = FLOW_PIECE
 
-    def __init__(self, side: AcquirerSide) -> None:
+    def __init__(self, side: ClientConnections) -> None:
         super().__init__()
         self._side = side
         self._turns: deque[Turn] = deque()
--- a/cloverwell/net/acquirer_side.py
+++ b/cloverwell/net/client_connections.py
@@ -12,7 +12,7 @@
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.flow import ahead
 from cloverwell.log import Log
-from cloverwell.net.acquirer import Acquirer
+from cloverwell.net.client_connection import ClientConnection
 from cloverwell.net.lines import hung_up
 from cloverwell.serving import Serving
 from cloverwell.wheel import HELD_UP_MS, Wheel
@@ -26,7 +26,7 @@
 BUSY_MS = 1000.0  # how long a client should keep away from a proxy that is short of descriptors
 
 
-class AcquirerSide(Factory):
+class ClientConnections(Factory):
     noisy = False
 
     def __init__(
@@ -51,8 +51,9 @@
         self.wheel = wheel
         self.classes = {cls.name: place for place, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
-        self.connections: dict[Acquirer, None] = {}  # in the order they came
-        self.not_read: dict[Acquirer, None] = {}  # those of them that are held: their close would not be seen
+        self.connections: dict[ClientConnection, None] = {}  # in the order they came
+        # those of them that are held: their close would not be seen
+        self.not_read: dict[ClientConnection, None] = {}
         self.busy_ms = min(BUSY_MS, settings.max_retry_after_ms)  # 0: the site's clients are told no time
         self.front = Front(budget.most(Side.FRONT), asking, wheel.now())
         self._log = log
@@ -71,11 +72,11 @@
         """So many connections may be accepted now, in one turn of the loop."""
         return min(TURN, self._budget.room(Side.FRONT))
 
-    def buildProtocol(self, addr: IPv4Address) -> Acquirer | None:
+    def buildProtocol(self, addr: IPv4Address) -> ClientConnection | None:
         # The port asks `may_accept`; a listener that does not is held to the budget here.
         if not self._budget.room(Side.FRONT):
             return None
-        connection = Acquirer(self)
+        connection = ClientConnection(self)
         self._budget.take(Side.FRONT)
         self.connections[connection] = None
         self._figures.add(What.ADMITTED)
@@ -88,7 +89,7 @@
         self._log.warn("accept", "no descriptor could be had")
         self._rest()
 
-    def closed(self, connection: Acquirer) -> None:
+    def closed(self, connection: ClientConnection) -> None:
         if connection in self.connections:
             self.connections.pop(connection)
             self.not_read.pop(connection, None)
@@ -132,19 +133,19 @@
 
     # What they do -----------------------------------------------------------------------------
 
-    def busy(self, connection: Acquirer) -> None:
+    def busy(self, connection: ClientConnection) -> None:
         """It has an open request."""
         self.front.asked(connection, self.wheel.now())
 
-    def quiet(self, connection: Acquirer) -> None:
+    def quiet(self, connection: ClientConnection) -> None:
         """It has none, from now on; perhaps a part of one."""
         self.front.quiet(connection, self.wheel.now(), connection.halfway)
 
-    def more(self, connection: Acquirer) -> None:
+    def more(self, connection: ClientConnection) -> None:
         """More of half a command has come."""
         self.front.more(connection, self.wheel.now())
 
-    def closing(self, connection: Acquirer) -> None:
+    def closing(self, connection: ClientConnection) -> None:
         """Our side is closed: the descriptor must come free though the client never closes."""
         self.front.closing(connection, self.wheel.now())
 
@@ -164,24 +165,24 @@
         if self.wheel.now() - self._looked_ms > HELD_UP_MS:
             self._leave(self._look_at_waiting())
 
-    def _closed_among(self, some: Iterable[Acquirer]) -> list[Acquirer]:
+    def _closed_among(self, some: Iterable[ClientConnection]) -> list[ClientConnection]:
         sockets = {one.fileno(): one for one in some if not one.ended}
         closed = hung_up(sockets) if sockets else set()
         return [one for descriptor, one in sockets.items() if descriptor in closed]
 
-    def have_left(self, connections: list[Acquirer]) -> None:
+    def have_left(self, connections: list[ClientConnection]) -> None:
         """Their clients have closed. What is open there ends as one: a place that comes free must not go to
         another request of a client that has left, whose close is not read yet."""
         if self.wheel.now() - self._looked_ms > BURST_MS:
             connections = list(dict.fromkeys(connections + self._look_at_waiting()))
         self._leave(connections)
 
-    def _look_at_waiting(self) -> list[Acquirer]:
+    def _look_at_waiting(self) -> list[ClientConnection]:
         """Those with open requests, and those that are not read, whose clients have closed."""
         self._looked_ms = self.wheel.now()
         return self._closed_among(one for one in self.connections if one.waits or one in self.not_read)
 
-    def _leave(self, connections: list[Acquirer]) -> None:
+    def _leave(self, connections: list[ClientConnection]) -> None:
         for connection in connections:
             self.not_read.pop(connection, None)
         self.dispatcher.gone([one for connection in connections for one in connection.leave()])
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Of one request: `answer` is called exactly once unless the acquirer side leaves first."""
+    """Of one request: `answer` is called exactly once unless the client leaves first."""
 
     id: str
     class_number: int
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -18,9 +18,9 @@
 from cloverwell.handover.predecessor import Will
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
-from cloverwell.net.acquirer_side import AcquirerSide
 from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.cache_leg import CacheConnection
+from cloverwell.net.client_connections import ClientConnections
 from cloverwell.net.origin_leg import OriginConnection
 from cloverwell.net.pool import Pool
 from cloverwell.net.pools import Pools
@@ -51,12 +51,12 @@
 
 
 def _listen(
-    reactor: Any, host: str, port: int, factory: AcquirerSide, backlog: int, shared: bool = False
+    reactor: Any, host: str, port: int, factory: ClientConnections, backlog: int, shared: bool = False
 ) -> Any:
     return reactor.listenTCP(port, factory, backlog=backlog, interface=host)
 
 
-def _adopt(reactor: Any, descriptor: int, factory: AcquirerSide) -> Any:
+def _adopt(reactor: Any, descriptor: int, factory: ClientConnections) -> Any:
     return reactor.adoptStreamPort(descriptor, socket.AF_INET, factory)
 
 
@@ -118,7 +118,7 @@
         self.dispatcher.list_age_ms = self.table.age_ms
         asking = int(ASKING_SHARE * config.limits.sockets)
         flow_bytes = int(FLOW_SHARE * config.limits.memory_mb * 1024 * 1024)
-        self.side = AcquirerSide(
+        self.side = ClientConnections(
             settings,
             self.dispatcher,
             self.wheel,
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -13,8 +13,8 @@
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import Outcome
 from cloverwell.net import lines
-from cloverwell.net.acquirer import AHEAD, FREE_ERRORS, MAX_ERRORS
-from cloverwell.net.acquirer_side import CLIENT_LOOK_MS, AcquirerSide
+from cloverwell.net.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
+from cloverwell.net.client_connections import CLIENT_LOOK_MS, ClientConnections
 from cloverwell.net.pool import Pool
 from cloverwell.wheel import HELD_UP_MS
 from lab.play import Play
@@ -290,12 +290,12 @@
 
 
 def knows_late(patch, ms):
-    real = AcquirerSide.have_left
+    real = ClientConnections.have_left
 
     def have_left(self, connections):
         self.wheel.not_before(self.wheel.now() + ms, lambda: real(self, connections))
 
-    patch.setattr(AcquirerSide, "have_left", have_left)
+    patch.setattr(ClientConnections, "have_left", have_left)
 
 
 @pytest.mark.parametrize("late_ms, breaks", [(None, True), (150.0, True), (60.0, False)])
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,8 +7,8 @@
 
 from cloverwell.facade import Leg, Outcome
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
-from cloverwell.net.acquirer import FLOW_PIECE
 from cloverwell.net.box_connection import FLOW_READ, Sent
+from cloverwell.net.client_connection import FLOW_PIECE
 from cloverwell.request import Attempt, Request
 
 SIZE = LONG + 1000
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -5,7 +5,7 @@
 import pytest
 from rig import Rig, read, reset, write
 
-from cloverwell.net.acquirer import AHEAD, Acquirer
+from cloverwell.net.client_connection import AHEAD, ClientConnection
 from lab.proxy import SETTINGS
 
 
@@ -83,14 +83,14 @@
     proxy.got(node, b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
     proxy.until(lambda: not proxy.service.dispatcher.open_count)
-    looked = Acquirer._unread
+    looked = ClientConnection._unread
 
-    def crossing(acquirer):
-        there = looked(acquirer)
+    def crossing(client_connection):
+        there = looked(client_connection)
         conn.sendall(read(2))  # after the look, before the close
         return there
 
-    monkeypatch.setattr(Acquirer, "_unread", crossing)
+    monkeypatch.setattr(ClientConnection, "_unread", crossing)
     proxy.skip(10_050)
     # The answer before is whole, its end an end and no reset, and the client sends the other one elsewhere.
     assert proxy.ended(conn) == b"VA 1 O1\r\nx\r\nEND"
