--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -14,7 +14,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from cloverwell.connections.figures import What
-from lab.legs import PATTERNS, Fixed, Rig
+from lab.attempts import PATTERNS, Fixed, Rig
 
 
 def cpu_s() -> float:
@@ -29,18 +29,18 @@
     PATTERNS[name](rig)
     begun = cpu_s()
     rig.load(args.per_s, args.seconds)
-    legs = rig.tally.legs
+    attempts = rig.tally.attempts
     return {
         "pattern": name,
         "policy": policy,
-        "legs": legs,
-        "stale_share": rig.stale / legs,
+        "attempts": attempts,
+        "stale_share": rig.stale / attempts,
         "dear_lost": rig.tally.dear_lost,
         "caught": rig.figures.total(What.CAUGHT),
-        "handshakes_a_leg": rig.handshakes / legs,
+        "handshakes_an_attempt": rig.handshakes / attempts,
         "p50_ms": rig.percentile(0.5),
         "p99_ms": rig.percentile(0.99),
-        "cpu_us_a_leg": 1e6 * (cpu_s() - begun) / legs,
+        "cpu_us_an_attempt": 1e6 * (cpu_s() - begun) / attempts,
     }
 
 
@@ -57,12 +57,12 @@
     if args.json:
         print(json.dumps(rows, indent=1))
         return 0
-    print(f"{'pattern':27} policy    legs  stale %  dear lost  handshakes/leg  p50 ms  p99 ms  us/leg")
+    print(f"{'pattern':27} policy    attempts  stale %  dear lost  handshakes each  p50 ms  p99 ms  us each")
     for row in rows:
         print(
-            f"{row['pattern']:27} {row['policy']:7} {row['legs']:6d} {100 * row['stale_share']:8.3f}"
-            f" {row['dear_lost']:10d} {row['handshakes_a_leg']:15.3f} {row['p50_ms']:7.1f}"
-            f" {row['p99_ms']:7.1f} {row['cpu_us_a_leg']:7.0f}"
+            f"{row['pattern']:27} {row['policy']:7} {row['attempts']:6d} {100 * row['stale_share']:8.3f}"
+            f" {row['dear_lost']:10d} {row['handshakes_an_attempt']:15.3f} {row['p50_ms']:7.1f}"
+            f" {row['p99_ms']:7.1f} {row['cpu_us_an_attempt']:7.0f}"
         )
     return 0
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -21,7 +21,7 @@
 
 IDLE_S = 20
 CHANGES = 20
-WARM_LEGS = 100  # nodes that have a connection as a quiet second is measured once more
+WARM_ATTEMPTS = 100  # nodes that have a connection as a quiet second is measured once more
 FIGURES = {
     "start_ms": "ms of CPU for a start",
     "change_ms": "ms of CPU for a change of one node",
@@ -104,7 +104,7 @@
     change_ms = 1000.0 * (time.process_time() - begun) / CHANGES
     grown_mb = rss_mb() - before_mb
     # Connections last: they are retired after the settings' 4.5 s, within the time that is measured.
-    for number in range(min(boxes, WARM_LEGS)):
+    for number in range(min(boxes, WARM_ATTEMPTS)):
         world.service.pools.of(f"s{number}")._open()
     return {
         "boxes": boxes,
--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -5,12 +5,12 @@
 **Reuse.** The connection used last goes first: it is the youngest, and the surplus grows old and is retired.
 
 **Validation.** A connection may have been closed without a word, and a request that is reset may have run.
-So a leg whose loss would be dear, or whose connection has an age at which none has been seen to live, is
+So an attempt whose loss would be dear, or whose connection has an age at which none has been seen to live, is
 written but for its last byte; a box that has closed answers that with a reset, and without its last byte the
 request never ran, so it goes elsewhere at no loss. What that costs is one way there and back.
 
-**Ahead.** One more than is in use is kept at hand where legs come fast enough that it will be used before it
-is stale, where handshakes are dear, and where the box is neither cold nor leaving.
+**Ahead.** One more than is in use is kept at hand where attempts come fast enough that it will be used before
+it is stale, where handshakes are dear, and where the box is neither cold nor leaving.
 """
 
 from __future__ import annotations
@@ -23,18 +23,21 @@
 
 HOLD_MS = (4.0, 45.0)  # what the last byte is held back for, at least and at most
 HOLD_TIMES = 1.25  # of the longest that resets take to come, of late
-SUSPECT = 0.004  # resets per leg of late, over which even fresh connections are validated for dear legs
+# resets per attempt of late, over which even fresh connections are validated for dear attempts
+SUSPECT = 0.004
 COMMON, LONG = 0.02, 0.005  # share over which one more reset tells nothing new of its box; its weight
 YOUNG_MS = 50.0  # idle for less: no box closes so soon, until it is seen to
-ALMOST = 0.03  # weight of a leg in the share of resets
-CALM, SLOW = 0.0005, 0.001  # a share of stale legs under which every age is trusted; the weight of one in it
-DEAR_TIMES = 4.0  # as much proof of an age is wanted for legs that may not run twice
+ALMOST = 0.03  # weight of an attempt in the share of resets
+# a share of stale attempts under which every age is trusted; the weight of one in it
+CALM, SLOW = 0.0005, 0.001
+DEAR_TIMES = 4.0  # as much proof of an age is wanted for attempts that may not run twice
 DEAR_MS = 3.0  # a handshake that takes less is not worth one ahead of need
 AHEAD_EACH = 2  # opened ahead for a box at once
 PEAK_MS = 250.0  # a window of the forecast
 PEAK_WEIGHT = 0.15
 WIDTHS = 1.5  # mean deviations of the peaks that are kept at hand above their mean
-SILENT_TIMES = 4.0  # mean answers: a leg that has had none of one for so long is on a connection that is dead
+# mean answers: an attempt that has had none of one for so long is on a connection that is dead
+SILENT_TIMES = 4.0
 SILENT = 0.5  # a share over which dead connections of a kind are taken to say nothing
 FULL = 4  # connections refused in a row, while others stand, that show a box to hold no more
 CAP_BACK_MS = 2000.0  # a box that refused a connection is asked for one more after so long
@@ -44,7 +47,7 @@
 
 
 class Use(Enum):
-    WHOLE = "whole"  # write all of the leg
+    WHOLE = "whole"  # write all of the attempt
     SPLIT = "split"  # write all but its last byte, and that after `hold_ms`
     RETIRE = "retire"  # close the connection: it is too old
 
@@ -59,8 +62,8 @@
     window_ms: float = -math.inf  # its end
     mean: float = 0.0  # of the peaks
     width: float = 0.0  # their mean deviation
-    gap_ms: float = 1000.0  # between legs, on average
-    leg_ms: float = -math.inf  # the last one
+    gap_ms: float = 1000.0  # between attempts, on average
+    attempt_ms: float = -math.inf  # the last one
     answer_ms: float = 50.0  # what answers take: a running mean
     connect_ms: float = 0.0  # what a handshake takes: a running mean
     round_ms: float = math.inf  # the quickest handshake or answer in this window
@@ -69,16 +72,16 @@
     refusals: int = 0  # in a row, while some stood
     cap: float = math.inf  # it has refused more
     cap_ms: float = 0.0  # when that was
-    answered_ms: float = -math.inf  # the last answer of a leg
+    answered_ms: float = -math.inf  # the last answer of an attempt
 
 
 @dataclass(slots=True)
 class Kin:
     """What boxes of a kind have in common."""
 
-    resets: float = 0.0  # of late, per leg
+    resets: float = 0.0  # of late, per attempt
     share: float = 0.0  # the same over a longer time
-    worry: float = 0.0  # stale legs among all, over a long time
+    worry: float = 0.0  # stale attempts among all, over a long time
     drops: float = 0.0  # whether dead connections are silent rather than reset: then nothing validates them
     reset_ms: float = 0.0  # the longest that one took to come, sinking slowly
 
@@ -119,13 +122,13 @@
     # What happens -------------------------------------------------------------------------------
 
     def started(self, box: str, in_use: int, now: float) -> None:
-        """A leg begins; so many connections have one now, it included."""
+        """An attempt begins; so many connections have one now, it included."""
         entry = self._boxes.get(box)
         if entry is None:
             return
-        if entry.leg_ms > -math.inf:
-            entry.gap_ms += 0.1 * (min(now - entry.leg_ms, 10_000.0) - entry.gap_ms)
-        entry.leg_ms = now
+        if entry.attempt_ms > -math.inf:
+            entry.gap_ms += 0.1 * (min(now - entry.attempt_ms, 10_000.0) - entry.gap_ms)
+        entry.attempt_ms = now
         self._turn(entry, now)
         entry.in_use = in_use
         entry.peak = max(entry.peak, in_use)
@@ -151,13 +154,14 @@
         """A connection that was asked for at `asked_ms` never came up, while so many stood.
 
         A box that is full still answers on those that stand. One that is cut off or gone answers nothing, and
-        tells nothing of its room: capped at what stood then, it would get hardly a leg once it is back."""
+        tells nothing of its room: capped at what stood then, it would get hardly an attempt once it is
+        back."""
         entry = self._boxes.get(box)
         if entry is not None and entry.answered_ms > asked_ms:
             self.refused(box, opened, now)
 
     def answered(self, box: str, age_ms: float | None, took_ms: float, now: float) -> None:
-        """A leg got its answer; `age_ms`: its connection had stood idle so long, None on a fresh one."""
+        """An attempt got its answer; `age_ms`: its connection had stood idle so long, None on a fresh one."""
         entry = self._boxes.get(box)
         if entry is None:
             return
@@ -174,8 +178,8 @@
     def lost(
         self, box: str, age_ms: float | None, after_ms: float, begun: bool, torn: bool, now: float
     ) -> None:
-        """A leg's connection broke so long after its last bytes; `begun`: an answer had begun; `torn`: by a
-        reset, which answers what was written, and so tells how long that takes."""
+        """An attempt's connection broke so long after its last bytes; `begun`: an answer had begun; `torn`:
+        by a reset, which answers what was written, and so tells how long that takes."""
         entry = self._boxes.get(box)
         if entry is None:
             return
@@ -193,7 +197,7 @@
             self.limits.learn(box, entry.kind, age_ms, True, now, surprise)
 
     def silent(self, box: str, age_ms: float | None, after_ms: float, now: float) -> None:
-        """A leg was given up so long after its first byte, with no byte of an answer.
+        """An attempt was given up so long after its first byte, with no byte of an answer.
 
         Something in between may drop a flow without a word, and no reset ever comes. In a jam this befalls
         connections of any age, and moves no limit."""
@@ -205,7 +209,8 @@
             self.limits.learn(box, entry.kind, age_ms, True, now, silent=True)
 
     def mute(self, box: str, written_ms: float, now: float) -> bool:
-        """A leg written then, which is out, should long have its answer, and none has come of any since."""
+        """An attempt written then, which is out, should long have its answer, and none has come of any
+        since."""
         entry = self._boxes.get(box)
         if entry is None:
             return False
@@ -220,7 +225,7 @@
     # What to do ---------------------------------------------------------------------------------
 
     def use(self, box: str, age_ms: float | None, dear: bool) -> Use:
-        """Of a connection that has stood idle so long, None for a fresh one; `dear`: the leg may not run
+        """Of a connection that has stood idle so long, None for a fresh one; `dear`: the attempt may not run
         twice."""
         entry = self._boxes.get(box)
         if entry is None:
@@ -248,8 +253,8 @@
     def reach_ms(self, box: str) -> float:
         """How long a close that we send now may take to reach the box: at most a whole round trip there.
 
-        A leg that is out has a connection, so a handshake at least has told it. Of two windows the slower
-        counts: a way that has grown longer is known as soon as anything came back on it."""
+        An attempt that is out has a connection, so a handshake at least has told it. Of two windows the
+        slower counts: a way that has grown longer is known as soon as anything came back on it."""
         entry = self._boxes.get(box)
         rounds = [] if entry is None else [entry.round_ms, entry.round_before_ms]
         return min(MOST_REACH_MS, max((ms for ms in rounds if ms < math.inf), default=MOST_REACH_MS))
@@ -289,7 +294,7 @@
         return entry is not None and entry.left_ms is not None and now - entry.left_ms >= self._grace_ms
 
     def target(self, box: str, now: float) -> int:
-        """So many connections its legs will want at once, as far as the last windows tell."""
+        """So many connections its attempts will want at once, as far as the last windows tell."""
         entry = self._boxes.get(box)
         if entry is None:
             return 0
@@ -297,7 +302,7 @@
         return math.ceil(max(entry.mean + WIDTHS * entry.width, entry.peak))
 
     def ahead(self, box: str, opened: int, now: float) -> int:
-        """How many to open now, before a leg needs them."""
+        """How many to open now, before an attempt needs them."""
         entry = self._boxes.get(box)
         if entry is None or not self._may_want(entry) or now < entry.cold_until_ms:
             return 0
@@ -312,7 +317,7 @@
         return entry.left_ms is None and entry.connect_ms >= DEAR_MS and entry.cap == math.inf
 
     def plans(self, box: str) -> bool:
-        """Whether each leg to the box may change what `ahead` says."""
+        """Whether each attempt to the box may change what `ahead` says."""
         entry = self._boxes.get(box)
         return entry is not None and self._may_want(entry)
 
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -8,7 +8,7 @@
 
 from enum import Enum
 
-BACK_FLOOR = 0.35  # of the descriptors: legs queue and share connections when there are fewer
+BACK_FLOOR = 0.35  # of the descriptors: attempts queue and share connections when there are fewer
 FRONT_FLOOR = 0.5
 WORK_SHARE = 0.45  # clients with requests in hand beyond that are declined: there is room left to do it in
 
--- a/cloverwell/connections/figures.py
+++ b/cloverwell/connections/figures.py
@@ -13,13 +13,13 @@
 
     OPENED = "opened"  # back: a connection came up
     REFUSED = "refused"  # back: none came up
-    AHEAD = "opened_ahead"  # back: asked for before a leg needed it
-    REUSED = "reused"  # back: a leg was written to one that had served before
+    AHEAD = "opened_ahead"  # back: asked for before an attempt needed it
+    REUSED = "reused"  # back: an attempt was written to one that had served before
     RETIRED = "retired"  # back: closed by us while idle
     CLOSED = "closed_by_box"  # back: the box ended an idle one
-    STALE = "stale"  # back: a leg was lost at once on one that had stood idle
-    CAUGHT = "caught"  # back: the same, but its last byte had not been written: the leg went elsewhere
-    RESET = "reset"  # back: a leg was lost on a fresh or busy one
+    STALE = "stale"  # back: an attempt was lost at once on one that had stood idle
+    CAUGHT = "caught"  # back: the same, but its last byte had not been written: the attempt went elsewhere
+    RESET = "reset"  # back: an attempt was lost on a fresh or busy one
     ADMITTED = "admitted"  # front: a client's connection was accepted
     CLOSED_FRONT = "closed_front"  # front: closed by us, by reason
     SPARED = "spared"  # front: was to be closed, but a request stood unread in it
--- a/cloverwell/connections/stale.py
+++ b/cloverwell/connections/stale.py
@@ -1,6 +1,6 @@
-"""After how much idle time a box has closed a connection without a word: learnt from the legs themselves.
+"""After how much idle time a box has closed a connection without a word: learnt from the attempts themselves.
 
-Each leg that is written to a connection that had stood idle for some time says something: it is answered
+Each attempt that is written to a connection that had stood idle for some time says something: it is answered
 (the connection lived at that age), or it is reset at once (it did not). Where the share of the latter jumps
 from one age on, that age is the limit. Resets that befall young connections alike are not this matter's:
 they lower the jump, not the limit.
@@ -24,13 +24,13 @@
 EVIDENCE = (2.0, 6.0)  # log-likelihood by which a step must beat no step: like its kind's, and by itself
 SOONEST = EDGES.index(60)  # no box closes idle connections sooner: what is lost there was lost otherwise
 # By how much the share of stale ones must rise there; and where no reset tells of them, since silence has
-# other causes, while a flow that something in between has dropped is dead for each leg.
+# other causes, while a flow that something in between has dropped is dead for each attempt.
 JUMP = (0.25, 0.6)
-YOUNG = (1.0, 30.0)  # resets and legs that are assumed before anything is seen
+YOUNG = (1.0, 30.0)  # resets and attempts that are assumed before anything is seen
 HALF_LIFE_MS = (30_000.0, 960_000.0)  # of the evidence: at first, and at the most
-PROVEN = 4.0  # so many answered legs at that age or older show that connections live so long
+PROVEN = 4.0  # so many answered attempts at that age or older show that connections live so long
 DOUBT = 0.2  # what is left of the proof of an age when one is lost there and hardly any elsewhere
-KIND_WEIGHT = 0.25  # of a leg at another box of the kind, as proof for this one
+KIND_WEIGHT = 0.25  # of an attempt at another box of the kind, as proof for this one
 MARGIN = 0.85  # of the limit, which lies anywhere in its step and is not the same for each connection
 
 
@@ -47,7 +47,7 @@
 
 
 class Ages:
-    """Legs by the idle age of their connection: how many, and how many of them were reset at once."""
+    """Attempts by the idle age of their connection: how many, and how many of them were reset at once."""
 
     __slots__ = (
         "_bad",
@@ -77,7 +77,7 @@
         self.forget(now)
         self._silent += silent
         (self._bad if stale else self._good)[bucket(age_ms)] += 1.0
-        # An answered leg moves the limit only where one stands below its age.
+        # An answered attempt moves the limit only where one stands below its age.
         if stale or age_ms >= self.limit_ms:
             self._find()
 
@@ -108,7 +108,7 @@
             self._good[place] *= DOUBT
 
     def proof(self, age_ms: float) -> float:
-        """Answered legs whose connections were so old or older."""
+        """Answered attempts whose connections were so old or older."""
         return sum(self._good[bucket(age_ms) :])
 
     def lost_by(self, age_ms: float) -> bool:
@@ -144,7 +144,7 @@
 
 
 class Limits:
-    """The limit of each box, from its own legs and its kind's."""
+    """The limit of each box, from its own attempts and its kind's."""
 
     def __init__(self, most_ms: float, now: float) -> None:
         """`most_ms`: after that the settings promise no more, whatever is seen."""
@@ -217,7 +217,7 @@
         return proof >= times * PROVEN
 
     def has_lost(self, box: str) -> bool:
-        """A leg was lost on an idle connection to it, not long ago."""
+        """An attempt was lost on an idle connection to it, not long ago."""
         own = self._boxes.get(box)
         return own is not None and own.lost_by(EDGES[-1])
 
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries the facade's choices out: legs into pools, answers to the clients' side, calls to discovery."""
+"""Carries the facade's choices out: attempts into pools, answers to the clients' side, calls to discovery."""
 
 import math
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from cloverwell.request import Attempt, Declined, Failed, Request, Served
 from cloverwell.wheel import Wheel
 
-# Before its client gives up, a request that nothing has ended is failed. The module ends its legs two
+# Before its client gives up, a request that nothing has ended is failed. The module ends its attempts two
 # ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be declined.
 GUARD_MS = 1.0
 WAY_MS = 1.0  # a request's way here and an answer's way back
@@ -77,7 +77,7 @@
             request.close()
             self._facade.report(request, f.Gone())
         for request in closed:
-            for attempt in list(request.legs.values()):
+            for attempt in list(request.attempts.values()):
                 # A write that is out is let finish. One that waits for a connection, or for the close of the
                 # one before, is not sent on for nobody.
                 if not request.write or attempt.pool.unsent(attempt):
@@ -104,12 +104,12 @@
 
     def _carry_out_other(self, choice: f.Choice) -> None:
         match choice:
-            case f.Leg(name) | f.Decline(name) | f.Fail(name):
+            case f.Send(name) | f.Decline(name) | f.Fail(name):
                 if (request := self._open.get(name)) is not None:
                     self._carry_out(choice, request)
             case f.CallOff(name, number):
                 request = self._open.get(name)
-                if request is not None and (attempt := request.legs.get(number)) is not None:
+                if request is not None and (attempt := request.attempts.get(number)) is not None:
                     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
             case f.HangUp(box):
                 self._pools.hang_up(box)
@@ -120,7 +120,7 @@
 
     def _carry_out(self, choice: f.Choice, request: Request) -> None:
         match choice:
-            case f.Leg():
+            case f.Send():
                 self._start(choice, request)
             case f.Decline(_, retry_after_ms, reason):
                 self._counts.add(f"declined.{reason}")
@@ -131,20 +131,20 @@
                 request.finish(Failed())
                 self._forget(request)
 
-    def _start(self, leg: f.Leg, request: Request) -> None:
+    def _start(self, choice: f.Send, request: Request) -> None:
         now = self._wheel.now()
         settings = self._facade.settings
-        write_by = now + min(leg.timeout_ms, settings.connect_timeout_ms)
+        write_by = now + min(choice.timeout_ms, settings.connect_timeout_ms)
         window = f.resend_window_ms(settings, request.class_number)
         if window is not None and request.ran_ms is not None:
             # The boxes drop a repeat for so long: one that waits for a connection must not leave after.
             write_by = min(write_by, request.ran_ms + window)
-        pool = self._pools.of(leg.box)
+        pool = self._pools.of(choice.box)
         self._counts.highest("list.age_ms", self.list_age_ms())
         dear = f.never_twice(settings, request.class_number)
-        ends = min(now + leg.timeout_ms, request.deadline_ms)
-        attempt = Attempt(leg, request, write_by, self._ended, pool, ends, dear, asked_ms=now)
-        request.legs[leg.number] = attempt
+        ends = min(now + choice.timeout_ms, request.deadline_ms)
+        attempt = Attempt(choice, request, write_by, self._ended, pool, ends, dear, asked_ms=now)
+        request.attempts[choice.number] = attempt
         attempt.timer = self._wheel.not_before(ends, lambda: self._timed_out(attempt))
         if request.clear_ms > now:
             self._wheel.not_before(request.clear_ms, lambda: attempt.over or pool.start(attempt))
@@ -157,13 +157,13 @@
     def _ended(self, attempt: Attempt, outcome: Outcome, body: bytes | Flow) -> None:
         request = attempt.request
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
-        request.legs.pop(attempt.leg.number, None)
+        request.attempts.pop(attempt.choice.number, None)
         self._count_told(attempt)
         if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
             request.ran_ms = min(request.ran_ms or attempt.written_ms, attempt.written_ms)
         if outcome is Outcome.SERVED:
             request.finish(Served(body))
-        choice = self._facade.report(attempt.leg, outcome, request.over)
+        choice = self._facade.report(attempt.choice, outcome, request.over)
         if not request.over:
             self._carry_out(choice, request)
         self._forget(request)
@@ -180,12 +180,12 @@
         if request.finish(Failed()):
             self._log.warn("overdue", f"request {request.id} was failed at its deadline")
             self._facade.report(request, f.Gone())
-            for attempt in list(request.legs.values()):
+            for attempt in list(request.attempts.values()):
                 attempt.pool.give_up(attempt, Outcome.TIMED_OUT)
             self._forget(request)
             self.settle()
 
     def _forget(self, request: Request) -> None:
-        if not request.over or request.legs:
+        if not request.over or request.attempts:
             return
         self._open.pop(request.id, None)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -16,7 +16,7 @@
 
 
 class Outcome(Enum):
-    """How a leg ended."""
+    """How an attempt ended."""
 
     SERVED = Status.OK
     MISS = Status.MISS
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Leg:
+class Send:
     """One attempt, to be made now."""
 
     request: str
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallOff:
-    """Stop waiting for a leg that is out."""
+    """Stop waiting for an attempt that is out."""
 
     request: str
     number: int
@@ -122,13 +122,13 @@
     """The client has gone away; reported with the request."""
 
 
-Choice = Leg | Wait | Decline | Fail | CallOff | HangUp | Watch | Note
+Choice = Send | Wait | Decline | Fail | CallOff | HangUp | Watch | Note
 WAIT = Wait()
 
 
 @dataclass(slots=True)
 class Tally:
-    """A request's legs: chosen so far, which numbers them, and out now."""
+    """A request's attempts: chosen so far, which numbers them, and out now."""
 
     chosen: int = 0
     out: int = 0
@@ -143,7 +143,7 @@
         self._now = now
         self._timers: list[tuple[float, int]] = []
         self._pending: deque[Choice] = deque()
-        self._legs: dict[str, Tally] = {}  # of the requests that had a leg and are not over
+        self._attempts: dict[str, Tally] = {}  # of the requests that had an attempt and are not over
 
     def pick(self, request: Subject) -> Choice:
         """The first choice for a new request."""
@@ -158,15 +158,15 @@
         return self._hand_over(self._now(), event, request.id)
 
     def report(
-        self, subject: "Leg | Subject | Watch", outcome: Outcome | Gone | News | NoNews, over: bool = False
+        self, subject: "Send | Subject | Watch", outcome: Outcome | Gone | News | NoNews, over: bool = False
     ) -> Choice:
-        """How a leg or a watch ended, or that the client left; `over`: its answer has been given."""
+        """How an attempt or a watch ended, or that the client left; `over`: its answer has been given."""
         now = self._now()
         match outcome:
             case Outcome():
                 name = subject.request
                 ended = over or outcome is Outcome.SERVED
-                self._legs[name].out -= 1
+                self._attempts[name].out -= 1
                 if ended:
                     self._forget(name)
                 event = api.Outcome(name, subject.box, subject.number, outcome.value, 0.0, ended)
@@ -190,9 +190,9 @@
         return due
 
     def _forget(self, request: str) -> None:
-        """The request is over: its tally goes with its last leg."""
-        if (tally := self._legs.get(request)) is not None and not tally.out:
-            del self._legs[request]
+        """The request is over: its tally goes with its last attempt."""
+        if (tally := self._attempts.get(request)) is not None and not tally.out:
+            del self._attempts[request]
 
     def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Choice:
         choice: Choice = WAIT
@@ -201,7 +201,7 @@
                 heapq.heappush(self._timers, (now + action.delay_ms, action.token))
                 continue
             meant = self._read(action)
-            for_one = isinstance(meant, Leg | Decline | Fail)
+            for_one = isinstance(meant, Send | Decline | Fail)
             if for_one and choice is WAIT and meant.request == mine:
                 choice = meant
             else:
@@ -211,10 +211,10 @@
     def _read(self, action: api.Action) -> Choice:
         match action:
             case api.Send(name, box, timeout_ms):
-                tally = self._legs.setdefault(name, Tally())
+                tally = self._attempts.setdefault(name, Tally())
                 tally.chosen += 1
                 tally.out += 1
-                return Leg(name, box, tally.chosen - 1, timeout_ms)
+                return Send(name, box, tally.chosen - 1, timeout_ms)
             case api.Refuse(name, retry_after_ms, reason):
                 self._forget(name)
                 return Decline(name, retry_after_ms, reason)
@@ -234,11 +234,12 @@
 
 
 def resend_window_ms(settings: api.Settings, class_number: int) -> float | None:
-    """How long after a leg that may have run a further one may leave; None where the class sets no limit."""
+    """How long after an attempt that may have run a further one may leave; None where the class sets no
+    limit."""
     cls = settings.classes[class_number]
     return cls.window_ms if cls.effect is Effect.KEYED else None
 
 
 def never_twice(settings: api.Settings, class_number: int) -> bool:
-    """Whether a leg that may have run forbids any other."""
+    """Whether an attempt that may have run forbids any other."""
     return settings.classes[class_number].effect is Effect.UNSAFE
--- a/cloverwell/net/box_connection.py
+++ b/cloverwell/net/box_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a box or the origin, whatever it speaks: its legs in order, and one half written."""
+"""A connection to a box or the origin, whatever it speaks: its attempts in order, and one half written."""
 
 from __future__ import annotations
 
@@ -44,18 +44,18 @@
 
 
 class BoxConnection(RingLineReceiver):
-    """A connection to a box: its legs in order, each ended by the answer whose turn it is."""
+    """A connection to a box: its attempts in order, each ended by the answer whose turn it is."""
 
     def __init__(self, pool: Pool, asked_ms: float) -> None:
         super().__init__()
         self._pool = pool
-        self.legs: deque[Attempt] = deque()
+        self.attempts: deque[Attempt] = deque()
         self.asked_ms = asked_ms  # when it was asked for
         self.idle_since_ms = 0.0
-        self.served = False  # a leg has ended on it
-        self.rests_until_ms = 0.0  # no leg is written to it before
-        self._age_ms: float | None = None  # how long it had stood idle before its oldest leg
-        self._first_ms = 0.0  # when that leg's first byte was written
+        self.served = False  # an attempt has ended on it
+        self.rests_until_ms = 0.0  # no attempt is written to it before
+        self._age_ms: float | None = None  # how long it had stood idle before its oldest attempt
+        self._first_ms = 0.0  # when that attempt's first byte was written
         self._held_back: HeldBack | None = None
         self.flow: Flow | None = None  # a long value that is coming
         self.flow_ms = 0.0  # when a piece of it came last
@@ -72,7 +72,7 @@
 
     @property
     def free(self) -> bool:
-        return not (self.ended or self.legs or self._held_back or self.flow)
+        return not (self.ended or self.attempts or self._held_back or self.flow)
 
     @property
     def halfway(self) -> bool:
@@ -85,7 +85,7 @@
         return age if self.served or age > FRESH_MS else None
 
     def quiet(self, now: float) -> bool:
-        """What may come late behind its last answer has come by now, and is seen before the next leg."""
+        """What may come late behind its last answer has come by now, and is seen before the next attempt."""
         return not self.served or now - self.idle_since_ms >= REST_MS
 
     def send(self, attempt: Attempt, use: Use = Use.WHOLE) -> Sent:
@@ -95,7 +95,7 @@
         left = attempt.left_ms(now, wait + self._pool.tick_ms if wait else 0.0)
         if left < LEAST_TOLD_MS:
             return Sent.LATE
-        if not self.legs and self._spoilt():
+        if not self.attempts and self._spoilt():
             return Sent.BROKEN
         attempt.told_ms = left
         data = self.command(attempt)
@@ -103,7 +103,7 @@
         kept = self.put_command(data[:-1] if rest else data)
         if kept is None:
             return Sent.BROKEN
-        if not self.legs:
+        if not self.attempts:
             self._age_ms, self._first_ms = self.age_ms(now), now
         if rest := kept + rest:
             timer = self._pool.later(now + wait, self._write_rest)
@@ -114,10 +114,10 @@
 
     def _written(self, attempt: Attempt) -> None:
         attempt.written_ms = self._pool.now()
-        self.legs.append(attempt)
+        self.attempts.append(attempt)
 
     def _write_rest(self) -> None:
-        """No reset has come: the box is there, and the leg may run, if its time still allows it."""
+        """No reset has come: the box is there, and the attempt may run, if its time still allows it."""
         held = self._held_back
         if self._pool.too_late(held.attempt):
             self._held_back = None
@@ -139,8 +139,8 @@
         return None
 
     def _spoilt(self) -> bool:
-        """The box has closed it, or sent what no leg is owed: that would be read as this one's answer, or the
-        leg be reset, perhaps for good."""
+        """The box has closed it, or sent what no attempt is owed: that would be read as this one's answer, or
+        the attempt be reset, perhaps for good."""
         try:
             self._socket.recv(1, PEEK)
         except BlockingIOError:
@@ -149,28 +149,28 @@
             pass
         return True
 
-    def finish_leg(self, outcome: Outcome, body: bytes = b"", named: bool = True) -> None:
-        """The oldest leg has its answer; `named`: its id stood in it."""
-        attempt = self._next_leg()
+    def finish_attempt(self, outcome: Outcome, body: bytes = b"", named: bool = True) -> None:
+        """The oldest attempt has its answer; `named`: its id stood in it."""
+        attempt = self._next_attempt()
         self._go_on(named)
         attempt.end(outcome, body)
 
-    def _next_leg(self) -> Attempt:
-        attempt = self.legs.popleft()
+    def _next_attempt(self) -> Attempt:
+        attempt = self.attempts.popleft()
         self._pool.answered(self._age_ms, self._first_ms)
         self._age_ms, self.served = None, True
         return attempt
 
     def _go_on(self, named: bool = True) -> None:
-        """An answer has ended. A late copy of one that bears no id would be taken for the next leg's."""
+        """An answer has ended. A late copy of one that bears no id would be taken for the next attempt's."""
         if self._last:
             self.drop(Outcome.RESET)
-        elif not self.legs and self.unparsed:
-            # A second copy or noise behind a good answer would be read as the answer of the next leg.
+        elif not self.attempts and self.unparsed:
+            # A second copy or noise behind a good answer would be read as the answer of the next attempt.
             self._pool.log.info("answer", f"more than the answer came from {self._pool.box}")
             self.drop(Outcome.RESET)
         else:
-            if not self.legs:
+            if not self.attempts:
                 self.idle_since_ms = self._pool.now()
                 self.rests_until_ms = 0.0 if named else self.idle_since_ms + REST_MS
             self._pool.freed(self)
@@ -178,8 +178,8 @@
     # A long value ---------------------------------------------------------------------------------
 
     def begin(self, length: int) -> None:
-        """The head of the oldest leg's answer is sound, and a long value follows."""
-        attempt = self._next_leg()
+        """The head of the oldest attempt's answer is sound, and a long value follows."""
+        attempt = self._next_attempt()
         flow = self.flow = Flow(length, self.hold, self.release, lambda: self.drop(Outcome.RESET))
         self.flow_ms = self._pool.now()
         self.transport.bufferSize = FLOW_READ
@@ -219,32 +219,32 @@
         self.drop(Outcome.RESET)
 
     def give_up(self, attempt: Attempt, outcome: Outcome) -> bool:
-        """Ends that leg and with it the connection; False if the leg is not here."""
+        """Ends that attempt and with it the connection; False if the attempt is not here."""
         if self._held_back is not None and self._held_back.attempt is attempt:
             self.drop(outcome, attempt)
             return True
-        if attempt not in self.legs:
+        if attempt not in self.attempts:
             return False
         if self.flow is not None and not self._pool.holds:
             # It stands behind a long value, which goes on; where that ends, so does the connection. But it is
             # out until then: where a request may have but one attempt out, the value breaks off for it.
             self._last = True
-            self.legs.remove(attempt)
+            self.attempts.remove(attempt)
             attempt.end(outcome)
             return True
-        if attempt is self.legs[0] and self not in self._pool.begun:
+        if attempt is self.attempts[0] and self not in self._pool.begun:
             self._pool.silent(self._age_ms, self._first_ms)
         self.drop(outcome, attempt)
         return True
 
     def drop(self, outcome: Outcome, of: Attempt | None = None) -> None:
-        """Ends the connection and each of its legs: `of` by that outcome, the others by a reset."""
+        """Ends the connection and each of its attempts: `of` by that outcome, the others by a reset."""
         unsent = self._take_unsent()
-        legs, self.legs = self.legs, deque()
+        attempts, self.attempts = self.attempts, deque()
         self.end(abort=True)
         self._pool.lost(self)
         self._break_flow()
-        for attempt in legs:
+        for attempt in attempts:
             self._pool.closed(attempt, outcome if attempt is of else Outcome.RESET)
         if unsent is not None and unsent is of:
             # Without its last byte it can't have run: to call it off, or time it out, leaves nothing.
@@ -264,17 +264,17 @@
         by_box = not self.ended
         super().connectionLost(reason)
         unsent = self._take_unsent()
-        legs, self.legs = self.legs, deque()
+        attempts, self.attempts = self.attempts, deque()
         if by_box:
-            # From the last bytes on: what a leg was held back for says nothing of the way.
-            since = legs[0].written_ms if legs else self._first_ms
-            after = self._pool.now() - since if legs or unsent is not None else None
+            # From the last bytes on: what an attempt was held back for says nothing of the way.
+            since = attempts[0].written_ms if attempts else self._first_ms
+            after = self._pool.now() - since if attempts or unsent is not None else None
             begun = self in self._pool.begun
             torn = not reason.check(ConnectionDone)
             self._pool.broken(self.served, self._age_ms, after, begun, unsent is not None, torn)
         self._pool.lost(self)
         self._break_flow()
-        for attempt in legs:
+        for attempt in attempts:
             attempt.end(Outcome.RESET)
         if unsent is not None:
             self._pool.move(unsent)
--- a/cloverwell/net/cache_leg.py
+++ b/cloverwell/net/cache_connection.py
@@ -1,4 +1,4 @@
-"""Legs to a cache box, in memcache meta commands."""
+"""Attempts to a cache box, in memcache meta commands."""
 
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
@@ -17,8 +17,8 @@
         return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
-        if not self.legs:
-            raise FramingError("an answer that no leg waits for")
+        if not self.attempts:
+            raise FramingError("an answer that no attempt waits for")
         words = line.split()
         match words[:1]:
             case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
@@ -33,14 +33,14 @@
                 receipts = [word[1:] for word in words[1:] if word.startswith(b"c")]
                 if not receipts:
                     raise FramingError("a receipt is missing")
-                self.finish_leg(Outcome.SERVED, receipts[0])
+                self.finish_attempt(Outcome.SERVED, receipts[0])
             case [b"EN"]:
                 self._check(words[1:])
-                self.finish_leg(Outcome.MISS)
+                self.finish_attempt(Outcome.MISS)
             case [b"SERVER_ERROR"] if words[1:2] == [b"busy"]:
-                self.finish_leg(Outcome.BUSY, named=False)
+                self.finish_attempt(Outcome.BUSY, named=False)
             case [b"SERVER_ERROR"] if words[1:2] == [b"failed"]:
-                self.finish_leg(Outcome.ERROR, named=False)
+                self.finish_attempt(Outcome.ERROR, named=False)
             case _:
                 raise FramingError(f"unknown line {line[:60]!r}")
 
@@ -54,12 +54,12 @@
             raise FramingError("a value without its line end")
         if self.flow is not None:
             return self.end_flow()
-        return self.finish_leg(Outcome.SERVED, data[:-2])
+        return self.finish_attempt(Outcome.SERVED, data[:-2])
 
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
         # An answer under another id is another request's: it must not reach this one. Nor may a receipt be
         # taken for a value.
-        request = self.legs[0].request
+        request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
             raise FramingError("an answer under another id")
         if write not in (None, request.write):
--- a/cloverwell/net/http.py
+++ b/cloverwell/net/http.py
@@ -1,4 +1,4 @@
-"""The answers of HTTP/1.1, line by line: what the origin's legs and discovery's watch have in common."""
+"""The answers of HTTP/1.1, line by line: what the origin's attempts and discovery's watch have in common."""
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
--- a/cloverwell/net/origin_leg.py
+++ b/cloverwell/net/origin_connection.py
@@ -1,4 +1,4 @@
-"""Legs to the origin, in HTTP/1.1."""
+"""Attempts to the origin, in HTTP/1.1."""
 
 import re
 from urllib.parse import quote
@@ -30,16 +30,16 @@
         return encode_request(method, "/" + quote(request.key), f"{host}:{port}", headers, body)
 
     def _check(self, headers: dict[str, str]) -> None:
-        if not self.legs:
-            raise FramingError("an answer that no leg waits for")
-        if headers.get("request-id", self.legs[0].request.id) != self.legs[0].request.id:
+        if not self.attempts:
+            raise FramingError("an answer that no attempt waits for")
+        if headers.get("request-id", self.attempts[0].request.id) != self.attempts[0].request.id:
             raise FramingError("an answer under another id")
 
     def long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
         if status != 200 or not LONG < length <= LONGEST:
             return False
         self._check(headers)
-        if self.legs[0].request.write:
+        if self.attempts[0].request.write:
             return False
         self._last = headers.get("connection", "").lower() == "close"
         self.begin(length)
@@ -55,10 +55,10 @@
         self._check(headers)
         closing = headers.get("connection", "").lower() == "close"
         if closing:
-            self.ended = True  # no further leg is written to it
+            self.ended = True  # no further attempt is written to it
         if status == 200:
             outcome = Outcome.SERVED
-            if self.legs[0].request.write and not RECEIPT.fullmatch(body):
+            if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
                 raise FramingError("not a receipt")  # in the client's line it would be noise, or a second one
         elif status in (503, 504) and headers.get("not-started") == "1":
             outcome = Outcome.BUSY
@@ -66,7 +66,7 @@
             outcome = Outcome.ERROR
         else:
             raise FramingError(f"unknown status {status}")
-        self.finish_leg(outcome, body if outcome is Outcome.SERVED else b"", named=False)
+        self.finish_attempt(outcome, body if outcome is Outcome.SERVED else b"", named=False)
         if closing:
             self.ended = False
             self.drop(Outcome.RESET)
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -1,8 +1,9 @@
-"""The connections to each box, and the legs that wait for one: carries out what `connections.back` decides.
+"""The connections to each box, and the attempts that wait for one: carries out what `connections.back`
+decides.
 
-A leg takes an idle connection, the one used last; else one more is opened, and whichever comes free first
-takes it. Only at the caps are legs written behind others: one that is behind waits for those before it, and
-giving one up closes the connection for all.
+An attempt takes an idle connection, the one used last; else one more is opened, and whichever comes free
+first takes it. Only at the caps are attempts written behind others: one that is behind waits for those before
+it, and giving one up closes the connection for all.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
     from cloverwell.net.pools import Pools
 
 FLOW_STILL_MS = 10_000.0  # a long value of which nothing is given, or taken, is no more waited for
-MAX_WAITING = 256  # legs that wait for a connection to one box
-MAX_MOVES = 4  # connections that one leg may find closed before its last byte
+MAX_WAITING = 256  # attempts that wait for a connection to one box
+MAX_MOVES = 4  # connections that one attempt may find closed before its last byte
 
 
 class _Opener(ClientFactory):
@@ -78,7 +79,7 @@
     def held(self) -> int:
         return len(self.connections) + self.opening
 
-    # Legs --------------------------------------------------------------------------------------
+    # Attempts --------------------------------------------------------------------------------------
 
     def too_late(self, attempt: Attempt) -> bool:
         """Not a byte of it may leave any more: its own time is over, or its box may get nothing new.
@@ -126,7 +127,7 @@
                 self._open()
             return
         shared = [c for c in self.connections if self._may_share(c, attempt)]
-        sent = min(shared, key=lambda c: len(c.legs)).send(attempt) if shared else Sent.BROKEN
+        sent = min(shared, key=lambda c: len(c.attempts)).send(attempt) if shared else Sent.BROKEN
         if sent is Sent.LATE:
             attempt.end(Outcome.NOT_CONNECTED)
         elif sent is Sent.BROKEN:
@@ -146,16 +147,16 @@
         return sent
 
     def _may_share(self, connection: BoxConnection, attempt: Attempt) -> bool:
-        # Giving up one leg resets all behind it, and an order that is reset may never be sent again. The
-        # origin's answers bear no id: one too many would be the next leg's.
-        legs = [attempt, *connection.legs]
+        # Giving up one attempt resets all behind it, and an order that is reset may never be sent again. The
+        # origin's answers bear no id: one too many would be the next attempt's.
+        attempts = [attempt, *connection.attempts]
         return (
             not (connection.ended or connection.moved or self.origin)
-            and bool(connection.legs)
-            and len(legs) <= self._pools.legs_each
+            and bool(connection.attempts)
+            and len(attempts) <= self._pools.attempts_each
             and connection.flow is None
             and not connection.halfway
-            and not any(leg.request.write for leg in legs)
+            and not any(attempt.request.write for attempt in attempts)
         )
 
     def _wait(self, attempt: Attempt) -> None:
@@ -192,7 +193,8 @@
         return self._pools.hold
 
     def closed(self, attempt: Attempt, outcome: Outcome) -> None:
-        """We have closed the connection of a leg that was out: it ends now, and its answer need not wait.
+        """We have closed the connection of an attempt that was out: it ends now, and its answer need not
+        wait.
 
         Where no request may have two attempts out together, it is out at the box until the close arrives
         there: a further attempt, to a box nearer by, is written no sooner.
@@ -223,7 +225,7 @@
         self._pools.reactor.connectTCP(host, port, _Opener(self), timeout=timeout)
 
     def failed(self, asked_ms: float, refused: bool) -> None:
-        """A connection could not be made: the leg that has waited longest ends, others have their own.
+        """A connection could not be made: the attempt that has waited longest ends, others have their own.
 
         `refused`: the box said so; else it never came up."""
         self.opening -= 1
@@ -254,7 +256,7 @@
         self.freed(connection)
 
     def freed(self, connection: BoxConnection) -> None:
-        """A connection has no leg, or one less: the leg that has waited longest takes it."""
+        """A connection has no attempt, or one less: the attempt that has waited longest takes it."""
         rests_ms = connection.rests_until_ms - self.now()
         while connection.free and self._waiting and not connection.moved and rests_ms <= 0.0:
             attempt = self._waiting.popleft()
@@ -282,7 +284,7 @@
 
     @property
     def _resting(self) -> int:
-        """Connections that the legs waiting may soon have."""
+        """Connections that the attempts waiting may soon have."""
         now = self.now()
         return sum(connection.rests_until_ms > now for connection in self.idle)
 
@@ -298,7 +300,7 @@
         return found
 
     def _mute(self, now: float) -> bool:
-        written = [c.legs[0].written_ms for c in self.connections if c.legs]
+        written = [c.attempts[0].written_ms for c in self.connections if c.attempts]
         return bool(written) and self._back.mute(self.box, min(written), now)
 
     def _take_up(self, connection: BoxConnection) -> None:
@@ -318,9 +320,9 @@
         caught: bool,
         torn: bool,
     ) -> None:
-        """The box ended a connection: an idle one, or so long after a leg.
+        """The box ended a connection: an idle one, or so long after an attempt.
 
-        `torn`: by a reset; `served`: a leg had ended on it."""
+        `torn`: by a reset; `served`: an attempt had ended on it."""
         if after_ms is None:
             self._figures.add(What.CLOSED, self.box)
             return
--- a/cloverwell/net/pools.py
+++ b/cloverwell/net/pools.py
@@ -33,7 +33,7 @@
         budget: Budget,
         back: Back,
         figures: Figures,
-        legs_each: int,
+        attempts_each: int,
         connect_timeout_ms: float,
         hold: bool = False,
     ) -> None:
@@ -44,9 +44,10 @@
         self.budget = budget
         self.back = back
         self.figures = figures
-        self.legs_each = legs_each
+        self.attempts_each = attempts_each
         self.connect_timeout_ms = connect_timeout_ms
-        self.hold = hold  # whether a leg that we close stays out until the close can have reached its box
+        # whether an attempt that we close stays out until the close can have reached its box
+        self.hold = hold
         self.borrow: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
@@ -159,5 +160,5 @@
             pass
 
     def spare_room(self) -> bool:
-        """Whether one may be opened that no leg waits for: not with the last descriptors."""
+        """Whether one may be opened that no attempt waits for: not with the last descriptors."""
         return self.budget.room(Side.BACK) > AHEAD_ROOM * self.budget.total
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -1,4 +1,5 @@
-"""A request's life, whatever protocol it came by: the single owner of its final answer and of its legs."""
+"""A request's life, whatever protocol it came by: the single owner of its final answer and of its
+attempts."""
 
 from __future__ import annotations
 
@@ -7,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from cloverwell.facade import Leg, Outcome
+from cloverwell.facade import Outcome, Send
 from cloverwell.flow import Flow
 from cloverwell.wheel import Timer
 
@@ -18,7 +19,7 @@
 @dataclass(slots=True, frozen=True)
 class Served:
     """`body`: a value for a read, a receipt for a write. A flow is a long value that has begun to come: from
-    then on no other leg is made and nothing is declined, and a break ends the client's connection."""
+    then on no other attempt is made and nothing is declined, and a break ends the client's connection."""
 
     body: bytes | Flow
 
@@ -40,9 +41,9 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A leg that is out: it ends exactly once, and tells its owner how."""
+    """An attempt that is out: it ends exactly once, and tells its owner how."""
 
-    leg: Leg
+    choice: Send
     request: Request
     write_by_ms: float  # no byte of it leaves later
     done: Callable[[Attempt, Outcome, bytes | Flow], None]
@@ -91,9 +92,10 @@
     answer: Callable[[Request, Answer], None]
     deadline_ms: float = 0.0
     over: bool = False
-    legs: dict[int, Attempt] = field(default_factory=dict)  # those out, by number
-    ran_ms: float | None = None  # when the first leg that may have run was written
-    clear_ms: float = 0.0  # no new leg is written sooner: one that we closed may be out at its box until then
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # those out, by number
+    ran_ms: float | None = None  # when the first attempt that may have run was written
+    # no new attempt is written sooner: one that we closed may be out at its box until then
+    clear_ms: float = 0.0
     guard: Timer | None = None
 
     def finish(self, answer: Answer) -> bool:
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -19,9 +19,9 @@
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
 from cloverwell.net.box_connection import BoxConnection
-from cloverwell.net.cache_leg import CacheConnection
+from cloverwell.net.cache_connection import CacheConnection
 from cloverwell.net.client_connections import ClientConnections
-from cloverwell.net.origin_leg import OriginConnection
+from cloverwell.net.origin_connection import OriginConnection
 from cloverwell.net.pool import Pool
 from cloverwell.net.pools import Pools
 from cloverwell.net.routing_table import RoutingTable
@@ -35,7 +35,7 @@
 MIN_BUDGET = 8  # connections, however few descriptors there are during a replacement
 ASKING_SHARE = 1.0 / 3.0  # of all descriptors: the platform's clients open no more connections for requests
 IDLE_SHARE = 0.9  # of the time after which a box closes an idle connection: ours are closed before that
-# After a box leaves, legs to it may still be written for the settings' grace less this: the rule counts
+# After a box leaves, attempts to it may still be written for the settings' grace less this: the rule counts
 # from a send's first byte at the box, and the way there and the loop's lag come before it.
 DRAIN_MARGIN_MS = 50.0
 BACKLOG = 512
@@ -96,7 +96,7 @@
             self.budget,
             self.back,
             self.figures,
-            settings.legs_per_connection,
+            settings.attempts_per_connection,
             settings.connect_timeout_ms,
             hold=not settings.may_copy,
         )
--- a/cloverwell/wheel.py
+++ b/cloverwell/wheel.py
@@ -74,7 +74,8 @@
         return self._put(math.floor(deadline_ms / self.granularity_ms), call)
 
     def not_before(self, due_ms: float, call: Callable[[], None]) -> Timer:
-        """Rounds up: for a leg's end, since one called out early would be given a second leg of a few ms."""
+        """Rounds up: for an attempt's end, since one called out early would be given a second attempt of a
+        few ms."""
         return self._put(math.ceil(due_ms / self.granularity_ms), call)
 
     def _put(self, tick: int, call: Callable[[], None]) -> Timer:
--- a/lab/legs.py
+++ b/lab/attempts.py
@@ -1,4 +1,4 @@
-"""Legs by themselves: the proxy's pools before stand-in boxes, without clients and decisions."""
+"""Attempts by themselves: the proxy's pools before stand-in boxes, without clients and decisions."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from cloverwell.connections.back import Back, Use
 from cloverwell.connections.budget import Budget
 from cloverwell.connections.figures import Figures
-from cloverwell.facade import Leg, Outcome
+from cloverwell.facade import Outcome, Send
 from cloverwell.log import Log
-from cloverwell.net.cache_leg import CacheConnection
+from cloverwell.net.cache_connection import CacheConnection
 from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt
 from cloverwell.wheel import Wheel
@@ -26,19 +26,19 @@
 
 @dataclass
 class Tally:
-    """How legs ended, and how long those that were answered took to their first byte out, in ms."""
+    """How attempts ended, and how long those that were answered took to their first byte out, in ms."""
 
     outcomes: Counter[Outcome] = field(default_factory=Counter)
     waits_ms: list[float] = field(default_factory=list)
-    dear_lost: int = 0  # legs that may not run twice, lost behind their last byte
+    dear_lost: int = 0  # attempts that may not run twice, lost behind their last byte
 
     @property
-    def legs(self) -> int:
+    def attempts(self) -> int:
         return sum(self.outcomes.values())
 
 
 class Rig:
-    """Pools on a virtual network, and a source of legs for them."""
+    """Pools on a virtual network, and a source of attempts for them."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
             self.budget,
             self.back,
             self.figures,
-            legs_each=8,
+            attempts_each=8,
             connect_timeout_ms=250.0,
         )
         self.tally = Tally()
@@ -78,7 +78,7 @@
 
     @property
     def stale(self) -> int:
-        """Legs lost behind their last byte: whatever befell them, none of these boxes fails otherwise."""
+        """Attempts lost behind their last byte: whatever befell them, none of these boxes fails otherwise."""
         ends = self.tally.outcomes
         return ends[Outcome.RESET] + ends[Outcome.TIMED_OUT]
 
@@ -86,7 +86,7 @@
     def handshakes(self) -> int:
         return sum(box.handshakes for box in self.boxes)
 
-    def leg(self, place: int, dear: bool = False, timeout_ms: float = 1000.0) -> Attempt:
+    def attempt(self, place: int, dear: bool = False, timeout_ms: float = 1000.0) -> Attempt:
         self._count += 1
         name, now = f"r{self._count}", self.now()
         request = SimpleNamespace(
@@ -96,9 +96,9 @@
             info_with=lambda wait_ms: f"c=page,d={int(wait_ms)}",
             deadline_ms=now + timeout_ms,
         )
-        leg = Leg(name, self._names[place], 0, timeout_ms)
+        choice = Send(name, self._names[place], 0, timeout_ms)
         pool = self.pools.of(self._names[place])
-        attempt = Attempt(leg, request, now + 250.0, self._ended, pool, now + timeout_ms, dear)
+        attempt = Attempt(choice, request, now + 250.0, self._ended, pool, now + timeout_ms, dear)
         attempt.timer = self.wheel.not_before(
             now + timeout_ms, lambda: pool.give_up(attempt, Outcome.TIMED_OUT)
         )
@@ -119,7 +119,7 @@
         while self.net.seconds() < end:
             slow = 0.2 if int(self.net.seconds() / 7.0) % 3 == 0 else 1.4
             self.net.run_for(rng.expovariate(per_s * slow))
-            self.leg(rng.randrange(len(self._names)), rng.random() < dear_share)
+            self.attempt(rng.randrange(len(self._names)), rng.random() < dear_share)
         self.net.run_for(2.0)
 
     def percentile(self, share: float) -> float:
@@ -128,7 +128,8 @@
 
 
 class Fixed(Back):
-    """A baseline: one idle time for all boxes, legs written whole, nothing opened ahead, no caps learnt."""
+    """A baseline: one idle time for all boxes, attempts written whole, nothing opened ahead, no caps
+    learnt."""
 
     def __init__(self, idle_ms: float, now: float) -> None:
         super().__init__(idle_ms, GRACE_MS, now)
--- a/olivestair/api.py
+++ b/olivestair/api.py
@@ -126,7 +126,7 @@
     zones: tuple[str, ...] = ()
     machine_types: tuple[str, ...] = ()
     connect_timeout_ms: float = 1000.0  # a connection not made by then has failed
-    legs_per_connection: int = 1  # attempts that one connection carries together
+    attempts_per_connection: int = 1  # attempts that one connection carries together
     max_open: int = 0  # requests held at once; 0: no bound
 
     def __post_init__(self) -> None:
--- a/olivestair/settings.py
+++ b/olivestair/settings.py
@@ -194,7 +194,7 @@
         resend_share=rule("repeat-ratio"),
         idle_close_ms=limit("idle-close", 15_000.0, over=True),
         connect_timeout_ms=limit("connect-timeout", 1000.0, over=True),
-        legs_per_connection=max(1, count(limits, "streams-per-conn", 1, "limits.", least=0)),
+        attempts_per_connection=max(1, count(limits, "streams-per-conn", 1, "limits.", least=0)),
         max_open=count(limits, "max-open", 0, "limits.", least=0),
         hang_up_within_ms=rule("hang-up-within"),
         drain_grace_ms=rule("drain-grace", 1000.0),
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -12,7 +12,7 @@
 from cloverwell.connections.figures import MAX_NAMES, OTHERS, Figures, What
 from cloverwell.connections.stale import EDGES, MARGIN, Ages, bucket
 from cloverwell.facade import Outcome
-from lab.legs import GRACE_MS, PATTERNS, Fixed, Rig
+from lab.attempts import GRACE_MS, PATTERNS, Fixed, Rig
 
 # The budget ------------------------------------------------------------------------------------
 
@@ -125,7 +125,7 @@
 
 
 class Boxes(RuleBasedStateMachine):
-    """Any order of news and legs: no use past the limit, nothing to a box that has left, nothing kept."""
+    """Any order of news and attempts: no use past the limit, nothing to a box that has left, nothing kept."""
 
     @initialize()
     def start(self):
@@ -218,32 +218,32 @@
 
 
 @pytest.mark.parametrize("name", PATTERNS)
-def test_hardly_a_leg_is_lost_whatever_boxes_do_with_idle_connections(name):
-    # With one idle time for all, 1 to 8% of legs were lost where boxes close sooner and say nothing.
+def test_hardly_an_attempt_is_lost_whatever_boxes_do_with_idle_connections(name):
+    # With one idle time for all, 1 to 8% of attempts were lost where boxes close sooner and say nothing.
     rig = Rig(12)
     PATTERNS[name](rig)
     rig.load(100.0, 250.0 if rig.boxes[0].drops_flow else 150.0)  # silence is found out slowly
-    assert rig.tally.legs > 12_000
-    assert rig.stale < 0.001 * rig.tally.legs, rig.tally.outcomes
+    assert rig.tally.attempts > 12_000
+    assert rig.stale < 0.001 * rig.tally.attempts, rig.tally.outcomes
     assert rig.tally.dear_lost <= 2
     assert rig.percentile(0.99) <= 30.0  # from its choice to its last byte out, a handshake included
 
 
-def test_the_baseline_loses_legs_where_boxes_close_in_silence():
-    # That the measure above can fail: the fixed idle time of before, on the same boxes and legs.
+def test_the_baseline_loses_attempts_where_boxes_close_in_silence():
+    # That the measure above can fail: the fixed idle time of before, on the same boxes and attempts.
     rig = Rig(12, back=Fixed)
     PATTERNS["silent after 0.5 s"](rig)
     rig.load(100.0, 30.0)
-    assert rig.stale > 0.02 * rig.tally.legs and rig.tally.dear_lost > 5
+    assert rig.stale > 0.02 * rig.tally.attempts and rig.tally.dear_lost > 5
 
 
-def test_a_leg_whose_loss_is_dear_finds_a_closed_connection_before_its_last_byte():
+def test_an_attempt_whose_loss_is_dear_finds_a_closed_connection_before_its_last_byte():
     rig = Rig(1)
     box = rig.boxes[0]
     box.idle_s = lambda now_s: 0.3
-    rig.leg(0)
+    rig.attempt(0)
     rig.net.run_for(0.6)
-    rig.leg(0, dear=True)
+    rig.attempt(0, dear=True)
     rig.net.run_for(0.6)
     assert rig.tally.outcomes == {Outcome.SERVED: 2} and box.dead_requests == 0
     assert rig.figures.total(What.CAUGHT) == 1 and box.requests == 2
@@ -267,17 +267,17 @@
 
 @pytest.mark.parametrize("latency_ms", [1, 40, 120])
 def test_nothing_is_opened_or_written_late_to_a_box_that_leaves(latency_ms):
-    # A drain while connections open: what was asked for before may come up, and takes no leg after 1 s.
+    # A drain while connections open: what was asked for before may come up, and takes no attempt after 1 s.
     rig = Rig(2)
     for box in rig.boxes:
         rig.net.path(box.address).latency_s = latency_ms / 1000.0
     for _ in range(5):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(0.01)
     told = rig.net.seconds()
     rig.pools.leave("s0")
     for _ in range(150):
-        rig.leg(0, timeout_ms=2000.0)
+        rig.attempt(0, timeout_ms=2000.0)
         rig.net.run_for(0.01)
     asked = [at - latency_ms / 1000.0 for at in rig.boxes[0].opened_at]
     assert max(asked) <= told + GRACE_MS / 1000.0
@@ -294,19 +294,19 @@
     rig.load(60.0, 20.0)
     # Each refusal that is not learnt from is a handshake's work for a box that is full already.
     assert box.refused < 60, box.refused
-    assert len(box.connections) <= 5 and rig.tally.outcomes[Outcome.SERVED] > 0.9 * rig.tally.legs
+    assert len(box.connections) <= 5 and rig.tally.outcomes[Outcome.SERVED] > 0.9 * rig.tally.attempts
 
 
 def test_one_refused_connection_is_no_full_box():
     rig = Rig(1)
-    rig.leg(0)
+    rig.attempt(0)
     rig.net.run_for(0.01)
     rig.net.path(rig.boxes[0].address).refuse = True
-    rig.leg(0)
+    rig.attempt(0)
     rig.net.run_for(0.1)
     rig.net.path(rig.boxes[0].address).refuse = False
     for _ in range(6):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(1.0)
     assert rig.tally.outcomes == {Outcome.SERVED: 7, Outcome.NOT_CONNECTED: 1}
 
@@ -317,7 +317,7 @@
         rig.net.path(box.address).latency_s = 0.012
     rig.load(150.0, 20.0)
     ahead = rig.figures.total(What.AHEAD)
-    assert ahead > 0 and ahead < 0.1 * rig.tally.legs
+    assert ahead > 0 and ahead < 0.1 * rig.tally.attempts
     rig.pools.leave("s0")
     before = len(rig.boxes[0].opened_at)
     rig.net.run_for(3.0)
@@ -338,18 +338,19 @@
     look()
     rig.load(per_s, 4.0)
     assert peak <= rig.budget.most(Side.BACK)
-    assert rig.tally.outcomes[Outcome.SERVED] > 0.99 * rig.tally.legs
+    assert rig.tally.outcomes[Outcome.SERVED] > 0.99 * rig.tally.attempts
     assert sum(len(pool.connections) for pool in rig.pools._pools.values()) == rig.budget.held[Side.BACK]
 
 
 def test_the_last_descriptors_go_to_whoever_needs_them():
-    # The clients' side holds all between the floors; for a leg without room one of its idle ones is closed.
+    # The clients' side holds all between the floors; for an attempt without room one of its idle ones is
+    # closed.
     rig = Rig(4, descriptors=20)
     while rig.budget.room(Side.FRONT):
         rig.budget.take(Side.FRONT)
     rig.pools.borrow = lambda: rig.budget.give_back(Side.FRONT)
     for _ in range(12):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(1.0)
     assert rig.tally.outcomes == {Outcome.SERVED: 12}
     assert rig.budget.held[Side.BACK] > rig.budget.floors[Side.BACK]
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -170,7 +170,7 @@
     proxy.turn(5)
     before = len(begun)
     assert 1 < before < 60
-    (first,) = [conn for conn in proxy.service.pools.of("origin").connections if conn.legs][:1]
+    (first,) = [conn for conn in proxy.service.pools.of("origin").connections if conn.attempts][:1]
     for conn in conns:
         leave(conn)
     proxy.offset += LAG_MS
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -4,13 +4,13 @@
 
 from cloverwell.connections.back import Back
 from cloverwell.facade import Outcome
-from lab.legs import GRACE_MS, Rig
+from lab.attempts import GRACE_MS, Rig
 
 
 def _connects_time_out(rig, times):
     rig.net.path(rig.boxes[0].address).silent = True
     for _ in range(times):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(0.3)
     rig.net.path(rig.boxes[0].address).silent = False
 
@@ -18,15 +18,15 @@
 def test_a_box_that_was_cut_off_gets_as_many_connections_as_it_needs_at_once():
     # lesrooster-nl split+brink, seed 13: capped at one connection by the cut, it got one more each 2 s.
     rig = Rig(1)
-    rig.pools.of("s0").origin = True  # its legs never stand behind one another
-    rig.boxes[0].work_s = 0.4  # one leg is out all the while, on the connection that stands
-    rig.leg(0)
+    rig.pools.of("s0").origin = True  # its attempts never stand behind one another
+    rig.boxes[0].work_s = 0.4  # one attempt is out all the while, on the connection that stands
+    rig.attempt(0)
     rig.net.run_for(0.01)
     _connects_time_out(rig, 6)
     rig.net.run_for(0.4)
     rig.boxes[0].work_s = 0.2
     for _ in range(6):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(0.5)
     assert rig.tally.outcomes == {Outcome.SERVED: 7, Outcome.NOT_CONNECTED: 6}
 
@@ -37,22 +37,22 @@
 
 
 @pytest.mark.parametrize("origin, served", [(True, 4), (False, 3)])
-def test_beside_a_leg_that_is_silent_for_long_the_origins_idle_connections_are_not_used(origin, served):
-    # A cut leaves all connections dead and silent: each idle one would take a leg and hold it.
+def test_beside_an_attempt_that_is_silent_for_long_the_origins_idle_connections_are_not_used(origin, served):
+    # A cut leaves all connections dead and silent: each idle one would take an attempt and hold it.
     rig = Rig(1)
     rig.pools.of("s0").origin = origin
     for _ in range(3):
-        rig.leg(0)
+        rig.attempt(0)
     rig.net.run_for(0.05)
     _flows_are_lost(rig)
-    rig.leg(0, timeout_ms=5000.0)  # hangs
+    rig.attempt(0, timeout_ms=5000.0)  # hangs
     rig.net.run_for(0.5)
-    rig.leg(0)
+    rig.attempt(0)
     rig.net.run_for(2.0)
     assert rig.tally.outcomes[Outcome.SERVED] == served
 
 
-def test_a_box_is_mute_only_while_a_leg_is_overdue_and_nothing_came_since():
+def test_a_box_is_mute_only_while_an_attempt_is_overdue_and_nothing_came_since():
     back = Back(2500.0, GRACE_MS, 0.0)
     back.named("a", "origin")
     for at in range(0, 1000, 10):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -608,7 +608,7 @@
 
 
 def test_a_read_on_a_connection_that_fell_silent_goes_again_to_the_server_that_answers_others(drive):
-    # Silent days: 2% of the legs got no byte on connections that had answered before, and waited on.
+    # Silent days: 2% of the attempts got no byte on connections that had answered before, and waited on.
     d = drive(may_copy=True)
     late = out_of_two(d)
     assert d.sends[late] == [d.sends[late][0]] * 2 and not d.cancels and not d.logs
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from scenario import Player
 
-from cloverwell.facade import Leg, Outcome
+from cloverwell.facade import Outcome, Send
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
 from cloverwell.net.box_connection import FLOW_READ, Sent
 from cloverwell.net.client_connection import FLOW_PIECE
@@ -130,7 +130,7 @@
     assert client.value() == b"VA 1 O3\r\na\r\nSERVER_ERROR failed\r\n" and not client.ended
 
 
-def test_a_client_that_leaves_ends_the_leg_and_nothing_is_kept():
+def test_a_client_that_leaves_ends_the_attempt_and_nothing_is_kept():
     player = Player()
     _, (box, transport) = asked(player)
     box.dataReceived(HEAD + VALUE[:100])
@@ -198,18 +198,19 @@
 
 
 @pytest.mark.parametrize("copies", [False, True])
-def test_a_leg_behind_a_long_value_is_not_left_out_where_copies_are_refused(copies):
+def test_an_attempt_behind_a_long_value_is_not_left_out_where_copies_are_refused(copies):
     player = Player()
     _, (box, transport) = asked(player)
     player.service.pools.hold = not copies
     behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
-    leg = Leg("O2", "s1", 0, 400.0)
-    attempt = Attempt(leg, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool, 1e9)
+    choice = Send("O2", "s1", 0, 400.0)
+    attempt = Attempt(choice, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool, 1e9)
     assert box.send(attempt) is Sent.OUT
     box.dataReceived(HEAD + VALUE[:100])
     assert box.give_up(attempt, Outcome.TIMED_OUT) and ends == [Outcome.TIMED_OUT]
-    assert transport.aborted is not copies  # the value goes on, or breaks off so that the leg is out no more
+    # the value goes on, or breaks off so that the attempt is out no more
+    assert transport.aborted is not copies
     assert (behind.clear_ms > 0.0) is not copies
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from cloverwell.cli.main import cli
 from cloverwell.connections.back import Back
 from cloverwell.flow import Flow
-from cloverwell.net.cache_leg import CacheConnection
+from cloverwell.net.cache_connection import CacheConnection
 from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt, Request, Served
 from cloverwell.serving import Serving
@@ -246,7 +246,8 @@
 
 
 def test_the_judge_catches_an_attempt_that_leaves_before_the_close_arrives(monkeypatch):
-    # Seen at Teorifart: a leg called off at a box 10 ms away, and the next one at a box nearby 0.2 ms later.
+    # Seen at Teorifart: an attempt called off at a box 10 ms away, and the next one at a box nearby 0.2 ms
+    # later.
     sends_on_while_its_close_is_on_the_way(monkeypatch)
     summary = Play(short("far-hang", 8.0), 2).run()
     assert "once" in broken(summary), summary["rules"]
@@ -300,7 +301,7 @@
 
 
 def tells_what_was_left_when_it_was_chosen(patch):
-    patch.setattr(Attempt, "left_ms", lambda self, now, held_ms=0.0: int(self.leg.timeout_ms))
+    patch.setattr(Attempt, "left_ms", lambda self, now, held_ms=0.0: int(self.choice.timeout_ms))
 
 
 CRASH = [Fault("crash", 1.0, 2.0, 0.5)]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("delay", [6.0, 12.5, 249.0, 6000.0])
-def test_wheel_never_overruns_a_deadline_nor_ends_a_leg_early(delay):
+def test_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
     wheel, clock = wheel_and_clock()
     due, fired = wheel.now() + delay, {}
     wheel.at(due, lambda: fired.update(at=wheel.now()))
@@ -90,14 +90,14 @@
 
 def test_facade_picks_reports_and_ticks():
     facade, clock = a_facade()
-    leg = facade.pick(subject())
-    assert isinstance(leg, f.Leg) and (leg.box, leg.number) == ("s1", 0)
-    fetch = facade.report(leg, f.Outcome.MISS)
-    assert isinstance(fetch, f.Leg) and (fetch.box, fetch.number) == ("origin", 1)
+    choice = facade.pick(subject())
+    assert isinstance(choice, f.Send) and (choice.box, choice.number) == ("s1", 0)
+    fetch = facade.report(choice, f.Outcome.MISS)
+    assert isinstance(fetch, f.Send) and (fetch.box, fetch.number) == ("origin", 1)
     # Another read of the key waits for that fetch; its choice comes with a tick, not with a report.
     assert facade.pick(subject("r2")) == f.WAIT
     assert facade.report(fetch, f.Outcome.SERVED) == f.WAIT
-    assert [type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.Watch)] == [f.Leg]
+    assert [type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.Watch)] == [f.Send]
 
 
 def test_facade_wishes_for_discovery_after_its_start_and_after_a_failure():
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("grace_ms", [500.0, 1000.0])
-def test_a_leaving_box_gets_no_new_leg_past_the_sites_own_drain_time(monkeypatch, grace_ms):
+def test_a_leaving_box_gets_no_new_attempt_past_the_sites_own_drain_time(monkeypatch, grace_ms):
     # Held at the first site by luck: its 1 s was built in, where another site's rule is 500 ms.
     import lab.proxy
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -23,7 +23,7 @@
     # Whatever happened, nothing is kept of a request once its time is over.
     player.play("wait 2100")
     dispatcher = player.service.dispatcher
-    assert dispatcher.open_count == 0 and not dispatcher._facade._legs
+    assert dispatcher.open_count == 0 and not dispatcher._facade._attempts
 
 
 def test_line_and_value_too_long_get_one_error():
@@ -76,7 +76,8 @@
 
 @pytest.mark.parametrize("wait_ms", range(300, 306))
 def test_read_that_nobody_answers_is_declined_whatever_tick_its_deadline_falls_on(wait_ms):
-    # Seen on overload days, 43 times: the guard's tick came before the leg's, and failed what may come again.
+    # Seen on overload days, 43 times: the guard's tick came before the attempt's, and failed what may come
+    # again.
     player = Player()
     player.play(f"client send mg k1 v O1 Pc=page,t=acme,d={wait_ms}\ns1 expect mg *\nwait {wait_ms}")
     player.play("client expect SERVER_ERROR busy*\nclient expect nothing")
@@ -95,7 +96,8 @@
 
 
 def test_at_the_cap_reads_share_a_connection_and_an_order_never_does():
-    # Giving up a leg closes its connection: an order behind a read would be reset, and could not go again.
+    # Giving up an attempt closes its connection: an order behind a read would be reset, and could not go
+    # again.
     player = Player()
     player.service.pools.budget = Budget(5, 0.4, 0.4)
     player.service.pools.budget.held[Side.FRONT] = 3
@@ -134,7 +136,7 @@
 
 
 @pytest.mark.parametrize("unread", [b"x", b""])
-def test_an_idle_connection_with_unread_bytes_or_its_end_takes_no_leg(unread):
+def test_an_idle_connection_with_unread_bytes_or_its_end_takes_no_attempt(unread):
     # Noise may come a moment behind its answer: an order written there would be reset, and never sent again.
     player = Player()
     player.play("client send ms k 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT *\norigin send 200 r1")
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -10,7 +10,7 @@
 from cloverwell.connections.figures import What
 from cloverwell.connections.schedule import EARLY_MS, Schedule
 from cloverwell.net.pool import Pool
-from lab.legs import PATTERNS, Rig
+from lab.attempts import PATTERNS, Rig
 
 SEEDS = range(1, 4)
 
@@ -86,22 +86,22 @@
         assert visits(monkeypatch, rig, 60.0) == []
 
 
-def test_visits_follow_the_legs_and_not_the_boxes(monkeypatch):
+def test_visits_follow_the_attempts_and_not_the_boxes(monkeypatch):
     counts = []
     for boxes in (24, 96, 384):
         rig = Rig(boxes, idle_close_ms=4000.0)
         rig.net.run_for(0.1)
         for place in range(10):
-            rig.leg(place)
+            rig.attempt(place)
         counts.append(len(visits(monkeypatch, rig, 60.0)))
         assert not rig.pools.idle and rig.figures.total(What.RETIRED) == 10
     assert counts[0] == counts[1] == counts[2] and counts[0] <= 60
 
 
-def test_a_box_that_left_is_visited_until_its_last_leg_is_over_and_then_forgotten(monkeypatch):
+def test_a_box_that_left_is_visited_until_its_last_attempt_is_over_and_then_forgotten(monkeypatch):
     rig = Rig(3)
     rig.boxes[0].work_s = 0.4
-    rig.leg(0)
+    rig.attempt(0)
     rig.net.run_for(0.1)
     rig.pools.leave("s0")
     seen = visits(monkeypatch, rig, 5.0)
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -65,7 +65,7 @@
     player = Player(settings=without_copies())
     player.service.back.reach_ms = lambda box: 60.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
-    attempt = player.service.dispatcher._open["1"].legs[0]
+    attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
     player.play(f"wait {WAITED_MS}")
     told = told_ms(sent(player, "origin", 2))
@@ -267,8 +267,8 @@
     if not open_connection(player, party, place):
         return
     protocol, _ = player.opened[party][place]
-    if protocol.legs:
-        name = protocol.legs[0].request.id
+    if protocol.attempts:
+        name = protocol.attempts[0].request.id
         words = "200 r" if party == "origin" else f"VA 1 O{name}|a"
         player.play(f"{party}#{place + 1} send {words}")
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -103,7 +103,7 @@
     player = Player(settings=settings_with("limits", **{"second-copies": False}))
     player.service.back.reach_ms = lambda box: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
-    attempt = player.service.dispatcher._open["1"].legs[0]
+    attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
     player.play("origin expect end\nwait 30")
     assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 1
@@ -176,7 +176,7 @@
     player.play("wait 20\norigin expect PUT /k3 *")
 
 
-def test_a_leg_that_waits_for_a_connection_at_rest_does_not_end_with_one_that_fails():
+def test_an_attempt_that_waits_for_a_connection_at_rest_does_not_end_with_one_that_fails():
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *")
     player.play("client#2 send ms k2 1 O2 Pc=order,t=acme,d=900|a")  # asks for one more
