--- a/benchmarks/origin_lockouts.py
+++ b/benchmarks/origin_lockouts.py
@@ -32,7 +32,7 @@
     def add(self, line: dict[str, int]) -> None:
         """One line of counts: what one proxy counted in one window."""
         self.counts.update(line)
-        refused = line.get("declined.queue", 0)
+        refused = line.get("refused.queue", 0)
         outcomes = sum(count for name, count in line.items() if name.startswith("origin."))
         if refused >= REFUSED_MIN and outcomes < OUTCOMES_PART * refused:
             self.windows += 1
@@ -43,7 +43,7 @@
             (
                 (count, name)
                 for name, count in self.counts.items()
-                if name.startswith(("declined.", "failed."))
+                if name.startswith(("refused.", "failed."))
             ),
             reverse=True,
         )
--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -140,7 +140,7 @@
             weight = 0.2 if entry.connect_ms else 1.0
             entry.connect_ms += weight * (took_ms - entry.connect_ms)
 
-    def refused(self, box: str, opened: int, now: float) -> None:
+    def connect_refused(self, box: str, opened: int, now: float) -> None:
         """It refused a connection while so many stood: it takes no more, or is not there."""
         entry = self._boxes.get(box)
         if entry is None or not opened:
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -10,7 +10,7 @@
 
 BACK_FLOOR = 0.35  # of the descriptors: attempts queue and share connections when there are fewer
 FRONT_FLOOR = 0.5
-WORK_SHARE = 0.45  # clients with requests in hand beyond that are declined: there is room left to do it in
+WORK_SHARE = 0.45  # clients with requests in hand beyond that are refused: there is room left to do it in
 
 
 class Side(Enum):
--- a/cloverwell/connections/figures.py
+++ b/cloverwell/connections/figures.py
@@ -12,7 +12,7 @@
     """Each is counted by the box it was for, or by the reason behind it."""
 
     OPENED = "opened"  # back: a connection came up
-    REFUSED = "refused"  # back: none came up
+    CONNECT_REFUSED = "connect_refused"  # back: none came up
     AHEAD = "opened_ahead"  # back: asked for before an attempt needed it
     REUSED = "reused"  # back: an attempt was written to one that had served before
     RETIRED = "retired"  # back: closed by us while idle
@@ -23,7 +23,7 @@
     ADMITTED = "admitted"  # front: a client's connection was accepted
     CLOSED_FRONT = "closed_front"  # front: closed by us, by reason
     SPARED = "spared"  # front: was to be closed, but a request stood unread in it
-    DECLINED = "declined"  # front: a request was declined for want of descriptors
+    REQUEST_REFUSED = "request_refused"  # front: a request was refused for want of descriptors
     PAUSED = "paused"  # front: nothing was accepted for a while
 
 
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -9,11 +9,11 @@
 from cloverwell.flow import Flow
 from cloverwell.log import Log
 from cloverwell.net.pools import Pools
-from cloverwell.request import Attempt, Declined, Failed, Request, Served
+from cloverwell.request import Attempt, Failed, Refused, Request, Served
 from cloverwell.wheel import Wheel
 
 # Before its client gives up, a request that nothing has ended is failed. The module ends its attempts two
-# ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be declined.
+# ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be refused.
 GUARD_MS = 1.0
 WAY_MS = 1.0  # a request's way here and an answer's way back
 
@@ -51,8 +51,8 @@
             return
         bound = self._facade.settings.max_open
         if bound and len(self._open) >= bound:
-            self._counts.add("declined.open")
-            request.finish(Declined(self._facade.settings.max_retry_after_ms))
+            self._counts.add("refused.open")
+            request.finish(Refused(self._facade.settings.max_retry_after_ms))
             return
         self._open[request.id] = request
         request.guard = self._wheel.at(request.deadline_ms - GUARD_MS, lambda: self._overdue(request))
@@ -104,7 +104,7 @@
 
     def _carry_out_other(self, choice: f.Choice) -> None:
         match choice:
-            case f.Send(name) | f.Decline(name) | f.Fail(name):
+            case f.Send(name) | f.Refuse(name) | f.Fail(name):
                 if (request := self._open.get(name)) is not None:
                     self._carry_out(choice, request)
             case f.CallOff(name, number):
@@ -122,9 +122,9 @@
         match choice:
             case f.Send():
                 self._start(choice, request)
-            case f.Decline(_, retry_after_ms, reason):
-                self._counts.add(f"declined.{reason}")
-                request.finish(Declined(retry_after_ms))
+            case f.Refuse(_, retry_after_ms, reason):
+                self._counts.add(f"refused.{reason}")
+                request.finish(Refused(retry_after_ms))
                 self._forget(request)
             case f.Fail(_, reason):
                 self._counts.add(f"failed.{reason}")
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Decline:
+class Refuse:
     """Final answer: a new try does no harm, best after that time."""
 
     request: str
@@ -122,7 +122,7 @@
     """The client has gone away; reported with the request."""
 
 
-Choice = Send | Wait | Decline | Fail | CallOff | HangUp | Watch | Note
+Choice = Send | Wait | Refuse | Fail | CallOff | HangUp | Watch | Note
 WAIT = Wait()
 
 
@@ -201,7 +201,7 @@
                 heapq.heappush(self._timers, (now + action.delay_ms, action.token))
                 continue
             meant = self._read(action)
-            for_one = isinstance(meant, Send | Decline | Fail)
+            for_one = isinstance(meant, Send | Refuse | Fail)
             if for_one and choice is WAIT and meant.request == mine:
                 choice = meant
             else:
@@ -217,7 +217,7 @@
                 return Send(name, box, tally.chosen - 1, timeout_ms)
             case api.Refuse(name, retry_after_ms, reason):
                 self._forget(name)
-                return Decline(name, retry_after_ms, reason)
+                return Refuse(name, retry_after_ms, reason)
             case api.Fail(name, reason):
                 self._forget(name)
                 return Fail(name, reason)
--- a/cloverwell/net/client_connection.py
+++ b/cloverwell/net/client_connection.py
@@ -14,7 +14,7 @@
 from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
 from cloverwell.net.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
-from cloverwell.request import Answer, Declined, Request, Served
+from cloverwell.request import Answer, Refused, Request, Served
 from cloverwell.wheel import HELD_UP_MS
 
 if TYPE_CHECKING:
@@ -242,7 +242,7 @@
                 return b"HD O" + request.id.encode() + b" c" + body + b"\r\n"
             case Served(body):
                 return f"VA {len(body)} O{request.id}\r\n".encode() + body + b"\r\n"
-            case Declined(retry_after_ms):
+            case Refused(retry_after_ms):
                 wait = f" {round(retry_after_ms)}" if retry_after_ms >= 1 else ""
                 return f"SERVER_ERROR busy{wait}\r\n".encode()
         return FAILED
@@ -256,7 +256,7 @@
         if len(self._turns) >= AHEAD:
             self.hold()
         if self._side.crowded():
-            turn.request.finish(Declined(self._side.busy_ms))
+            turn.request.finish(Refused(self._side.busy_ms))
         else:
             self._side.dispatcher.take(turn.request)
 
--- a/cloverwell/net/client_connections.py
+++ b/cloverwell/net/client_connections.py
@@ -125,10 +125,10 @@
                 self.port.resumeProducing()
 
     def crowded(self) -> bool:
-        """So many have requests open that new work is declined: an accept that fails would lose requests."""
+        """So many have requests open that new work is refused: an accept that fails would lose requests."""
         if self.front.busy <= self._budget.work_cap:
             return False
-        self._figures.add(What.DECLINED)
+        self._figures.add(What.REQUEST_REFUSED)
         return True
 
     # What they do -----------------------------------------------------------------------------
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -231,9 +231,9 @@
         self.opening -= 1
         self._pools.wake(self)
         self._pools.budget.give_back(Side.BACK)
-        self._figures.add(What.REFUSED, self.box)
+        self._figures.add(What.CONNECT_REFUSED, self.box)
         if refused:
-            self._back.refused(self.box, len(self.connections), self.now())
+            self._back.connect_refused(self.box, len(self.connections), self.now())
         else:
             self._back.timed_out(self.box, len(self.connections), asked_ms, self.now())
         if len(self._waiting) > self.opening + self._resting:
@@ -329,7 +329,7 @@
         what = What.CAUGHT if caught else What.STALE if age_ms is not None and not begun else What.RESET
         self._figures.add(what, self.box)
         if torn and not served:  # let in only to be thrown out
-            self._back.refused(self.box, len(self.connections) - 1, self.now())
+            self._back.connect_refused(self.box, len(self.connections) - 1, self.now())
         self._back.lost(self.box, age_ms, after_ms, begun, torn, self.now())
 
     def lost(self, connection: BoxConnection) -> None:
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -19,13 +19,13 @@
 @dataclass(slots=True, frozen=True)
 class Served:
     """`body`: a value for a read, a receipt for a write. A flow is a long value that has begun to come: from
-    then on no other attempt is made and nothing is declined, and a break ends the client's connection."""
+    then on no other attempt is made and nothing is refused, and a break ends the client's connection."""
 
     body: bytes | Flow
 
 
 @dataclass(slots=True, frozen=True)
-class Declined:
+class Refused:
     retry_after_ms: float
 
 
@@ -34,7 +34,7 @@
     pass
 
 
-Answer = Served | Declined | Failed
+Answer = Served | Refused | Failed
 
 LEAST_TOLD_MS = 1  # `d` counts whole milliseconds: less can't be told, and an attempt that would is not sent
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -35,7 +35,7 @@
         if line.startswith(b"VA "):
             self._value = True
             return None
-        return self._end("declined" if line.startswith(b"SERVER_ERROR busy") else "failed")
+        return self._end("refused" if line.startswith(b"SERVER_ERROR busy") else "failed")
 
     def _end(self, how: str) -> None:
         if self.asked_s is not None:
@@ -99,7 +99,7 @@
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         self._coming -= 1
         self._wanted -= 1
-        self.how["refused"] += 1
+        self.how["connect_refused"] += 1
 
     def ended(self, client: Client, how: str, took_s: float) -> None:
         self.how[how] += 1
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -122,7 +122,7 @@
                 case.doubtful_s = None
 
     def answered(self, now: float, name: str, how: str, right: bool = True) -> None:
-        """A final answer has reached the client: served, declined or failed."""
+        """A final answer has reached the client: served, refused or failed."""
         case = self.cases.get(name)
         if case is None:
             return
@@ -131,8 +131,8 @@
             self.breach("answered", now, name, "answered twice")
         if not right:
             self.breach("answered", now, name, "served with what was not made for it")
-        if how == "declined" and case.effect == "fragile" and case.doubtful:
-            self.breach("once", now, name, "declined, though it may have run")
+        if how == "refused" and case.effect == "fragile" and case.doubtful:
+            self.breach("once", now, name, "refused, though it may have run")
         if now > case.deadline_s + SLACK_S:
             self.breach("answered", now, name, f"{now - case.deadline_s:.3f} s after its client gave up")
 
--- a/lab/people.py
+++ b/lab/people.py
@@ -78,7 +78,7 @@
             return self._end("served", text.split()[-1][1:])
         if text.startswith("SERVER_ERROR busy"):
             words = text.split()
-            return self._end("declined", words[2] if len(words) > 2 else "0")
+            return self._end("refused", words[2] if len(words) > 2 else "0")
         return self._end("failed", text)
 
     def rawDataReceived(self, data: bytes) -> None:
@@ -293,9 +293,9 @@
         if how == "served":
             wish.worth = cls.worth if took_ms <= cls.aim_ms else cls.worth * cls.late_worth
         else:
-            wait = float(text) / 1000.0 if how == "declined" else self.traffic.back_off_ms / 1000.0
+            wait = float(text) / 1000.0 if how == "refused" else self.traffic.back_off_ms / 1000.0
             in_window = wish.ran_s is not None and self.now + wait < wish.ran_s + cls.window_ms / 1000.0
-            safe = cls.effect == "retryable" or how == "declined" or (cls.effect == "dedup" and in_window)
+            safe = cls.effect == "retryable" or how == "refused" or (cls.effect == "dedup" and in_window)
             if safe and wish.tries <= self.traffic.retries:
                 play.net.callLater(wait + 0.001 + 0.02 * self.rng.random(), self._try, wish)
         self._done(name, wish, how)
@@ -311,7 +311,7 @@
 
     def refused(self, proxy: Proxy, wish: Wish) -> None:
         self._dead.setdefault(proxy.name, self.now)
-        wish.end = "refused"
+        wish.end = "connect_refused"
         self.play.net.callLater(0.05, self._try, wish)
 
     def down(self, till: Till) -> None:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -166,7 +166,7 @@
             case "silent":
                 self.back.silent(box, age, took, self.now)
             case "refused":
-                self.back.refused(box, 3, self.now)
+                self.back.connect_refused(box, 3, self.now)
             case "timed out":
                 self.back.timed_out(box, 3, self.now - took, self.now)
             case "connected":
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -29,7 +29,7 @@
 
 
 def serves(player):
-    """A write needs no box, and a read is answered or declined in time."""
+    """A write needs no box, and a read is answered or refused in time."""
     assert "fault" not in player.log.getvalue(), player.log.getvalue()
     number = len(player.opened.get("client", ())) + 1
     player.play(f"client#{number} send mg k{number} v O{number} Pc=page,t=acme,d=600\nwait 620")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -55,7 +55,7 @@
     assert transport.producerState == "producing"
 
 
-def test_near_the_descriptor_limit_new_work_is_declined():
+def test_near_the_descriptor_limit_new_work_is_refused():
     # Guards against EMFILE: an accept that fails loses requests that the machine has taken.
     player = Player(sockets=64)
     budget = player.service.budget.work_cap
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("wait_ms", range(300, 306))
-def test_read_that_nobody_answers_is_declined_whatever_tick_its_deadline_falls_on(wait_ms):
+def test_read_that_nobody_answers_is_refused_whatever_tick_its_deadline_falls_on(wait_ms):
     # Seen on overload days, 43 times: the guard's tick came before the attempt's, and failed what may come
     # again.
     player = Player()
