--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -1,6 +1,6 @@
-"""Connections to boxes, by what the boxes do with idle ones: learnt limits against one fixed idle time.
+"""Connections to nodes, by what the nodes do with idle ones: learnt limits against one fixed idle time.
 
-    python benchmarks/connections.py [--seconds 300] [--per-s 120] [--boxes 12] [--json]
+    python benchmarks/connections.py [--seconds 300] [--per-s 120] [--nodes 12] [--json]
 
 Runs in virtual time, so the counts are the same on every machine; the CPU time is this machine's.
 """
@@ -25,7 +25,7 @@
 def measure(name: str, policy: str, args: argparse.Namespace) -> dict[str, object]:
     """`idle_close_ms` is the platform's 5 s, half of which is the most that either policy keeps one."""
     back = Fixed if policy == "fixed" else None
-    rig = Rig(args.boxes, args.descriptors, idle_close_ms=args.idle_close_ms, back=back)
+    rig = Rig(args.nodes, args.descriptors, idle_close_ms=args.idle_close_ms, back=back)
     PATTERNS[name](rig)
     begun = cpu_s()
     rig.load(args.per_s, args.seconds)
@@ -48,7 +48,7 @@
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--seconds", type=float, default=300.0)
     parser.add_argument("--per-s", type=float, default=120.0)
-    parser.add_argument("--boxes", type=int, default=12)
+    parser.add_argument("--nodes", type=int, default=12)
     parser.add_argument("--descriptors", type=int, default=512)
     parser.add_argument("--idle-close-ms", type=float, default=5000.0)
     parser.add_argument("--json", action="store_true")
--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -154,9 +154,9 @@
 
 def node(port: int, value: int) -> None:
     """A node of its own, so that it does not share the interpreter with the clients."""
-    from lab.processes import Box, Server
+    from lab.processes import CacheNode, Server
 
-    server = Server(("127.0.0.1", port), Box)
+    server = Server(("127.0.0.1", port), CacheNode)
     server.value = b"v" * value
     server.serve_forever()
 
@@ -175,8 +175,8 @@
     """A proxy before nodes in processes of their own."""
     with tempfile.TemporaryDirectory() as folder:
         place = Place(Path(folder), sockets=1024)
-        place.box.shutdown()
-        place.box.server_close()
+        place.node.shutdown()
+        place.node.server_close()
         ports = [free_port() for _ in range(nodes)]
         config = json.loads(place.config.read_text())
         config["known"]["members"] = [
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,6 +1,6 @@
 """What the number of nodes costs one proxy: its start, a change of the list, a quiet second, memory, bytes.
 
-    python benchmarks/fleet_size.py [--boxes 24 48 96 190 480 1000] [--runs 3] [--json]
+    python benchmarks/fleet_size.py [--nodes 24 48 96 190 480 1000] [--runs 3] [--json]
 
 Each size is measured in a process of its own, on the virtual network: CPU time and memory are this machine's.
 Each figure is the median of the runs, and the line through them by least squares says what a node costs.
@@ -38,13 +38,13 @@
     return pages * 4096 / 1e6
 
 
-def list_bytes(boxes: int) -> int:
+def list_bytes(nodes: int) -> int:
     """The body of a whole list, with names and addresses as long as in service."""
     import msgspec
 
     from cloverwell.net.routing_table import Listing
 
-    members = [_member(number) for number in range(boxes)]
+    members = [_member(number) for number in range(nodes)]
     return len(msgspec.json.encode(Listing(123_456, True, members)))
 
 
@@ -75,14 +75,14 @@
     )
 
 
-def measure(boxes: int) -> dict[str, float]:
+def measure(nodes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
     from cloverwell.net.routing_table import Listing, Member
     from lab.proxy import World
 
     gc.collect()
     before_mb, begun = rss_mb(), time.process_time()
-    world = World(boxes)
+    world = World(nodes)
     start_ms = 1000.0 * (time.process_time() - begun)
     cloverwell.__main__.collect_garbage()
 
@@ -104,25 +104,25 @@
     change_ms = 1000.0 * (time.process_time() - begun) / CHANGES
     grown_mb = rss_mb() - before_mb
     # Connections last: they are retired after the settings' 4.5 s, within the time that is measured.
-    for number in range(min(boxes, WARM_ATTEMPTS)):
+    for number in range(min(nodes, WARM_ATTEMPTS)):
         world.service.pools.of(f"s{number}")._open()
     return {
-        "boxes": boxes,
+        "nodes": nodes,
         "start_ms": start_ms,
         "change_ms": change_ms,
         "idle_ms_per_s": idle_ms,
         "idle_open_ms_per_s": quiet_ms_per_s(),
         "rss_mb": rss_mb(),
         "rss_grown_mb": grown_mb,
-        "list_bytes": list_bytes(boxes),
+        "list_bytes": list_bytes(nodes),
         "change_bytes": change_bytes(),
     }
 
 
-def median_of(boxes: int, runs: int) -> dict[str, object]:
+def median_of(nodes: int, runs: int) -> dict[str, object]:
     found = []
     for _ in range(runs):
-        run = subprocess.run([sys.executable, __file__, "--one", str(boxes)], capture_output=True, check=True)
+        run = subprocess.run([sys.executable, __file__, "--one", str(nodes)], capture_output=True, check=True)
         found.append(json.loads(run.stdout))
     row: dict[str, object] = {name: statistics.median(one[name] for one in found) for name in found[0]}
     row["range"] = {name: [min(o[name] for o in found), max(o[name] for o in found)] for name in FIGURES}
@@ -133,7 +133,7 @@
     from lab.fit import fit
 
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--boxes", type=int, nargs="+", default=[24, 48, 96, 190, 480, 1000])
+    parser.add_argument("--nodes", type=int, nargs="+", default=[24, 48, 96, 190, 480, 1000])
     parser.add_argument("--runs", type=int, default=3, help="of each size (3)")
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--one", type=int, help=argparse.SUPPRESS)
@@ -141,18 +141,18 @@
     if args.one:
         print(json.dumps(measure(args.one)))
         return 0
-    rows = [median_of(boxes, args.runs) for boxes in args.boxes]
+    rows = [median_of(nodes, args.runs) for nodes in args.nodes]
     lines = {}
-    if len(set(args.boxes)) >= 3:
-        lines = {name: fit(args.boxes, [row[name] for row in rows]) for name in FIGURES}
+    if len(set(args.nodes)) >= 3:
+        lines = {name: fit(args.nodes, [row[name] for row in rows]) for name in FIGURES}
     if args.json:
         fits = {name: line.as_dict() for name, line in lines.items()}
         print(json.dumps({"runs": args.runs, "rows": rows, "per_node": fits}, indent=1))
         return 0
-    print("boxes  start ms  change ms  idle ms/s  with 100 open  RSS MB  of it by the boxes  list bytes")
+    print("nodes  start ms  change ms  idle ms/s  with 100 open  RSS MB  of it by the nodes  list bytes")
     for row in rows:
         print(
-            f"{row['boxes']:5.0f} {row['start_ms']:9.1f} {row['change_ms']:10.2f}"
+            f"{row['nodes']:5.0f} {row['start_ms']:9.1f} {row['change_ms']:10.2f}"
             f" {row['idle_ms_per_s']:10.2f} {row['idle_open_ms_per_s']:14.2f}"
             f" {row['rss_mb']:7.1f} {row['rss_grown_mb']:8.1f} {row['list_bytes']:23.0f}"
         )
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -21,7 +21,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """A proxy for memcache clients before cache boxes and one origin, and a world to try it in.
+    """A proxy for memcache clients before cache nodes and one origin, and a world to try it in.
 
     \b
     cloverwell lab run calm               see it work, in virtual time
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -1,4 +1,4 @@
-"""One budget of descriptors over the clients' side and the boxes' side.
+"""One budget of descriptors over the clients' side and the nodes' side.
 
 Each side has a floor, which the other can never take; all between the floors goes to whoever asks first. A
 side that finds no room closes what is idle: its own, or what the other holds beyond its floor (`lender`).
--- a/cloverwell/connections/figures.py
+++ b/cloverwell/connections/figures.py
@@ -5,18 +5,18 @@
 from enum import Enum
 
 OTHERS = "others"
-MAX_NAMES = 1100  # boxes counted by name; successors have new names, and a long day would gather them
+MAX_NAMES = 1100  # nodes counted by name; successors have new names, and a long day would gather them
 
 
 class What(Enum):
-    """Each is counted by the box it was for, or by the reason behind it."""
+    """Each is counted by the node it was for, or by the reason behind it."""
 
     OPENED = "opened"  # back: a connection came up
     CONNECT_REFUSED = "connect_refused"  # back: none came up
     AHEAD = "opened_ahead"  # back: asked for before an attempt needed it
     REUSED = "reused"  # back: an attempt was written to one that had served before
     RETIRED = "retired"  # back: closed by us while idle
-    CLOSED = "closed_by_box"  # back: the box ended an idle one
+    CLOSED = "closed_by_node"  # back: the node ended an idle one
     STALE = "stale"  # back: an attempt was lost at once on one that had stood idle
     CAUGHT = "caught"  # back: the same, but its last byte had not been written: the attempt went elsewhere
     RESET = "reset"  # back: an attempt was lost on a fresh or busy one
@@ -40,7 +40,7 @@
         counter[name] += number
 
     def forget(self, name: str) -> None:
-        """The box is gone: its figures go to those of all others."""
+        """The node is gone: its figures go to those of all others."""
         for counter in self._by.values():
             if name in counter:
                 counter[OTHERS] += counter.pop(name)
--- a/cloverwell/connections/stale.py
+++ b/cloverwell/connections/stale.py
@@ -1,13 +1,14 @@
-"""After how much idle time a box has closed a connection without a word: learnt from the attempts themselves.
+"""After how much idle time a node has closed a connection without a word: learnt from the attempts
+themselves.
 
 Each attempt that is written to a connection that had stood idle for some time says something: it is answered
 (the connection lived at that age), or it is reset at once (it did not). Where the share of the latter jumps
 from one age on, that age is the limit. Resets that befall young connections alike are not this matter's:
 they lower the jump, not the limit.
 
-What one box shows counts for itself, and as a warning for its kind (caches, or the origin), since boxes of a
-kind run the same software: beyond the kind's limit a box has to show first that it differs. Evidence
-is forgotten, the slower the more often the same limit has been found again, so that a box that changes its
+What one node shows counts for itself, and as a warning for its kind (caches, or the origin), since nodes of a
+kind run the same software: beyond the kind's limit a node has to show first that it differs. Evidence
+is forgotten, the slower the more often the same limit has been found again, so that a node that changes its
 mind is noticed.
 """
 
@@ -22,7 +23,7 @@
 EDGES += (1130, 1400, 1750, 2200, 2750, 3400, 4300, 5400, 6700, 8400, 10500, 13000, 16500, 20500)
 EDGES += (25500, 32000, 40000, 50000, 62000, 78000, 98000, 122000)
 EVIDENCE = (2.0, 6.0)  # log-likelihood by which a step must beat no step: like its kind's, and by itself
-SOONEST = EDGES.index(60)  # no box closes idle connections sooner: what is lost there was lost otherwise
+SOONEST = EDGES.index(60)  # no node closes idle connections sooner: what is lost there was lost otherwise
 # By how much the share of stale ones must rise there; and where no reset tells of them, since silence has
 # other causes, while a flow that something in between has dropped is dead for each attempt.
 JUMP = (0.25, 0.6)
@@ -30,7 +31,7 @@
 HALF_LIFE_MS = (30_000.0, 960_000.0)  # of the evidence: at first, and at the most
 PROVEN = 4.0  # so many answered attempts at that age or older show that connections live so long
 DOUBT = 0.2  # what is left of the proof of an age when one is lost there and hardly any elsewhere
-KIND_WEIGHT = 0.25  # of an attempt at another box of the kind, as proof for this one
+KIND_WEIGHT = 0.25  # of an attempt at another node of the kind, as proof for this one
 MARGIN = 0.85  # of the limit, which lies anywhere in its step and is not the same for each connection
 
 
@@ -56,14 +57,14 @@
         "_half_life_ms",
         "_silent",
         "_turned_ms",
-        "box",
         "gain",
         "limit_ms",
+        "node",
     )
 
-    def __init__(self, now: float, box: str | None = None) -> None:
-        """`box`: whose they are; None for those of a kind."""
-        self.box = box
+    def __init__(self, now: float, node: str | None = None) -> None:
+        """`node`: whose they are; None for those of a kind."""
+        self.node = node
         self._good = [0.0] * len(EDGES)
         self._bad = [0.0] * len(EDGES)
         self._silent = 0.0  # of the bad ones, those that were not reset
@@ -99,7 +100,7 @@
 
     @property
     def shown(self) -> tuple[float, bool]:
-        """The limit, and whether its evidence stands by itself: all that the limits of boxes hang on."""
+        """The limit, and whether its evidence stands by itself: all that the limits of nodes hang on."""
         return self.limit_ms, self.gain >= EVIDENCE[1]
 
     def doubt(self, age_ms: float) -> None:
@@ -144,23 +145,23 @@
 
 
 class Limits:
-    """The limit of each box, from its own attempts and its kind's."""
+    """The limit of each node, from its own attempts and its kind's."""
 
     def __init__(self, most_ms: float, now: float) -> None:
         """`most_ms`: after that the settings promise no more, whatever is seen."""
         self.most_ms = most_ms
-        self._boxes: dict[str, Ages] = {}
+        self._nodes: dict[str, Ages] = {}
         self._kinds: dict[str, Ages] = {}
         self._turns: Schedule[Ages] = Schedule()
-        # Told when the limit of a box may have changed, or with None that of each.
-        self.changed: Callable[[str | None], None] = lambda box: None
+        # Told when the limit of a node may have changed, or with None that of each.
+        self.changed: Callable[[str | None], None] = lambda node: None
 
     def __len__(self) -> int:
-        return len(self._boxes)
+        return len(self._nodes)
 
     def learn(
         self,
-        box: str,
+        node: str,
         kind: str,
         age_ms: float,
         stale: bool,
@@ -168,9 +169,9 @@
         surprise: bool = False,
         silent: bool = False,
     ) -> None:
-        """`surprise`: one is lost where hardly any is: the box may have changed its mind; `silent`: no reset
+        """`surprise`: one is lost where hardly any is: the node may have changed its mind; `silent`: no reset
         came."""
-        for table, name, whose in ((self._boxes, box, box), (self._kinds, kind, None)):
+        for table, name, whose in ((self._nodes, node, node), (self._kinds, kind, None)):
             ages = table.get(name)
             if ages is None:
                 ages = table[name] = Ages(now, whose)
@@ -184,41 +185,41 @@
     def _learnt(self, ages: Ages, before: tuple[float, bool]) -> None:
         self._turns.at(ages, ages.turns_ms)
         if ages.shown != before:
-            self.changed(ages.box)
+            self.changed(ages.node)
 
-    def forget(self, box: str) -> None:
-        """The box is gone."""
-        ages = self._boxes.pop(box, None)
+    def forget(self, node: str) -> None:
+        """The node is gone."""
+        ages = self._nodes.pop(node, None)
         if ages is not None:
             self._turns.discard(ages)
 
-    def limit_ms(self, box: str, kind: str) -> float:
-        """An idle connection that is older is of no use: the box itself has shown that."""
-        own, kin = self._boxes.get(box), self._kinds.get(kind)
+    def limit_ms(self, node: str, kind: str) -> float:
+        """An idle connection that is older is of no use: the node itself has shown that."""
+        own, kin = self._nodes.get(node), self._kinds.get(kind)
         if own is None or own.limit_ms == math.inf:
             return self.most_ms
-        # Chance alone brings weak evidence to some of many boxes: it takes the kind's limit, or more of it.
+        # Chance alone brings weak evidence to some of many nodes: it takes the kind's limit, or more of it.
         alike = kin is not None and kin.gain >= EVIDENCE[1] and 0.5 <= own.limit_ms / kin.limit_ms <= 2.0
         return min(self.most_ms, MARGIN * own.limit_ms) if alike or own.gain >= EVIDENCE[1] else self.most_ms
 
     def kin_limit_ms(self, kind: str) -> float:
-        """The same, as other boxes of its kind have shown."""
+        """The same, as other nodes of its kind have shown."""
         kin = self._kinds.get(kind)
         found = kin is not None and kin.gain >= EVIDENCE[1]
         return min(self.most_ms, MARGIN * kin.limit_ms if found else math.inf)
 
-    def proven(self, box: str, kind: str, age_ms: float, times: float = 1.0) -> bool:
+    def proven(self, node: str, kind: str, age_ms: float, times: float = 1.0) -> bool:
         """Connections of that age are known to live; `times`: by so many times the usual proof."""
-        own, kin = self._boxes.get(box), self._kinds.get(kind)
+        own, kin = self._nodes.get(node), self._kinds.get(kind)
         proof = own.proof(age_ms) if own is not None else 0.0
         like_kin = own is None or not own.lost_by(age_ms)
         if proof < times * PROVEN and kin is not None and like_kin and age_ms < self.kin_limit_ms(kind):
             proof += KIND_WEIGHT * kin.proof(age_ms)
         return proof >= times * PROVEN
 
-    def has_lost(self, box: str) -> bool:
+    def has_lost(self, node: str) -> bool:
         """An attempt was lost on an idle connection to it, not long ago."""
-        own = self._boxes.get(box)
+        own = self._nodes.get(node)
         return own is not None and own.lost_by(EDGES[-1])
 
     def tick(self, now: float) -> None:
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -111,8 +111,8 @@
                 request = self._open.get(name)
                 if request is not None and (attempt := request.attempts.get(number)) is not None:
                     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
-            case f.HangUp(box):
-                self._pools.hang_up(box)
+            case f.HangUp(node):
+                self._pools.hang_up(node)
             case f.Watch():
                 self.watch()
             case f.Note(text):
@@ -137,9 +137,9 @@
         write_by = now + min(choice.timeout_ms, settings.connect_timeout_ms)
         window = f.resend_window_ms(settings, request.class_number)
         if window is not None and request.ran_ms is not None:
-            # The boxes drop a repeat for so long: one that waits for a connection must not leave after.
+            # The nodes drop a repeat for so long: one that waits for a connection must not leave after.
             write_by = min(write_by, request.ran_ms + window)
-        pool = self._pools.of(choice.box)
+        pool = self._pools.of(choice.node)
         self._counts.highest("list.age_ms", self.list_age_ms())
         dear = f.never_twice(settings, request.class_number)
         ends = min(now + choice.timeout_ms, request.deadline_ms)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -48,7 +48,7 @@
     """One attempt, to be made now."""
 
     request: str
-    box: str
+    node: str
     number: int
     timeout_ms: float
 
@@ -85,9 +85,9 @@
 
 @dataclass(slots=True, frozen=True)
 class HangUp:
-    """Close the idle connections to a box."""
+    """Close the idle connections to a node."""
 
-    box: str
+    node: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -137,7 +137,7 @@
 class Facade:
     def __init__(self, settings: api.Settings, seed: int, now: Callable[[], float]) -> None:
         self.settings = settings
-        # This proxy carries out no probes: a module that counted on them would keep a marked box out until
+        # This proxy carries out no probes: a module that counted on them would keep a marked node out until
         # the list changed, waiting for an answer that never comes. Without them it sends trial requests.
         self._balancer = Balancer(replace(settings, may_probe=False), seed)
         self._now = now
@@ -169,7 +169,7 @@
                 self._attempts[name].out -= 1
                 if ended:
                     self._forget(name)
-                event = api.Outcome(name, subject.box, subject.number, outcome.value, 0.0, ended)
+                event = api.Outcome(name, subject.node, subject.number, outcome.value, 0.0, ended)
                 return self._hand_over(now, event, name)
             case Gone():
                 self._forget(subject.id)
@@ -210,11 +210,11 @@
 
     def _read(self, action: api.Action) -> Choice:
         match action:
-            case api.Send(name, box, timeout_ms):
+            case api.Send(name, node, timeout_ms):
                 tally = self._attempts.setdefault(name, Tally())
                 tally.chosen += 1
                 tally.out += 1
-                return Send(name, box, tally.chosen - 1, timeout_ms)
+                return Send(name, node, tally.chosen - 1, timeout_ms)
             case api.Refuse(name, retry_after_ms, reason):
                 self._forget(name)
                 return Refuse(name, retry_after_ms, reason)
@@ -223,8 +223,8 @@
                 return Fail(name, reason)
             case api.Cancel(name, number):
                 return CallOff(name, number)
-            case api.Close(box):
-                return HangUp(box)
+            case api.Close(node):
+                return HangUp(node)
             case api.Subscribe():
                 return Watch()
             case api.Log(text):
--- a/cloverwell/flow.py
+++ b/cloverwell/flow.py
@@ -1,4 +1,4 @@
-"""A long value on its way from a box's connection to a client's, passed on while it comes. No I/O.
+"""A long value on its way from a node's connection to a client's, passed on while it comes. No I/O.
 
 The source tells what comes (`piece`, `whole`, `broken`); the sink, once its turn has come, takes it (`open`),
 and says when it wants no more for now (`hold`, `go_on`), or nothing any more (`drop`). Until it is opened the
--- a/cloverwell/net/__init__.py
+++ b/cloverwell/net/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy's sockets: the clients' side, the attempts to cache boxes and origin, and discovery."""
+"""The proxy's sockets: the clients' side, the attempts to cache nodes and origin, and discovery."""
--- a/cloverwell/net/cache_connection.py
+++ b/cloverwell/net/cache_connection.py
@@ -1,13 +1,13 @@
-"""Attempts to a cache box, in memcache meta commands."""
+"""Attempts to a cache node, in memcache meta commands."""
 
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
-from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.lines import FramingError
+from cloverwell.net.node_connection import NodeConnection
 from cloverwell.request import Attempt
 
 
-class CacheConnection(BoxConnection):
+class CacheConnection(NodeConnection):
     def command(self, attempt: Attempt) -> bytes:
         request = attempt.request
         info = request.info_with(attempt.told_ms)
--- a/cloverwell/net/client_connections.py
+++ b/cloverwell/net/client_connections.py
@@ -60,7 +60,7 @@
         self._budget = budget
         self._figures = figures
         self._full = False
-        self.borrow: Callable[[], bool] = lambda: False  # asks the boxes' side for a descriptor
+        self.borrow: Callable[[], bool] = lambda: False  # asks the nodes' side for a descriptor
         self._looked_ms = wheel.now()  # at all that wait
         wheel.held_up = self._held_up
         self._sweep()
@@ -220,7 +220,7 @@
                 self._figures.add(What.SPARED)
 
     def lend(self) -> None:
-        """The boxes' side wants a descriptor that is held here beyond the floor."""
+        """The nodes' side wants a descriptor that is held here beyond the floor."""
         if self._budget.lender(Side.BACK):
             self._close(self.front.for_room(self.wheel.now(), 1, 0), 1)
 
--- a/cloverwell/net/box_connection.py
+++ b/cloverwell/net/node_connection.py
@@ -1,4 +1,5 @@
-"""A connection to a box or the origin, whatever it speaks: its attempts in order, and one half written."""
+"""A connection to a cache node or the origin, whatever it speaks: its attempts in order, and one half
+written."""
 
 from __future__ import annotations
 
@@ -43,8 +44,8 @@
     timer: Timer
 
 
-class BoxConnection(RingLineReceiver):
-    """A connection to a box: its attempts in order, each ended by the answer whose turn it is."""
+class NodeConnection(RingLineReceiver):
+    """A connection to a node: its attempts in order, each ended by the answer whose turn it is."""
 
     def __init__(self, pool: Pool, asked_ms: float) -> None:
         super().__init__()
@@ -60,7 +61,7 @@
         self.flow: Flow | None = None  # a long value that is coming
         self.flow_ms = 0.0  # when a piece of it came last
         self._last = False  # nothing may follow on it
-        self.moved = False  # its box is elsewhere: what is out here is let finish
+        self.moved = False  # its node is elsewhere: what is out here is let finish
 
     def command(self, attempt: Attempt) -> bytes:
         """The bytes of an attempt."""
@@ -117,7 +118,7 @@
         self.attempts.append(attempt)
 
     def _write_rest(self) -> None:
-        """No reset has come: the box is there, and the attempt may run, if its time still allows it."""
+        """No reset has come: the node is there, and the attempt may run, if its time still allows it."""
         held = self._held_back
         if self._pool.too_late(held.attempt):
             self._held_back = None
@@ -139,8 +140,8 @@
         return None
 
     def _spoilt(self) -> bool:
-        """The box has closed it, or sent what no attempt is owed: that would be read as this one's answer, or
-        the attempt be reset, perhaps for good."""
+        """The node has closed it, or sent what no attempt is owed: that would be read as this one's answer,
+        or the attempt be reset, perhaps for good."""
         try:
             self._socket.recv(1, PEEK)
         except BlockingIOError:
@@ -167,7 +168,7 @@
             self.drop(Outcome.RESET)
         elif not self.attempts and self.unparsed:
             # A second copy or noise behind a good answer would be read as the answer of the next attempt.
-            self._pool.log.info("answer", f"more than the answer came from {self._pool.box}")
+            self._pool.log.info("answer", f"more than the answer came from {self._pool.node}")
             self.drop(Outcome.RESET)
         else:
             if not self.attempts:
@@ -215,7 +216,7 @@
             self._pool.begun.pop(self, None)
 
     def framingLost(self, reason: str) -> None:
-        self._pool.log.warn("answer", f"malformed answer of {self._pool.box}: {reason}")
+        self._pool.log.warn("answer", f"malformed answer of {self._pool.node}: {reason}")
         self.drop(Outcome.RESET)
 
     def give_up(self, attempt: Attempt, outcome: Outcome) -> bool:
@@ -253,7 +254,7 @@
             self._pool.move(unsent)
 
     def _take_unsent(self) -> Attempt | None:
-        """The attempt whose last byte has not left, if there is one: it is not out at the box."""
+        """The attempt whose last byte has not left, if there is one: it is not out at the node."""
         held, self._held_back = self._held_back, None
         if held is None:
             return None
@@ -261,11 +262,11 @@
         return held.attempt
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        by_box = not self.ended
+        by_node = not self.ended
         super().connectionLost(reason)
         unsent = self._take_unsent()
         attempts, self.attempts = self.attempts, deque()
-        if by_box:
+        if by_node:
             # From the last bytes on: what an attempt was held back for says nothing of the way.
             since = attempts[0].written_ms if attempts else self._first_ms
             after = self._pool.now() - since if attempts or unsent is not None else None
--- a/cloverwell/net/origin_connection.py
+++ b/cloverwell/net/origin_connection.py
@@ -5,18 +5,18 @@
 
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
-from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.http import HttpReceiver, encode_request
 from cloverwell.net.lines import FramingError
+from cloverwell.net.node_connection import NodeConnection
 from cloverwell.net.pool import Pool
 from cloverwell.request import Attempt
 
 RECEIPT = re.compile(rb"[!-~]{1,250}")  # a word of the meta commands
 
 
-class OriginConnection(HttpReceiver, BoxConnection):
+class OriginConnection(HttpReceiver, NodeConnection):
     def __init__(self, pool: Pool, asked_ms: float) -> None:
-        BoxConnection.__init__(self, pool, asked_ms)
+        NodeConnection.__init__(self, pool, asked_ms)
         self._reset()
 
     def command(self, attempt: Attempt) -> bytes:
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -1,4 +1,4 @@
-"""The connections to each box, and the attempts that wait for one: carries out what `connections.back`
+"""The connections to each node, and the attempts that wait for one: carries out what `connections.back`
 decides.
 
 An attempt takes an idle connection, the one used last; else one more is opened, and whichever comes free
@@ -20,14 +20,14 @@
 from cloverwell.connections.budget import Side
 from cloverwell.connections.figures import What
 from cloverwell.facade import Outcome
-from cloverwell.net.box_connection import BoxConnection, Sent
+from cloverwell.net.node_connection import NodeConnection, Sent
 from cloverwell.request import Attempt
 
 if TYPE_CHECKING:
     from cloverwell.net.pools import Pools
 
 FLOW_STILL_MS = 10_000.0  # a long value of which nothing is given, or taken, is no more waited for
-MAX_WAITING = 256  # attempts that wait for a connection to one box
+MAX_WAITING = 256  # attempts that wait for a connection to one node
 MAX_MOVES = 4  # connections that one attempt may find closed before its last byte
 
 
@@ -39,7 +39,7 @@
         self._address = pool.address
         self._asked_ms = pool.now()
 
-    def buildProtocol(self, addr: IPv4Address) -> BoxConnection | None:
+    def buildProtocol(self, addr: IPv4Address) -> NodeConnection | None:
         if self._address != self._pool.address:  # it has moved meanwhile
             self._pool.mistaken()
             return None
@@ -51,13 +51,13 @@
 
 
 class Pool:
-    """One box's connections."""
+    """One node's connections."""
 
-    def __init__(self, pools: Pools, box: str, origin: bool) -> None:
+    def __init__(self, pools: Pools, node: str, origin: bool) -> None:
         self._pools = pools
         self._back = pools.back
         self._figures = pools.figures
-        self.box = box
+        self.node = node
         self.origin = origin
         self.kind = "origin" if origin else "cache"
         self.address: tuple[str, int] | None = None
@@ -65,14 +65,14 @@
         self.now = pools.wheel.now
         self.later = pools.wheel.not_before
         self.tick_ms = pools.wheel.granularity_ms
-        self.connections: list[BoxConnection] = []
-        self.idle: list[BoxConnection] = []  # used last at the end
+        self.connections: list[NodeConnection] = []
+        self.idle: list[NodeConnection] = []  # used last at the end
         self.opening = 0
         self.left = False  # off the routing table
         self.begun = pools.begun
         self._waiting: deque[Attempt] = deque()
 
-    def build(self, asked_ms: float) -> BoxConnection:
+    def build(self, asked_ms: float) -> NodeConnection:
         return self._pools.build(self, asked_ms)
 
     @property
@@ -82,7 +82,7 @@
     # Attempts --------------------------------------------------------------------------------------
 
     def too_late(self, attempt: Attempt) -> bool:
-        """Not a byte of it may leave any more: its own time is over, or its box may get nothing new.
+        """Not a byte of it may leave any more: its own time is over, or its node may get nothing new.
 
         It may have waited, for a connection or for the close of the one before, and timers lag; its client
         may have left meanwhile."""
@@ -90,15 +90,15 @@
         now = self.now()
         if attempt.over or self.address is None:
             return True
-        return now > attempt.write_by_ms or self._back.late(self.box, now)
+        return now > attempt.write_by_ms or self._back.late(self.node, now)
 
     def start(self, attempt: Attempt) -> None:
         if self.too_late(attempt):
             attempt.end(Outcome.NOT_CONNECTED)
             return
         now = self.now()
-        self._back.started(self.box, len(self.connections) - len(self.idle) + 1, now)
-        if self._back.plans(self.box):
+        self._back.started(self.node, len(self.connections) - len(self.idle) + 1, now)
+        if self._back.plans(self.node):
             self._pools.wake(self)
         self._place(attempt)
 
@@ -133,9 +133,9 @@
         elif sent is Sent.BROKEN:
             self._wait(attempt)
 
-    def _hand_to(self, connection: BoxConnection, attempt: Attempt) -> Sent:
+    def _hand_to(self, connection: NodeConnection, attempt: Attempt) -> Sent:
         age = connection.age_ms(self.now())
-        use = self._back.use(self.box, age, attempt.dear)
+        use = self._back.use(self.node, age, attempt.dear)
         if use is Use.RETIRE:
             self.retire(connection)
             return Sent.BROKEN
@@ -143,10 +143,10 @@
         if sent is Sent.BROKEN:
             connection.drop(Outcome.RESET)
         elif sent is Sent.OUT and age is not None:
-            self._figures.add(What.REUSED, self.box)
+            self._figures.add(What.REUSED, self.node)
         return sent
 
-    def _may_share(self, connection: BoxConnection, attempt: Attempt) -> bool:
+    def _may_share(self, connection: NodeConnection, attempt: Attempt) -> bool:
         # Giving up one attempt resets all behind it, and an order that is reset may never be sent again. The
         # origin's answers bear no id: one too many would be the next attempt's.
         attempts = [attempt, *connection.attempts]
@@ -196,24 +196,24 @@
         """We have closed the connection of an attempt that was out: it ends now, and its answer need not
         wait.
 
-        Where no request may have two attempts out together, it is out at the box until the close arrives
-        there: a further attempt, to a box nearer by, is written no sooner.
+        Where no request may have two attempts out together, it is out at the node until the close arrives
+        there: a further attempt, to a node nearer by, is written no sooner.
         """
         if self.holds and attempt.written_ms is not None:
             request = attempt.request
-            request.clear_ms = max(request.clear_ms, self.now() + self._back.reach_ms(self.box))
+            request.clear_ms = max(request.clear_ms, self.now() + self._back.reach_ms(self.node))
         attempt.end(outcome)
 
     def answered(self, age_ms: float | None, first_ms: float) -> None:
         now = self.now()
-        self._back.answered(self.box, age_ms, now - first_ms, now)
+        self._back.answered(self.node, age_ms, now - first_ms, now)
 
     def silent(self, age_ms: float | None, first_ms: float) -> None:
         now = self.now()
-        self._back.silent(self.box, age_ms, now - first_ms, now)
+        self._back.silent(self.node, age_ms, now - first_ms, now)
 
     def hold_ms(self) -> float:
-        return self._back.hold_ms(self.box)
+        return self._back.hold_ms(self.node)
 
     # Connections -------------------------------------------------------------------------------
 
@@ -227,35 +227,35 @@
     def failed(self, asked_ms: float, refused: bool) -> None:
         """A connection could not be made: the attempt that has waited longest ends, others have their own.
 
-        `refused`: the box said so; else it never came up."""
+        `refused`: the node said so; else it never came up."""
         self.opening -= 1
         self._pools.wake(self)
         self._pools.budget.give_back(Side.BACK)
-        self._figures.add(What.CONNECT_REFUSED, self.box)
+        self._figures.add(What.CONNECT_REFUSED, self.node)
         if refused:
-            self._back.connect_refused(self.box, len(self.connections), self.now())
+            self._back.connect_refused(self.node, len(self.connections), self.now())
         else:
-            self._back.timed_out(self.box, len(self.connections), asked_ms, self.now())
+            self._back.timed_out(self.node, len(self.connections), asked_ms, self.now())
         if len(self._waiting) > self.opening + self._resting:
             self._waiting.popleft().end(Outcome.NOT_CONNECTED)
 
     def mistaken(self) -> None:
-        """One that came up leads to where the box was: who waits gets another."""
+        """One that came up leads to where the node was: who waits gets another."""
         self.opening -= 1
         self._pools.wake(self)
         self._pools.budget.give_back(Side.BACK)
         self._open_for_waiting()
 
-    def opened(self, connection: BoxConnection) -> None:
+    def opened(self, connection: NodeConnection) -> None:
         self.opening -= 1
         self._pools.wake(self)
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
-        self._figures.add(What.OPENED, self.box)
-        self._back.connected(self.box, now - connection.asked_ms, now)
+        self._figures.add(What.OPENED, self.node)
+        self._back.connected(self.node, now - connection.asked_ms, now)
         self.freed(connection)
 
-    def freed(self, connection: BoxConnection) -> None:
+    def freed(self, connection: NodeConnection) -> None:
         """A connection has no attempt, or one less: the attempt that has waited longest takes it."""
         rests_ms = connection.rests_until_ms - self.now()
         while connection.free and self._waiting and not connection.moved and rests_ms <= 0.0:
@@ -277,7 +277,7 @@
                 self.later(connection.rests_until_ms, lambda: self._rested(connection))
         return None
 
-    def _rested(self, connection: BoxConnection) -> None:
+    def _rested(self, connection: NodeConnection) -> None:
         if connection in self.idle and self._waiting:
             self._take_up(connection)
             self.freed(connection)
@@ -288,7 +288,7 @@
         now = self.now()
         return sum(connection.rests_until_ms > now for connection in self.idle)
 
-    def _pop_idle(self) -> BoxConnection | None:
+    def _pop_idle(self) -> NodeConnection | None:
         """The one used last: of those behind whose last answer nothing comes any more, if there are any."""
         now = self.now()
         if self.origin and self.idle and self._mute(now):
@@ -301,14 +301,14 @@
 
     def _mute(self, now: float) -> bool:
         written = [c.attempts[0].written_ms for c in self.connections if c.attempts]
-        return bool(written) and self._back.mute(self.box, min(written), now)
+        return bool(written) and self._back.mute(self.node, min(written), now)
 
-    def _take_up(self, connection: BoxConnection) -> None:
+    def _take_up(self, connection: NodeConnection) -> None:
         self.idle.remove(connection)
         del self._pools.idle[connection]
 
-    def retire(self, connection: BoxConnection) -> None:
-        self._figures.add(What.RETIRED, self.box)
+    def retire(self, connection: NodeConnection) -> None:
+        self._figures.add(What.RETIRED, self.node)
         connection.drop(Outcome.RESET)
 
     def broken(
@@ -320,19 +320,19 @@
         caught: bool,
         torn: bool,
     ) -> None:
-        """The box ended a connection: an idle one, or so long after an attempt.
+        """The node ended a connection: an idle one, or so long after an attempt.
 
         `torn`: by a reset; `served`: an attempt had ended on it."""
         if after_ms is None:
-            self._figures.add(What.CLOSED, self.box)
+            self._figures.add(What.CLOSED, self.node)
             return
         what = What.CAUGHT if caught else What.STALE if age_ms is not None and not begun else What.RESET
-        self._figures.add(what, self.box)
+        self._figures.add(what, self.node)
         if torn and not served:  # let in only to be thrown out
-            self._back.connect_refused(self.box, len(self.connections) - 1, self.now())
-        self._back.lost(self.box, age_ms, after_ms, begun, torn, self.now())
+            self._back.connect_refused(self.node, len(self.connections) - 1, self.now())
+        self._back.lost(self.node, age_ms, after_ms, begun, torn, self.now())
 
-    def lost(self, connection: BoxConnection) -> None:
+    def lost(self, connection: NodeConnection) -> None:
         self.begun.pop(connection, None)
         if connection in self.connections:
             self.connections.remove(connection)
@@ -353,7 +353,7 @@
         """Retires what is too old, and opens what will be needed or is waited for."""
         for connection in [c for c in self.connections if c.flow and now - c.flow_ms >= FLOW_STILL_MS]:
             connection.framingLost("a long value stands still")
-        limit = self._back.idle_limit_ms(self.box)
+        limit = self._back.idle_limit_ms(self.node)
         while self.idle and now - self.idle[0].idle_since_ms >= limit:
             self.retire(self.idle[0])
         self._open_for_waiting()
@@ -364,11 +364,11 @@
 
     def open_ahead(self, now: float) -> bool:
         """Whether any were wanted: then more may be, or there was no room for them."""
-        wanted = self._back.ahead(self.box, self.held, now)
+        wanted = self._back.ahead(self.node, self.held, now)
         for _ in range(wanted):
             if not self._pools.spare_room():
                 break
-            self._figures.add(What.AHEAD, self.box)
+            self._figures.add(What.AHEAD, self.node)
             self._open()
         return wanted > 0
 
@@ -379,9 +379,9 @@
         if self._waiting or self.left:
             return now
         if not self.connections:
-            return self._back.ahead_again_ms(self.box)
+            return self._back.ahead_again_ms(self.node)
         flows = [connection.flow_ms for connection in self.connections if connection.flow]
         still_ms = min(flows, default=now) + FLOW_STILL_MS
         idle_ms = self.idle[0].idle_since_ms if self.idle else now
-        old_ms = idle_ms + self._back.idle_limit_ms(self.box)
-        return min(still_ms, old_ms, self._back.ahead_again_ms(self.box))
+        old_ms = idle_ms + self._back.idle_limit_ms(self.node)
+        return min(still_ms, old_ms, self._back.ahead_again_ms(self.node))
--- a/cloverwell/net/pools.py
+++ b/cloverwell/net/pools.py
@@ -1,4 +1,4 @@
-"""All boxes' pools, within one budget of descriptors."""
+"""All nodes' pools, within one budget of descriptors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cloverwell.connections.figures import Figures
 from cloverwell.connections.schedule import Schedule
 from cloverwell.log import Log
-from cloverwell.net.box_connection import BoxConnection
+from cloverwell.net.node_connection import NodeConnection
 from cloverwell.net.pool import Pool
 from cloverwell.wheel import Wheel
 
@@ -22,14 +22,14 @@
 
 
 class Pools:
-    """All boxes' pools, within one budget of descriptors."""
+    """All nodes' pools, within one budget of descriptors."""
 
     def __init__(
         self,
         reactor: IReactorTCP,
         wheel: Wheel,
         log: Log,
-        build: Callable[[Pool, float], BoxConnection],
+        build: Callable[[Pool, float], NodeConnection],
         budget: Budget,
         back: Back,
         figures: Figures,
@@ -46,14 +46,14 @@
         self.figures = figures
         self.attempts_each = attempts_each
         self.connect_timeout_ms = connect_timeout_ms
-        # whether an attempt that we close stays out until the close can have reached its box
+        # whether an attempt that we close stays out until the close can have reached its node
         self.hold = hold
         self.borrow: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
         self.back.limits.changed = self._limits_changed
-        self.idle: OrderedDict[BoxConnection, Pool] = OrderedDict()  # of all boxes, longest idle first
-        self.begun: dict[BoxConnection, int] = {}  # part of an answer is there: looks since more of it came
+        self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, longest idle first
+        self.begun: dict[NodeConnection, int] = {}  # part of an answer is there: looks since more of it came
         self._sweep()
         self._look_for_stalls()
 
@@ -76,10 +76,10 @@
     def _visit(self, pool: Pool, now: float) -> None:
         pool.sweep(now)
         if pool.left and pool.unused:  # successors have new names: the pools of the gone would gather
-            del self._pools[pool.box]
+            del self._pools[pool.node]
             self._schedule.discard(pool)
-            self.back.forget(pool.box)
-            self.figures.forget(pool.box)
+            self.back.forget(pool.node)
+            self.figures.forget(pool.node)
             return
         wanted = not pool.left and pool.open_ahead(now)
         self._schedule.at(pool, now if wanted else pool.due_ms(now))
@@ -88,59 +88,59 @@
         """Something befell the pool that its next sweep may have to answer."""
         self._schedule.wake(pool)
 
-    def _limits_changed(self, box: str | None) -> None:
-        """The idle limit of a box may be another, or that of all: what is idle may be due sooner."""
-        if box is None:
+    def _limits_changed(self, node: str | None) -> None:
+        """The idle limit of a node may be another, or that of all: what is idle may be due sooner."""
+        if node is None:
             self._schedule.wake_all()
-        elif (pool := self._pools.get(box)) is not None:
+        elif (pool := self._pools.get(node)) is not None:
             self._schedule.wake(pool)
 
-    def _add(self, box: str, origin: bool) -> Pool:
-        pool = self._pools[box] = Pool(self, box, origin)
+    def _add(self, node: str, origin: bool) -> Pool:
+        pool = self._pools[node] = Pool(self, node, origin)
         self._schedule.add(pool)
         return pool
 
-    def of(self, box: str) -> Pool:
-        if box not in self._pools:  # it left while its choice was on the way: a failure to connect
-            self._add(box, origin=False).left = True
-        return self._pools[box]
+    def of(self, node: str) -> Pool:
+        if node not in self._pools:  # it left while its choice was on the way: a failure to connect
+            self._add(node, origin=False).left = True
+        return self._pools[node]
 
     def names(self) -> set[str]:
         return set(self._pools)
 
-    def name(self, box: str, host: str, port: int, origin: bool, cold_until_ms: float) -> None:
-        """A box that the routing table names, with its address as it is now."""
-        pool = self._pools.get(box)
+    def name(self, node: str, host: str, port: int, origin: bool, cold_until_ms: float) -> None:
+        """A node that the routing table names, with its address as it is now."""
+        pool = self._pools.get(node)
         if pool is None:
-            pool = self._add(box, origin)
+            pool = self._add(node, origin)
         pool.left = False
         self.wake(pool)
-        self.back.named(box, pool.kind, cold_until_ms)
+        self.back.named(node, pool.kind, cold_until_ms)
         if pool.address != (host, port):
             pool.hang_up()
             for connection in pool.connections:
                 connection.moved = True
             pool.address = (host, port)
 
-    def hang_up(self, box: str) -> None:
-        """Closes idle connections, if the box wants their places; what is out at the box is let finish.
+    def hang_up(self, node: str) -> None:
+        """Closes idle connections, if the node wants their places; what is out at the node is let finish.
 
         That they may be stale is no reason here: their ages are known better, and looked at before each use.
         """
-        if (pool := self._pools.get(box)) is not None and self.back.crammed(box):
+        if (pool := self._pools.get(node)) is not None and self.back.crammed(node):
             pool.hang_up()
 
-    def leave(self, box: str) -> None:
-        """The box drains or is gone: a connection that falls idle from now on is of no more use."""
-        if (pool := self._pools.get(box)) is not None:
+    def leave(self, node: str) -> None:
+        """The node drains or is gone: a connection that falls idle from now on is of no more use."""
+        if (pool := self._pools.get(node)) is not None:
             pool.left = True
             self.wake(pool)
-            self.back.left(box, self.wheel.now())
+            self.back.left(node, self.wheel.now())
             pool.hang_up()
 
     def may_open(self, pool: Pool) -> bool:
-        """Within the box's cap and the budget; an idle connection of another box makes room."""
-        if not self.back.may_open(pool.box, pool.held, self.wheel.now()):
+        """Within the node's cap and the budget; an idle connection of another node makes room."""
+        if not self.back.may_open(pool.node, pool.held, self.wheel.now()):
             return False
         if not self.budget.room(Side.BACK) and not self.lend():
             self.borrow()
--- a/cloverwell/net/routing_table.py
+++ b/cloverwell/net/routing_table.py
@@ -1,4 +1,4 @@
-"""Discovery's list: the watch that follows it, and where each box is reached."""
+"""Discovery's list: the watch that follows it, and where each node is reached."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from olivestair.api import ServerEntry, ServerState, Settings
 
 # A watch that has fallen silent counts as told 6 s later, or 2 s after the end of its wait; soon after that a
-# box that drains must get nothing new. So it is found out, and the same is asked anew, before the first of
+# node that drains must get nothing new. So it is found out, and the same is asked anew, before the first of
 # them: where lists may be 10 s old by 5.2 s, which leaves what a busy discovery takes to answer.
 WAIT_SHARE = 0.4  # of `ask-within`: what a watch may wait for
 LATE_MS = (
@@ -69,7 +69,7 @@
 
 
 class RoutingTable:
-    """Tells the facade what discovery says, and the pools where a box is."""
+    """Tells the facade what discovery says, and the pools where a node is."""
 
     def __init__(
         self,
@@ -116,7 +116,7 @@
             self._ask()
 
     def _take(self, listing: Listing, held: bool = False) -> None:
-        # A box that a list names twice is what it names last, here, for the pools and for the decisions.
+        # A node that a list names twice is what it names last, here, for the pools and for the decisions.
         once = list({member.id: member for member in listing.members}.values())
         listing = Listing(listing.revision, listing.complete, once)
         # All is read before any of it takes effect: half a list would be worse than none.
@@ -130,13 +130,13 @@
         self._revision = self._told = listing.revision
         self._keep(listing)
         self.tell(News(listing.revision, listing.complete, entries, held))
-        # Told that a box drains, nothing new may go there: its idle connections are of no more use.
+        # Told that a node drains, nothing new may go there: its idle connections are of no more use.
         listed = {entry.server for entry in entries if entry.state is ServerState.READY}
         leaving = {entry.server for entry in entries} - listed
         if listing.complete:
             leaving |= self._pools.names() - listed
-        for box in sorted(leaving):  # in one order in every process
-            self._pools.leave(box)
+        for node in sorted(leaving):  # in one order in every process
+            self._pools.leave(node)
 
     def _keep(self, listing: Listing) -> None:
         if listing.complete:
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -94,7 +94,7 @@
     over: bool = False
     attempts: dict[int, Attempt] = field(default_factory=dict)  # those out, by number
     ran_ms: float | None = None  # when the first attempt that may have run was written
-    # no new attempt is written sooner: one that we closed may be out at its box until then
+    # no new attempt is written sooner: one that we closed may be out at its node until then
     clear_ms: float = 0.0
     guard: Timer | None = None
 
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -18,9 +18,9 @@
 from cloverwell.handover.predecessor import Will
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
-from cloverwell.net.box_connection import BoxConnection
 from cloverwell.net.cache_connection import CacheConnection
 from cloverwell.net.client_connections import ClientConnections
+from cloverwell.net.node_connection import NodeConnection
 from cloverwell.net.origin_connection import OriginConnection
 from cloverwell.net.pool import Pool
 from cloverwell.net.pools import Pools
@@ -34,9 +34,9 @@
 FLOW_SHARE = 0.125  # of the memory: for long values that are ahead of their readers
 MIN_BUDGET = 8  # connections, however few descriptors there are during a replacement
 ASKING_SHARE = 1.0 / 3.0  # of all descriptors: the platform's clients open no more connections for requests
-IDLE_SHARE = 0.9  # of the time after which a box closes an idle connection: ours are closed before that
-# After a box leaves, attempts to it may still be written for the settings' grace less this: the rule counts
-# from a send's first byte at the box, and the way there and the loop's lag come before it.
+IDLE_SHARE = 0.9  # of the time after which a node closes an idle connection: ours are closed before that
+# After a node leaves, attempts to it may still be written for the settings' grace less this: the rule counts
+# from a send's first byte at the node, and the way there and the loop's lag come before it.
 DRAIN_MARGIN_MS = 50.0
 BACKLOG = 512
 OPERATOR_BACKLOG = 16
@@ -47,7 +47,7 @@
 LINGER_MS = 500.0  # what the last answers may take to leave
 
 
-def build(pool: Pool, asked_ms: float) -> BoxConnection:
+def build(pool: Pool, asked_ms: float) -> NodeConnection:
     return OriginConnection(pool, asked_ms) if pool.origin else CacheConnection(pool, asked_ms)
 
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy neighbourhood to try the proxy with: discovery, two cache boxes and the origin, on 127.0.0.1.
+"""A toy neighbourhood to try the proxy with: discovery, two cache nodes and the origin, on 127.0.0.1.
 
 It keeps what is written in memory and answers a fresh key with a made-up value; it models no real fleet.
 """
@@ -14,11 +14,11 @@
 from twisted.web.server import NOT_DONE_YET, Site
 
 HOST = "127.0.0.1"
-DISCOVERY, ORIGIN, BOXES = 8500, 8080, {"box-1": 11311, "box-2": 11312}
+DISCOVERY, ORIGIN, NODES = 8500, 8080, {"node-1": 11311, "node-2": 11312}
 
 
-class Box(LineReceiver):
-    """A cache box: `mg` is answered from its store, or with a miss."""
+class CacheNode(LineReceiver):
+    """A cache node: `mg` is answered from its store, or with a miss."""
 
     def lineReceived(self, line):
         verb, key, *rest = line.decode().split()
@@ -33,8 +33,8 @@
             self.sendLine(value)
 
 
-class BoxFactory(Factory):
-    protocol = Box
+class CacheNodeFactory(Factory):
+    protocol = CacheNode
     noisy = False
 
     def __init__(self, name):
@@ -45,25 +45,25 @@
 class Origin(Resource):
     isLeaf = True
 
-    def __init__(self, boxes):
+    def __init__(self, nodes):
         super().__init__()
-        self.boxes = boxes
+        self.nodes = nodes
         self.store = {}
         self.receipts = 0
 
     def render_GET(self, request):
         key = unquote(request.path.decode())[1:]
         value = self.store.setdefault(key, f"made for {key}".encode())
-        for box in self.boxes:  # a real origin stores only where the request missed
-            box.store[key] = value
+        for node in self.nodes:  # a real origin stores only where the request missed
+            node.store[key] = value
         print(f"origin: {key} fetched")
         return value
 
     def render_PUT(self, request):
         key = unquote(request.path.decode())[1:]
         self.store[key] = request.content.read()
-        for box in self.boxes:
-            box.store.pop(key, None)
+        for node in self.nodes:
+            node.store.pop(key, None)
         self.receipts += 1
         print(f"origin: {key} written")
         return f"receipt-{self.receipts}".encode()
@@ -92,15 +92,15 @@
 
 
 def members():
-    boxes = [{"id": name, "host_port": f"{HOST}:{port}", "flavor": "large"} for name, port in BOXES.items()]
-    return [*boxes, {"id": "origin", "host_port": f"{HOST}:{ORIGIN}", "flavor": "origin"}]
+    nodes = [{"id": name, "host_port": f"{HOST}:{port}", "flavor": "large"} for name, port in NODES.items()]
+    return [*nodes, {"id": "origin", "host_port": f"{HOST}:{ORIGIN}", "flavor": "origin"}]
 
 
 def main():
-    boxes = [BoxFactory(name) for name in BOXES]
-    for box in boxes:
-        reactor.listenTCP(BOXES[box.name], box, interface=HOST)
-    reactor.listenTCP(ORIGIN, Site(Origin(boxes)), interface=HOST)
+    nodes = [CacheNodeFactory(name) for name in NODES]
+    for node in nodes:
+        reactor.listenTCP(NODES[node.name], node, interface=HOST)
+    reactor.listenTCP(ORIGIN, Site(Origin(nodes)), interface=HOST)
     reactor.listenTCP(DISCOVERY, Site(Discovery()), interface=HOST)
     print("toy servers are up")
     reactor.run()
--- a/lab/answers.py
+++ b/lab/answers.py
@@ -16,11 +16,11 @@
 
 def in_pieces(play: Play, transport: Any, data: bytes, done: Any) -> None:
     """A long answer, a piece now and then."""
-    size = int(1024 * play.world.boxes.piece_kb)
+    size = int(1024 * play.world.nodes.piece_kb)
     if transport.closed:
         return
     transport.write(data[:size])
     if len(data) > size:
-        play.net.callLater(play.world.boxes.piece_ms / 1000.0, in_pieces, play, transport, data[size:], done)
+        play.net.callLater(play.world.nodes.piece_ms / 1000.0, in_pieces, play, transport, data[size:], done)
     else:
         done()
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts by themselves: the proxy's pools before stand-in boxes, without clients and decisions."""
+"""Attempts by themselves: the proxy's pools before stand-in nodes, without clients and decisions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt
 from cloverwell.wheel import Wheel
-from lab.boxes import Box
+from lab.cache_nodes import CacheNode
 from lab.net import Net
 
 GRACE_MS = 950.0
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        boxes: int,
+        nodes: int,
         descriptors: int = 512,
         idle_close_ms: float = 120_000.0,
         back: Callable[[float, float], Back] | None = None,
@@ -66,25 +66,25 @@
             connect_timeout_ms=250.0,
         )
         self.tally = Tally()
-        self.boxes: list[Box] = []
+        self.nodes: list[CacheNode] = []
         self._names: list[str] = []
         self._open = 0
         self._count = 0
-        for number in range(boxes):
-            self.boxes.append(Box(self.net, (f"127.0.1.{number % 250}", 1000 + number), seed=number))
+        for number in range(nodes):
+            self.nodes.append(CacheNode(self.net, (f"127.0.1.{number % 250}", 1000 + number), seed=number))
             self._names.append(f"s{number}")
-            self.pools.name(f"s{number}", *self.boxes[-1].address, False, -1.0)
+            self.pools.name(f"s{number}", *self.nodes[-1].address, False, -1.0)
         self.wheel.start()
 
     @property
     def stale(self) -> int:
-        """Attempts lost behind their last byte: whatever befell them, none of these boxes fails otherwise."""
+        """Attempts lost behind their last byte: whatever befell them, none of these nodes fails otherwise."""
         ends = self.tally.outcomes
         return ends[Outcome.RESET] + ends[Outcome.TIMED_OUT]
 
     @property
     def handshakes(self) -> int:
-        return sum(box.handshakes for box in self.boxes)
+        return sum(node.handshakes for node in self.nodes)
 
     def attempt(self, place: int, dear: bool = False, timeout_ms: float = 1000.0) -> Attempt:
         self._count += 1
@@ -114,7 +114,7 @@
             self.tally.dear_lost += 1
 
     def load(self, per_s: float, seconds: float, seed: int = 1, dear_share: float = 0.05) -> None:
-        """Poisson arrivals over all boxes, bursts and lulls among them, so that idle times differ."""
+        """Poisson arrivals over all nodes, bursts and lulls among them, so that idle times differ."""
         rng, end = Random(seed), self.net.seconds() + seconds
         while self.net.seconds() < end:
             slow = 0.2 if int(self.net.seconds() / 7.0) % 3 == 0 else 1.4
@@ -128,28 +128,28 @@
 
 
 class Fixed(Back):
-    """A baseline: one idle time for all boxes, attempts written whole, nothing opened ahead, no caps
+    """A baseline: one idle time for all nodes, attempts written whole, nothing opened ahead, no caps
     learnt."""
 
     def __init__(self, idle_ms: float, now: float) -> None:
         super().__init__(idle_ms, GRACE_MS, now)
 
-    def use(self, box: str, age_ms: float | None, dear: bool) -> Use:
+    def use(self, node: str, age_ms: float | None, dear: bool) -> Use:
         return Use.RETIRE if age_ms is not None and age_ms >= self.limits.most_ms else Use.WHOLE
 
-    def idle_limit_ms(self, box: str) -> float:
+    def idle_limit_ms(self, node: str) -> float:
         return self.limits.most_ms
 
-    def ahead(self, box: str, opened: int, now: float) -> int:
+    def ahead(self, node: str, opened: int, now: float) -> int:
         return 0
 
-    def may_open(self, box: str, opened: int, now: float) -> bool:
+    def may_open(self, node: str, opened: int, now: float) -> bool:
         return True
 
 
 def _silently(rig: Rig, limit_of: Callable[[int], Callable[[float], float]]) -> None:
-    for number, box in enumerate(rig.boxes):
-        box.idle_s = limit_of(number)
+    for number, node in enumerate(rig.nodes):
+        node.idle_s = limit_of(number)
 
 
 def _changes(start: float) -> Callable[[float], float]:
@@ -158,23 +158,23 @@
 
 def _behind_balancer(rig: Rig) -> None:
     _silently(rig, lambda number: lambda now_s: 0.8)
-    for box in rig.boxes:
-        box.drops_flow = True
+    for node in rig.nodes:
+        node.drops_flow = True
 
 
 def _far(rig: Rig) -> None:
     _silently(rig, lambda number: lambda now_s: 0.5)
-    for box in rig.boxes:
-        rig.net.path(box.address).latency_s = 0.01
+    for node in rig.nodes:
+        rig.net.path(node.address).latency_s = 0.01
 
 
 def _says_so(rig: Rig) -> None:
     _silently(rig, lambda number: lambda now_s: 0.5)
-    for box in rig.boxes:
-        box.says_so = True
+    for node in rig.nodes:
+        node.says_so = True
 
 
-# What boxes do with idle connections, by name: each sets a rig's boxes up.
+# What nodes do with idle connections, by name: each sets a rig's nodes up.
 PATTERNS: dict[str, Callable[[Rig], None]] = {
     "kept for ever": lambda rig: None,
     "silent after 0.5 s": lambda rig: _silently(rig, lambda number: lambda now_s: 0.5),
--- a/lab/boxes.py
+++ b/lab/cache_nodes.py
@@ -1,4 +1,4 @@
-"""Stand-in cache boxes that count what connections cost and lose: handshakes, resets, late opens."""
+"""Stand-in cache nodes that count what connections cost and lose: handshakes, resets, late opens."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lab.net import Address, Net
 
 
-class Box(Factory):
+class CacheNode(Factory):
     """Answers `mg` with a hit after its work. How it treats idle connections is its settings."""
 
     noisy = False
@@ -41,7 +41,7 @@
         self.drops_flow = drops_flow
         self.most = most
         self.rng = Random(seed)
-        self.connections: set[BoxEnd] = set()
+        self.connections: set[CacheNodeEnd] = set()
         self.handshakes = 0
         self.refused = 0
         self.closed_idle = 0
@@ -50,69 +50,69 @@
         self.opened_at: list[float] = []
         net.listenTCP(address[1], self, interface=address[0])
 
-    def buildProtocol(self, addr: Any) -> BoxEnd | None:
+    def buildProtocol(self, addr: Any) -> CacheNodeEnd | None:
         self.handshakes += 1
         self.opened_at.append(self.net.seconds())
         if len(self.connections) >= self.most:
             self.refused += 1
             return None
-        return BoxEnd(self)
+        return CacheNodeEnd(self)
 
 
-class BoxEnd(LineReceiver):
+class CacheNodeEnd(LineReceiver):
     delimiter = b"\r\n"
 
-    def __init__(self, box: Box) -> None:
-        self.box = box
-        self._idle_since = box.net.seconds()
+    def __init__(self, node: CacheNode) -> None:
+        self.node = node
+        self._idle_since = node.net.seconds()
         self._out = 0
         self._ready_s = 0.0  # when the latest request will be answered
         self._gone = False  # closed without a word: whatever comes is reset
 
     def connectionMade(self) -> None:
-        self.box.connections.add(self)
+        self.node.connections.add(self)
         self._look()
 
     def _look(self) -> None:
         """Closes when it has been idle for its time."""
-        if self._gone or self not in self.box.connections:
+        if self._gone or self not in self.node.connections:
             return
-        net, limit = self.box.net, self.box.idle_s(self.box.net.seconds())
+        net, limit = self.node.net, self.node.idle_s(self.node.net.seconds())
         idle = net.seconds() - self._idle_since
         if not self._out and idle >= limit:
-            self.box.closed_idle += 1
+            self.node.closed_idle += 1
             self._gone = True
-            if self.box.drops_flow:
+            if self.node.drops_flow:
                 self.transport.forget_flow()
-            elif self.box.says_so:
+            elif self.node.says_so:
                 self.transport.loseConnection()
-            self.box.connections.discard(self)
+            self.node.connections.discard(self)
             return
         wait = 0.25 if limit == math.inf or self._out else max(0.005, min(0.25, limit - idle))
         net.callLater(wait, self._look)
 
     def dataReceived(self, data: bytes) -> None:
         if self._gone:
-            self.box.dead_requests += data.count(b"\n")
+            self.node.dead_requests += data.count(b"\n")
             self.transport.abortConnection()
             return
         super().dataReceived(data)
 
     def lineReceived(self, line: bytes) -> None:
-        self.box.requests += 1
+        self.node.requests += 1
         self._out += 1
         name = next(word for word in line.split() if word.startswith(b"O"))
         # Begun at once, answered behind those that came before it on this connection.
-        now = self.box.net.seconds()
-        self._ready_s = max(self._ready_s, now + self.box.rng.expovariate(1.0 / self.box.work_s))
-        self.box.net.callLater(self._ready_s - now, self._answer, name)
+        now = self.node.net.seconds()
+        self._ready_s = max(self._ready_s, now + self.node.rng.expovariate(1.0 / self.node.work_s))
+        self.node.net.callLater(self._ready_s - now, self._answer, name)
 
     def _answer(self, name: bytes) -> None:
         self._out -= 1
-        self._idle_since = self.box.net.seconds()
+        self._idle_since = self.node.net.seconds()
         if not self._gone:
             self.transport.write(b"VA 1 " + name + b" h1\r\nx\r\n")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self._gone = True
-        self.box.connections.discard(self)
+        self.node.connections.discard(self)
--- a/lab/cli.py
+++ b/lab/cli.py
@@ -15,7 +15,7 @@
 
 @click.group()
 def lab() -> None:
-    """Worlds to try the proxy in: boxes, origin, discovery, clients, and what goes wrong.
+    """Worlds to try the proxy in: nodes, origin, discovery, clients, and what goes wrong.
 
     \b
     cloverwell lab list
--- a/lab/judge.py
+++ b/lab/judge.py
@@ -1,13 +1,13 @@
 """The six rules, checked from the outside: by what crossed the sockets, not by what the proxy says.
 
 1. *answered*: each request that a live proxy took gets exactly one final answer before its client gives up,
-   and what serves it was made for it by a box or the origin.
+   and what serves it was made for it by a cache node or the origin.
 2. *once*: a request that must not run twice has one attempt that may have run, and is not refused after it; a
    keyed one is not sent again after its window; nobody sends more attempts than allowed; where second copies
    are refused, no attempt reaches a node while another is out at one.
-3. *drain*: nothing new to a box later than the world's `drain_s` after the proxy was told that it drains or
+3. *drain*: nothing new to a node later than the world's `drain_s` after the proxy was told that it drains or
    is gone.
-4. *cold*: within any `fall_s` no cold box is given more than 1.05 times `fall_times` what it can do; nor is
+4. *cold*: within any `fall_s` no cold node is given more than 1.05 times `fall_times` what it can do; nor is
    it sent, by proxies that were told of its start, more than N + 2 x root of N + 2 requests of mean work, N
    being `fall_asked_times` what it can do, where a miss counts as what it asked for.
 5. *told*: no attempt tells its node more time than its client has left when its last byte comes in there.
@@ -26,7 +26,7 @@
 DRAIN_SLACK_S = 0.05
 TOLD_SLACK_S = 0.02  # the ways from the client, to the node, and the clock's whole milliseconds
 FALL_SLACK = 1.05
-TOLD_SHARE = 2.0 / 3.0  # of what made a cold box fall, from proxies that knew: more of it breaks the rule
+TOLD_SHARE = 2.0 / 3.0  # of what made a cold node fall, from proxies that knew: more of it breaks the rule
 LEFT_S = 0.1  # the ways from the client and to the node included
 RULES = ("answered", "once", "drain", "cold", "told", "left")
 MOST_BREACHES = 50
@@ -58,9 +58,9 @@
     cases: dict[str, Case] = field(default_factory=dict)
     breaches: list[dict] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
-    fullest: float = 0.0  # the most that a cold box was sent, as a part of what makes it fall
+    fullest: float = 0.0  # the most that a cold node was sent, as a part of what makes it fall
     _told: dict[tuple[str, str], float] = field(default_factory=dict)
-    _starts: dict[tuple[str, str], int] = field(default_factory=dict)  # of boxes, as proxies were told
+    _starts: dict[tuple[str, str], int] = field(default_factory=dict)  # of nodes, as proxies were told
     _sent: dict[str, deque] = field(default_factory=dict)
 
     def breach(self, rule: str, now: float, name: str, why: str) -> None:
@@ -73,17 +73,18 @@
     def taken(self, case: Case) -> None:
         self.cases[case.name] = case
 
-    def attempt(self, now: float, name: str, box: str, told_ms: float) -> None:
-        """A whole command has come in at a box or the origin, which it told to work for so long at most."""
+    def attempt(self, now: float, name: str, node: str, told_ms: float) -> None:
+        """A whole command has come in at a cache node or the origin, which it told to work for so long at
+        most."""
         case = self.cases.get(name)
         if case is None:
-            return self.breach("answered", now, name, f"{box} was sent a request that no client sent")
+            return self.breach("answered", now, name, f"{node} was sent a request that no client sent")
         case.attempts += 1
         if case.out and not self.copies:
-            self.breach("once", now, name, f"at {box} while an attempt is still out")
+            self.breach("once", now, name, f"at {node} while an attempt is still out")
         case.out += 1
         if case.left_s is not None and now - case.left_s > LEFT_S:
-            self.breach("left", now, name, f"sent to {box} {now - case.left_s:.3f} s after its client left")
+            self.breach("left", now, name, f"sent to {node} {now - case.left_s:.3f} s after its client left")
         if case.attempts > self.send_cap:
             self.breach("once", now, name, f"attempt {case.attempts} of at most {self.send_cap}")
         if case.effect == "fragile" and case.doubtful:
@@ -95,10 +96,10 @@
         case.doubtful_s = now if case.doubtful_s is None else case.doubtful_s
         over_s = now + told_ms / 1000.0 - case.deadline_s
         if told_ms < 1 or over_s > TOLD_SLACK_S:
-            self.breach("told", now, name, f"told {box} {told_ms:g} ms, {over_s:.3f} s too much")
-        told = self._told.get((case.proxy, box))
+            self.breach("told", now, name, f"told {node} {told_ms:g} ms, {over_s:.3f} s too much")
+        told = self._told.get((case.proxy, node))
         if told is not None and now - told > self.rules.drain_s + DRAIN_SLACK_S:
-            self.breach("drain", now, name, f"sent to {box} {now - told:.2f} s after it was told to go")
+            self.breach("drain", now, name, f"sent to {node} {now - told:.2f} s after it was told to go")
         return None
 
     def left(self, now: float, name: str) -> None:
@@ -145,7 +146,7 @@
         if case is not None and not case.answers:
             self.breach("answered", now, name, why)
 
-    # The boxes ----------------------------------------------------------------------------------
+    # The nodes ----------------------------------------------------------------------------------
 
     def told(self, now: float, proxy: str, member: dict) -> None:
         """A proxy is sent a line of the list."""
@@ -160,9 +161,9 @@
         """A proxy begins with this list."""
         self._starts |= {(proxy, member["id"]): member["up_since_ms"] for member in members}
 
-    def knows_start(self, proxy: str, box: str, up_since_ms: int) -> bool:
-        """Whether the proxy has been told that the box started then."""
-        return self._starts.get((proxy, box), 0) >= up_since_ms
+    def knows_start(self, proxy: str, node: str, up_since_ms: int) -> bool:
+        """Whether the proxy has been told that the node started then."""
+        return self._starts.get((proxy, node), 0) >= up_since_ms
 
     def restarted(self, proxy: str) -> None:
         """A proxy that begins anew has been told no more than the list that it starts with."""
@@ -171,7 +172,7 @@
     def work(
         self,
         now: float,
-        box: str,
+        node: str,
         asked_s: float,
         capacity: float,
         cold: bool,
@@ -179,13 +180,13 @@
         told: bool = True,
         done_s: float | None = None,
     ) -> None:
-        """Work has come in at a box, in core seconds; `capacity`: what it can do in a second; `mean_s`: of
-        one request, in core seconds; `told`: whether its sender has been told of the box's start; `done_s`:
-        what it costs the box, less where it misses."""
+        """Work has come in at a node, in core seconds; `capacity`: what it can do in a second; `mean_s`: of
+        one request, in core seconds; `told`: whether its sender has been told of the node's start; `done_s`:
+        what it costs the node, less where it misses."""
         if not cold:
-            self._sent.pop(box, None)
+            self._sent.pop(node, None)
             return
-        sent = self._sent.setdefault(box, deque())
+        sent = self._sent.setdefault(node, deque())
         sent.append((now, asked_s, told, asked_s if done_s is None else done_s))
         while sent[0][0] < now - self.rules.fall_s:
             sent.popleft()
@@ -198,7 +199,7 @@
         self.fullest = max(self.fullest, knowing * asked / most)
         if done > FALL_SLACK * allowed or (asked > most and knowing):
             why = f"{asked:.1f} core s in {self.rules.fall_s:g} s, it can do {capacity:.1f} in one"
-            self.breach("cold", now, box, why)
+            self.breach("cold", now, node, why)
             sent.clear()
         elif asked > most:
             sent.clear()  # it falls, and comes back empty
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of a world on its network: cache boxes, the origin and discovery. They speak as the platform's do
+"""The nodes of a world on its network: cache nodes, the origin and discovery. They speak as the platform's do
 (memcache meta commands, HTTP/1.1), keep their state in `lab.server`, and tell the judge what crosses."""
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Node(Factory):
-    """What boxes and the origin have in common: jobs on a server, and trouble."""
+    """What cache nodes and the origin have in common: jobs on a server, and trouble."""
 
     noisy = False
 
@@ -83,22 +83,22 @@
         self.play.net.listenTCP(self.address[1], self, interface=self.address[0])
 
 
-class Box(Node):
-    """A cache box: hits, misses, load reports, a bound on connections, an idle time."""
+class CacheNode(Node):
+    """A cache node: hits, misses, load reports, a bound on connections, an idle time."""
 
     def __init__(self, play: Play, name: str, address: Address, server: Server, zone: int) -> None:
         super().__init__(play, name, address, server)
-        settings = play.world.boxes
+        settings = play.world.nodes
         self.keys = Keys(settings.keys)
         self.zone = zone
         self.draining = False
         self._hits, self._latency_ms = 0.5, 0.0
         self._report, self._reported_s = "", -1e9
 
-    def buildProtocol(self, addr: Any) -> BoxLink | None:
-        if len(self.links) >= self.play.world.boxes.connections:
+    def buildProtocol(self, addr: Any) -> CacheNodeLink | None:
+        if len(self.links) >= self.play.world.nodes.connections:
             return None
-        return BoxLink(self)
+        return CacheNodeLink(self)
 
     def served(self, hit: bool, latency_s: float) -> None:
         self._hits += 0.05 * (hit - self._hits)
@@ -106,38 +106,38 @@
 
     def report(self) -> str:
         """Refreshed now and then: what it tells is old."""
-        if self.now - self._reported_s >= self.play.world.boxes.report_every_s:
+        if self.now - self._reported_s >= self.play.world.nodes.report_every_s:
             self._reported_s = self.now
             queue = len(self.server.waiting)
             self._report = f"q={queue},lat_ms={self._latency_ms:.1f},x0={self._hits:.3f}"
         return self._report
 
 
-class BoxLink(LineReceiver):
+class CacheNodeLink(LineReceiver):
     delimiter = b"\r\n"
     MAX_LENGTH = 8192
 
-    def __init__(self, box: Box) -> None:
-        self.box = box
-        self._fresh_s = box.play.world.boxes.handshake_ms / 1000.0
+    def __init__(self, node: CacheNode) -> None:
+        self.node = node
+        self._fresh_s = node.play.world.nodes.handshake_ms / 1000.0
         self._order: list[list[Any]] = []  # [job, answer or None, name], answered in order
-        self._idle_s = box.now
+        self._idle_s = node.now
         self._value: tuple[str, str, float] | None = None  # key, request and told time of a write
         self._left = 0
         self._giving = False  # a long value, piece by piece
 
     def connectionMade(self) -> None:
-        self.box.links[self] = None
+        self.node.links[self] = None
         self._look()
 
     def _look(self) -> None:
-        limit = self.box.play.world.boxes.idle_close_s
-        if self not in self.box.links:
+        limit = self.node.play.world.nodes.idle_close_s
+        if self not in self.node.links:
             return
-        if not self._order and not self._giving and self.box.now - self._idle_s >= limit:
+        if not self._order and not self._giving and self.node.now - self._idle_s >= limit:
             self.transport.loseConnection()
             return
-        self.box.play.net.callLater(max(0.05, min(1.0, limit - (self.box.now - self._idle_s))), self._look)
+        self.node.play.net.callLater(max(0.05, min(1.0, limit - (self.node.now - self._idle_s))), self._look)
 
     def lineReceived(self, line: bytes) -> None:
         words = line.decode().split(" ")
@@ -159,60 +159,60 @@
             self.dataReceived(rest) if rest else None
 
     def _run(self, key: str, name: str, told: float, write: bool) -> None:
-        box, play = self.box, self.box.play
-        play.attempt(name, box, told)
-        entry: list[Any] = [box.job_of(name), None, name]
+        node, play = self.node, self.node.play
+        play.attempt(name, node, told)
+        entry: list[Any] = [node.job_of(name), None, name]
         self._order.append(entry)
         work_s = play.work_of(name)
-        hit = not write and box.keys.hit(key)
+        hit = not write and node.keys.hit(key)
         done_s = work_s if hit else 0.1 * work_s
-        cold = box.now - box.server.born_s < box.server.warm_s
-        play.judge_work(box, name, work_s, done_s, cold)
+        cold = node.now - node.server.born_s < node.server.warm_s
+        play.judge_work(node, name, work_s, done_s, cold)
         wait, self._fresh_s = self._fresh_s, 0.0
-        play.net.callLater(wait, self._start, key, name, entry, done_s, hit, box.now)
+        play.net.callLater(wait, self._start, key, name, entry, done_s, hit, node.now)
 
     def _start(self, key: str, name: str, entry: list[Any], work_s: float, hit: bool, came_s: float) -> None:
-        box = self.box
-        if self not in box.links:
+        node = self.node
+        if self not in node.links:
             return
 
         def done() -> None:
-            box.served(hit, box.now - came_s)
+            node.served(hit, node.now - came_s)
             if hit:
-                body = box.play.body_of(name)
-                entry[1] = f"VA {len(body)} O{name} h1 L{box.report()}\r\n{body}\r\n".encode()
+                body = node.play.body_of(name)
+                entry[1] = f"VA {len(body)} O{name} h1 L{node.report()}\r\n{body}\r\n".encode()
             else:
-                box.play.judge.never_ran(name)
-                box.play.missed(name, box)
-                entry[1] = f"EN O{name} L{box.report()}\r\n".encode()
+                node.play.judge.never_ran(name)
+                node.play.missed(name, node)
+                entry[1] = f"EN O{name} L{node.report()}\r\n".encode()
             self._answer()
 
-        if box.draining or not box.offer(entry[0], work_s, done):
-            box.play.judge.never_ran(name)
+        if node.draining or not node.offer(entry[0], work_s, done):
+            node.play.judge.never_ran(name)
             entry[1] = b"SERVER_ERROR busy\r\n"
             self._answer()
 
     def _answer(self) -> None:
         while self._order and self._order[0][1] is not None and not self._giving:
             _, answer, name = self._order.pop(0)
-            self.box.play.judge.settled(name)
+            self.node.play.judge.settled(name)
             if len(answer) > LONG:
                 self._giving = True
-                in_pieces(self.box.play, self.transport, answer, self._given)
+                in_pieces(self.node.play, self.transport, answer, self._given)
             else:
                 self.transport.write(answer)
-        self._idle_s = self.box.now
+        self._idle_s = self.node.now
 
     def _given(self) -> None:
         self._giving = False
         self._answer()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.box.links.pop(self, None)
+        self.node.links.pop(self, None)
         for job, answer, name in self._order:
-            self.box.play.judge.settled(name)
+            self.node.play.judge.settled(name)
             if answer is None:
-                self.box.call_off(job)
+                self.node.call_off(job)
 
 
 class Web(Protocol):
--- a/lab/people.py
+++ b/lab/people.py
@@ -167,7 +167,7 @@
 
     def popular(self) -> list[str]:
         """Keys that are kept when the day begins, the most popular last."""
-        room = self.play.world.boxes.keys * self.play.world.boxes.count // 2
+        room = self.play.world.nodes.keys * self.play.world.nodes.count // 2
         return [f"k{rank}" for rank in reversed(range(min(self.traffic.keys, room)))]
 
     def start(self) -> None:
@@ -302,7 +302,7 @@
 
     def _done(self, name: str, wish: Wish, how: str) -> None:
         wish.end = how
-        # What is out at a box for it may still come in: it is known a while longer.
+        # What is out at a node for it may still come in: it is known a while longer.
         self.play.net.callLater(8.0, self._forget, name)
 
     def _forget(self, name: str) -> None:
--- a/lab/play.py
+++ b/lab/play.py
@@ -15,12 +15,12 @@
 from lab.front_layer import Watch
 from lab.judge import RULES, Judge
 from lab.net import Address, Net
-from lab.nodes import Box, Discovery, Origin
+from lab.nodes import CacheNode, Discovery, Origin
 from lab.people import People
 from lab.proxies import Inside, Left, Proxy
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
-from lab.world import ON_BOXES, Class, Fault, World
+from lab.world import ON_NODES, Class, Fault, World
 from olivestair.ring import Ring, point
 from olivestair.rings import TOKENS
 from olivestair.settings import read_settings
@@ -38,25 +38,25 @@
         self.trace = hashlib.sha256()
         self.notes: list[tuple[float, str]] = []
         self.requests: dict[str, tuple[Class, float, str]] = {}  # name -> class, work in s, key
-        self._missed: dict[str, list[Box]] = {}
+        self._missed: dict[str, list[CacheNode]] = {}
         self.counts: Counter[str] = Counter()
         self.mean_work_s = sum(c.share * sum(c.work_ms) / 2000.0 for c in world.traffic.classes)
-        self.boxes: dict[str, Box] = {}
+        self.nodes: dict[str, CacheNode] = {}
         self.phases: dict[str, str] = {}
         self._build()
 
     # What there is ------------------------------------------------------------------------------
 
     def _build(self) -> None:
-        settings = self.world.boxes
+        settings = self.world.nodes
         models = [model for model in settings.models for _ in range(round(100 * model.share))]
         for number in range(settings.count):
             model = self.rng.choice(models)
             server = Server(model.cores, self.rng.uniform(*model.speed), settings.room)
             server.cold_share, server.warm_s = settings.cold_share, settings.warm_s
-            name, zone = f"box-{number}", number % self.world.zones
+            name, zone = f"node-{number}", number % self.world.zones
             address = (f"10.{1 + zone}.{number // 250}.{number % 250 + 1}", 11211)
-            self.boxes[name] = Box(self, name, address, server, zone)
+            self.nodes[name] = CacheNode(self, name, address, server, zone)
             self.phases[name] = "in_service"
         origin = self.world.origin
         self.origin = Origin(self, ("10.1.255.1", 80), Server(origin.cores, 1.0, origin.room))
@@ -81,27 +81,27 @@
             self.net.callLater(fault.at_s, self._happen, fault)
 
     def _warm(self) -> None:
-        """Boxes that run when the day begins hold what the ring has long asked them for."""
+        """Nodes that run when the day begins hold what the ring has long asked them for."""
         ring: Ring[str] = Ring()
-        for name in sorted(self.boxes):
+        for name in sorted(self.nodes):
             ring.put(name, name, TOKENS)
         for key in self.people[0].popular():
             _, owner = next(ring.clockwise(point(key)))
-            self.boxes[owner].keys.store(key)
+            self.nodes[owner].keys.store(key)
 
-    def attempt(self, name: str, box: Box, told_ms: float) -> None:
-        """A whole command at a box: the judge sees it, and whether it came from another zone is counted."""
-        self.judge.attempt(box.now, name, box.name, told_ms)
+    def attempt(self, name: str, node: CacheNode, told_ms: float) -> None:
+        """A whole command at a node: the judge sees it, and whether it came from another zone is counted."""
+        self.judge.attempt(node.now, name, node.name, told_ms)
         case = self.judge.cases.get(name)
-        self.counts["box_attempts"] += 1
-        self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != box.zone
+        self.counts["node_attempts"] += 1
+        self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != node.zone
 
-    def judge_work(self, box: Box, name: str, work_s: float, done_s: float, cold: bool) -> None:
-        """A request counts as what it asks for: who sends does not know what the box holds."""
+    def judge_work(self, node: CacheNode, name: str, work_s: float, done_s: float, cold: bool) -> None:
+        """A request counts as what it asks for: who sends does not know what the node holds."""
         case = self.judge.cases.get(name)
-        told = case is None or self.judge.knows_start(case.proxy, box.name, self._up_ms(box))
-        capacity = box.server.capacity(box.now)
-        self.judge.work(box.now, box.name, work_s, capacity, cold, self.mean_work_s, told, done_s)
+        told = case is None or self.judge.knows_start(case.proxy, node.name, self._up_ms(node))
+        capacity = node.server.capacity(node.now)
+        self.judge.work(node.now, node.name, work_s, capacity, cold, self.mean_work_s, told, done_s)
 
     def _delay(self, near: str, far: str) -> float:
         """One way between two hosts: their second number is their zone."""
@@ -110,17 +110,17 @@
 
     def members(self) -> list[dict[str, Any]]:
         rows = []
-        for name, box in self.boxes.items():
-            kind = self.world.boxes.models[0].name
-            rows.append(self._row(name, box.address, f"zone-{box.zone}", kind, self._up_ms(box)))
+        for name, node in self.nodes.items():
+            kind = self.world.nodes.models[0].name
+            rows.append(self._row(name, node.address, f"zone-{node.zone}", kind, self._up_ms(node)))
             rows[-1]["phase"] = self.phases[name]
         rows.append(self._row(ORIGIN, self.origin.address, "zone-0", ORIGIN, 0))
         return rows
 
     @staticmethod
-    def _up_ms(box: Box) -> int:
+    def _up_ms(node: CacheNode) -> int:
         """When it started, as the list tells it; 0: before the day."""
-        return int(1000 * (box.server.born_s + EPOCH_S)) if box.server.born_s > 0 else 0
+        return int(1000 * (node.server.born_s + EPOCH_S)) if node.server.born_s > 0 else 0
 
     @staticmethod
     def _row(name: str, address: Address, zone: str, kind: str, up_ms: int) -> dict[str, Any]:
@@ -210,20 +210,20 @@
     def receipt_of(self, name: str) -> str:
         return f"receipt-{name}"
 
-    def missed(self, name: str, box: Box) -> None:
+    def missed(self, name: str, node: CacheNode) -> None:
         self.counts["misses"] += 1
-        self._missed.setdefault(name, []).append(box)
+        self._missed.setdefault(name, []).append(node)
 
     def fetched(self, name: str, key: str) -> None:
-        """The origin has answered a read: the boxes that missed for it keep the value."""
+        """The origin has answered a read: the nodes that missed for it keep the value."""
         self.counts["fetches"] += 1
-        for box in self._missed.pop(name, [])[:2]:
-            if not box.down:
-                box.keys.store(key)
+        for node in self._missed.pop(name, [])[:2]:
+            if not node.down:
+                node.keys.store(key)
 
     def written(self, key: str) -> None:
-        for box in self.boxes.values():
-            box.keys.void(key)
+        for node in self.nodes.values():
+            node.keys.void(key)
 
     def record(self, *what: object) -> None:
         """One line of the trace, at the virtual time."""
@@ -241,7 +241,7 @@
         return sorted(self.rng.sample(all_names, max(1, round(fault.part * len(all_names)))))
 
     def _happen(self, fault: Fault) -> None:
-        names = sorted(self.boxes) if fault.kind in ON_BOXES else [proxy.name for proxy in self.proxies]
+        names = sorted(self.nodes) if fault.kind in ON_NODES else [proxy.name for proxy in self.proxies]
         later = self.net.callLater
         match fault.kind:
             case "hang" | "crash" | "drain":
@@ -250,7 +250,7 @@
                 # One after the other over the time, as a rolling deploy goes.
                 step = fault.for_s / len(whom) if fault.kind == "drain" else 0.0
                 for place, name in enumerate(whom):
-                    later(place * step, getattr(self, f"_{fault.kind}"), self.boxes[name], fault)
+                    later(place * step, getattr(self, f"_{fault.kind}"), self.nodes[name], fault)
             case "proxy_crash" | "proxy_restart" | "proxy_drain" | "proxy_replace" | "origin_cut":
                 whom = self._whom(fault, names)
                 self.note(f"{fault.kind} {' '.join(whom)}")
@@ -259,8 +259,8 @@
                         self._befall(proxy, fault)
             case "flush":
                 self.note("flush")
-                for box in self.boxes.values():
-                    box.keys.void_some([key for key in box.keys.all() if self.rng.random() < fault.size])
+                for node in self.nodes.values():
+                    node.keys.void_some([key for key in node.keys.all() if self.rng.random() < fault.size])
             case "hot_key":
                 self.note("hot key")
                 for people in self.people:
@@ -270,10 +270,10 @@
                 zones = [f"zone-{zone}" for zone in range(self.world.zones)]
                 lost = fault.whom or [self.rng.choice(zones)]
                 self.note(f"{' '.join(lost)} lost")
-                for box in self.boxes.values():
-                    if zones[box.zone] in lost:
-                        self._hang(box, fault)  # a machine that is cut off says nothing
-                        later(fault.for_s, self._crash, box, Fault("crash", 0.0, 0.5))
+                for node in self.nodes.values():
+                    if zones[node.zone] in lost:
+                        self._hang(node, fault)  # a machine that is cut off says nothing
+                        later(fault.for_s, self._crash, node, Fault("crash", 0.0, 0.5))
             case "origin_slow":
                 self.note("origin slow")
                 self.origin.server.speed *= fault.size
@@ -295,32 +295,32 @@
     def _restore(self, size: float) -> None:
         self.origin.server.speed /= size
 
-    def _hang(self, box: Box, fault: Fault) -> None:
-        box.hung = True
-        self.net.callLater(fault.for_s, setattr, box, "hung", False)
+    def _hang(self, node: CacheNode, fault: Fault) -> None:
+        node.hung = True
+        self.net.callLater(fault.for_s, setattr, node, "hung", False)
 
-    def _crash(self, box: Box, fault: Fault) -> None:
-        box.die()
-        self._list_later(box, "terminated")
-        self.net.callLater(fault.for_s, self._return, box)
+    def _crash(self, node: CacheNode, fault: Fault) -> None:
+        node.die()
+        self._list_later(node, "terminated")
+        self.net.callLater(fault.for_s, self._return, node)
 
-    def _drain(self, box: Box, fault: Fault) -> None:
+    def _drain(self, node: CacheNode, fault: Fault) -> None:
         """A planned replacement: told, drained, gone, and back cold."""
-        self._list(box, "terminating")
-        self.net.callLater(3.0, self._crash, box, Fault("crash", 0.0, 0.5))
+        self._list(node, "terminating")
+        self.net.callLater(3.0, self._crash, node, Fault("crash", 0.0, 0.5))
 
-    def _return(self, box: Box) -> None:
-        box.keys.clear()
-        box.server.born_s = self.net.seconds()
-        box.live()
-        self._list_later(box, "in_service")
+    def _return(self, node: CacheNode) -> None:
+        node.keys.clear()
+        node.server.born_s = self.net.seconds()
+        node.live()
+        self._list_later(node, "in_service")
 
-    def _list_later(self, box: Box, phase: str) -> None:
-        self.net.callLater(self.world.discovery.lag_s, self._list, box, phase)
+    def _list_later(self, node: CacheNode, phase: str) -> None:
+        self.net.callLater(self.world.discovery.lag_s, self._list, node, phase)
 
-    def _list(self, box: Box, phase: str) -> None:
-        self.phases[box.name] = phase
-        self.discovery.changed(box.name)
+    def _list(self, node: CacheNode, phase: str) -> None:
+        self.phases[node.name] = phase
+        self.discovery.changed(node.name)
 
     def _befall(self, proxy: Proxy, fault: Fault) -> None:
         match fault.kind:
@@ -364,7 +364,7 @@
             "coldest_load": round(self.judge.fullest, 3),
             "misses": self.counts["misses"],
             "fetches": self.counts["fetches"],
-            "crossed": round(self.counts["crossings"] / max(1, self.counts["box_attempts"]), 4),
+            "crossed": round(self.counts["crossings"] / max(1, self.counts["node_attempts"]), 4),
             "origin_stops": self.origin.stops,
             "list_calls": sum(self.discovery.calls.values()),
             "list_calls_peak": max(self.discovery.calls.values(), default=0),
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -1,4 +1,4 @@
-"""Real proxies as processes on loopback, one box before them, and clients: what virtual time can't play.
+"""Real proxies as processes on loopback, one node before them, and clients: what virtual time can't play.
 
 Nothing is measured by the clock here; whoever waits, waits for an event, and no longer than `PATIENCE_S`.
 """
@@ -27,7 +27,7 @@
 _ports = iter(random.sample(range(16_000, 32_000), 16_000))
 
 
-class Box(socketserver.StreamRequestHandler):
+class CacheNode(socketserver.StreamRequestHandler):
     """Answers each read with its own id, or with the server's value."""
 
     server: Server
@@ -59,17 +59,17 @@
 
 
 class Place:
-    """An address to serve at, one box, and the processes that are started there."""
+    """An address to serve at, one node, and the processes that are started there."""
 
     def __init__(
         self, folder: Path, value: bytes = b"", sockets: int = 256, memory_mb: float = 192.0
     ) -> None:
         self.folder = folder
         self.listen = ("127.0.0.1", free_port())
-        self.box = Server(("127.0.0.1", 0), Box)
-        self.box.value = value
-        threading.Thread(target=self.box.serve_forever, daemon=True).start()
-        members = [{"id": "s1", "host_port": f"127.0.0.1:{self.box.server_address[1]}", "flavor": "large"}]
+        self.node = Server(("127.0.0.1", 0), CacheNode)
+        self.node.value = value
+        threading.Thread(target=self.node.serve_forever, daemon=True).start()
+        members = [{"id": "s1", "host_port": f"127.0.0.1:{self.node.server_address[1]}", "flavor": "large"}]
         self.config = folder / "config.json"
         self.config.write_text(json.dumps({
             "listen": f"127.0.0.1:{self.listen[1]}", "discovery": f"127.0.0.1:{free_port()}",
@@ -88,8 +88,8 @@
         for process in self.processes:
             process.popen.kill()
             process.popen.wait()
-        self.box.shutdown()
-        self.box.server_close()
+        self.node.shutdown()
+        self.node.server_close()
 
 
 class Process:
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -1,4 +1,4 @@
-"""A whole proxy on the virtual network, before stand-in boxes that hold every key."""
+"""A whole proxy on the virtual network, before stand-in nodes that hold every key."""
 
 import io
 
@@ -6,7 +6,7 @@
 from cloverwell.log import Log
 from cloverwell.net.routing_table import Listing, Member
 from cloverwell.service import Service
-from lab.boxes import Box
+from lab.cache_nodes import CacheNode
 from lab.net import Address, Net
 from olivestair.settings import read_settings
 
@@ -38,13 +38,15 @@
 
 
 class World:
-    """One proxy and its boxes; discovery refuses, so that the list known at the start stays."""
+    """One proxy and its nodes; discovery refuses, so that the list known at the start stays."""
 
-    def __init__(self, boxes: int = 4, sockets: int = 384, listen: Address = LISTEN) -> None:
+    def __init__(self, nodes: int = 4, sockets: int = 384, listen: Address = LISTEN) -> None:
         self.net = Net()
         self.log = io.StringIO()
-        self.boxes = [Box(self.net, (f"127.0.1.{n}", 1000 + n), seed=n) for n in range(boxes)]
-        members = [Member(f"s{n}", f"{box.address[0]}:{box.address[1]}") for n, box in enumerate(self.boxes)]
+        self.nodes = [CacheNode(self.net, (f"127.0.1.{n}", 1000 + n), seed=n) for n in range(nodes)]
+        members = [
+            Member(f"s{n}", f"{node.address[0]}:{node.address[1]}") for n, node in enumerate(self.nodes)
+        ]
         members.append(Member("origin", "127.0.2.1:80", flavor="origin"))
         config = Config(
             "p",
--- a/lab/server.py
+++ b/lab/server.py
@@ -1,6 +1,6 @@
 """A server's cores, slots and waiting room, without I/O: work in, ends out, time as an argument.
 
-Used for cache boxes and for the origin. One request takes one core; what no core is free for waits, up to
+Used for cache nodes and for the origin. One request takes one core; what no core is free for waits, up to
 `room`; beyond that it is turned away unseen. A server that has just started is cold: it does a share of its
 full speed, which rises evenly until it is warm.
 """
@@ -70,7 +70,7 @@
 
 
 class Keys:
-    """The keys that a box keeps, least recently used out first."""
+    """The keys that a node keeps, least recently used out first."""
 
     def __init__(self, most: int) -> None:
         self.most = most
--- a/lab/world.py
+++ b/lab/world.py
@@ -36,7 +36,7 @@
 ]
 
 WORLDS = Path(__file__).parent / "worlds"
-ON_BOXES = ("hang", "crash", "drain")
+ON_NODES = ("hang", "crash", "drain")
 ON_PROXIES = ("proxy_crash", "proxy_restart", "proxy_drain", "proxy_replace", "origin_cut")
 
 
@@ -45,7 +45,7 @@
 
 
 class Model(Struct, forbid_unknown_fields=True):
-    """A kind of machine among the boxes."""
+    """A kind of machine among the nodes."""
 
     name: str
     share: Share = 1.0
@@ -53,11 +53,11 @@
     speed: tuple[Positive, Positive] = (1.0, 1.0)  # range, the yardstick is 1
 
 
-class Boxes(Struct, forbid_unknown_fields=True):
+class CacheNodes(Struct, forbid_unknown_fields=True):
     count: Annotated[int, Meta(ge=1, le=5000)] = 12
     models: list[Model] = field(default_factory=lambda: [Model("large")])
     room: Count = 64  # requests that wait
-    keys: Count = 4000  # that one box keeps
+    keys: Count = 4000  # that one node keeps
     cold_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.32
     warm_s: Positive = 8.7
     idle_close_s: Positive = 5.0
@@ -71,7 +71,7 @@
 class Origin(Struct, forbid_unknown_fields=True):
     cores: Count = 8
     room: Count = 128
-    work_factor: Positive = 1.0  # of a request's work at a box
+    work_factor: Positive = 1.0  # of a request's work at a node
     stops_at: Positive = 3.0  # times its capacity
     stops_after_s: Positive = 3.0
     down_s: Positive = 5.0
@@ -131,8 +131,8 @@
     kind: Kind
     at_s: NotNegative
     for_s: NotNegative = 0.0
-    part: Share = 0.0  # of the boxes, the proxies or the clients that wait, drawn by the seed
-    whom: list[str] = []  # or these by name: box-3, proxy-0, zone-1
+    part: Share = 0.0  # of the nodes, the proxies or the clients that wait, drawn by the seed
+    whom: list[str] = []  # or these by name: node-3, proxy-0, zone-1
     size: Share = 0.2  # of the traffic (hot_key), of the keys (flush), of its speed left (origin_slow)
     times: Positive = 1.5  # the traffic (burst)
 
@@ -140,8 +140,8 @@
 class Rules(Struct, forbid_unknown_fields=True):
     """The figures of the rules that sites state for themselves; the proxies are told them too."""
 
-    drain_s: Positive = 1.0  # how long a box that is told to go may still be sent something new
-    fall_s: Positive = 3.0  # in any such time, no cold box is sent more than
+    drain_s: Positive = 1.0  # how long a node that is told to go may still be sent something new
+    fall_s: Positive = 3.0  # in any such time, no cold node is sent more than
     fall_times: Positive = 3.0  # so many times what it can do
     fall_asked_times: Positive = 3.0  # the same of what it is asked for, where a miss counts as a hit
 
@@ -156,7 +156,7 @@
     zone_ms: NotNegative = 10.0  # one way between zones
     cross_price: Share = 0.0  # a crossing's price, as the settings tell the proxy; none: one ring
     second_copies: bool = True  # whether a request may have two attempts out together
-    boxes: Boxes = field(default_factory=Boxes)
+    nodes: CacheNodes = field(default_factory=CacheNodes)
     origin: Origin = field(default_factory=Origin)
     traffic: Traffic = field(default_factory=Traffic)
     discovery: Discovery = field(default_factory=Discovery)
@@ -189,13 +189,13 @@
 def _check(world: World, name: str) -> None:
     for place, fault in enumerate(world.faults):
         where = f"{name}: faults[{place}]"
-        boxes = {f"box-{number}" for number in range(world.boxes.count)}
+        nodes = {f"node-{number}" for number in range(world.nodes.count)}
         proxies = {f"proxy-{number}" for number in range(world.proxies)}
         zones = {f"zone-{number}" for number in range(world.zones)} if fault.kind == "zone_lost" else set()
-        allowed = boxes if fault.kind in ON_BOXES else proxies if fault.kind in ON_PROXIES else zones
+        allowed = nodes if fault.kind in ON_NODES else proxies if fault.kind in ON_PROXIES else zones
         for who in fault.whom:
             if who not in allowed:
-                kinds = f"box-0 to box-{world.boxes.count - 1}" if allowed is boxes else "see its kind"
+                kinds = f"node-0 to node-{world.nodes.count - 1}" if allowed is nodes else "see its kind"
                 raise WorldError(f"{where}.whom: {who!r} is not there; allowed: {kinds}")
         if allowed and allowed is not zones and not (fault.whom or fault.part):
             raise WorldError(f"{where}.part: must be over 0, or whom must name somebody")
--- a/olivestair/decide.py
+++ b/olivestair/decide.py
@@ -407,7 +407,7 @@
             rec.turn.rest_ms = now + self._set.settle_ms + MARGIN_MS
         rec.prepaid |= event.status is Status.MISS
         stale = self._judge(now, server, event.status, sent, rec)
-        last = rec.attempts == self._set.max_attempts - 1  # a third box would rather miss, and leave none
+        last = rec.attempts == self._set.max_attempts - 1  # a third node would rather miss, and leave none
         if event.closed or rec.done:
             self._end(now, rec)
         elif not rec.out and (server.origin or (self._origins and (rec.prepaid or last))):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -59,7 +59,7 @@
 
 
 class Node:
-    """A box, the origin or discovery: connections are taken when the test says so."""
+    """A node, the origin or discovery: connections are taken when the test says so."""
 
     def __init__(self, rig, backlog=64):
         self.rig = rig
@@ -107,13 +107,13 @@
 
 
 class Rig:
-    def __init__(self, boxes=1, settings=SETTINGS, sockets=256, backlog=64):
+    def __init__(self, nodes=1, settings=SETTINGS, sockets=256, backlog=64):
         self.offset = 0.0
         self.socks = []
         self.reactor = Reactor()
         self.origin, self.discovery = Node(self), Node(self)
-        self.boxes = [Node(self, backlog) for _ in range(boxes)]
-        members = [Member(f"s{n}", "{}:{}".format(*node.address)) for n, node in enumerate(self.boxes, 1)]
+        self.nodes = [Node(self, backlog) for _ in range(nodes)]
+        members = [Member(f"s{n}", "{}:{}".format(*node.address)) for n, node in enumerate(self.nodes, 1)]
         members.append(Member("origin", "{}:{}".format(*self.origin.address), flavor="origin"))
         self.log = io.StringIO()
         known = Listing(41, True, members)
@@ -199,7 +199,7 @@
     def close(self):
         for conn in self.socks:
             conn.close()
-        for node in [*self.boxes, self.origin, self.discovery]:
+        for node in [*self.nodes, self.origin, self.discovery]:
             node.close()
         self.reactor.finish()
         self.reactor._poller.close()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -10,8 +10,8 @@
 
     operator send PUT /drain                       a caller's whole call; where it holds `|`, as it stands
 
-Parties: `client`, the boxes `s1`, `s2`..., `origin`, `discovery` and `discovery2`; `client#2` is its second
-connection. A box takes a connection when it first expects something. `origin` and `discovery` send HTTP:
+Parties: `client`, the nodes `s1`, `s2`..., `origin`, `discovery` and `discovery2`; `client#2` is its second
+connection. A node takes a connection when it first expects something. `origin` and `discovery` send HTTP:
 `STATUS [Name: value;]... BODY` (`Until: close;` first: without a length), and `++ TEXT` behind it are further
 bytes that come with it.
 """
@@ -79,12 +79,12 @@
 
 
 class Player:
-    def __init__(self, boxes=1, sockets=1024, operator=False, settings=SETTINGS):
+    def __init__(self, nodes=1, sockets=1024, operator=False, settings=SETTINGS):
         self.reactor = MemoryReactorClock()
         self.reactor.advance(100.0)
         self.log = io.StringIO()
         self.ports = {"discovery": 100, "discovery2": 101, "origin": 200}
-        self.ports |= {f"s{number}": 200 + number for number in range(1, boxes + 1)}
+        self.ports |= {f"s{number}": 200 + number for number in range(1, nodes + 1)}
         members = [Member(name, f"127.0.0.9:{port}") for name, port in self.ports.items() if name[0] == "s"]
         members.append(Member("origin", "127.0.0.9:200", flavor="origin"))
         config = self.config = Config(
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -1,4 +1,4 @@
-"""Connections to boxes: reuse, validation, retirement and caps, against stand-ins that count what is lost."""
+"""Connections to nodes: reuse, validation, retirement and caps, against stand-ins that count what is lost."""
 
 from random import Random
 
@@ -124,87 +124,92 @@
     assert forgotten_after(first) > 1.5 * first
 
 
-class Boxes(RuleBasedStateMachine):
-    """Any order of news and attempts: no use past the limit, nothing to a box that has left, nothing kept."""
+class CacheNodes(RuleBasedStateMachine):
+    """Any order of news and attempts: no use past the limit, nothing to a node that has left, nothing
+    kept."""
 
     @initialize()
     def start(self):
         self.now, self.back = 1000.0, Back(2500.0, GRACE_MS, 1000.0)
         self.named: dict[str, float | None] = {}
 
-    @rule(box=st.sampled_from("abcdef"), cold=st.booleans())
-    def is_named(self, box, cold):
-        self.back.named(box, "origin" if box == "a" else "cache", self.now + 500.0 if cold else -1.0)
-        self.named[box] = None
+    @rule(node=st.sampled_from("abcdef"), cold=st.booleans())
+    def is_named(self, node, cold):
+        self.back.named(node, "origin" if node == "a" else "cache", self.now + 500.0 if cold else -1.0)
+        self.named[node] = None
 
     @precondition(lambda self: self.named)
     @rule(data=st.data())
     def leaves(self, data):
-        box = data.draw(st.sampled_from(sorted(self.named)))
-        self.back.left(box, self.now)
-        self.named[box] = self.now if self.named[box] is None else self.named[box]
+        node = data.draw(st.sampled_from(sorted(self.named)))
+        self.back.left(node, self.now)
+        self.named[node] = self.now if self.named[node] is None else self.named[node]
 
     @precondition(lambda self: self.named)
     @rule(data=st.data())
     def is_forgotten(self, data):
-        box = data.draw(st.sampled_from(sorted(self.named)))
-        self.back.forget(box)
-        del self.named[box]
+        node = data.draw(st.sampled_from(sorted(self.named)))
+        self.back.forget(node)
+        del self.named[node]
 
     @rule(
-        box=st.sampled_from("abcdef"),
+        node=st.sampled_from("abcdef"),
         age=st.one_of(st.none(), st.floats(0.0, 4000.0)),
         how=st.sampled_from(["answered", "lost", "silent", "refused", "timed out", "connected", "started"]),
         took=st.floats(0.0, 900.0),
     )
-    def happens(self, box, age, how, took):
+    def happens(self, node, age, how, took):
         match how:
             case "answered":
-                self.back.answered(box, age, took, self.now)
+                self.back.answered(node, age, took, self.now)
             case "lost":
-                self.back.lost(box, age, took, False, True, self.now)
+                self.back.lost(node, age, took, False, True, self.now)
             case "silent":
-                self.back.silent(box, age, took, self.now)
+                self.back.silent(node, age, took, self.now)
             case "refused":
-                self.back.connect_refused(box, 3, self.now)
+                self.back.connect_refused(node, 3, self.now)
             case "timed out":
-                self.back.timed_out(box, 3, self.now - took, self.now)
+                self.back.timed_out(node, 3, self.now - took, self.now)
             case "connected":
-                self.back.connected(box, took, self.now)
+                self.back.connected(node, took, self.now)
             case "started":
-                self.back.started(box, 1 + int(took) % 9, self.now)
+                self.back.started(node, 1 + int(took) % 9, self.now)
 
     @rule(ms=st.sampled_from([1.0, 60.0, 960.0, 40_000.0]))
     def time_passes(self, ms):
         self.now += ms
         self.back.limits.tick(self.now)
 
-    @rule(box=st.sampled_from("abcdef"), age=st.one_of(st.none(), st.floats(0.0, 4000.0)), dear=st.booleans())
-    def is_asked(self, box, age, dear):
-        use, limit = self.back.use(box, age, dear), self.back.idle_limit_ms(box)
+    @rule(
+        node=st.sampled_from("abcdef"), age=st.one_of(st.none(), st.floats(0.0, 4000.0)), dear=st.booleans()
+    )
+    def is_asked(self, node, age, dear):
+        use, limit = self.back.use(node, age, dear), self.back.idle_limit_ms(node)
         assert limit <= 2500.0
-        if box in self.named:
+        if node in self.named:
             assert (use is Use.RETIRE) == (age is not None and age >= limit)
-        assert HOLD_MS[0] <= self.back.hold_ms(box) <= HOLD_MS[1]
-        left = self.named.get(box)
+        assert HOLD_MS[0] <= self.back.hold_ms(node) <= HOLD_MS[1]
+        left = self.named.get(node)
         late = left is not None and self.now - left >= GRACE_MS
-        assert self.back.late(box, self.now) == late
-        assert not (late and self.back.may_open(box, 0, self.now))
-        ahead = self.back.ahead(box, 0, self.now)
+        assert self.back.late(node, self.now) == late
+        assert not (late and self.back.may_open(node, 0, self.now))
+        ahead = self.back.ahead(node, 0, self.now)
         assert 0 <= ahead <= AHEAD_EACH and not (ahead and left is not None)
 
     @invariant()
     def keeps_only_what_is_named(self):
         if hasattr(self, "back"):
             assert len(self.back) == len(self.named)
-            assert set(self.back.limits._boxes) <= set(self.named)
+            assert set(self.back.limits._nodes) <= set(self.named)
 
 
-Boxes.TestCase.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
-TestBoxes = Boxes.TestCase
+CacheNodes.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=40, derandomize=True, deadline=None
+)
+TestCacheNodes = CacheNodes.TestCase
 
 
-def test_figures_of_boxes_that_are_gone_do_not_gather():
+def test_figures_of_nodes_that_are_gone_do_not_gather():
     figures = Figures()
     for number in range(3 * MAX_NAMES):
         figures.add(What.OPENED, f"s{number}")
@@ -214,23 +219,23 @@
     assert len(figures.by(What.OPENED)) <= MAX_NAMES + 1 and figures.by(What.OPENED)[OTHERS] > 0
 
 
-# Before stand-in boxes -------------------------------------------------------------------------
+# Before stand-in nodes -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("name", PATTERNS)
-def test_hardly_an_attempt_is_lost_whatever_boxes_do_with_idle_connections(name):
-    # With one idle time for all, 1 to 8% of attempts were lost where boxes close sooner and say nothing.
+def test_hardly_an_attempt_is_lost_whatever_nodes_do_with_idle_connections(name):
+    # With one idle time for all, 1 to 8% of attempts were lost where nodes close sooner and say nothing.
     rig = Rig(12)
     PATTERNS[name](rig)
-    rig.load(100.0, 250.0 if rig.boxes[0].drops_flow else 150.0)  # silence is found out slowly
+    rig.load(100.0, 250.0 if rig.nodes[0].drops_flow else 150.0)  # silence is found out slowly
     assert rig.tally.attempts > 12_000
     assert rig.stale < 0.001 * rig.tally.attempts, rig.tally.outcomes
     assert rig.tally.dear_lost <= 2
     assert rig.percentile(0.99) <= 30.0  # from its choice to its last byte out, a handshake included
 
 
-def test_the_baseline_loses_attempts_where_boxes_close_in_silence():
-    # That the measure above can fail: the fixed idle time of before, on the same boxes and attempts.
+def test_the_baseline_loses_attempts_where_nodes_close_in_silence():
+    # That the measure above can fail: the fixed idle time of before, on the same nodes and attempts.
     rig = Rig(12, back=Fixed)
     PATTERNS["silent after 0.5 s"](rig)
     rig.load(100.0, 30.0)
@@ -239,23 +244,23 @@
 
 def test_an_attempt_whose_loss_is_dear_finds_a_closed_connection_before_its_last_byte():
     rig = Rig(1)
-    box = rig.boxes[0]
-    box.idle_s = lambda now_s: 0.3
+    node = rig.nodes[0]
+    node.idle_s = lambda now_s: 0.3
     rig.attempt(0)
     rig.net.run_for(0.6)
     rig.attempt(0, dear=True)
     rig.net.run_for(0.6)
-    assert rig.tally.outcomes == {Outcome.SERVED: 2} and box.dead_requests == 0
-    assert rig.figures.total(What.CAUGHT) == 1 and box.requests == 2
+    assert rig.tally.outcomes == {Outcome.SERVED: 2} and node.dead_requests == 0
+    assert rig.figures.total(What.CAUGHT) == 1 and node.requests == 2
 
 
-def test_a_close_reaches_its_box_within_a_round_trip_of_late():
+def test_a_close_reaches_its_node_within_a_round_trip_of_late():
     back = Back(2500.0, GRACE_MS, 0.0)
-    for box in ("near", "far"):
-        back.named(box, "cache")
+    for node in ("near", "far"):
+        back.named(node, "cache")
     assert back.reach_ms("far") == back.reach_ms("nobody") == MOST_REACH_MS
     back.connected("near", 0.4, 0.0)
-    back.connected("far", 31.0, 0.0)  # no answer yet: the handshake tells, and no other box's figure does
+    back.connected("far", 31.0, 0.0)  # no answer yet: the handshake tells, and no other node's figure does
     back.answered("far", None, 30.0, 5.0)
     back.answered("far", None, 400.0, 9.0)  # work, not the way
     assert (back.reach_ms("near"), back.reach_ms("far")) == (0.4, 30.0)
@@ -266,11 +271,11 @@
 
 
 @pytest.mark.parametrize("latency_ms", [1, 40, 120])
-def test_nothing_is_opened_or_written_late_to_a_box_that_leaves(latency_ms):
+def test_nothing_is_opened_or_written_late_to_a_node_that_leaves(latency_ms):
     # A drain while connections open: what was asked for before may come up, and takes no attempt after 1 s.
     rig = Rig(2)
-    for box in rig.boxes:
-        rig.net.path(box.address).latency_s = latency_ms / 1000.0
+    for node in rig.nodes:
+        rig.net.path(node.address).latency_s = latency_ms / 1000.0
     for _ in range(5):
         rig.attempt(0)
     rig.net.run_for(0.01)
@@ -279,7 +284,7 @@
     for _ in range(150):
         rig.attempt(0, timeout_ms=2000.0)
         rig.net.run_for(0.01)
-    asked = [at - latency_ms / 1000.0 for at in rig.boxes[0].opened_at]
+    asked = [at - latency_ms / 1000.0 for at in rig.nodes[0].opened_at]
     assert max(asked) <= told + GRACE_MS / 1000.0
     assert rig.tally.outcomes[Outcome.NOT_CONNECTED] >= 50
     rig.net.run_for(5.0)
@@ -287,24 +292,24 @@
     assert rig.pools.names() == {"s1"} and len(rig.back) == 1
 
 
-def test_a_box_that_holds_no_more_is_not_asked_again_and_again():
+def test_a_node_that_holds_no_more_is_not_asked_again_and_again():
     rig = Rig(1)
-    box = rig.boxes[0]
-    box.most, box.work_s = 5, 0.2
+    node = rig.nodes[0]
+    node.most, node.work_s = 5, 0.2
     rig.load(60.0, 20.0)
-    # Each refusal that is not learnt from is a handshake's work for a box that is full already.
-    assert box.refused < 60, box.refused
-    assert len(box.connections) <= 5 and rig.tally.outcomes[Outcome.SERVED] > 0.9 * rig.tally.attempts
+    # Each refusal that is not learnt from is a handshake's work for a node that is full already.
+    assert node.refused < 60, node.refused
+    assert len(node.connections) <= 5 and rig.tally.outcomes[Outcome.SERVED] > 0.9 * rig.tally.attempts
 
 
-def test_one_refused_connection_is_no_full_box():
+def test_one_refused_connection_is_no_full_node():
     rig = Rig(1)
     rig.attempt(0)
     rig.net.run_for(0.01)
-    rig.net.path(rig.boxes[0].address).refuse = True
+    rig.net.path(rig.nodes[0].address).refuse = True
     rig.attempt(0)
     rig.net.run_for(0.1)
-    rig.net.path(rig.boxes[0].address).refuse = False
+    rig.net.path(rig.nodes[0].address).refuse = False
     for _ in range(6):
         rig.attempt(0)
     rig.net.run_for(1.0)
@@ -313,20 +318,20 @@
 
 def test_connections_are_opened_ahead_where_handshakes_are_dear():
     rig = Rig(2)
-    for box in rig.boxes:
-        rig.net.path(box.address).latency_s = 0.012
+    for node in rig.nodes:
+        rig.net.path(node.address).latency_s = 0.012
     rig.load(150.0, 20.0)
     ahead = rig.figures.total(What.AHEAD)
     assert ahead > 0 and ahead < 0.1 * rig.tally.attempts
     rig.pools.leave("s0")
-    before = len(rig.boxes[0].opened_at)
+    before = len(rig.nodes[0].opened_at)
     rig.net.run_for(3.0)
-    assert len(rig.boxes[0].opened_at) == before
+    assert len(rig.nodes[0].opened_at) == before
 
 
-@pytest.mark.parametrize("boxes, descriptors, per_s", [(14, 64, 400.0), (1000, 4096, 1500.0)])
-def test_few_descriptors_many_boxes(boxes, descriptors, per_s):
-    rig = Rig(boxes, descriptors)
+@pytest.mark.parametrize("nodes, descriptors, per_s", [(14, 64, 400.0), (1000, 4096, 1500.0)])
+def test_few_descriptors_many_nodes(nodes, descriptors, per_s):
+    rig = Rig(nodes, descriptors)
     peak = 0
 
     def look():
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -89,7 +89,7 @@
 @LEAVE
 def test_a_close_behind_unread_commands_is_known_within_half_the_time(rig, leave):
     proxy = rig(backlog=0)
-    proxy.boxes[0].jam()
+    proxy.nodes[0].jam()
     conn = proxy.client(b"".join(read(number) for number in range(3 * AHEAD)) + b"mg half a comm")
     proxy.until(lambda: proxy.service.dispatcher.open_count == AHEAD)
     leave(conn)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize("answer", [b"EN O1\r\n", b"SERVER_ERROR busy\r\n", b"SERVER_ERROR failed\r\n"])
 def test_an_answer_read_before_its_clients_old_close_brings_no_further_attempt(rig, begun, leave, answer):
     # Both stand in their buffers behind a lag, and the reactor reads the node's first.
-    proxy = rig(boxes=2)
+    proxy = rig(nodes=2)
     conn = taken(proxy, begun, read(1))
     (node,) = begun[0].pool.connections
     leave(conn)
@@ -165,7 +165,7 @@
 
 @LEAVE
 def test_a_place_that_comes_free_behind_a_lag_is_not_given_to_a_client_that_left(rig, begun, leave):
-    proxy = rig(boxes=0, sockets=512)
+    proxy = rig(nodes=0, sockets=512)
     conns = [proxy.client(read(number)) for number in range(60)]
     proxy.turn(5)
     before = len(begun)
@@ -183,7 +183,7 @@
 def test_the_first_tick_after_a_lag_sends_nothing_for_a_client_that_left(rig, begun, leave):
     # The tick comes before the reads: it ends attempts whose time is over, and what followed was sent.
     limits = SETTINGS["limits"] | {"cancel": False}
-    proxy = rig(boxes=3, settings=SETTINGS | {"limits": limits})
+    proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     conn = taken(proxy, begun, read(1))
     leave(conn)
     proxy.lag(1000.0)  # the attempt's time, half of the request's
@@ -194,8 +194,8 @@
 @LEAVE
 def test_an_attempt_that_waits_for_the_close_of_the_one_before_is_not_sent_by_that_tick(rig, begun, leave):
     limits = SETTINGS["limits"] | {"second-copies": False}
-    proxy = rig(boxes=3, settings=SETTINGS | {"limits": limits})
-    proxy.service.back.reach_ms = lambda box: 40.0
+    proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
+    proxy.service.back.reach_ms = lambda node: 40.0
     conn = taken(proxy, begun, read(1))
     begun[0].pool.give_up(begun[0], Outcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1 and len(begun) == 1
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize("number", [60, 300])
 def test_of_a_burst_that_leaves_none_is_given_the_place_of_another(rig, begun, leave, number):
     # Each close called off a read that was out, and its place at the origin went to the next who had left.
-    proxy = rig(boxes=0, sockets=1024)
+    proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
     proxy.until(lambda: len(proxy.service.side.connections) == number)
     proxy.turn(5)
@@ -241,7 +241,7 @@
 
 
 def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, begun):
-    proxy = rig(boxes=0)
+    proxy = rig(nodes=0)
     conn = proxy.client(b"".join(read(n) for n in range(AHEAD - 1)))
     proxy.turn(5)
     before = len(begun)
@@ -258,11 +258,11 @@
 def test_what_waits_behind_a_long_value_is_not_sent_for_a_client_that_left(rig, begun, leave):
     proxy = rig(backlog=0)
     conn = taken(proxy, begun, read(1))
-    node = proxy.boxes[0].take()
+    node = proxy.nodes[0].take()
     proxy.got(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
     proxy.until(lambda: proxy.service.side.flows)
-    proxy.boxes[0].jam()
+    proxy.nodes[0].jam()
     conn.sendall(b"".join(read(number) for number in range(2, 2 + 2 * AHEAD)) + b"ms k9 70 O9")
     proxy.until(lambda: proxy.service.side.not_read)
     leave(conn)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -84,13 +84,13 @@
 
 
 @pytest.mark.parametrize("capacity", [0.05, 0.5, 5.0])
-def test_the_judge_lets_a_cold_box_fall_where_the_page_does(capacity):
+def test_the_judge_lets_a_cold_node_fall_where_the_page_does(capacity):
     mean_s = 0.02
     allowed = 3.0 * capacity * 2.0 / mean_s
     page = allowed + 2.0 * allowed**0.5 + 2.0
     judge = Judge(rules=Rules(0.5, 2.0, 3.0))
     for number in range(int(page) + 1):
-        judge.work(1.0 + number * 1e-5, "box", mean_s, capacity, True, mean_s)
+        judge.work(1.0 + number * 1e-5, "node", mean_s, capacity, True, mean_s)
     assert judge.counts["cold"] == 1
 
 
@@ -98,7 +98,7 @@
 def test_the_judge_asks_who_had_been_told_of_the_start(knowing, breaks):
     judge = Judge(rules=Rules(0.5, 2.0, 3.0))
     for number in range(400):
-        judge.work(1.0, "box", 0.02, 0.5, True, 0.02, told=number % 10 < 10 * knowing, done_s=0.0)
+        judge.work(1.0, "node", 0.02, 0.5, True, 0.02, told=number % 10 < 10 * knowing, done_s=0.0)
     assert bool(judge.counts["cold"]) == breaks
 
 
@@ -109,7 +109,7 @@
     assert summary["coldest_load"] < 0.95 and summary["service"] > 0.8, summary["ends"]
 
 
-def test_the_judge_catches_a_fleet_whose_cold_boxes_get_what_the_others_leave(monkeypatch):
+def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch):
     monkeypatch.setattr(decide, "COLD_SPILL", 1 << 30)
     monkeypatch.setattr(decide, "COLD_MOST", 1 << 30)
     assert Play(load("throng"), 2).run()["rules"]["cold"]
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -28,7 +28,7 @@
     assert len(counts.line().split()) == 2 * MAX_NAMES
 
 
-def test_a_miss_is_counted_at_the_box_and_at_the_origin():
+def test_a_miss_is_counted_at_the_node_and_at_the_origin():
     player = Player()
     for line in (
         "client send mg k v O1 Pc=page,t=acme,d=900",
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -1,4 +1,4 @@
-"""Connections to a box that is cut off for a while: no cap, and none that died with the others is used."""
+"""Connections to a node that is cut off for a while: no cap, and none that died with the others is used."""
 
 import pytest
 
@@ -8,23 +8,23 @@
 
 
 def _connects_time_out(rig, times):
-    rig.net.path(rig.boxes[0].address).silent = True
+    rig.net.path(rig.nodes[0].address).silent = True
     for _ in range(times):
         rig.attempt(0)
     rig.net.run_for(0.3)
-    rig.net.path(rig.boxes[0].address).silent = False
+    rig.net.path(rig.nodes[0].address).silent = False
 
 
-def test_a_box_that_was_cut_off_gets_as_many_connections_as_it_needs_at_once():
+def test_a_node_that_was_cut_off_gets_as_many_connections_as_it_needs_at_once():
     # lesrooster-nl split+brink, seed 13: capped at one connection by the cut, it got one more each 2 s.
     rig = Rig(1)
     rig.pools.of("s0").origin = True  # its attempts never stand behind one another
-    rig.boxes[0].work_s = 0.4  # one attempt is out all the while, on the connection that stands
+    rig.nodes[0].work_s = 0.4  # one attempt is out all the while, on the connection that stands
     rig.attempt(0)
     rig.net.run_for(0.01)
     _connects_time_out(rig, 6)
     rig.net.run_for(0.4)
-    rig.boxes[0].work_s = 0.2
+    rig.nodes[0].work_s = 0.2
     for _ in range(6):
         rig.attempt(0)
     rig.net.run_for(0.5)
@@ -52,7 +52,7 @@
     assert rig.tally.outcomes[Outcome.SERVED] == served
 
 
-def test_a_box_is_mute_only_while_an_attempt_is_overdue_and_nothing_came_since():
+def test_a_node_is_mute_only_while_an_attempt_is_overdue_and_nothing_came_since():
     back = Back(2500.0, GRACE_MS, 0.0)
     back.named("a", "origin")
     for at in range(0, 1000, 10):
@@ -64,7 +64,7 @@
     assert not back.mute("unknown", 1000.0, 9000.0)
 
 
-def test_a_box_that_answers_others_and_lets_no_more_connections_come_up_is_full():
+def test_a_node_that_answers_others_and_lets_no_more_connections_come_up_is_full():
     back = Back(2500.0, GRACE_MS, 0.0)
     back.named("a", "cache")
     back.answered("a", None, 5.0, 100.0)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -647,7 +647,7 @@
 
 
 def test_one_reset_at_a_server_that_answers_others_does_not_mark_it(drive):
-    # Garble and silent days: each spoilt answer moved all keys of its box for half a second.
+    # Garble and silent days: each spoilt answer moved all keys of its node for half a second.
     d = drive()
     owner = d.owner("k")
     d.answer(d.ask("k"), Status.RESET, 60.0)
@@ -705,7 +705,7 @@
 
 @pytest.mark.parametrize("cold", [True, False])
 def test_what_no_warm_server_may_take_goes_to_the_origin_while_others_are_cold(drive, cold):
-    # Seen on a herd day (seed 11): after a release 330 of 3,051 reads were refused since no box might take
+    # Seen on a herd day (seed 11): after a release 330 of 3,051 reads were refused since no node might take
     # them, while the origin, which held back nothing, had room.
     d = drive(servers=6, seed=3, start_capacity=0.32, warm_up_ms=8700.0)
     started = d.now if cold else 0.0
@@ -787,8 +787,8 @@
 
 
 @pytest.mark.parametrize("writes, refused", [(True, False), (False, True)])
-def test_a_box_is_passed_by_by_the_aims_of_what_it_answers(drive, writes, refused):
-    # teori-oslo wide+reset+stale: writes go to the origin, but their shorter aim called far boxes jammed.
+def test_a_node_is_passed_by_by_the_aims_of_what_it_answers(drive, writes, refused):
+    # teori-oslo wide+reset+stale: writes go to the origin, but their shorter aim called far nodes jammed.
     d = drive(classes=SLOW)
     if writes:
         d.serve(d.ask("w", cls=1, left=1000.0, write=True), 40.0)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,8 +7,8 @@
 
 from cloverwell.facade import Outcome, Send
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
-from cloverwell.net.box_connection import FLOW_READ, Sent
 from cloverwell.net.client_connection import FLOW_PIECE
+from cloverwell.net.node_connection import FLOW_READ, Sent
 from cloverwell.request import Attempt, Request
 
 SIZE = LONG + 1000
@@ -47,29 +47,29 @@
         self.room += number
 
 
-def asked(player, name="O1", client="client", box="s1"):
-    player.play(f"{client} send mg k{name} v {name} Pc=page,t=acme,d=1900\n{box} expect mg k{name} *")
-    return ends(player, client, box)
+def asked(player, name="O1", client="client", node="s1"):
+    player.play(f"{client} send mg k{name} v {name} Pc=page,t=acme,d=1900\n{node} expect mg k{name} *")
+    return ends(player, client, node)
 
 
-def ends(player, client="client", box="s1"):
-    places = [(party.partition("#")[0], int(party.partition("#")[2] or 1) - 1) for party in (client, box)]
+def ends(player, client="client", node="s1"):
+    places = [(party.partition("#")[0], int(party.partition("#")[2] or 1) - 1) for party in (client, node)]
     return player.connection(*places[0])[1], player.connection(*places[1])
 
 
 def test_it_is_passed_on_as_it_comes_but_for_its_last_byte():
     player = Player()
-    client, (box, _) = asked(player)
-    box.dataReceived(HEAD + VALUE[:100])
+    client, (node, _) = asked(player)
+    node.dataReceived(HEAD + VALUE[:100])
     assert client.value() == HEAD + VALUE[:100]
-    box.dataReceived(VALUE[100:])
+    node.dataReceived(VALUE[100:])
     assert client.value() == HEAD + VALUE[:-1]
     player.play("wait 2500")  # its time is over, and nothing of it is cut off or held back
-    box.dataReceived(b"\r\n")
+    node.dataReceived(b"\r\n")
     assert client.value() == HEAD + VALUE + b"\r\n"
     client.clear()
     asked(player, "O2")  # the connections of both sides go on
-    box.dataReceived(b"VA 1 O2\r\na\r\n")
+    node.dataReceived(b"VA 1 O2\r\na\r\n")
     assert client.value() == b"VA 1 O2\r\na\r\n"
 
 
@@ -78,10 +78,10 @@
 )
 def test_cut_at_any_boundary_it_is_the_same(place):
     player = Player()
-    client, (box, _) = asked(player)
+    client, (node, _) = asked(player)
     data = HEAD + VALUE + b"\r\n"
-    box.dataReceived(data[:place])
-    box.dataReceived(data[place:])
+    node.dataReceived(data[:place])
+    node.dataReceived(data[place:])
     assert client.value() == data
 
 
@@ -102,10 +102,10 @@
 @pytest.mark.parametrize("how", ["spoilt", "broken"])
 def test_one_that_does_not_end_as_it_must_never_looks_whole(how):
     player = Player()
-    client, (box, transport) = asked(player)
-    box.dataReceived(HEAD + VALUE)
+    client, (node, transport) = asked(player)
+    node.dataReceived(HEAD + VALUE)
     if how == "spoilt":
-        box.dataReceived(b"??")
+        node.dataReceived(b"??")
         assert transport.aborted
     else:
         player.play("s1 close")
@@ -115,7 +115,7 @@
 def test_before_its_turn_it_is_held_back_and_a_break_is_told_in_a_line():
     player = Player()
     client, _ = asked(player, "O1")
-    _, (second, transport) = asked(player, "O2", box="s1#2")
+    _, (second, transport) = asked(player, "O2", node="s1#2")
     second.dataReceived(f"VA {SIZE} O2\r\n".encode() + VALUE[:100])
     assert client.value() == b"" and transport.producerState == "paused"
     player.play("s1 send VA 1 O1|a")
@@ -123,7 +123,7 @@
     client.clear()
     second.dataReceived(VALUE[100:] + b"\r\n")
     client.clear()
-    asked(player, "O3", box="s1#2")
+    asked(player, "O3", node="s1#2")
     _, (fourth, _) = asked(player, "O4")
     fourth.dataReceived(f"VA {SIZE} O4\r\n".encode() + VALUE[:100])
     player.play("s1 close\ns1#2 send VA 1 O3|a")
@@ -132,18 +132,18 @@
 
 def test_a_client_that_leaves_ends_the_attempt_and_nothing_is_kept():
     player = Player()
-    _, (box, transport) = asked(player)
-    box.dataReceived(HEAD + VALUE[:100])
+    _, (node, transport) = asked(player)
+    node.dataReceived(HEAD + VALUE[:100])
     player.play("client close")
     assert transport.aborted and not player.service.side.flows
 
 
 def test_one_too_long_is_refused_and_the_read_goes_on_elsewhere():
     player = Player()
-    client, (box, transport) = asked(player)
-    box.dataReceived(f"VA {LONGEST + 1} O1\r\n".encode() + VALUE)
+    client, (node, transport) = asked(player)
+    node.dataReceived(f"VA {LONGEST + 1} O1\r\n".encode() + VALUE)
     assert transport.aborted and client.value() == b""
-    player.play("wait 25")  # the close must reach the box before the next attempt leaves
+    player.play("wait 25")  # the close must reach the node before the next attempt leaves
     player.play("s1#2 expect mg kO1 *")
 
 
@@ -151,26 +151,26 @@
     player = Player()
     pairs, number = [], 12
     for place in range(1, number + 1):
-        _, (box, transport) = asked(player, f"O{place}", f"client#{place}", f"s1#{place}")
-        pairs.append((box, transport, Slow(player.connection("client", place - 1)[1])))
+        _, (node, transport) = asked(player, f"O{place}", f"client#{place}", f"s1#{place}")
+        pairs.append((node, transport, Slow(player.connection("client", place - 1)[1])))
     value = b"v" * LONGEST
-    for place, (box, transport, _) in enumerate(pairs, 1):
+    for place, (node, transport, _) in enumerate(pairs, 1):
         data = f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
-        box.rest = memoryview(data)
+        node.rest = memoryview(data)
         while transport.producerState == "producing":
-            box.dataReceived(bytes(box.rest[:FLOW_READ]))
-            box.rest = box.rest[FLOW_READ:]
+            node.dataReceived(bytes(node.rest[:FLOW_READ]))
+            node.rest = node.rest[FLOW_READ:]
     side = player.service.side
     assert side.flows == number
-    held = sum(len(slow.held) + len(slow.transport.protocol._out) + len(box._in) for box, _, slow in pairs)
+    held = sum(len(slow.held) + len(slow.transport.protocol._out) + len(node._in) for node, _, slow in pairs)
     assert held <= number * (FLOW_PIECE + AHEAD[1] + 2 * FLOW_READ)
     player.play("wait 5000")
-    for place, (box, transport, slow) in enumerate(pairs, 1):
-        while box.rest:
+    for place, (node, transport, slow) in enumerate(pairs, 1):
+        while node.rest:
             slow.read(50_000)
             if transport.producerState == "producing":
-                box.dataReceived(bytes(box.rest[:FLOW_READ]))
-                box.rest = box.rest[FLOW_READ:]
+                node.dataReceived(bytes(node.rest[:FLOW_READ]))
+                node.rest = node.rest[FLOW_READ:]
         slow.read(LONGEST)
         assert bytes(slow.got) == f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
     assert not side.flows
@@ -178,8 +178,8 @@
 
 def test_one_that_stands_still_for_long_is_given_up_on_both_sides():
     player = Player()
-    client, (box, transport) = asked(player)
-    box.dataReceived(HEAD + VALUE[:100])
+    client, (node, transport) = asked(player)
+    node.dataReceived(HEAD + VALUE[:100])
     player.play("wait 9900")
     assert not client.ended
     player.play("wait 200")
@@ -188,11 +188,11 @@
 
 def test_the_end_waits_for_a_value_that_still_comes():
     player = Player()
-    client, (box, _) = asked(player)
-    box.dataReceived(HEAD + VALUE[:100])
+    client, (node, _) = asked(player)
+    node.dataReceived(HEAD + VALUE[:100])
     player.play("proxy close\nwait 2000")
     assert not player.reactor.hasStopped
-    box.dataReceived(VALUE[100:] + b"\r\n")
+    node.dataReceived(VALUE[100:] + b"\r\n")
     assert client.value() == HEAD + VALUE + b"\r\n"
     player.play("wait 600\nproxy expect end")
 
@@ -200,15 +200,15 @@
 @pytest.mark.parametrize("copies", [False, True])
 def test_an_attempt_behind_a_long_value_is_not_left_out_where_copies_are_refused(copies):
     player = Player()
-    _, (box, transport) = asked(player)
+    _, (node, transport) = asked(player)
     player.service.pools.hold = not copies
     behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
     choice = Send("O2", "s1", 0, 400.0)
-    attempt = Attempt(choice, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), box._pool, 1e9)
-    assert box.send(attempt) is Sent.OUT
-    box.dataReceived(HEAD + VALUE[:100])
-    assert box.give_up(attempt, Outcome.TIMED_OUT) and ends == [Outcome.TIMED_OUT]
+    attempt = Attempt(choice, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), node._pool, 1e9)
+    assert node.send(attempt) is Sent.OUT
+    node.dataReceived(HEAD + VALUE[:100])
+    assert node.give_up(attempt, Outcome.TIMED_OUT) and ends == [Outcome.TIMED_OUT]
     # the value goes on, or breaks off so that the attempt is out no more
     assert transport.aborted is not copies
     assert (behind.clear_ms > 0.0) is not copies
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -172,7 +172,7 @@
 
 
 def played(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
-    world = World(boxes=14 if sockets == 256 else 4, sockets=sockets)
+    world = World(nodes=14 if sockets == 256 else 4, sockets=sockets)
     clients = Clients(world.net, world.listen, sockets // 3, stay=stay)
     crowd = Silent(world.net, world.listen, silent) if silent else None
     if often:
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lab.processes import PATIENCE_S, Box, Place, Server, wait_for
+from lab.processes import PATIENCE_S, CacheNode, Place, Server, wait_for
 from lab.web import serving
 
 FEWEST = 64  # descriptors that a day may allow
@@ -98,7 +98,7 @@
     process = place.start().ready()
     most = []
     crowd = Crowd(place.listen, 2 * FEWEST, habit)
-    second = Server(("127.0.0.1", 0), Box)
+    second = Server(("127.0.0.1", 0), CacheNode)
     second.value = b"of-the-second"
     threading.Thread(target=second.serve_forever, daemon=True).start()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -194,7 +194,7 @@
     patch.setattr(CacheConnection, "command", lambda self, attempt: 4 * real(self, attempt))
 
 
-def keeps_using_a_drained_box(patch):
+def keeps_using_a_drained_node(patch):
     real = Balancer.handle
 
     def handle(self, now, event):
@@ -203,8 +203,8 @@
         return real(self, now, event)
 
     patch.setattr(Balancer, "handle", handle)
-    patch.setattr(Pools, "leave", lambda self, box: None)
-    patch.setattr(Back, "late", lambda self, box, now: False)
+    patch.setattr(Pools, "leave", lambda self, node: None)
+    patch.setattr(Back, "late", lambda self, node, now: False)
 
 
 def never_lets_clients_go(patch):
@@ -235,18 +235,18 @@
 
 
 def sends_on_while_its_close_is_on_the_way(patch):
-    patch.setattr(Back, "reach_ms", lambda self, box: 0.0)
+    patch.setattr(Back, "reach_ms", lambda self, node: 0.0)
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
-def test_no_attempt_leaves_while_one_that_was_closed_is_out_at_a_far_box(seed):
+def test_no_attempt_leaves_while_one_that_was_closed_is_out_at_a_far_node(seed):
     summary = Play(short("far-hang", 8.0), seed).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.95, summary["ends"]
 
 
 def test_the_judge_catches_an_attempt_that_leaves_before_the_close_arrives(monkeypatch):
-    # Seen at Teorifart: an attempt called off at a box 10 ms away, and the next one at a box nearby 0.2 ms
+    # Seen at Teorifart: an attempt called off at a node 10 ms away, and the next one at a node nearby 0.2 ms
     # later.
     sends_on_while_its_close_is_on_the_way(monkeypatch)
     summary = Play(short("far-hang", 8.0), 2).run()
@@ -268,7 +268,7 @@
 def test_three_zones_with_few_proxies_keep_the_rules_and_the_keys_at_home(seed):
     summary = zones(seed)
     assert not broken(summary), summary["breaches"]
-    assert summary["service"] > 0.8, summary["ends"]  # one zone has 0.7 of the traffic, a third of the boxes
+    assert summary["service"] > 0.8, summary["ends"]  # one zone has 0.7 of the traffic, a third of the nodes
     assert summary["crossed"] < 0.72, summary["crossed"]
 
 
@@ -279,24 +279,24 @@
     assert home < 0.45 and zones(2, **even)["crossed"] > 0.62
 
 
-def test_no_attempt_leaves_while_one_is_out_at_a_box_that_has_not_answered_yet(monkeypatch):
-    # Its handshake had told how far it is; the answers of boxes nearby were taken for its distance.
+def test_no_attempt_leaves_while_one_is_out_at_a_node_that_has_not_answered_yet(monkeypatch):
+    # Its handshake had told how far it is; the answers of nodes nearby were taken for its distance.
     assert not broken(zones(2, 1.0, per_s=300.0))
-    monkeypatch.setattr(Back, "reach_ms", lambda self, box: 5.0)
+    monkeypatch.setattr(Back, "reach_ms", lambda self, node: 5.0)
     assert "once" in broken(zones(2, 1.0, per_s=300.0))
 
 
-def asks_cold_boxes_as_if_warm(patch):
+def asks_cold_nodes_as_if_warm(patch):
     patch.setattr(Balancer, "_share", lambda self, now, server: 1.0)
     patch.setattr(Balancer, "_warm", lambda self, now, server: True)
 
 
 def test_a_zone_that_comes_back_cold_is_not_pushed_over(monkeypatch):
-    # Stricter than any site: 1.1 times what a cold box can do, from all proxies together.
+    # Stricter than any site: 1.1 times what a cold node can do, from all proxies together.
     strict = {"seconds": 15.0, "rules": Rules(0.5, 1.5, 1.1)}
     summary = zones(1, **strict)
     assert not broken(summary), summary["breaches"]
-    asks_cold_boxes_as_if_warm(monkeypatch)
+    asks_cold_nodes_as_if_warm(monkeypatch)
     assert "cold" in broken(zones(1, **strict))
 
 
@@ -313,7 +313,7 @@
     (answers_late, [Fault("hang", 0.5, 5.0, 0.5)], "answered"),
     (drops_what_is_open_at_its_end, [Fault("proxy_restart", 2.0, 0.5, 1.0)], "answered"),
     (tries_without_end, [], "once"),
-    (keeps_using_a_drained_box, DRAIN, "drain"),
+    (keeps_using_a_drained_node, DRAIN, "drain"),
     (tells_what_was_left_when_it_was_chosen, [], "told"),
     (tells_what_was_left_when_it_was_chosen, CRASH, "told"),
 ]
@@ -353,7 +353,7 @@
         ("wrong = 1", "wrong"),
         ('[[faults]]\nkind = "flood"\nat_s = 1', "$.faults[0].kind"),
         ('[[faults]]\nkind = "hang"\nat_s = 1\npart = 1.5', "$.faults[0].part"),
-        ('[[faults]]\nkind = "hang"\nat_s = 1\nwhom = ["box-99"]', "faults[0].whom"),
+        ('[[faults]]\nkind = "hang"\nat_s = 1\nwhom = ["node-99"]', "faults[0].whom"),
         ('[[faults]]\nkind = "hang"\nat_s = 1', "faults[0].part"),
         ("seconds = ", "Invalid"),
     ],
@@ -375,7 +375,7 @@
 
 def test_the_command_line_plays_a_world_and_writes_its_summary(tmp_path):
     path = tmp_path / "small.toml"
-    path.write_text("seconds = 1.0\n[boxes]\ncount = 3\n[traffic]\nper_s = 50.0\n")
+    path.write_text("seconds = 1.0\n[nodes]\ncount = 3\n[traffic]\nper_s = 50.0\n")
     result = CliRunner().invoke(lab, ["run", str(path), "--seed", "4", "--out", str(tmp_path / "out")])
     assert result.exit_code == 0 and "rules kept" in result.output
     summary = json.loads((tmp_path / "out" / "summary.json").read_text())
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -29,7 +29,7 @@
 
 
 def serves(player):
-    """A write needs no box, and a read is answered or refused in time."""
+    """A write needs no node, and a read is answered or refused in time."""
     assert "fault" not in player.log.getvalue(), player.log.getvalue()
     number = len(player.opened.get("client", ())) + 1
     player.play(f"client#{number} send mg k{number} v O{number} Pc=page,t=acme,d=600\nwait 620")
@@ -78,7 +78,7 @@
     serves(player)
 
 
-def test_a_box_that_one_change_both_keeps_and_ends_is_ended_everywhere():
+def test_a_node_that_one_change_both_keeps_and_ends_is_ended_everywhere():
     player = Player()
     player.play("wait 100\ndiscovery expect GET *")
     member = {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large"}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -91,9 +91,9 @@
 def test_facade_picks_reports_and_ticks():
     facade, clock = a_facade()
     choice = facade.pick(subject())
-    assert isinstance(choice, f.Send) and (choice.box, choice.number) == ("s1", 0)
+    assert isinstance(choice, f.Send) and (choice.node, choice.number) == ("s1", 0)
     fetch = facade.report(choice, f.Outcome.MISS)
-    assert isinstance(fetch, f.Send) and (fetch.box, fetch.number) == ("origin", 1)
+    assert isinstance(fetch, f.Send) and (fetch.node, fetch.number) == ("origin", 1)
     # Another read of the key waits for that fetch; its choice comes with a tick, not with a report.
     assert facade.pick(subject("r2")) == f.WAIT
     assert facade.report(fetch, f.Outcome.SERVED) == f.WAIT
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("grace_ms", [500.0, 1000.0])
-def test_a_leaving_box_gets_no_new_attempt_past_the_sites_own_drain_time(monkeypatch, grace_ms):
+def test_a_leaving_node_gets_no_new_attempt_past_the_sites_own_drain_time(monkeypatch, grace_ms):
     # Held at the first site by luck: its 1 s was built in, where another site's rule is 500 ms.
     import lab.proxy
 
@@ -218,20 +218,20 @@
     assert back.late("s0", now + grace_ms - 50.0)
 
 
-def test_a_marked_box_gets_a_trial_where_probes_are_allowed_but_none_is_carried_out():
+def test_a_marked_node_gets_a_trial_where_probes_are_allowed_but_none_is_carried_out():
     # Seen at Teorifart, where probes are allowed: "marked missed", then only "not carried out: Probe", and
-    # the box's keys went to others for as long as the list stood.
+    # the node's keys went to others for as long as the list stood.
     clock = SimpleNamespace(now=1000.0)
     settings = read_settings(SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}})
     facade = f.Facade(settings, 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("s2"), ServerEntry("origin", kind=1))
     facade.report(f.Watch(), f.News(1, True, entries, held=True))
     names = (f"k{n}" for n in range(1000))
-    key = next(key for key in names if facade.pick(subject(f"first {key}", key=key)).box == "s1")
+    key = next(key for key in names if facade.pick(subject(f"first {key}", key=key)).node == "s1")
     facade.report(facade.pick(subject("r0", key=key)), f.Outcome.NOT_CONNECTED)
     assert "s1 marked missed" in [
         choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.Note)
     ]
     clock.now += 600.0
     facade.tick(clock.now)
-    assert facade.pick(subject("r1", key=key)).box == "s1"
+    assert facade.pick(subject("r1", key=key)).node == "s1"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from lab.processes import PATIENCE_S, Box, Clients, Place
+from lab.processes import PATIENCE_S, CacheNode, Clients, Place
 
 FLEET = 6
 READY_S = 10.0  # nine in ten of those that come back have so long
 
 
-class Hanging(Box):
+class Hanging(CacheNode):
     """Takes what asks for a key in `h`, and never answers it."""
 
     def handle(self):
@@ -77,7 +77,7 @@
             full.listen(4 * FLEET)
         fleet = places(FLEET, full.getsockname())
         for place in fleet:
-            place.box.RequestHandlerClass = Hanging
+            place.node.RequestHandlerClass = Hanging
         before = [place.start() for place in fleet]
         for process in before:
             process.ready()
@@ -105,7 +105,7 @@
 
 def test_ended_with_requests_in_hand_it_answers_each_and_exits_with_0(places):
     (place,) = places()
-    place.box.RequestHandlerClass = Hanging
+    place.node.RequestHandlerClass = Hanging
     process = place.start().ready()
     piped, resting, half, hung = (connect(place) for _ in range(4))
     resting.sendall(b"mn\r\n")
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("known, delay_s", [("known", 0.0), ("known", 2.5), ("none", 2.5)])
 def test_real_processes_killed_at_once_are_ready_and_serve(places, known, delay_s):
     told = [json.loads(place.config.read_text()) for place in places]
-    # One box for all: discovery tells the same to each.
+    # One node for all: discovery tells the same to each.
     members = told[0]["known"]["members"]
     with serving(("127.0.0.1", 0), members, delay_s) as discovery:
         for place, config in zip(places, told, strict=True):
@@ -183,7 +183,7 @@
             clients = Clients(place.listen, 1)
             clients.more(5)
             clients.stop()
-        if known == "none":  # answers until the list came were refusals; after it they are the box's
+        if known == "none":  # answers until the list came were refusals; after it they are the node's
             for place in places:
                 place.processes[-1].says("serves on")
                 assert eventually_served(place)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -24,7 +24,7 @@
 
 
 def test_the_last_attempt_of_a_read_is_the_origins(drive):
-    # Seen with 60 boxes of which 36 were replaced: more than half of the refusals had asked three full boxes,
+    # Seen with 60 nodes of which 36 were replaced: more than half of the refusals had asked three full nodes,
     # or two and one that missed, and the origin, which had room, was never asked.
     d = drive(servers=8)
     name = d.ask()
@@ -142,12 +142,12 @@
 
 
 def test_a_keyed_read_that_may_have_run_goes_to_the_origin_only_in_its_group(drive):
-    # Seen on a customer's fares: a time-out at a box, a miss at the next, then the origin of another zone.
+    # Seen on a customer's fares: a time-out at a node, a miss at the next, then the origin of another zone.
     cls = api.RequestClass(500.0, 2000.0, api.Effect.KEYED, api.Group.ZONE, 1500.0)
     for zone in (0, 1):
         d = drive(servers=0, origin=False, classes=(cls,), origin_kind=7, zones=("a", "b"))
-        boxes = [api.ServerEntry(name, zone=1) for name in ("s0", "s1")]
-        d.list(api.ListKind.FULL, [*boxes, api.ServerEntry("origin", kind=7, zone=zone)])
+        nodes = [api.ServerEntry(name, zone=1) for name in ("s0", "s1")]
+        d.list(api.ListKind.FULL, [*nodes, api.ServerEntry("origin", kind=7, zone=zone)])
         name = d.ask("k")
         d.answer(name, Status.ERROR, after=1.0)
         d.answer(name, Status.MISS, after=1.0)
@@ -384,8 +384,8 @@
     assert not d.probes
 
 
-def test_a_box_that_one_list_names_twice_is_what_it_names_last(drive):
-    # Found by chance: a change that told a box's end twice ended the program.
+def test_a_node_that_one_list_names_twice_is_what_it_names_last(drive):
+    # Found by chance: a change that told a node's end twice ended the program.
     gone, back = api.ServerEntry("s1", api.ServerState.GONE), api.ServerEntry("s1")
     for told, there in ((gone, gone), False), ((back, gone), False), ((gone, back), True):
         d = drive()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -110,8 +110,8 @@
     )
 
 
-def test_pools_of_boxes_that_are_gone_do_not_gather():
-    # A day of rolling deploys names hundreds of boxes; each pool kept is memory for ever.
+def test_pools_of_nodes_that_are_gone_do_not_gather():
+    # A day of rolling deploys names hundreds of nodes; each pool kept is memory for ever.
     player = Player()
     player.play(
         "wait 100\ndiscovery expect GET *\nclient send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg *"
@@ -200,9 +200,9 @@
 
 
 @pytest.mark.parametrize("size", [65_537, 400_000])
-def test_a_large_value_is_passed_on_from_box_and_origin(size):
-    # Seen on leave days: boxes and origin answer with up to 400 KB. Over 64 KB it was taken for spoilt, the
-    # request failed, and the box was marked missed.
+def test_a_large_value_is_passed_on_from_node_and_origin(size):
+    # Seen on leave days: cache nodes and origin answer with up to 400 KB. Over 64 KB it was taken for spoilt,
+    # the request failed, and the node was marked missed.
     player, body = Player(), "x" * size
     player.play("client send mg k v O1 Pc=page,t=acme,d=900\ns1 expect mg *")
     protocol, _ = player.connection("s1", 0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -102,7 +102,7 @@
         (settings("peers-total"), 0),
         (settings("zones"), [1]),
         (settings("zone"), 7),
-        (settings("specifics", "origin-kind"), 9),  # no box was the origin
+        (settings("specifics", "origin-kind"), 9),  # no node was the origin
         (settings("membership-mode"), "sometimes"),  # taken for on_request: nobody followed the list
         (("limits", "memory_mb"), 0),
         (("limits", "cores"), -1),
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -36,7 +36,7 @@
 def test_a_close_is_seen_while_its_connection_is_held_and_nothing_that_waits_is_sent(rig, leave):
     # Before: 64 commands in hand stop the reading, and with it the news that the client has left.
     proxy = rig(backlog=0)
-    proxy.boxes[0].jam()
+    proxy.nodes[0].jam()
     conn = proxy.client(b"".join(read(number) for number in range(3 * AHEAD)))
     proxy.until(lambda: proxy.service.dispatcher.open_count == AHEAD)
     assert proxy.service.side.not_read
@@ -70,7 +70,7 @@
     proxy.lag(350.0)
     proxy.turn()
     assert not proxy.service.dispatcher.open_count and not proxy.service.side.connections
-    assert proxy.origin._accept() is None and proxy.boxes[0]._accept() is None
+    assert proxy.origin._accept() is None and proxy.nodes[0]._accept() is None
 
 
 # The close of a resting connection ----------------------------------------------------------------
@@ -79,7 +79,7 @@
 def test_a_request_that_comes_between_the_decision_to_close_and_the_close_is_never_sent_on(rig, monkeypatch):
     proxy = rig()
     conn = proxy.client(read(1))
-    node = proxy.boxes[0].take()
+    node = proxy.nodes[0].take()
     proxy.got(node, b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
     proxy.until(lambda: not proxy.service.dispatcher.open_count)
@@ -101,19 +101,19 @@
 def test_a_request_that_stands_unread_keeps_its_connection_open(rig):
     proxy = rig()
     conn = proxy.client(read(1))
-    node = proxy.boxes[0].take()
+    node = proxy.nodes[0].take()
     served(proxy, conn, node, 1)
     # It is in the machine's buffer when the sweep looks, and has time left: what the loop was held up counts.
     conn.sendall(read(2, 30_000))
     proxy.lag(10_050.0)
-    served(proxy, conn, proxy.boxes[0].take(), 2)
+    served(proxy, conn, proxy.nodes[0].take(), 2)
 
 
 # Planned ends -------------------------------------------------------------------------------------
 
 
-def test_at_a_planned_end_all_that_was_taken_is_answered_while_a_third_of_the_boxes_hang(rig):
-    proxy = rig(boxes=3)
+def test_at_a_planned_end_all_that_was_taken_is_answered_while_a_third_of_the_nodes_hang(rig):
+    proxy = rig(nodes=3)
     flights = [proxy.client(b"".join(read(10 * place + n, 900) for n in range(5))) for place in range(6)]
     half = proxy.client(write(99, value=b"hello")[:-4])
     resting = proxy.client(b"mn\r\n")
@@ -122,9 +122,9 @@
     late = proxy.client(read(70, 900))  # it connects after the signal
 
     def play():
-        for place, node in enumerate([*proxy.boxes, proxy.origin]):
+        for place, node in enumerate([*proxy.nodes, proxy.origin]):
             node._accept()
-            for conn in node.taken * (place != 0):  # the first box hangs
+            for conn in node.taken * (place != 0):  # the first node hangs
                 try:
                     data = conn.recv(1 << 16)
                 except BlockingIOError:
@@ -158,7 +158,7 @@
 def test_what_comes_on_an_old_connection_up_to_the_end_is_answered(rig):
     proxy = rig()
     conn = proxy.client(read(1))
-    node = proxy.boxes[0].take()
+    node = proxy.nodes[0].take()
     served(proxy, conn, node, 1)
     proxy.service.stop()
     for number in range(2, 8):
@@ -183,7 +183,7 @@
         assert proxy.got(conn, b"\r\n") == b"MN\r\n"
 
 
-# What boxes do to their connections ---------------------------------------------------------------
+# What nodes do to their connections ---------------------------------------------------------------
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
@@ -209,11 +209,11 @@
 def test_a_second_or_half_answer_a_little_late_never_reaches_the_next_request(rig, noise):
     proxy = rig()
     conn = proxy.client(read(1))
-    node = proxy.boxes[0].take()
+    node = proxy.nodes[0].take()
     served(proxy, conn, node, 1)
     node.sendall(noise)  # it is there, and not read yet, when the next request is
     next(iter(proxy.service.side.connections)).dataReceived(read(2))
-    second = proxy.boxes[0].take()
+    second = proxy.nodes[0].take()
     served(proxy, conn, second, 2, b"two")
     assert proxy.ended(node).endswith((b"END", b"RESET"))
 
@@ -232,15 +232,15 @@
 
 
 @pytest.mark.parametrize("cut", [8, 12])
-def test_a_box_that_resets_in_the_middle_of_its_answer_has_it_asked_elsewhere(rig, cut):
-    proxy = rig(boxes=2)
+def test_a_node_that_resets_in_the_middle_of_its_answer_has_it_asked_elsewhere(rig, cut):
+    proxy = rig(nodes=2)
     conn = proxy.client(read(1))
-    taken = proxy.until(lambda: [c for c in (box._accept() for box in proxy.boxes) if c])[0]
+    taken = proxy.until(lambda: [c for c in (node._accept() for node in proxy.nodes) if c])[0]
     proxy.got(taken, b"mg k1 ")
     taken.sendall(b"VA 5 O1\r\nhello\r\n"[:cut])
     proxy.turn()
     reset(taken)
-    again = proxy.until(lambda: [c for c in (box._accept() for box in proxy.boxes) if c])[0]
+    again = proxy.until(lambda: [c for c in (node._accept() for node in proxy.nodes) if c])[0]
     proxy.got(again, b"mg k1 ")
     again.sendall(b"VA 5 O1\r\nworld\r\n")
     assert proxy.got(conn, b"\r\n", 2) == b"VA 5 O1\r\nworld\r\n"
@@ -256,7 +256,7 @@
 def test_a_connection_that_ends_under_a_whole_request_may_have_run_it(rig, end, after_ms, cls, again):
     proxy = rig()
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
-    proxy.service.back.ahead = lambda box, opened, now: 0
+    proxy.service.back.ahead = lambda node, opened, now: 0
     conn = proxy.client(write(1, cls=cls))
     node = proxy.origin.take()
     proxy.got(node, b"PUT /k1 ")
@@ -298,7 +298,7 @@
 
 def test_a_connection_that_never_comes_up_ends_its_attempt_in_time_and_gives_its_place_back(rig):
     proxy = rig(backlog=0)
-    proxy.boxes[0].jam()
+    proxy.nodes[0].jam()
     held = dict(proxy.service.budget.held)
     conn = proxy.client(read(1, 900))
     proxy.until(lambda: proxy.service.pools.of("s1").opening)
@@ -310,16 +310,16 @@
 
 
 def test_a_connection_that_comes_up_late_is_the_next_requests_and_not_the_dead_ones(rig):
-    limits = SETTINGS["limits"] | {"connect-timeout": 9000.0}  # the box's machine asks again after a second
+    limits = SETTINGS["limits"] | {"connect-timeout": 9000.0}  # the node's machine asks again after a second
     proxy = rig(backlog=0, settings=SETTINGS | {"limits": limits})
-    held = proxy.boxes[0].jam()
+    held = proxy.nodes[0].jam()
     conn = proxy.client(read(1, 400))
     proxy.until(lambda: proxy.service.pools.of("s1").opening)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     assert not proxy.service.pools.of("s1")._waiting
     for one in held:
         one.close()
-    late = proxy.boxes[0].take()
+    late = proxy.nodes[0].take()
     conn.sendall(read(2, 4000))
     assert proxy.got(late, b"mg k2 ").startswith(b"mg k2 ")
     late.sendall(b"VA 1 O2\r\nx\r\n")
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -23,18 +23,18 @@
 
 
 def far_and_says_so(rig):
-    """Handshakes are dear, and boxes take what was opened ahead away again."""
-    for box in rig.boxes:
-        box.idle_s, box.says_so = (lambda now_s: 0.3), True
-        rig.net.path(box.address).latency_s = 0.01
+    """Handshakes are dear, and nodes take what was opened ahead away again."""
+    for node in rig.nodes:
+        node.idle_s, node.says_so = (lambda now_s: 0.3), True
+        rig.net.path(node.address).latency_s = 0.01
 
 
 SETUPS = {**PATTERNS, "10 ms away, says so after 0.3 s": far_and_says_so}
 
 
-def day(pattern, seed, descriptors, boxes=6):
-    """All that pools do in a day with bursts, lulls, drains, returns and cold boxes: when, what and where."""
-    rig = Rig(boxes, descriptors, idle_close_ms=4000.0)
+def day(pattern, seed, descriptors, nodes=6):
+    """All that pools do in a day with bursts, lulls, drains, returns and cold nodes: when, what and where."""
+    rig = Rig(nodes, descriptors, idle_close_ms=4000.0)
     SETUPS[pattern](rig)
     done, rng = [], Random(seed)
     count = rig.figures.add
@@ -46,13 +46,13 @@
     rig.figures.add = add
     for part in range(4):
         rig.load(rng.choice((3.0, 40.0, 150.0)), rng.uniform(1.0, 6.0), seed=100 * seed + part)
-        place = rng.randrange(boxes)
+        place = rng.randrange(nodes)
         rig.pools.leave(f"s{place}")
         rig.net.run_for(rng.uniform(0.1, 6.0))
         cold_until_ms = rig.now() + rng.choice((-1.0, 700.0))
-        rig.pools.name(f"s{place}", *rig.boxes[place].address, False, cold_until_ms)
+        rig.pools.name(f"s{place}", *rig.nodes[place].address, False, cold_until_ms)
     rig.net.run_for(9.0)
-    return done, rig.tally.outcomes, rig.tally.waits_ms, [box.opened_at for box in rig.boxes]
+    return done, rig.tally.outcomes, rig.tally.waits_ms, [node.opened_at for node in rig.nodes]
 
 
 @pytest.mark.parametrize("descriptors", [16, 512])
@@ -66,7 +66,7 @@
         assert day(pattern, seed, descriptors) == expected
         kinds |= {what for _, what, _ in expected[0]}
     assert {What.OPENED, What.REUSED} <= kinds
-    assert What.RETIRED in kinds or "says so" in pattern  # there the boxes close first
+    assert What.RETIRED in kinds or "says so" in pattern  # there the nodes close first
     assert What.AHEAD in kinds or not pattern.startswith("10 ms away") or descriptors < 512
 
 
@@ -74,22 +74,22 @@
     seen = []
     sweep = Pool.sweep
     with monkeypatch.context() as patched:
-        patched.setattr(Pool, "sweep", lambda pool, now: (seen.append(pool.box), sweep(pool, now)))
+        patched.setattr(Pool, "sweep", lambda pool, now: (seen.append(pool.node), sweep(pool, now)))
         rig.net.run_for(seconds)
     return seen
 
 
 def test_a_quiet_fleet_is_not_visited_however_large(monkeypatch):
-    for boxes in (24, 96, 384):
-        rig = Rig(boxes)
-        assert len(visits(monkeypatch, rig, 0.1)) <= boxes
+    for nodes in (24, 96, 384):
+        rig = Rig(nodes)
+        assert len(visits(monkeypatch, rig, 0.1)) <= nodes
         assert visits(monkeypatch, rig, 60.0) == []
 
 
-def test_visits_follow_the_attempts_and_not_the_boxes(monkeypatch):
+def test_visits_follow_the_attempts_and_not_the_nodes(monkeypatch):
     counts = []
-    for boxes in (24, 96, 384):
-        rig = Rig(boxes, idle_close_ms=4000.0)
+    for nodes in (24, 96, 384):
+        rig = Rig(nodes, idle_close_ms=4000.0)
         rig.net.run_for(0.1)
         for place in range(10):
             rig.attempt(place)
@@ -98,9 +98,9 @@
     assert counts[0] == counts[1] == counts[2] and counts[0] <= 60
 
 
-def test_a_box_that_left_is_visited_until_its_last_attempt_is_over_and_then_forgotten(monkeypatch):
+def test_a_node_that_left_is_visited_until_its_last_attempt_is_over_and_then_forgotten(monkeypatch):
     rig = Rig(3)
-    rig.boxes[0].work_s = 0.4
+    rig.nodes[0].work_s = 0.4
     rig.attempt(0)
     rig.net.run_for(0.1)
     rig.pools.leave("s0")
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -14,7 +14,7 @@
 from cloverwell.log import Log
 from cloverwell.net.routing_table import Listing, Member
 from cloverwell.service import Service
-from lab.boxes import Box
+from lab.cache_nodes import CacheNode
 from lab.net import Net
 from lab.proxy import SETTINGS
 from lab.world import World
@@ -103,11 +103,11 @@
 
 def test_every_one_of_1024_nodes_is_asked_for_its_keys():
     net = Net()
-    boxes = [Box(net, address(number), seed=number) for number in range(NODES)]
+    nodes = [CacheNode(net, address(number), seed=number) for number in range(NODES)]
     proxy = service(net, [*map(member, range(NODES)), ORIGIN])
     balancer = proxy.dispatcher._facade._balancer
     owners = {next(balancer._walk(net.now_ms(), place << 47, 1)).entry.server for place in range(1 << 17)}
-    assert len(boxes) == NODES and len(owners) == NODES
+    assert len(nodes) == NODES and len(owners) == NODES
     assert all(ask(net, number).startswith(b"VA ") for number in range(40))
 
 
@@ -126,7 +126,7 @@
 
 
 def test_the_lab_plays_as_many_proxies():
-    world = msgspec.convert({"proxies": PROXIES, "boxes": {"count": NODES}}, World)
+    world = msgspec.convert({"proxies": PROXIES, "nodes": {"count": NODES}}, World)
     assert world.proxies == PROXIES
 
 
@@ -154,6 +154,6 @@
     proxy = service(net, [*map(member, range(NODES)), ORIGIN])
     net.run_for(0.5)  # each has been looked at once, behind the list that named it
     swept = []
-    monkeypatch.setattr(type(proxy.pools.of("origin")), "sweep", lambda pool, now: swept.append(pool.box))
+    monkeypatch.setattr(type(proxy.pools.of("origin")), "sweep", lambda pool, now: swept.append(pool.node))
     net.run_for(60.0)
     assert not swept
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -63,7 +63,7 @@
 
 def test_a_further_attempt_that_waits_for_the_close_of_the_first_tells_what_is_left_then():
     player = Player(settings=without_copies())
-    player.service.back.reach_ms = lambda box: 60.0
+    player.service.back.reach_ms = lambda node: 60.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("waited, leaves", [(190, True), (201, False)])
 def test_a_repeat_whose_window_ends_while_it_waits_for_a_connection_is_not_sent(waited, leaves):
-    # Boxes drop a repeat for 1500 ms: one that leaves later may run twice.
+    # Nodes drop a repeat for 1500 ms: one that leaves later may run twice.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=1950|a\norigin expect PUT *")
     player.play("wait 1300\norigin close")
@@ -101,7 +101,7 @@
 def test_a_second_attempt_that_waits_for_the_close_of_the_first(stays):
     # Where a request may not have two attempts out together, the next waits until the close has arrived.
     player = Player(settings=settings_with("limits", **{"second-copies": False}))
-    player.service.back.reach_ms = lambda box: 40.0
+    player.service.back.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
@@ -115,7 +115,7 @@
 
 
 def test_a_command_that_was_cut_off_in_the_middle_never_ran_and_goes_elsewhere():
-    # The machine has taken three bytes when the box breaks off: an order can't run without its last byte.
+    # The machine has taken three bytes when the node breaks off: an order can't run without its last byte.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=1900|a")
     player.play("origin expect PUT *\norigin send 200 r1\nclient expect HD O1 cr1")
@@ -135,7 +135,7 @@
     assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 0
 
 
-def test_a_box_that_moves_gets_nothing_more_at_its_old_address():
+def test_a_node_that_moves_gets_nothing_more_at_its_old_address():
     player = Player()
     player.ports["s1b"] = 301
     player.play("wait 100\nclient send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 *")
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("line", ["SERVER_ERROR busy", "SERVER_ERROR failed"])
-def test_nor_is_a_boxs_refusal_which_bears_no_id_either(line):
+def test_nor_is_a_nodes_refusal_which_bears_no_id_either(line):
     # Taken for the next one's, a late copy would count a read that ran as one that never did.
     player = Player()
     player.play(f"client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 *\ns1 send {line}")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -28,7 +28,7 @@
 
 
 def test_what_a_small_zone_cannot_carry_goes_where_the_others_ask_for_it(drive):
-    # Seen: 45 boxes in one zone, 15 in the other, proxies even; each key crossed as often as not.
+    # Seen: 45 nodes in one zone, 15 in the other, proxies even; each key crossed as often as not.
     west, east = owners(fleet(drive, WEST, east=9, west=3)), owners(fleet(drive, EAST, east=9, west=3))
     assert 0.42 < part_at(west, "w") < 0.58
     assert part_at(east, "e") == 1.0
