--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cloverwell.net.routing_table import PHASES, Listing, TableError, split_address
+from cloverwell.net.server_list import PHASES, Listing, ServerListError, split_address
 from olivestair.api import Settings
 from olivestair.settings import check_whole, read_settings
 
@@ -93,7 +93,7 @@
         raise ConfigError(f"{field}: is missing")
     try:
         return split_address(text)
-    except TableError as error:
+    except ServerListError as error:
         raise ConfigError(f"{field}: {error}") from None
 
 
--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -98,7 +98,7 @@
     # What is known of nodes ---------------------------------------------------------------------
 
     def named(self, node: str, kind: str, cold_until_ms: float = -math.inf) -> None:
-        """The routing table has it, ready."""
+        """The server list has it, ready."""
         entry = self._nodes.get(node)
         if entry is None:
             entry = self._nodes[node] = Node(kind)
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -28,7 +28,7 @@
         self._open: dict[str, Request] = {}
         self._settling = False
         self._close_by_ms = math.inf
-        self.watch: Callable[[], None] = lambda: None  # the routing table's
+        self.watch: Callable[[], None] = lambda: None  # the server list's
         self.list_age_ms: Callable[[], float] = lambda: 0.0  # the same
         wheel.each_tick = self.settle
 
--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cloverwell.net.routing_table import MAX_LIST, Listing, TableError, split_address
+from cloverwell.net.server_list import MAX_LIST, Listing, ServerListError, split_address
 
 VERSION = 1
 MAX_HELLO = 1024
@@ -58,7 +58,7 @@
         try:
             for member in message.table.members:
                 split_address(member.host_port)
-        except TableError as error:
+        except ServerListError as error:
             raise HandoverError(str(error)) from None
     return message
 
--- a/cloverwell/net/pool.py
+++ b/cloverwell/net/pool.py
@@ -68,7 +68,7 @@
         self.connections: list[NodeConnection] = []
         self.idle: list[NodeConnection] = []  # used last at the end
         self.opening = 0
-        self.left = False  # off the routing table
+        self.left = False  # off the server list
         self.begun = pools.begun
         self._waiting: deque[Attempt] = deque()
 
--- a/cloverwell/net/pools.py
+++ b/cloverwell/net/pools.py
@@ -109,7 +109,7 @@
         return set(self._pools)
 
     def name(self, node: str, host: str, port: int, origin: bool, cold_until_ms: float) -> None:
-        """A node that the routing table names, with its address as it is now."""
+        """A node that the server list names, with its address as it is now."""
         pool = self._pools.get(node)
         if pool is None:
             pool = self._add(node, origin)
--- a/cloverwell/net/routing_table.py
+++ b/cloverwell/net/server_list.py
@@ -57,18 +57,18 @@
     members: list[Member]
 
 
-class TableError(ValueError):
+class ServerListError(ValueError):
     """A listing that can't be used."""
 
 
 def split_address(text: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise TableError(f"not an address: {text[:60]!r}")
+        raise ServerListError(f"not an address: {text[:60]!r}")
     return host, int(port)
 
 
-class RoutingTable:
+class ServerList:
     """Tells the facade what discovery says, and the pools where a node is."""
 
     def __init__(
@@ -153,7 +153,7 @@
 
     def _entry(self, member: Member) -> ServerEntry:
         if member.phase not in PHASES:
-            raise TableError(f"unknown phase {member.phase[:60]!r}")
+            raise ServerListError(f"unknown phase {member.phase[:60]!r}")
         started = member.up_since_ms + self._epoch_ms if member.up_since_ms else 0.0
         return ServerEntry(
             server=member.id,
@@ -243,7 +243,7 @@
         try:
             listing = msgspec.json.decode(body, type=Listing)
             self._take(listing)
-        except (msgspec.MsgspecError, TableError, UnicodeDecodeError) as error:
+        except (msgspec.MsgspecError, ServerListError, UnicodeDecodeError) as error:
             return self.failed(f"malformed: {error}")
         self._heard_ms = self._wheel.now()
         self._retry.answered()
@@ -309,9 +309,9 @@
 class WatchConnection(HttpReceiver):
     max_body = MAX_LIST
 
-    def __init__(self, table: RoutingTable, target: str, host: str) -> None:
+    def __init__(self, server_list: ServerList, target: str, host: str) -> None:
         super().__init__()
-        self._table = table
+        self._server_list = server_list
         self._target = target
         self._host = host
         self._used = False  # it has carried an answer before the call that is out
@@ -319,7 +319,7 @@
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        self._table.opened(self)
+        self._server_list.opened(self)
         self.call(self._target)
 
     def dataReceived(self, data: bytes) -> None:
@@ -334,39 +334,39 @@
         if headers.get("connection", "").lower() == "close":
             self.end()
         self._used = True
-        if self._table.is_current(self):
-            self._table.answered(status, body)
+        if self._server_list.is_current(self):
+            self._server_list.answered(status, body)
 
     def framingLost(self, reason: str) -> None:
         self.end(abort=True)
-        if self._table.is_current(self):
-            self._table.failed(f"malformed: {reason}")
+        if self._server_list.is_current(self):
+            self._server_list.failed(f"malformed: {reason}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         was_ended = self.ended or self.ends_body(reason)
         super().connectionLost(reason)
-        if was_ended or not self._table.is_current(self):
+        if was_ended or not self._server_list.is_current(self):
             return
         if self._used and not self._heard:
             # Kept from the last call and closed as this one was on its way: a fresh connection will do, and
             # the watch goes on. To fail the call would cost up to half a second of news.
-            self._table.again(self._target)
+            self._server_list.again(self._target)
         else:
-            self._table.failed("connection lost")
+            self._server_list.failed("connection lost")
 
 
 class _Opener(ClientFactory):
     noisy = False
 
-    def __init__(self, table: RoutingTable, target: str) -> None:
-        self._table = table
+    def __init__(self, server_list: ServerList, target: str) -> None:
+        self._server_list = server_list
         self._target = target
 
     def buildProtocol(self, addr: IAddress) -> WatchConnection | None:
-        if not self._table.is_current(self):
+        if not self._server_list.is_current(self):
             return None
-        return WatchConnection(self._table, self._target, f"{addr.host}:{addr.port}")
+        return WatchConnection(self._server_list, self._target, f"{addr.host}:{addr.port}")
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        if self._table.is_current(self):
-            self._table.failed(f"not connected: {reason.getErrorMessage()}")
+        if self._server_list.is_current(self):
+            self._server_list.failed(f"not connected: {reason.getErrorMessage()}")
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -24,7 +24,7 @@
 from cloverwell.net.origin_connection import OriginConnection
 from cloverwell.net.pool import Pool
 from cloverwell.net.pools import Pools
-from cloverwell.net.routing_table import RoutingTable
+from cloverwell.net.server_list import ServerList
 from cloverwell.serving import Serving, State
 from cloverwell.wheel import Wheel
 
@@ -103,7 +103,7 @@
         )
         facade = Facade(settings, config.seed, now)
         self.dispatcher = Dispatcher(facade, self.wheel, self.pools, log, self.counts)
-        self.table = RoutingTable(
+        self.server_list = ServerList(
             reactor,
             self.wheel,
             settings,
@@ -114,9 +114,9 @@
             self.counts,
             config.seed,
         )
-        self.table.tell = self.dispatcher.news
-        self.dispatcher.watch = self.table.watch
-        self.dispatcher.list_age_ms = self.table.age_ms
+        self.server_list.tell = self.dispatcher.news
+        self.dispatcher.watch = self.server_list.watch
+        self.dispatcher.list_age_ms = self.server_list.age_ms
         asking = int(ASKING_SHARE * config.limits.sockets)
         flow_bytes = int(FLOW_SHARE * config.limits.memory_mb * 1024 * 1024)
         self.side = ClientConnections(
@@ -147,7 +147,7 @@
         known = self._config.known
         if self._left is not None and self._left.estate.table.revision > known.revision:
             known = self._left.estate.table
-        self.table.start(known)
+        self.server_list.start(known)
         self._tell_figures()
         self._tell_counts()
         host, port = self._config.listen
@@ -201,7 +201,7 @@
             return
         host, port = config.discovery
         self._log.info("reload", f"discovery is at {host}:{port}")
-        self.table.move(config.discovery)
+        self.server_list.move(config.discovery)
 
     # Another process in our place -----------------------------------------------------------------
 
@@ -214,7 +214,7 @@
         keep = min(full - FD_MIN, max(full // 2, self._spare + used + SPARE_DESCRIPTORS))
         self._divide(keep)
         held = self._spare + sum(self.budget.held.values())
-        estate = Estate(VERSION, max(FD_MIN, full - max(keep, held)), self.table.listing())
+        estate = Estate(VERSION, max(FD_MIN, full - max(keep, held)), self.server_list.listing())
         return estate, self._port.share()
 
     def _divide(self, sockets: int) -> None:
@@ -307,7 +307,7 @@
             self._operators.stopListening()
         if self._will is not None:
             self._will.close()
-        self.table.stop()
+        self.server_list.stop()
         self._log.info("connections", self.figures.line(*What))
         self._tell_counts()
         self._log.info("stop", "all is answered")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
 from cloverwell.net.port import listen
-from cloverwell.net.routing_table import Listing, Member
+from cloverwell.net.server_list import Listing, Member
 from cloverwell.service import Service
 from cloverwell.wheel import monotonic_ms
 from lab.proxy import SETTINGS
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -80,7 +80,7 @@
 
     def knowing(self):
         return sum(
-            proxy.service.table.listing().revision >= self.discovery.revision for proxy in self.proxies
+            proxy.service.server_list.listing().revision >= self.discovery.revision for proxy in self.proxies
         )
 
 
