--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -30,7 +30,7 @@
     listen: str
 
 
-class Estate(msgspec.Struct):
+class HandoverState(msgspec.Struct):
     """`sockets`: descriptors that the successor may hold until its predecessor has gone; `table`: the list as
     it was told last."""
 
@@ -54,7 +54,7 @@
         raise HandoverError(f"malformed: {error}") from None
     if (version := getattr(message, "version", VERSION)) != VERSION:
         raise HandoverError(f"version {version}, not {VERSION}")
-    if isinstance(message, Estate):
+    if isinstance(message, HandoverState):
         try:
             for member in message.table.members:
                 split_address(member.host_port)
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.handover import messages
-from cloverwell.handover.messages import Estate, HandoverError, Hello, Serves
+from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
 from cloverwell.handover.sockets import clear, is_ours, short
 from cloverwell.log import Log
 from cloverwell.wheel import Wheel
@@ -25,13 +25,13 @@
 class Owner(Protocol):
     """Whose address is taken over."""
 
-    def bequeath(self) -> tuple[Estate, int]:
+    def hand_over(self) -> tuple[HandoverState, int]:
         """What the successor gets, and the listening socket's descriptor."""
 
     def succeeded(self) -> None:
         """The successor serves."""
 
-    def bereft(self) -> None:
+    def successor_lost(self) -> None:
         """The successor has gone: all is ours again."""
 
 
@@ -41,7 +41,7 @@
         tcp.Port.connectionLost(self, reason)
 
 
-class Will(Factory):
+class SuccessorListener(Factory):
     """Waits at `path`; one successor at a time."""
 
     noisy = False
@@ -56,7 +56,7 @@
         self.owner = owner
         self.wheel = wheel
         self.log = log
-        self.heir: Heir | None = None
+        self.successor: SuccessorConnection | None = None
         self._callers = 0
 
     def open(self) -> None:
@@ -81,56 +81,58 @@
             self._port.stopListening()
             self._port = None
 
-    def buildProtocol(self, addr: object) -> Heir | None:
+    def buildProtocol(self, addr: object) -> SuccessorConnection | None:
         if self._callers >= CALLERS:
             return None
         self._callers += 1
-        return Heir(self)
+        return SuccessorConnection(self)
 
-    def asked(self, caller: Heir, hello: Hello) -> None:
-        if self.heir is not None:
+    def asked(self, caller: SuccessorConnection, hello: Hello) -> None:
+        if self.successor is not None:
             raise HandoverError("there is a successor already")
         if hello.listen != self._listen:
             raise HandoverError(f"it serves at {hello.listen[:60]!r}")
-        self.heir = caller
+        self.successor = caller
         self.close()  # the path is the successor's now
-        estate, listening = self.owner.bequeath()
+        handover_state, listening = self.owner.hand_over()
         caller.transport.sendFileDescriptor(listening)
-        caller.transport.write(messages.encode(estate))
-        self.log.info("handover", f"a successor has the port, {estate.sockets} descriptors and the list")
+        caller.transport.write(messages.encode(handover_state))
+        self.log.info(
+            "handover", f"a successor has the port, {handover_state.sockets} descriptors and the list"
+        )
 
-    def left(self, caller: Heir) -> None:
+    def left(self, caller: SuccessorConnection) -> None:
         self._callers -= 1
-        if self.heir is caller:
-            self.heir = None
-            self.owner.bereft()
+        if self.successor is caller:
+            self.successor = None
+            self.owner.successor_lost()
 
 
-class Heir(LineReceiver):
+class SuccessorConnection(LineReceiver):
     """One caller, that becomes the successor by a hello that can be read."""
 
     delimiter = messages.END
     MAX_LENGTH = messages.MAX_HELLO
 
-    def __init__(self, will: Will) -> None:
-        self._will = will
+    def __init__(self, successor_listener: SuccessorListener) -> None:
+        self._successor_listener = successor_listener
         self._timer: Any = None
 
     def connectionMade(self) -> None:
-        wheel = self._will.wheel
+        wheel = self._successor_listener.wheel
         self._timer = wheel.at(wheel.now() + HELLO_MS, lambda: self._refuse("it says nothing"))
         if not is_ours(self.transport.getHandle()):
             self._refuse("it is another user's")
 
     def lineReceived(self, line: bytes) -> None:
         try:
-            if self._will.heir is self:
+            if self._successor_listener.successor is self:
                 if messages.decode(line, Serves).serves:
-                    self._will.owner.succeeded()
+                    self._successor_listener.owner.succeeded()
                 return
             hello = messages.decode(line, Hello)
             self._timer.cancel()
-            self._will.asked(self, hello)
+            self._successor_listener.asked(self, hello)
         except HandoverError as error:
             self._refuse(str(error))
 
@@ -138,9 +140,9 @@
         self._refuse("it says too much")
 
     def _refuse(self, reason: str) -> None:
-        self._will.log.warn("handover", f"a caller is refused: {reason}".replace("\n", " "))
+        self._successor_listener.log.warn("handover", f"a caller is refused: {reason}".replace("\n", " "))
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self._timer.cancel()
-        self._will.left(self)
+        self._successor_listener.left(self)
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from cloverwell.handover import messages
-from cloverwell.handover.messages import Estate, HandoverError, Hello, Serves
+from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
 from cloverwell.handover.sockets import is_ours, short
 from cloverwell.log import Log
 
@@ -26,7 +26,7 @@
 class Predecessor:
     """What it has left us, and the conversation that ends with it."""
 
-    estate: Estate
+    handover_state: HandoverState
     listening: int  # the descriptor of the socket that clients' connections wait in
     _socket: socket.socket
     _gone: Callable[[], None] = lambda: None
@@ -80,7 +80,7 @@
         if not is_ours(own):
             raise HandoverError("the process there is another user's")
         own.sendall(messages.encode(Hello(messages.VERSION, f"{listen[0]}:{listen[1]}")))
-        estate = messages.decode(_line(own, held, time.monotonic() + wait_s), Estate)
+        handover_state = messages.decode(_line(own, held, time.monotonic() + wait_s), HandoverState)
         if len(held) != 1:
             raise HandoverError(f"{len(held)} sockets came, not one")
         with socket.socket(fileno=os.dup(held[0])) as listening:
@@ -94,7 +94,7 @@
         for fd in held:
             os.close(fd)
         return None
-    return Predecessor(estate, held[0], own)
+    return Predecessor(handover_state, held[0], own)
 
 
 def _line(own: socket.socket, held: list[int], until_s: float) -> bytes:
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -14,8 +14,8 @@
 from cloverwell.counts import Counts
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import Facade
-from cloverwell.handover.messages import VERSION, Estate, HandoverError, place
-from cloverwell.handover.predecessor import Will
+from cloverwell.handover.messages import VERSION, HandoverError, HandoverState, place
+from cloverwell.handover.predecessor import SuccessorListener
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
 from cloverwell.net.cache_connection import CacheConnection
@@ -85,7 +85,9 @@
         self.serving = Serving()
         self._left = left
         self._spare = SPARE_DESCRIPTORS + (OPERATOR_DESCRIPTORS if config.operator else 0)
-        sockets = config.limits.sockets if left is None else min(left.estate.sockets, config.limits.sockets)
+        sockets = (
+            config.limits.sockets if left is None else min(left.handover_state.sockets, config.limits.sockets)
+        )
         self.budget = Budget(max(MIN_BUDGET, sockets - self._spare))
         grace_ms = max(0.0, settings.drain_grace_ms - DRAIN_MARGIN_MS)
         self.back = Back(IDLE_SHARE * settings.idle_close_ms, grace_ms, self.wheel.now())
@@ -135,8 +137,8 @@
         self.side.borrow = self.pools.lend
         self._port = None
         self._operators = None
-        self._will: Will | None = None
-        self._heir_serves = False
+        self._successor_listener: SuccessorListener | None = None
+        self._successor_serves = False
         self._emptying = False  # a look is due
         self._cut = False  # a look has found that half commands are cut
         self._linger_until_ms = 0.0
@@ -145,8 +147,8 @@
         """Listens only when the list is known: who connects is served. `folder`: where a successor asks."""
         self.wheel.start()
         known = self._config.known
-        if self._left is not None and self._left.estate.table.revision > known.revision:
-            known = self._left.estate.table
+        if self._left is not None and self._left.handover_state.table.revision > known.revision:
+            known = self._left.handover_state.table
         self.server_list.start(known)
         self._tell_figures()
         self._tell_counts()
@@ -164,7 +166,7 @@
             desk = Operators(self, self.wheel, self._log)
             self._operators = listen(self._reactor, *self._config.operator, desk, OPERATOR_BACKLOG)
             if folder:
-                self._will = Will(
+                self._successor_listener = SuccessorListener(
                     self._reactor,
                     place(folder, self._config.listen),
                     self._config.listen,
@@ -172,7 +174,7 @@
                     self.wheel,
                     self._log,
                 )
-                self._will.open()
+                self._successor_listener.open()
         self.serving.serve()
         if self._left is not None:
             self._left.watch(self._reactor, self._alone)
@@ -205,7 +207,7 @@
 
     # Another process in our place -----------------------------------------------------------------
 
-    def bequeath(self) -> tuple[Estate, int]:
+    def hand_over(self) -> tuple[HandoverState, int]:
         """To limits both processes are one: the descriptors are divided, after what is in use here."""
         if self._port is None:
             raise HandoverError("it listens no more")
@@ -214,8 +216,10 @@
         keep = min(full - FD_MIN, max(full // 2, self._spare + used + SPARE_DESCRIPTORS))
         self._divide(keep)
         held = self._spare + sum(self.budget.held.values())
-        estate = Estate(VERSION, max(FD_MIN, full - max(keep, held)), self.server_list.listing())
-        return estate, self._port.share()
+        handover_state = HandoverState(
+            VERSION, max(FD_MIN, full - max(keep, held)), self.server_list.listing()
+        )
+        return handover_state, self._port.share()
 
     def _divide(self, sockets: int) -> None:
         self.budget.resize(max(MIN_BUDGET, sockets - self._spare))
@@ -224,20 +228,20 @@
 
     def succeeded(self) -> None:
         """Who connects from now on is the successor's."""
-        self._heir_serves = True
+        self._successor_serves = True
         self.side.port = None
         if self._port is not None:
             self._port.pauseProducing()
         self._log.info("handover", "the successor serves")
 
-    def bereft(self) -> None:
+    def successor_lost(self) -> None:
         if self.serving.state is State.STOPPING:
             return
-        self._heir_serves = False
+        self._successor_serves = False
         self._divide(self._config.limits.sockets)
         self.side.port = self._port
         self._port.resumeProducing()
-        self._will.open()
+        self._successor_listener.open()
         self._log.warn("handover", "the successor has gone: all is as it was")
 
     def _alone(self) -> None:
@@ -265,7 +269,7 @@
         """A planned end: all that was taken is answered, then the program ends."""
         now = self.wheel.now()
         longest_ms = max(cls.deadline_ms for cls in self._config.settings.classes)
-        if self.serving.stop(now, longest_ms, self._heir_serves):
+        if self.serving.stop(now, longest_ms, self._successor_serves):
             self._log.info("stop", f"draining, {self.dispatcher.open_count} requests open")
             self.dispatcher.close_by(self.serving.answers_by_ms())
             self._empty()
@@ -305,8 +309,8 @@
     def _end(self) -> None:
         if self._operators is not None:
             self._operators.stopListening()
-        if self._will is not None:
-            self._will.close()
+        if self._successor_listener is not None:
+            self._successor_listener.close()
         self.server_list.stop()
         self._log.info("connections", self.figures.line(*What))
         self._tell_counts()
--- a/lab/proxies.py
+++ b/lab/proxies.py
@@ -61,7 +61,7 @@
 
     def __init__(self, old: Service) -> None:
         self._old = old
-        self.estate, self.listening = old.bequeath()
+        self.handover_state, self.listening = old.hand_over()
 
     def watch(self, reactor: Inside, gone: Any) -> None:
         self._old.succeeded()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.handover import messages
-from cloverwell.handover.messages import Estate, HandoverError, Hello
+from cloverwell.handover.messages import HandoverError, HandoverState, Hello
 from cloverwell.net.server_list import Listing, Member
 from lab.processes import PATIENCE_S, Clients, Place
 
@@ -133,17 +133,17 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_read_or_refused(data):
-    for kind in (Hello, Estate):
+    for kind in (Hello, HandoverState):
         with contextlib.suppress(HandoverError):
             messages.decode(data, kind)
 
 
-def test_an_estate_is_read_as_it_was_written():
-    estate = Estate(1, 200, Listing(7, True, [Member("a", "127.0.0.1:1", up_since_ms=5.0)]))
-    assert messages.decode(messages.encode(estate).rstrip(), Estate) == estate
-    estate.table.members[0].host_port = "nowhere"
+def test_a_handover_state_is_read_as_it_was_written():
+    handover_state = HandoverState(1, 200, Listing(7, True, [Member("a", "127.0.0.1:1", up_since_ms=5.0)]))
+    assert messages.decode(messages.encode(handover_state).rstrip(), HandoverState) == handover_state
+    handover_state.table.members[0].host_port = "nowhere"
     with pytest.raises(HandoverError):
-        messages.decode(messages.encode(estate), Estate)
+        messages.decode(messages.encode(handover_state), HandoverState)
 
 
 def test_a_smaller_budget_takes_no_more_until_enough_is_given_back():
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -120,9 +120,9 @@
 
 def test_another_process_takes_over_a_list_of_1024_nodes():
     members = [member(number, LONG_NAME) for number in range(NODES)]
-    line = messages.encode(messages.Estate(messages.VERSION, 256, Listing(42, True, members)))
+    line = messages.encode(messages.HandoverState(messages.VERSION, 256, Listing(42, True, members)))
     assert len(line) < messages.MAX_ESTATE
-    assert len(messages.decode(line, messages.Estate).table.members) == NODES
+    assert len(messages.decode(line, messages.HandoverState).table.members) == NODES
 
 
 def test_the_lab_plays_as_many_proxies():
