--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -42,7 +42,7 @@
     """The body of a whole list, with names and addresses as long as in service."""
     import msgspec
 
-    from cloverwell.net.server_list import Listing
+    from cloverwell.membership.listing import Listing
 
     members = [_member(number) for number in range(nodes)]
     return len(msgspec.json.encode(Listing(123_456, True, members)))
@@ -52,8 +52,8 @@
     """A call of the watch and its answer with one member, heads included."""
     import msgspec
 
-    from cloverwell.net.http import request
-    from cloverwell.net.server_list import Listing
+    from cloverwell.codec.http import request
+    from cloverwell.membership.listing import Listing
 
     body = msgspec.json.encode(Listing(123_457, False, [_member(7)]))
     call = request("GET", "/v1/servers?after=123456&wait_ms=4000", "10.20.30.40:8500", {})
@@ -61,7 +61,7 @@
 
 
 def _member(number: int):
-    from cloverwell.net.server_list import Member
+    from cloverwell.membership.listing import Member
 
     return Member(
         f"cache-{number:04d}-7f3a",
@@ -77,7 +77,7 @@
 
 def measure(nodes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
-    from cloverwell.net.server_list import Listing, Member
+    from cloverwell.membership.listing import Listing, Member
     from lab.proxy import World
 
     gc.collect()
--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -13,10 +13,10 @@
 from twisted.logger import globalLogBeginner
 
 from cloverwell.config import Config, ConfigError, read_config
+from cloverwell.front.port import adopt, listen
 from cloverwell.handover.messages import place
 from cloverwell.handover.successor import ask
 from cloverwell.log import Log
-from cloverwell.net.port import adopt, listen
 from cloverwell.service import Service
 from cloverwell.wheel import monotonic_ms
 
--- a/cloverwell/net/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -1,9 +1,9 @@
 """Attempts to a cache node, in memcache meta commands."""
 
+from cloverwell.back.node_connection import NodeConnection
+from cloverwell.codec.lines import FramingError
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
-from cloverwell.net.lines import FramingError
-from cloverwell.net.node_connection import NodeConnection
 from cloverwell.request import Attempt
 
 
--- a/cloverwell/net/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -12,15 +12,15 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
+from cloverwell.codec.lines import PEEK, RingLineReceiver
 from cloverwell.connections.back import Use
 from cloverwell.facade import Outcome
 from cloverwell.flow import Flow
-from cloverwell.net.lines import PEEK, RingLineReceiver
 from cloverwell.request import LEAST_TOLD_MS, Attempt
 from cloverwell.wheel import Timer
 
 if TYPE_CHECKING:
-    from cloverwell.net.pool import Pool
+    from cloverwell.back.pool import Pool
 
 FLOW_READ = 32 * 1024  # bytes read at once of a long value: so much waits here when its reader is slow
 FRESH_MS = 10.0  # one that came up so lately has not stood idle
--- a/cloverwell/net/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -3,12 +3,12 @@
 import re
 from urllib.parse import quote
 
+from cloverwell.back.node_connection import NodeConnection
+from cloverwell.back.pool import Pool
+from cloverwell.codec.http import HttpReceiver, encode_request
+from cloverwell.codec.lines import FramingError
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG, LONGEST
-from cloverwell.net.http import HttpReceiver, encode_request
-from cloverwell.net.lines import FramingError
-from cloverwell.net.node_connection import NodeConnection
-from cloverwell.net.pool import Pool
 from cloverwell.request import Attempt
 
 RECEIPT = re.compile(rb"[!-~]{1,250}")  # a word of the meta commands
--- a/cloverwell/net/pool.py
+++ b/cloverwell/back/pool.py
@@ -16,15 +16,15 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
+from cloverwell.back.node_connection import NodeConnection, Sent
 from cloverwell.connections.back import Use
 from cloverwell.connections.budget import Side
 from cloverwell.connections.figures import What
 from cloverwell.facade import Outcome
-from cloverwell.net.node_connection import NodeConnection, Sent
 from cloverwell.request import Attempt
 
 if TYPE_CHECKING:
-    from cloverwell.net.pools import Pools
+    from cloverwell.back.pools import Pools
 
 FLOW_STILL_MS = 10_000.0  # a long value of which nothing is given, or taken, is no more waited for
 MAX_WAITING = 256  # attempts that wait for a connection to one node
--- a/cloverwell/net/pools.py
+++ b/cloverwell/back/pools.py
@@ -7,13 +7,13 @@
 
 from twisted.internet.interfaces import IReactorTCP
 
+from cloverwell.back.node_connection import NodeConnection
+from cloverwell.back.pool import Pool
 from cloverwell.connections.back import Back
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.connections.figures import Figures
 from cloverwell.connections.schedule import Schedule
 from cloverwell.log import Log
-from cloverwell.net.node_connection import NodeConnection
-from cloverwell.net.pool import Pool
 from cloverwell.wheel import Wheel
 
 SWEEP_MS = 50.0
--- a/cloverwell/net/http.py
+++ b/cloverwell/codec/http.py
@@ -4,7 +4,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.net.lines import MAX_VALUE, FramingError, RingLineReceiver
+from cloverwell.codec.lines import MAX_VALUE, FramingError, RingLineReceiver
 
 MAX_HEADERS = 64
 
--- a/cloverwell/net/lines.py
+++ b/cloverwell/codec/lines.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from cloverwell.net.ring_buffer import RingBuffer
+from cloverwell.codec.ring_buffer import RingBuffer
 
 MAX_LINE = 2048
 MAX_VALUE = 1024 * 1024  # of what is kept until it is whole
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cloverwell.net.server_list import PHASES, Listing, ServerListError, split_address
+from cloverwell.membership.listing import PHASES, Listing, ServerListError, split_address
 from olivestair.api import Settings
 from olivestair.settings import check_whole, read_settings
 
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from cloverwell import facade as f
+from cloverwell.back.pools import Pools
 from cloverwell.counts import Counts
 from cloverwell.facade import Facade, Outcome
 from cloverwell.flow import Flow
 from cloverwell.log import Log
-from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt, Failed, Refused, Request, Served
 from cloverwell.wheel import Wheel
 
--- a/cloverwell/net/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -11,14 +11,14 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
+from cloverwell.codec.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
 from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
-from cloverwell.net.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
 from cloverwell.request import Answer, Refused, Request, Served
 from cloverwell.wheel import HELD_UP_MS
 
 if TYPE_CHECKING:
-    from cloverwell.net.client_connections import ClientConnections
+    from cloverwell.front.client_connections import ClientConnections
 
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
 MAX_KEY, MAX_ID, MAX_WAIT_MS = 250, 64, 3_600_000
--- a/cloverwell/net/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -6,14 +6,14 @@
 from twisted.internet.interfaces import IPushProducer
 from twisted.internet.protocol import Factory
 
+from cloverwell.codec.lines import hung_up
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.connections.figures import Figures, What
 from cloverwell.connections.front import TURN, Close, Front, Reason
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.flow import ahead
+from cloverwell.front.client_connection import ClientConnection
 from cloverwell.log import Log
-from cloverwell.net.client_connection import ClientConnection
-from cloverwell.net.lines import hung_up
 from cloverwell.serving import Serving
 from cloverwell.wheel import HELD_UP_MS, Wheel
 from olivestair.api import Settings
--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from cloverwell.net.server_list import MAX_LIST, Listing, ServerListError, split_address
+from cloverwell.membership.listing import Listing, ServerListError, split_address
+from cloverwell.membership.server_list import MAX_LIST
 
 VERSION = 1
 MAX_HELLO = 1024
--- a/cloverwell/net/server_list.py
+++ b/cloverwell/membership/server_list.py
@@ -10,13 +10,14 @@
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
+from cloverwell.back.pools import Pools
+from cloverwell.codec.http import HttpReceiver, encode_request
 from cloverwell.counts import Counts
 from cloverwell.facade import News, NoNews
 from cloverwell.log import Log
-from cloverwell.net.http import HttpReceiver, encode_request
-from cloverwell.net.list_retry import ANSWER_MS as RETRY_ANSWER_MS
-from cloverwell.net.list_retry import ListRetry
-from cloverwell.net.pools import Pools
+from cloverwell.membership.list_retry import ANSWER_MS as RETRY_ANSWER_MS
+from cloverwell.membership.list_retry import ListRetry
+from cloverwell.membership.listing import PHASES, Listing, Member, ServerListError, split_address
 from cloverwell.wheel import Timer, Wheel
 from olivestair.api import ServerEntry, ServerState, Settings
 
@@ -31,42 +32,6 @@
 MOST_WAIT_MS = 60_000.0  # that discovery lets a call wait
 MAX_LIST = 4 * 1024 * 1024  # no cap on its lines: a thousand of them, with long names and indented
 
-PHASES = {
-    "in_service": ServerState.READY,
-    "terminating": ServerState.DRAINING,
-    "terminated": ServerState.GONE,
-}
-
-
-class Member(msgspec.Struct):
-    id: str
-    host_port: str
-    locality: str = ""
-    flavor: str = ""
-    cell: int = 0
-    phase: str = "in_service"
-    size: float = 1.0
-    up_since_ms: float = 0.0
-
-
-class Listing(msgspec.Struct):
-    """What discovery answers, and the form of `known` in the configuration."""
-
-    revision: int
-    complete: bool
-    members: list[Member]
-
-
-class ServerListError(ValueError):
-    """A listing that can't be used."""
-
-
-def split_address(text: str) -> tuple[str, int]:
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ServerListError(f"not an address: {text[:60]!r}")
-    return host, int(port)
-
 
 class ServerList:
     """Tells the facade what discovery says, and the pools where a node is."""
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -13,7 +13,7 @@
 from cloverwell.wheel import Timer
 
 if TYPE_CHECKING:
-    from cloverwell.net.pool import Pool
+    from cloverwell.back.pool import Pool
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -7,6 +7,11 @@
 from dataclasses import replace
 from typing import Any
 
+from cloverwell.back.cache_connection import CacheConnection
+from cloverwell.back.node_connection import NodeConnection
+from cloverwell.back.origin_connection import OriginConnection
+from cloverwell.back.pool import Pool
+from cloverwell.back.pools import Pools
 from cloverwell.config import FD_MIN, Config, ConfigError
 from cloverwell.connections.back import Back
 from cloverwell.connections.budget import Budget, Side
@@ -14,17 +19,12 @@
 from cloverwell.counts import Counts
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import Facade
+from cloverwell.front.client_connections import ClientConnections
 from cloverwell.handover.messages import VERSION, HandoverError, HandoverState, place
 from cloverwell.handover.predecessor import SuccessorListener
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
-from cloverwell.net.cache_connection import CacheConnection
-from cloverwell.net.client_connections import ClientConnections
-from cloverwell.net.node_connection import NodeConnection
-from cloverwell.net.origin_connection import OriginConnection
-from cloverwell.net.pool import Pool
-from cloverwell.net.pools import Pools
-from cloverwell.net.server_list import ServerList
+from cloverwell.membership.server_list import ServerList
 from cloverwell.serving import Serving, State
 from cloverwell.wheel import Wheel
 
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -9,13 +9,13 @@
 from random import Random
 from types import SimpleNamespace
 
+from cloverwell.back.cache_connection import CacheConnection
+from cloverwell.back.pools import Pools
 from cloverwell.connections.back import Back, Use
 from cloverwell.connections.budget import Budget
 from cloverwell.connections.figures import Figures
 from cloverwell.facade import Outcome, Send
 from cloverwell.log import Log
-from cloverwell.net.cache_connection import CacheConnection
-from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt
 from cloverwell.wheel import Wheel
 from lab.cache_nodes import CacheNode
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -14,7 +14,7 @@
 
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from cloverwell.service import Service
 from lab.net import Address, Net
 from lab.nodes import Discovery, Web
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -4,7 +4,7 @@
 
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from cloverwell.service import Service
 from lab.cache_nodes import CacheNode
 from lab.net import Address, Net
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -14,9 +14,9 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from cloverwell.config import Config, Limits
+from cloverwell.front.port import listen
 from cloverwell.log import Log
-from cloverwell.net.port import listen
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from cloverwell.service import Service
 from cloverwell.wheel import monotonic_ms
 from lab.proxy import SETTINGS
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -28,7 +28,7 @@
 
 from cloverwell.config import Config, ConfigError, Limits
 from cloverwell.log import Log
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from cloverwell.service import Service
 from lab.proxy import SETTINGS
 from olivestair.settings import read_settings
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -10,12 +10,12 @@
 from rig import Rig, read, reset, write
 from twisted.internet import tcp
 
+from cloverwell.back.pool import Pool
+from cloverwell.codec import lines
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import Outcome
-from cloverwell.net import lines
-from cloverwell.net.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
-from cloverwell.net.client_connections import CLIENT_LOOK_MS, ClientConnections
-from cloverwell.net.pool import Pool
+from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
+from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
 from cloverwell.wheel import HELD_UP_MS
 from lab.play import Play
 from lab.proxy import SETTINGS
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 from scenario import Player
 
+from cloverwell.back.node_connection import FLOW_READ, Sent
 from cloverwell.facade import Outcome, Send
 from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
-from cloverwell.net.client_connection import FLOW_PIECE
-from cloverwell.net.node_connection import FLOW_READ, Sent
+from cloverwell.front.client_connection import FLOW_PIECE
 from cloverwell.request import Attempt, Request
 
 SIZE = LONG + 1000
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,7 +15,7 @@
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from lab.processes import PATIENCE_S, Clients, Place
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,11 +11,11 @@
 from click.testing import CliRunner
 
 from cloverwell import dispatcher, facade, service
+from cloverwell.back.cache_connection import CacheConnection
+from cloverwell.back.pools import Pools
 from cloverwell.cli.main import cli
 from cloverwell.connections.back import Back
 from cloverwell.flow import Flow
-from cloverwell.net.cache_connection import CacheConnection
-from cloverwell.net.pools import Pools
 from cloverwell.request import Attempt, Request, Served
 from cloverwell.serving import Serving
 from lab.cli import lab
--- a/tests/test_list_retry.py
+++ b/tests/test_list_retry.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwell.net.list_retry import (
+from cloverwell.membership.list_retry import (
     ANSWER_MS,
     BEHIND_MS,
     LONGEST_MS,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,9 +13,9 @@
 
 from cloverwell import facade as f
 from cloverwell.__main__ import handle_signals
+from cloverwell.codec.ring_buffer import SMALLEST, RingBuffer
 from cloverwell.config import ConfigError, read_config
 from cloverwell.log import PER_SECOND, Log
-from cloverwell.net.ring_buffer import SMALLEST, RingBuffer
 from cloverwell.wheel import Wheel
 from olivestair.api import ServerEntry
 from olivestair.settings import SettingsError, read_settings
--- a/tests/test_port.py
+++ b/tests/test_port.py
@@ -8,7 +8,7 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import Factory, Protocol
 
-from cloverwell.net.port import listen
+from cloverwell.front.port import listen
 
 
 class Desk(Factory):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,9 +7,9 @@
 from scenario import Player, Transport
 
 from cloverwell.__main__ import collect_garbage
+from cloverwell.codec.ring_buffer import SMALLEST
 from cloverwell.connections.budget import Budget, Side
 from cloverwell.connections.front import RESERVE
-from cloverwell.net.ring_buffer import SMALLEST
 from cloverwell.request import Request
 from lab.proxy import SETTINGS
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -5,7 +5,7 @@
 import pytest
 from rig import Rig, read, reset, write
 
-from cloverwell.net.client_connection import AHEAD, ClientConnection
+from cloverwell.front.client_connection import AHEAD, ClientConnection
 from lab.proxy import SETTINGS
 
 
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from cloverwell.back.pool import Pool
 from cloverwell.connections.figures import What
 from cloverwell.connections.schedule import EARLY_MS, Schedule
-from cloverwell.net.pool import Pool
 from lab.attempts import PATTERNS, Rig
 
 SEEDS = range(1, 4)
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -12,7 +12,7 @@
 from cloverwell.connections.figures import Figures, What
 from cloverwell.handover import messages
 from cloverwell.log import Log
-from cloverwell.net.server_list import Listing, Member
+from cloverwell.membership.listing import Listing, Member
 from cloverwell.service import Service
 from lab.cache_nodes import CacheNode
 from lab.net import Net
--- a/tests/test_told_change.py
+++ b/tests/test_told_change.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverwell.net import server_list
+from cloverwell.membership import server_list
 from lab.list_fleet import CHANGED, ListFleet
 from lab.proxy import SETTINGS
 
