--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -4,9 +4,10 @@
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum, auto
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import connectionDone
@@ -16,12 +17,10 @@
 from cloverwell.connections.back import Use
 from cloverwell.facade import Outcome
 from cloverwell.flow import Flow
+from cloverwell.log import Log
 from cloverwell.request import LEAST_TOLD_MS, Attempt
 from cloverwell.wheel import Timer
 
-if TYPE_CHECKING:
-    from cloverwell.back.pool import Pool
-
 FLOW_READ = 32 * 1024  # bytes read at once of a long value: so much waits here when its reader is slow
 FRESH_MS = 10.0  # one that came up so lately has not stood idle
 REST_MS = 15.0  # behind an answer, a second one or noise may come some milliseconds late
@@ -44,10 +43,58 @@
     timer: Timer
 
 
+class ConnectionPool(Protocol):
+    """What a connection needs of the pool that it belongs to. Times are ms of the wheel's clock."""
+
+    node: str
+    address: tuple[str, int] | None
+    log: Log
+    begun: dict[NodeConnection, int]
+
+    @property
+    def holds(self) -> bool:
+        """Whether no request may have two attempts out together."""
+
+    def now(self) -> float: ...
+
+    def later(self, when_ms: float, call: Callable[[], None]) -> Timer: ...
+
+    def hold_ms(self) -> float:
+        """How long a last byte is held back."""
+
+    def opened(self, connection: NodeConnection) -> None: ...
+
+    def freed(self, connection: NodeConnection) -> None:
+        """It has no attempt, or one less."""
+
+    def lost(self, connection: NodeConnection) -> None: ...
+
+    def move(self, attempt: Attempt) -> None:
+        """Its connection was closed before its last byte: it goes to another."""
+
+    def closed(self, attempt: Attempt, outcome: Outcome) -> None:
+        """We have closed the connection that it was out on."""
+
+    def answered(self, age_ms: float | None, first_ms: float) -> None: ...
+
+    def silent(self, age_ms: float | None, first_ms: float) -> None: ...
+
+    def broken(
+        self,
+        served: bool,
+        age_ms: float | None,
+        after_ms: float | None,
+        begun: bool,
+        caught: bool,
+        torn: bool,
+    ) -> None:
+        """The node ended it."""
+
+
 class NodeConnection(RingLineReceiver):
     """A connection to a node: its attempts in order, each ended by the answer whose turn it is."""
 
-    def __init__(self, pool: Pool, asked_ms: float) -> None:
+    def __init__(self, pool: ConnectionPool, asked_ms: float) -> None:
         super().__init__()
         self._pool = pool
         self.attempts: deque[Attempt] = deque()
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.error import ConnectionRefusedError
@@ -17,15 +16,13 @@
 from twisted.python.failure import Failure
 
 from cloverwell.back.node_connection import NodeConnection, Sent
+from cloverwell.back.pool_set import PoolSet
 from cloverwell.connections.back import Use
 from cloverwell.connections.budget import Side
 from cloverwell.connections.figures import What
 from cloverwell.facade import Outcome
 from cloverwell.request import Attempt
 
-if TYPE_CHECKING:
-    from cloverwell.back.pools import Pools
-
 FLOW_STILL_MS = 10_000.0  # a long value of which nothing is given, or taken, is no more waited for
 MAX_WAITING = 256  # attempts that wait for a connection to one node
 MAX_MOVES = 4  # connections that one attempt may find closed before its last byte
@@ -53,7 +50,7 @@
 class Pool:
     """One node's connections."""
 
-    def __init__(self, pools: Pools, node: str, origin: bool) -> None:
+    def __init__(self, pools: PoolSet, node: str, origin: bool) -> None:
         self._pools = pools
         self._back = pools.back
         self._figures = pools.figures
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -6,7 +6,6 @@
 import socket
 from collections import deque
 from functools import partial
-from typing import TYPE_CHECKING
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
@@ -14,12 +13,10 @@
 from cloverwell.codec.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
 from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
+from cloverwell.front.connection_owner import ConnectionOwner
 from cloverwell.request import Answer, Refused, Request, Served
 from cloverwell.wheel import HELD_UP_MS
 
-if TYPE_CHECKING:
-    from cloverwell.front.client_connections import ClientConnections
-
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
 MAX_KEY, MAX_ID, MAX_WAIT_MS = 250, 64, 3_600_000
 MAX_PASSED = 1024 * 1024  # a longer value is not passed over: its client is told, and the connection closed
@@ -53,7 +50,7 @@
     in_bytes = MAX_WRITE + 2 * MAX_LINE
     piece_bytes = FLOW_PIECE
 
-    def __init__(self, side: ClientConnections) -> None:
+    def __init__(self, side: ConnectionOwner) -> None:
         super().__init__()
         self._side = side
         self._turns: deque[Turn] = deque()
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -6,15 +6,12 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from cloverwell.facade import Outcome, Send
 from cloverwell.flow import Flow
 from cloverwell.wheel import Timer
 
-if TYPE_CHECKING:
-    from cloverwell.back.pool import Pool
-
 
 @dataclass(slots=True, frozen=True)
 class Served:
@@ -39,6 +36,21 @@
 LEAST_TOLD_MS = 1  # `d` counts whole milliseconds: less can't be told, and an attempt that would is not sent
 
 
+class AttemptPool(Protocol):
+    """What the owner of an attempt needs of the connection pool that carries it."""
+
+    kind: str  # `cache` or `origin`, as the counts have it
+
+    def start(self, attempt: Attempt) -> None:
+        """Writes it to a connection, or has it wait for one."""
+
+    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Ends it by that outcome, wherever it is."""
+
+    def unsent(self, attempt: Attempt) -> bool:
+        """Whether its last byte has certainly not left."""
+
+
 @dataclass(slots=True, eq=False)
 class Attempt:
     """An attempt that is out: it ends exactly once, and tells its owner how."""
@@ -47,7 +59,7 @@
     request: Request
     write_by_ms: float  # no byte of it leaves later
     done: Callable[[Attempt, Outcome, bytes | Flow], None]
-    pool: Pool
+    pool: AttemptPool
     ends_ms: float  # it is given up then, at its client's deadline at the latest
     dear: bool = False  # it may not run twice: a reset behind its last byte loses the request
     asked_ms: float = 0.0  # when it was asked for
--- a/lab/answers.py
+++ b/lab/answers.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-if TYPE_CHECKING:
-    from lab.play import Play
+from lab.node_play import PlayForNodes
 
 
 def told_ms(info: str) -> float:
@@ -14,7 +13,7 @@
     return float(values["d"])
 
 
-def in_pieces(play: Play, transport: Any, data: bytes, done: Any) -> None:
+def in_pieces(play: PlayForNodes, transport: Any, data: bytes, done: Any) -> None:
     """A long answer, a piece now and then."""
     size = int(1024 * play.world.nodes.piece_kb)
     if transport.closed:
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-if TYPE_CHECKING:
-    from lab.play import Play, Proxy
+from lab.judge import Judge
+from lab.net import Net
+from lab.people import People
+from lab.proxies import Proxy
 
 ASK_S = 0.1
 HEARD_S = 0.2  # after a no, until new connections stop
@@ -17,6 +19,14 @@
 BACK_S = 2.0  # after the end of a drain it has to say yes
 
 
+class PlayForFrontLayer(Protocol):
+    """What the front layer needs of the play."""
+
+    net: Net
+    judge: Judge
+    people: list[People]
+
+
 class _Question(LineReceiver):
     delimiter = b"\r\n"
 
@@ -39,7 +49,7 @@
 
     noisy = False
 
-    def __init__(self, play: Play, proxy: Proxy) -> None:
+    def __init__(self, play: PlayForFrontLayer, proxy: Proxy) -> None:
         self._play, self._proxy = play, proxy
         self.wanted = True
         self._no_s: float | None = None
--- /dev/null
+++ b/lab/node_play.py
@@ -0,0 +1,44 @@
+"""What the nodes of a world need of the play that they are part of."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+from lab.judge import Judge
+from lab.net import Net
+from lab.world import World
+
+
+class PlayForNodes(Protocol):
+    """`name`: a request's id. The nodes and the connections themselves are of `lab.nodes`."""
+
+    world: World
+    net: Net
+    judge: Judge
+
+    def attempt(self, name: str, node: Any) -> None:
+        """A whole command has come to a cache node."""
+
+    def missed(self, name: str, node: Any) -> None:
+        """The cache node has not the request's key."""
+
+    def fetched(self, name: str, key: str) -> None:
+        """The origin has answered a read."""
+
+    def written(self, key: str) -> None:
+        """The origin has taken a write."""
+
+    def work_of(self, name: str) -> float:
+        """In core seconds."""
+
+    def body_of(self, name: str) -> str: ...
+
+    def receipt_of(self, name: str) -> str: ...
+
+    def members(self) -> list[dict[str, Any]]:
+        """The list of servers, as discovery tells it."""
+
+    def proxy_of(self, web: Any) -> str:
+        """The name of the proxy at the other end."""
+
+    def note(self, text: str) -> None: ...
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -5,7 +5,7 @@
 
 import json
 from collections import Counter
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import h11
 from twisted.internet.protocol import Factory, Protocol, connectionDone
@@ -15,18 +15,16 @@
 from cloverwell.flow import LONG
 from lab.answers import in_pieces, told_ms
 from lab.net import Address
+from lab.node_play import PlayForNodes
 from lab.server import Job, Keys, Server
 
-if TYPE_CHECKING:
-    from lab.play import Play
-
 
 class Node(Factory):
     """What cache nodes and the origin have in common: jobs on a server, and trouble."""
 
     noisy = False
 
-    def __init__(self, play: Play, name: str, address: Address, server: Server) -> None:
+    def __init__(self, play: PlayForNodes, name: str, address: Address, server: Server) -> None:
         self.play, self.name, self.address, self.server = play, name, address, server
         self.links: dict[Any, None] = {}  # in the order they came: a set's differs from run to run
         self.hung = False  # takes requests, answers none
@@ -86,7 +84,7 @@
 class CacheNode(Node):
     """A cache node: hits, misses, load reports, a bound on connections, an idle time."""
 
-    def __init__(self, play: Play, name: str, address: Address, server: Server, zone: int) -> None:
+    def __init__(self, play: PlayForNodes, name: str, address: Address, server: Server, zone: int) -> None:
         super().__init__(play, name, address, server)
         settings = play.world.nodes
         self.keys = Keys(settings.keys)
@@ -286,7 +284,7 @@
 class Origin(Node):
     """The one slow origin: reads and writes by HTTP, stops for a while when it is overloaded."""
 
-    def __init__(self, play: Play, address: Address, server: Server) -> None:
+    def __init__(self, play: PlayForNodes, address: Address, server: Server) -> None:
         super().__init__(play, "origin", address, server)
         self._window: list[tuple[float, float]] = []
         self.stopped_until_s = -1.0
@@ -331,7 +329,7 @@
 class Discovery(Node):
     """The list, whole or as a watch that waits for what is newer."""
 
-    def __init__(self, play: Play, address: Address) -> None:
+    def __init__(self, play: PlayForNodes, address: Address) -> None:
         super().__init__(play, "discovery", address, Server(1, 1.0, 1))
         self.revision = 1
         self._waiting: list[tuple[Web, str, int]] = []
--- a/lab/people.py
+++ b/lab/people.py
@@ -12,19 +12,18 @@
 from dataclasses import dataclass
 from itertools import accumulate
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
 from cloverwell.flow import LONG
-from lab.judge import Case
+from lab.judge import Case, Judge
+from lab.net import Net
+from lab.proxies import Proxy
 from lab.world import Class, World
 
-if TYPE_CHECKING:
-    from lab.play import Play, Proxy
-
 NOTICE_S = 2.0  # after which the front layer sends no more to a proxy that refuses
 WINDOW_S = 10.0
 LEFT = "left"  # how a request ends whose client closes: nothing is owed for it
@@ -32,6 +31,23 @@
 CROSSED_S = 0.05  # a request that is younger may have crossed the close of its connection
 
 
+class PlayForPeople(Protocol):
+    """What the clients need of the play."""
+
+    world: World
+    seed: int
+    net: Net
+    judge: Judge
+    proxies: list[Proxy]
+    requests: dict[str, tuple[Class, float, str]]  # name -> class, work in s, key
+
+    def body_of(self, name: str) -> str: ...
+
+    def receipt_of(self, name: str) -> str: ...
+
+    def record(self, *what: object) -> None: ...
+
+
 @dataclass(slots=True)
 class Wish:
     """What a client wants, over all its tries."""
@@ -128,7 +144,7 @@
 
 
 class People:
-    def __init__(self, play: Play, zone: int) -> None:
+    def __init__(self, play: PlayForPeople, zone: int) -> None:
         self.play, self.zone = play, zone
         self.rng = Random(f"people {play.seed} {zone}")
         self.traffic = play.world.traffic
--- a/lab/proxies.py
+++ b/lab/proxies.py
@@ -4,14 +4,28 @@
 
 import io
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from cloverwell.service import Service
-from lab.net import Address
+from lab.net import Address, Net
 
-if TYPE_CHECKING:
-    from lab.front_layer import Watch
-    from lab.play import Play
+
+class PlayForProxies(Protocol):
+    """What a proxy needs of the play."""
+
+    net: Net
+
+    def ended(self, proxy: Proxy, inside: Inside) -> None: ...
+
+
+class FrontLayerWatch(Protocol):
+    """The front layer's watch over a proxy."""
+
+    wanted: bool
+
+    def ask(self) -> None: ...
+
+    def drain(self, for_s: float) -> None: ...
 
 
 @dataclass
@@ -24,14 +38,14 @@
     starts: int = 0
     draining: bool = False
     back_s: float = 0.0  # after a planned end, until it is started again
-    watch: Watch = None  # the front layer's
+    watch: FrontLayerWatch = None  # the front layer's
     old: Service | None = None  # ends beside the one that has replaced it
 
 
 class Inside:
     """A proxy's own view of the network: its reactor, which dies with it."""
 
-    def __init__(self, play: Play, proxy: Proxy) -> None:
+    def __init__(self, play: PlayForProxies, proxy: Proxy) -> None:
         self._net, self._play, self._proxy = play.net, play, proxy
         self.alive = True
         self.ends: list[Any] = []
