--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -11,6 +11,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.codec.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
+from cloverwell.codec.meta import CommandError, read_fields
 from cloverwell.connections.arrival import Arrival
 from cloverwell.flow import Flow, Stage
 from cloverwell.front.connection_owner import ConnectionOwner
@@ -18,7 +19,6 @@
 from cloverwell.wheel import HELD_UP_MS
 
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
-MAX_KEY, MAX_ID, MAX_WAIT_MS = 250, 64, 3_600_000
 MAX_PASSED = 1024 * 1024  # a longer value is not passed over: its client is told, and the connection closed
 FREE_ERRORS, MAX_ERRORS = 8, 24  # malformed commands in a row that cost no pause, and that close a connection
 ERROR_PAUSE_MS = 50.0  # what each of the others costs: the connection is not read for so long
@@ -29,10 +29,6 @@
 NOT_WANTED = b"SERVER_ERROR draining\r\n"
 
 
-class CommandError(Exception):
-    """What is wrong with a command, in words for the client."""
-
-
 class Turn:
     """One command's place in the order of answers."""
 
@@ -190,35 +186,17 @@
         return None
 
     def _parse_request(self, key: str, flags: list[str], write: bool) -> Turn:
-        if not 0 < len(key) <= MAX_KEY or not key.isprintable():
-            raise CommandError("bad key")
-        named = {flag[:1]: flag[1:] for flag in flags if flag}
-        name, info = named.get("O", ""), named.get("P", "")
-        if len(flags) != 2 or set(named) != {"O", "P"}:
-            raise CommandError("needs the flags O and P")
-        if not 0 < len(name) <= MAX_ID or not name.isprintable():
-            raise CommandError("bad id")
-        if not info.isprintable():
-            raise CommandError("bad P")
-        values = dict(part.partition("=")[::2] for part in info.split(","))
-        classes, tenants = self._side.classes, self._side.tenants
-        if values.get("c") not in classes:
-            raise CommandError("unknown class")
-        if tenants and values.get("t") not in tenants:
-            raise CommandError("unknown tenant")
-        wait = values.get("d", "")
-        if not wait.isdigit() or not 0 < len(wait) <= 9 or not 0 < int(wait) <= MAX_WAIT_MS:
-            raise CommandError("missing or bad d")
+        fields = read_fields(key, flags, self._side.classes, self._side.tenants)
         turn = Turn()
         turn.request = Request(
-            id=name,
-            class_number=classes[values["c"]],
-            tenant=tenants.get(values.get("t", ""), 0),
-            key=key,
+            id=fields.id,
+            class_number=fields.class_number,
+            tenant=fields.tenant,
+            key=fields.key,
             write=write,
-            left_ms=float(wait),
+            left_ms=fields.wait_ms,
             value=b"",
-            info=info,
+            info=fields.info,
             answer=partial(self._give, turn),
         )
         return turn
