--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -49,6 +49,7 @@
     node: str
     address: tuple[str, int] | None
     log: Log
+    tick_ms: float  # what `later` may round up by
     begun: dict[NodeConnection, int]
 
     @property
@@ -62,6 +63,9 @@
     def hold_ms(self) -> float:
         """How long a last byte is held back."""
 
+    def too_late(self, attempt: Attempt) -> bool:
+        """Not a byte of it may leave any more."""
+
     def opened(self, connection: NodeConnection) -> None: ...
 
     def freed(self, connection: NodeConnection) -> None:
--- a/cloverwell/back/pool_set.py
+++ b/cloverwell/back/pool_set.py
@@ -37,3 +37,6 @@
 
     def spare_room(self) -> bool:
         """Whether one may be opened that no attempt waits for."""
+
+    def wake(self, pool: Any) -> None:
+        """Something befell the pool that its next sweep may have to answer."""
--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/back.py
@@ -158,7 +158,7 @@
         back."""
         entry = self._nodes.get(node)
         if entry is not None and entry.answered_ms > asked_ms:
-            self.refused(node, opened, now)
+            self.connect_refused(node, opened, now)
 
     def answered(self, node: str, age_ms: float | None, took_ms: float, now: float) -> None:
         """An attempt got its answer; `age_ms`: its connection had stood idle so long, None on a fresh one."""
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import Any, Protocol
 
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.dispatcher import Dispatcher
@@ -36,6 +36,9 @@
 
     def closed(self, connection: RingLineReceiver) -> None: ...
 
+    def have_left(self, connections: list[Any]) -> None:
+        """Their clients have closed: what is open there ends as one."""
+
     def crowded(self) -> bool:
         """So many have requests open that new work is refused."""
 
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -167,7 +167,7 @@
     def knowing(self) -> int:
         """How many proxies have discovery's present list."""
         revision = self.discovery.revision
-        return sum(proxy.table.listing().revision == revision for proxy in self.proxies)
+        return sum(proxy.server_list.listing().revision == revision for proxy in self.proxies)
 
     def learning_times(self, longest: float) -> list[float]:
         """After how many seconds from now the first, second.. proxy has the present list; those that do not
--- a/lab/node_play.py
+++ b/lab/node_play.py
@@ -16,8 +16,11 @@
     net: Net
     judge: Judge
 
-    def attempt(self, name: str, node: Any) -> None:
-        """A whole command has come to a cache node."""
+    def attempt(self, name: str, node: Any, told_ms: float) -> None:
+        """A whole command has come to a cache node, which it told to work for so long at most."""
+
+    def judge_work(self, node: Any, name: str, work_s: float, done_s: float, cold: bool) -> None:
+        """Work has come in at a cache node: asked for, and done."""
 
     def missed(self, name: str, node: Any) -> None:
         """The cache node has not the request's key."""
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -95,9 +95,9 @@
     proxy = service(net, [ORIGIN])
     body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
     told(net, body)
-    proxy.table.watch()
+    proxy.server_list.watch()
     net.run_for(6.0)
-    assert len(proxy.table.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
+    assert len(proxy.server_list.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
     assert len(proxy.pools.names()) == NODES + 1
 
 
--- a/tests/test_told_change.py
+++ b/tests/test_told_change.py
@@ -30,7 +30,7 @@
 
 
 def phase_of(proxy):
-    return next(member.phase for member in proxy.table.listing().members if member.id == CHANGED)
+    return next(member.phase for member in proxy.server_list.listing().members if member.id == CHANGED)
 
 
 @pytest.mark.parametrize("how", ["down", "dead", "hung"])
@@ -85,11 +85,11 @@
 
 def test_a_list_of_1024_nodes_is_known_in_time():
     fleet = settled(2, nodes=1024)
-    assert all(len(proxy.table.listing().members) == 1025 for proxy in fleet.proxies)
+    assert all(len(proxy.server_list.listing().members) == 1025 for proxy in fleet.proxies)
     fleet.fail("down")
     fleet.run(8.0)
     for proxy in fleet.proxies:  # the whole list is needed, as from another discovery
-        proxy.table._revision = None
+        proxy.server_list._revision = None
     fleet.restore("down")
     fleet.change()
     all_learn_in_time(fleet)
