--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -109,7 +109,8 @@
     assert summary["coldest_load"] < 0.95 and summary["service"] > 0.8, summary["ends"]
 
 
-def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch):
+@pytest.mark.parametrize("seed", [1, 3])
+def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch, seed):
     monkeypatch.setattr(decide, "COLD_SPILL", 1 << 30)
     monkeypatch.setattr(decide, "COLD_MOST", 1 << 30)
-    assert Play(load("throng"), 2).run()["rules"]["cold"]
+    assert Play(load("throng"), seed).run()["rules"]["cold"] >= 2
