--- a/lab/cli.py
+++ b/lab/cli.py
@@ -8,6 +8,7 @@
 
 from cloverwell.cli.main import refuse
 from lab.play import Play
+from lab.scale.cli import scale
 from lab.world import WorldError, load, names
 
 BROKEN = 1  # exit code where a rule broke
@@ -23,6 +24,9 @@
     """
 
 
+lab.add_command(scale)
+
+
 @lab.command("list")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
 def list_worlds(as_json: bool) -> None:
--- /dev/null
+++ b/lab/scale/cli.py
@@ -0,0 +1,183 @@
+"""`cloverwell lab scale`: run a world of many proxies, and fit lines to what runs measured."""
+
+from __future__ import annotations
+
+import json
+import tempfile
+from pathlib import Path
+from typing import Any
+
+import click
+import msgspec
+
+from cloverwell.cli.main import refuse
+from lab.scale import machine, plan
+from lab.scale.slopes import FitError, Line, fit_all, miss
+from lab.scale.world import World, WorldError, check, load, shipped
+
+BROKEN = 1  # exit code where revisions were lost or misplaced, or a process ended by itself
+INTERRUPTED = 130
+RESULTS = click.Path(exists=True, dir_okay=False, path_type=Path)
+AXES = {"proxies": lambda head: head["proxies"]["hollow"], "nodes": lambda head: head["nodes"]}
+
+
+class RunByDefault(click.Group):
+    """`scale WORLD` is `scale run WORLD`."""
+
+    def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        if args and args[0] not in self.commands and args[0] not in ("-h", "--help"):
+            args = ["run", *args]
+        return super().parse_args(ctx, args)
+
+
+@click.group(cls=RunByDefault)
+def scale() -> None:
+    """Many hollow proxies beside a few real ones, in real time on loopback.
+
+    \b
+    cloverwell lab scale WORLD.toml [--seed N] [--out FILE]     see `scale run --help`
+    cloverwell lab scale slopes FILE... --axis proxies --at 480
+    cloverwell lab scale worlds
+    """
+
+
+@scale.command()
+def worlds() -> None:
+    """The worlds that are shipped, with what each is about."""
+    for name in shipped():
+        click.echo(f"{name:12} {load(name).about}")
+
+
+@scale.command()
+@click.argument("world")
+@click.option("--seed", type=int, help="Draws changes, loss and load; the world's own without it.")
+@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="Results, as JSON Lines.")
+@click.option("--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep logs in this folder.")
+@click.option("--hollow", type=int, help="So many hollow proxies, in place of the world's number.")
+@click.option("--nodes", type=int, help="So many cache nodes, in place of the world's number.")
+def run(
+    world: str, seed: int | None, out: Path | None, logs: Path | None, hollow: int | None, nodes: int | None
+) -> None:
+    """Run WORLD (a TOML file, or a shipped world's name). It ends by itself.
+
+    Exit codes: 0; 1 where revisions were lost or misplaced, or a process ended by itself; 2 for a bad world
+    or one that is too large for the machine; 130 for Ctrl-C.
+
+    \b
+    Example: cloverwell lab scale small --out small.jsonl
+    """
+    from lab.scale import outcome, process_group
+    from lab.scale import run as runner
+
+    try:
+        read = _with_sizes(load(world), Path(world).name, hollow, nodes)
+        plan.check_fits(read, machine.memory_mb(), Path(world).name)
+    except WorldError as error:
+        refuse(str(error))
+    if out is not None and not out.parent.is_dir():
+        refuse(f"--out: {out.parent} is no folder")
+    with tempfile.TemporaryDirectory(prefix="cloverwell-scale-") as scratch:
+        folder = logs or Path(scratch)
+        folder.mkdir(parents=True, exist_ok=True)
+        try:
+            result = runner.run(read, read.seed if seed is None else seed, folder.resolve())
+        except runner.Stopped:
+            click.echo("cloverwell: interrupted; all processes have ended", err=True)
+            raise SystemExit(INTERRUPTED) from None
+        except (process_group.ProcessEnded, TimeoutError) as error:
+            click.echo(f"cloverwell: {error or 'a process was not ready in time'}", err=True)
+            raise SystemExit(BROKEN) from None
+    if out is not None:
+        out.write_text(outcome.write_text(result, Path(world).stem))
+    click.echo(_told(Path(world).stem, result))
+    if not result.good:
+        raise SystemExit(BROKEN)
+
+
+def _with_sizes(world: World, where: str, hollow: int | None, nodes: int | None) -> World:
+    """The world with other sizes, checked as a file's are."""
+    raw = msgspec.to_builtins(world)
+    if hollow is not None:
+        raw["hollow"]["count"] = hollow
+    if nodes is not None:
+        raw["nodes"]["count"] = nodes
+    try:
+        resized = msgspec.convert(raw, World)
+    except msgspec.ValidationError as error:
+        raise WorldError(f"{where}: {error}".replace("\n", " ")) from None
+    check(resized, where)
+    return resized
+
+
+def _told(name: str, result: Any) -> str:
+    """The outcome for a person."""
+    sizes = f"{result.world.hollow.count} hollow, {result.world.real.count} real proxies"
+    lines = [f"{name}, seed {result.seed}: {sizes}, {result.world.nodes.count} nodes"]
+    lines.append(f"  {len(result.measure.changes)} changes in {result.seconds:.1f} s")
+    lines += [f"  {what}" for what in result.faults]
+    lines += [f"  {quantity:24} {value:g}" for quantity, value in result.quantities().items()]
+    if (load_totals := result.totals.get("load")) is not None:
+        counts = {key: value for key, value in msgspec.to_builtins(load_totals).items() if key != "latency"}
+        lines.append("  requests: " + ", ".join(f"{k} {v}" for k, v in counts.items() if k != "type"))
+    orders = ", ".join(f"{key} {value}" for key, value in msgspec.to_builtins(result.orders).items() if value)
+    lines.append(f"  revisions: {orders or 'none'}")
+    lines.append("  good" if result.good else f"  NOT GOOD ({result.unexpected} unexpected exceptions)")
+    return "\n".join(lines)
+
+
+@scale.command()
+@click.argument("files", nargs=-1, required=True, type=RESULTS)
+@click.option("--axis", type=click.Choice(list(AXES)), default="proxies", show_default=True)
+@click.option("--at", "predicted_size", type=float, help="Predict each quantity at this size.")
+@click.option("--measured", type=RESULTS, help="Results there, to compare.")
+@click.option("--charts", type=click.Path(file_okay=False, path_type=Path), help="Write charts here, as PNG.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+def slopes(
+    files: tuple[Path, ...],
+    axis: str,
+    predicted_size: float | None,
+    measured: Path | None,
+    charts: Path | None,
+    as_json: bool,
+) -> None:
+    """Fit a line to each quantity over the sizes of the results in FILES (at least four sizes).
+
+    \b
+    Example: cloverwell lab scale slopes p*.jsonl --axis proxies --at 480 --charts charts
+    """
+    try:
+        runs = [_read(path, axis) for path in files]
+        lines = fit_all(runs)
+        found = _read(measured, axis)[1] if measured is not None else {}
+    except (FitError, KeyError, ValueError) as error:
+        refuse(f"FILES: {error}")
+    for name, line in lines.items():
+        row = _row(name, line, predicted_size, found.get(name))
+        click.echo(json.dumps(row) if as_json else " ".join(f"{key}={value}" for key, value in row.items()))
+    if charts is not None:
+        from lab.scale.charts import draw
+
+        draw(charts, axis, runs, lines, predicted_size)
+
+
+def _read(path: Path, axis: str) -> tuple[float, dict[str, float]]:
+    """A run's size and quantities."""
+    lines = [json.loads(line) for line in path.read_text().splitlines()]
+    by_kind = {line["kind"]: line for line in lines if line["kind"] in ("run", "summary")}
+    return float(AXES[axis](by_kind["run"])), by_kind["summary"]["quantities"]
+
+
+def _row(name: str, line: Line, size: float | None, measured: float | None) -> dict[str, Any]:
+    row: dict[str, Any] = {
+        "quantity": name,
+        "slope": round(line.slope, 6),
+        "slope_error": round(line.slope_error, 6),
+        "start": round(line.start, 4),
+        "start_error": round(line.start_error, 4),
+        "residual": round(line.residual, 4),
+    }
+    if size is not None:
+        row |= {"at": size, "predicted": round(line.at(size), 4), "error": round(line.error_at(size), 4)}
+        if measured is not None:
+            row |= {"measured": measured, "off": round(miss(line.at(size), measured), 3)}
+    return row
--- /dev/null
+++ b/lab/scale/hollow.py
@@ -0,0 +1,142 @@
+"""A process of hollow proxies: whole proxies (`cloverwell.service.Service`) that no client can reach.
+
+All of a proxy runs but its listening port: the watch, the decisions, the pools with their sweeps, the timer
+wheel. Their reactor is one, as is their process.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any, TextIO
+
+from cloverwell.config import Config, Limits
+from cloverwell.facade import News, NoNews
+from cloverwell.log import Log
+from cloverwell.membership.listing import Listing
+from cloverwell.service import Service
+from cloverwell.wheel import monotonic_ms
+from lab.scale import control_clients, messages
+from lab.scale.membership import digest
+from olivestair.settings import read_settings
+
+REPORT_EVERY_S = 0.25
+NOWHERE = ("127.0.0.1", 0)
+
+
+class ClosedPort:
+    """Stands for the port that a hollow proxy does not open."""
+
+    def stopListening(self) -> None:
+        """There is nothing to close."""
+
+
+def no_port(*_: Any, **__: Any) -> ClosedPort:
+    """Takes the place of `cloverwell.front.port.listen`."""
+    return ClosedPort()
+
+
+class HollowProxy:
+    """One proxy; each list that its decisions have taken is told to `in_force`."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        spec: messages.HollowSpec,
+        known: Listing,
+        log: TextIO,
+        in_force: Callable[[messages.InForce], None],
+        incarnation: int,
+    ) -> None:
+        self.name = spec.name
+        self.failed_calls = 0
+        self._incarnation = incarnation
+        self._in_force = in_force
+        epoch_ms = monotonic_ms() - time.time() * 1000.0
+        config = Config(
+            name=spec.name,
+            listen=NOWHERE,
+            discovery=spec.discovery,
+            seed=spec.seed,
+            limits=Limits(),
+            known=known,
+            settings=read_settings(spec.settings),
+        )
+        self.service = Service(reactor, config, Log(monotonic_ms, log), monotonic_ms, epoch_ms)
+        self._decide = self.service.server_list.tell
+        self.service.server_list.tell = self._told
+        context = control_clients.ProxyContext(spec.name, self.service, reactor, self._control_in_force)
+        self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
+
+    def start(self) -> None:
+        """Takes the list known at the start, and begins to follow discovery."""
+        self.service.start(listen=no_port)
+        for client in self._control_clients:
+            client.start()
+
+    def stop(self) -> None:
+        """Ends what it follows."""
+        for client in self._control_clients:
+            client.stop()
+        self.service.server_list.stop()
+
+    def _told(self, told: News | NoNews) -> None:
+        self._decide(told)
+        if isinstance(told, NoNews):
+            self.failed_calls += 1
+            return
+        self._record(told.revision, told.complete, len(told.entries), told.held)
+
+    def _control_in_force(self, revision: int, complete: bool, lines: int) -> None:
+        self._record(revision, complete, lines, held=False)
+
+    def _record(self, revision: int, complete: bool, lines: int, held: bool) -> None:
+        now = time.monotonic()
+        row = messages.InForce(self.name, self._incarnation, revision, now, complete, lines, held)
+        self._in_force(row)
+
+    def final_list(self) -> messages.FinalList:
+        """The list as the proxy would hand it to a successor."""
+        listing = self.service.server_list.listing()
+        return messages.FinalList(self.name, listing.revision, digest(listing.members))
+
+
+class HollowProcess:
+    """The role of a process: so many hollow proxies on one reactor."""
+
+    def __init__(
+        self, reactor: Any, start: messages.StartHollow, report: Callable[[messages.Report], None]
+    ) -> None:
+        self._reactor = reactor
+        self._report = report
+        self._rows: list[messages.InForce] = []
+        self._log = open(f"{start.process}.proxies.log", "a")  # noqa: SIM115 (open as long as the process is)
+        self._proxies = [
+            HollowProxy(reactor, spec, start.known, self._log, self._rows.append, start.incarnation)
+            for spec in start.proxies
+        ]
+        for proxy in self._proxies:
+            proxy.start()
+        self._flush()
+        report(messages.Ready())
+
+    def _flush(self) -> None:
+        self._send_rows()
+        self._reactor.callLater(REPORT_EVERY_S, self._flush)
+
+    def _send_rows(self) -> None:
+        if self._rows:
+            self._report(messages.InForceBatch(self._rows))
+            self._rows.clear()
+
+    def command(self, command: messages.Command) -> None:
+        """It takes no commands but its end."""
+
+    def finish(self) -> messages.HollowTotals:
+        """The last rows, then the lists as they are now."""
+        lists = [proxy.final_list() for proxy in self._proxies]
+        failed_calls = sum(proxy.failed_calls for proxy in self._proxies)
+        self._send_rows()
+        for proxy in self._proxies:
+            proxy.stop()
+        return messages.HollowTotals(lists, failed_calls, faults=0)
