--- a/lab/scale/discovery.py
+++ b/lab/scale/discovery.py
@@ -135,6 +135,7 @@
         if self._changing is not None:
             self._changing.cancel()
             self._changing = None
+        self._report(messages.ChangesEnded())
 
     def _change(self) -> None:
         self._changing = self._reactor.callLater(1.0 / self._start.changes.per_s, self._change)
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import io
 import time
 from collections.abc import Callable
 from typing import Any, TextIO
@@ -24,6 +25,23 @@
 NOWHERE = ("127.0.0.1", 0)
 
 
+class NamedLog(io.TextIOBase):
+    """A proxy's lines in its process's log, its name before each."""
+
+    def __init__(self, name: str, log: TextIO) -> None:
+        super().__init__()
+        self._name = name
+        self._log = log
+
+    def write(self, text: str) -> int:
+        """Takes a line without its end, or the end alone."""
+        return self._log.write(text if text == "\n" else f"{self._name} {text}")
+
+    def flush(self) -> None:
+        """For each line: a process that is killed must have told."""
+        self._log.flush()
+
+
 class ClosedPort:
     """Stands for the port that a hollow proxy does not open."""
 
@@ -62,7 +80,8 @@
             known=known,
             settings=read_settings(spec.settings),
         )
-        self.service = Service(reactor, config, Log(monotonic_ms, log), monotonic_ms, epoch_ms)
+        named_log = Log(monotonic_ms, NamedLog(spec.name, log))
+        self.service = Service(reactor, config, named_log, monotonic_ms, epoch_ms)
         self._decide = self.service.server_list.tell
         self.service.server_list.tell = self._told
         context = control_clients.ProxyContext(spec.name, self.service, reactor, self._control_in_force)
--- a/lab/scale/load.py
+++ b/lab/scale/load.py
@@ -37,6 +37,11 @@
         self.transport.setTcpNoDelay(True)
         self._client.connection = self
 
+    @property
+    def open_requests(self) -> int:
+        """Sent, and not answered yet."""
+        return len(self._sent_s)
+
     def ask(self, key: int, name: int) -> None:
         """Sends a get."""
         self._sent_s.append(time.monotonic())
@@ -138,4 +143,6 @@
 
     def finish(self) -> messages.LoadTotals:
         """The totals since the start."""
-        return messages.LoadTotals(**self._counts, latency=self._latency.encode().decode())
+        unanswered = sum(client.connection.open_requests for client in self._clients if client.connection)
+        latency = self._latency.encode().decode()
+        return messages.LoadTotals(**self._counts, unanswered=unanswered, latency=latency)
--- a/lab/scale/measure.py
+++ b/lab/scale/measure.py
@@ -42,6 +42,7 @@
     def __init__(self) -> None:
         self.changes: list[messages.Changed] = []
         self._rows: dict[tuple[str, int], list[messages.InForce]] = defaultdict(list)
+        self._latest: dict[str, int] = {}
 
     def changed(self, change: messages.Changed) -> None:
         """Discovery has a new revision."""
@@ -51,6 +52,11 @@
         """Proxies took lists; each proxy's come in their order."""
         for row in rows:
             self._rows[row.proxy, row.incarnation].append(row)
+            self._latest[row.proxy] = row.revision
+
+    def revision_of(self, proxy: str) -> int:
+        """The last one that it took; -1 before the first."""
+        return self._latest.get(proxy, -1)
 
     def compare(
         self, final: dict[str, messages.FinalList], revision: int, digest: str
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -116,6 +116,10 @@
     members: list[Member]
 
 
+class ChangesEnded(Struct, tag="changes-ended"):
+    """No further revision comes."""
+
+
 class InForce(Struct):
     """A list that a proxy took, `at_s` being when its decisions had it; `held`: that known at its start."""
 
@@ -171,7 +175,10 @@
 
 
 class LoadTotals(Struct, tag="load-totals"):
-    """`lost`: the connection ended without an answer; `latency` is an encoded histogram, in us."""
+    """`lost`: the connection ended without an answer; `unanswered`: it still stands.
+
+    `latency` is an encoded histogram of those that were served, in us.
+    """
 
     sent: int
     served: int
@@ -179,11 +186,12 @@
     failed: int
     lost: int
     not_connected: int
+    unanswered: int
     latency: str
 
 
 Totals = HollowTotals | DiscoveryTotals | RelayTotals | NodesTotals | LoadTotals
-Report = Ready | Changed | InForceBatch | Totals
+Report = Ready | Changed | ChangesEnded | InForceBatch | Totals
 
 _commands = msgspec.json.Decoder(Command)
 _reports = msgspec.json.Decoder(Report)
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -19,6 +19,9 @@
 LIST_COPY_MB = 0.004  # a node in the lists that the parent, discovery and the hollow processes hold
 HELPERS = 5  # the parent, discovery, the stand-in nodes, the load, the relay
 
+# Hollow proxies share a loop: a connect that came up must not fail because neighbours have their turn.
+HOLLOW_CONNECT_TIMEOUT_MS = 2000.0
+
 ORIGIN = "origin"
 CACHE_NODE = "large"
 
@@ -70,6 +73,13 @@
     }
 
 
+def hollow_settings(world: World, place: ProxyPlace) -> dict[str, Any]:
+    """The same for a hollow proxy, which shares its loop."""
+    told = settings(world, place, world.hollow.granularity_ms)
+    limits = told["limits"] | {"connect-timeout": HOLLOW_CONNECT_TIMEOUT_MS}
+    return told | {"limits": limits}
+
+
 def first_members(world: World, ports: list[int], origin_port: int) -> list[Member]:
     """Discovery's first list: the cache nodes spread over zones and ports, then the origin."""
     spread = zones(world)
--- a/lab/scale/process_group.py
+++ b/lab/scale/process_group.py
@@ -126,7 +126,7 @@
         match report:
             case messages.Ready():
                 child.ready.set()
-            case messages.Changed() | messages.InForceBatch():
+            case messages.Changed() | messages.ChangesEnded() | messages.InForceBatch():
                 self._report(child, report)
             case _:
                 child.totals = report
--- a/lab/scale/relay.py
+++ b/lab/scale/relay.py
@@ -50,8 +50,11 @@
 class Pipe:
     """One way of one connection: pieces in their order, then the close."""
 
-    def __init__(self, reactor: Any, way: Way, source: RelayEnd, sink: RelayEnd) -> None:
+    def __init__(
+        self, reactor: Any, now: Callable[[], float], way: Way, source: RelayEnd, sink: RelayEnd
+    ) -> None:
         self._reactor = reactor
+        self._now = now
         self._way = way
         self._source = source
         self._sink = sink
@@ -61,7 +64,7 @@
 
     def put(self, data: bytes | None) -> None:
         """Takes a piece, or the close."""
-        now = time.monotonic()
+        now = self._now()
         behind = self._pieces[-1][0] if self._pieces else 0.0
         self._pieces.append((max(behind, self._way.arrival_s(now)), data))
         self._held += len(data or b"")
@@ -73,7 +76,7 @@
         """Hands over what has arrived, unless the way is cut."""
         if self._way.cut or not self._sink.up:
             return
-        now = time.monotonic()
+        now = self._now()
         while self._pieces and self._pieces[0][0] <= now:
             _, data = self._pieces.pop(0)
             self._hand_over(data)
@@ -152,8 +155,8 @@
     def _accepted(self, near: RelayEnd) -> None:
         self.connections += 1
         far = RelayEnd(lambda _: self._move(near))
-        near.pipe = Pipe(self._reactor, self.there, near, far)
-        far.pipe = Pipe(self._reactor, self.back, far, near)
+        near.pipe = Pipe(self._reactor, time.monotonic, self.there, near, far)
+        far.pipe = Pipe(self._reactor, time.monotonic, self.back, far, near)
         self._pipes[near] = (near.pipe, far.pipe)
         self._forget_ended()
         self._reactor.connectTCP(*self._target, _Outgoing(near, far), timeout=CONNECT_S)
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -43,6 +43,7 @@
         self._incarnations: dict[str, int] = {}
         self._active: list[Fault] = []
         self._changing = False
+        self._changes_ended = asyncio.Event()
         self._first_samples: dict[str, tuple[int, machine.Sample]] = {}
         self._most_rss_mb: dict[str, float] = {}
         self._faults_done: list[str] = []
@@ -82,7 +83,7 @@
         self._switch_changes(False)
         seconds = time.monotonic() - began_s
         costs = self._costs()
-        await asyncio.sleep(self.world.settle_s)
+        await self._settle()
         return await self._finish(seconds, costs, load_before)
 
     # Processes ---------------------------------------------------------------------------------
@@ -146,6 +147,8 @@
             case messages.Changed():
                 self._replica.apply(report.revision, report.members)
                 self._measure.changed(report)
+            case messages.ChangesEnded():
+                self._changes_ended.set()
             case messages.InForceBatch():
                 self._measure.took(report.rows)
 
@@ -155,6 +158,23 @@
             if name in self._group.children:
                 self._group.children[name].send(messages.SwitchChanges(on))
 
+    async def _settle(self) -> None:
+        """Until all proxies have the last revision, `settle_s` at the most."""
+        until_s = time.monotonic() + self.world.settle_s
+        if not self._group.children["discovery"].ended:
+            await self._changes_ended.wait()
+        while self._behind() and time.monotonic() < until_s:
+            await asyncio.sleep(LOOK_S)
+
+    def _behind(self) -> bool:
+        names = [
+            place.name
+            for number, places in enumerate(self._hollow_groups)
+            if not self._group.children[f"hollow-{number}"].ended
+            for place in places
+        ]
+        return any(self._measure.revision_of(name) < self._replica.revision for name in names)
+
     # Faults ------------------------------------------------------------------------------------
 
     async def _fault(self, fault: Fault) -> None:
--- a/lab/scale/start.py
+++ b/lab/scale/start.py
@@ -93,7 +93,7 @@
             place.name,
             place.seed,
             addresses.discovery_from(place.region),
-            plan.settings(world, place, world.hollow.granularity_ms),
+            plan.hollow_settings(world, place),
         )
         for place in group
     ]
