--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -113,7 +113,7 @@
     """The outcome for a person."""
     sizes = f"{result.world.hollow.count} hollow, {result.world.real.count} real proxies"
     lines = [f"{name}, seed {result.seed}: {sizes}, {result.world.nodes.count} nodes"]
-    lines.append(f"  {len(result.measure.changes)} changes in {result.seconds:.1f} s")
+    lines.append(f"  {len(result.server_list.changes)} changes in {result.seconds:.1f} s")
     lines += [f"  {what}" for what in result.faults]
     lines += [f"  {quantity:24} {value:g}" for quantity, value in result.quantities().items()]
     if (load_totals := result.totals.get("load")) is not None:
--- a/lab/scale/control_clients.py
+++ b/lab/scale/control_clients.py
@@ -22,7 +22,9 @@
     name: str
     service: Service
     reactor: Any
-    in_force: Callable[[int, bool, int], None]  # a revision, whether it is complete, its number of entries
+    # To be called with the client's own name for its source, a revision, whether that came as a whole, and
+    # its number of entries; the source's stand-in reports `Changed` under the same name.
+    in_force: Callable[[str, int, bool, int], None]
 
 
 class ControlClient(Protocol):
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -84,7 +84,7 @@
         self.service = Service(reactor, config, named_log, monotonic_ms, epoch_ms)
         self._decide = self.service.server_list.tell
         self.service.server_list.tell = self._told
-        context = control_clients.ProxyContext(spec.name, self.service, reactor, self._control_in_force)
+        context = control_clients.ProxyContext(spec.name, self.service, reactor, self._record)
         self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
 
     def start(self) -> None:
@@ -104,14 +104,12 @@
         if isinstance(told, NoNews):
             self.failed_calls += 1
             return
-        self._record(told.revision, told.complete, len(told.entries), told.held)
+        lines = len(told.entries)
+        self._record(messages.SERVER_LIST, told.revision, told.complete, lines, told.held)
 
-    def _control_in_force(self, revision: int, complete: bool, lines: int) -> None:
-        self._record(revision, complete, lines, held=False)
-
-    def _record(self, revision: int, complete: bool, lines: int, held: bool) -> None:
+    def _record(self, source: str, revision: int, complete: bool, lines: int, held: bool = False) -> None:
         now = time.monotonic()
-        row = messages.InForce(self.name, self._incarnation, revision, now, complete, lines, held)
+        row = messages.InForce(self.name, self._incarnation, revision, now, complete, lines, held, source)
         self._in_force(row)
 
     def final_list(self) -> messages.FinalList:
--- a/lab/scale/measure.py
+++ b/lab/scale/measure.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Iterable
 from dataclasses import dataclass, field
 from itertools import pairwise
 
@@ -37,7 +36,7 @@
 
 
 class InForceMeasure:
-    """Collects changes and the lists taken, and compares them once the run is over."""
+    """Collects one source's changes and what proxies took of them, and compares both once the run is over."""
 
     def __init__(self) -> None:
         self.changes: list[messages.Changed] = []
@@ -48,11 +47,10 @@
         """Discovery has a new revision."""
         self.changes.append(change)
 
-    def took(self, rows: Iterable[messages.InForce]) -> None:
-        """Proxies took lists; each proxy's come in their order."""
-        for row in rows:
-            self._rows[row.proxy, row.incarnation].append(row)
-            self._latest[row.proxy] = row.revision
+    def took(self, row: messages.InForce) -> None:
+        """A proxy took a revision; each proxy's come in their order."""
+        self._rows[row.proxy, row.incarnation].append(row)
+        self._latest[row.proxy] = row.revision
 
     def revision_of(self, proxy: str) -> int:
         """The last one that it took; -1 before the first."""
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -101,6 +101,8 @@
 Start = StartDiscovery | StartHollow | StartRelay | StartNodes | StartLoad
 Command = Start | SwitchChanges | SetLink | Finish
 
+SERVER_LIST = "list"  # the source of discovery's revisions; each control client names its own
+
 # From a process --------------------------------------------------------------------------------
 
 
@@ -109,11 +111,12 @@
 
 
 class Changed(Struct, tag="changed"):
-    """Discovery has a new revision since `at_s`."""
+    """A source (discovery, or a stand-in control node) has a new revision since `at_s`."""
 
     revision: int
     at_s: float
-    members: list[Member]
+    members: list[Member] = []
+    source: str = SERVER_LIST
 
 
 class ChangesEnded(Struct, tag="changes-ended"):
@@ -121,7 +124,10 @@
 
 
 class InForce(Struct):
-    """A list that a proxy took, `at_s` being when its decisions had it; `held`: that known at its start."""
+    """What a proxy took from a source, `at_s` being when its decisions had it.
+
+    `held`: it is what was known at the proxy's start; `lines`: entries in the answer.
+    """
 
     proxy: str
     incarnation: int
@@ -129,7 +135,8 @@
     at_s: float
     complete: bool
     lines: int
-    held: bool
+    held: bool = False
+    source: str = SERVER_LIST
 
 
 class InForceBatch(Struct, tag="in-force"):
--- a/lab/scale/outcome.py
+++ b/lab/scale/outcome.py
@@ -36,7 +36,7 @@
     world: World
     seed: int
     seconds: float
-    measure: InForceMeasure
+    measures: dict[str, InForceMeasure]  # by source
     replica: MemberList  # discovery's list at the end
     totals: dict[str, messages.Totals]
     costs: list[ProcessCost]
@@ -45,6 +45,11 @@
     load_before: tuple[float, float, float]
     load_after: tuple[float, float, float]
 
+    @property
+    def server_list(self) -> InForceMeasure:
+        """That of discovery's list."""
+        return self.measures[messages.SERVER_LIST]
+
     @cached_property
     def _compared(self) -> tuple[HdrHistogram, Orders]:
         final = {
@@ -53,7 +58,7 @@
             if isinstance(totals, messages.HollowTotals)
             for listed in totals.lists
         }
-        return self.measure.compare(final, self.replica.revision, digest(self.replica.members.values()))
+        return self.server_list.compare(final, self.replica.revision, digest(self.replica.members.values()))
 
     @property
     def in_force(self) -> HdrHistogram:
@@ -116,21 +121,21 @@
 
     def lines(self, name: str) -> list[dict[str, Any]]:
         """The results; `name` is the world's."""
-        histogram = self.in_force
         return [
             self._head(name),
             {"kind": "summary", "good": self.good, "quantities": self.quantities()},
-            {
-                "kind": "in-force",
-                "count": histogram.get_total_count(),
-                "ms": percentiles_ms(histogram),
-                "hdrhistogram_us": histogram.encode().decode(),
-            },
+            *(_in_force_line(source, histogram) for source, histogram in self._histograms().items()),
             {"kind": "orders"} | asdict(self.orders),
             *({"kind": "totals", "process": process} | _told(told) for process, told in self.totals.items()),
             *({"kind": "cost"} | asdict(cost) for cost in self.costs),
         ]
 
+    def _histograms(self) -> dict[str, HdrHistogram]:
+        """By source; lists at the end are compared for discovery's alone."""
+        others = {source: m for source, m in self.measures.items() if source != messages.SERVER_LIST}
+        found = {source: measure.compare({}, 0, "")[0] for source, measure in others.items()}
+        return {messages.SERVER_LIST: self.in_force} | found
+
     def _head(self, name: str) -> dict[str, Any]:
         return {
             "kind": "run",
@@ -142,12 +147,22 @@
             "seconds": round(self.seconds, 3),
             "proxies": {"hollow": self.world.hollow.count, "real": self.world.real.count},
             "nodes": self.world.nodes.count,
-            "changes": len(self.measure.changes),
+            "changes": len(self.server_list.changes),
             "faults": self.faults,
             "settings": msgspec.to_builtins(self.world),
         }
 
 
+def _in_force_line(source: str, histogram: HdrHistogram) -> dict[str, Any]:
+    return {
+        "kind": "in-force",
+        "source": source,
+        "count": histogram.get_total_count(),
+        "ms": percentiles_ms(histogram),
+        "hdrhistogram_us": histogram.encode().decode(),
+    }
+
+
 def _told(totals: messages.Totals) -> dict[str, Any]:
     told = msgspec.to_builtins(totals)
     told.pop("type")
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -39,7 +39,7 @@
         self._replica = MemberList(self._listing.revision, self._listing.members)
         self._hollow_groups = plan.hollow_groups(world)
         self._real_places = plan.place_proxies(world, "real", world.real.count)
-        self._measure = InForceMeasure()
+        self._measures = {messages.SERVER_LIST: InForceMeasure()}  # by source
         self._incarnations: dict[str, int] = {}
         self._active: list[Fault] = []
         self._changing = False
@@ -145,12 +145,17 @@
     def _reported(self, child: ChildProcess, report: messages.Report) -> None:
         match report:
             case messages.Changed():
-                self._replica.apply(report.revision, report.members)
-                self._measure.changed(report)
+                if report.source == messages.SERVER_LIST:
+                    self._replica.apply(report.revision, report.members)
+                self._measure_of(report.source).changed(report)
             case messages.ChangesEnded():
                 self._changes_ended.set()
             case messages.InForceBatch():
-                self._measure.took(report.rows)
+                for row in report.rows:
+                    self._measure_of(row.source).took(row)
+
+    def _measure_of(self, source: str) -> InForceMeasure:
+        return self._measures.setdefault(source, InForceMeasure())
 
     def _switch_changes(self, on: bool) -> None:
         self._changing = on
@@ -173,7 +178,8 @@
             if not self._group.children[f"hollow-{number}"].ended
             for place in places
         ]
-        return any(self._measure.revision_of(name) < self._replica.revision for name in names)
+        measure = self._measure_of(messages.SERVER_LIST)
+        return any(measure.revision_of(name) < self._replica.revision for name in names)
 
     # Faults ------------------------------------------------------------------------------------
 
@@ -263,7 +269,7 @@
             world=self.world,
             seed=self.seed,
             seconds=seconds,
-            measure=self._measure,
+            measures=self._measures,
             replica=self._replica,
             totals=totals,
             costs=costs,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -288,7 +288,8 @@
     measure = InForceMeasure()
     for change in CHANGES:
         measure.changed(change)
-    measure.took(rows)
+    for taken in rows:
+        measure.took(taken)
     final = FinalList("p", 4, "same") if final is None else final
     return measure.compare({final.proxy: final}, 4, "same")
 
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -95,11 +95,14 @@
         parent.stderr.close()
 
 
+def run_to_its_end(world, out):
+    command = [*COMMAND, str(world), "--out", str(out)]
+    return subprocess.run(command, capture_output=True, text=True, timeout=4 * PATIENCE_S)
+
+
 def test_the_small_world_loses_and_misplaces_nothing(tmp_path):
     out = tmp_path / "small.jsonl"
-    told = subprocess.run(
-        [*COMMAND, "small", "--out", str(out)], capture_output=True, text=True, timeout=4 * PATIENCE_S
-    )
+    told = run_to_its_end("small", out)
     assert told.returncode == 0, told.stdout + told.stderr
     lines = [json.loads(line) for line in out.read_text().splitlines()]
     by_kind = {line["kind"]: line for line in lines}
@@ -133,9 +136,7 @@
         '[[faults]]\nkind = "restart"\nat_s = 3.5\nwhom = ["discovery"]\n'
     )
     out = tmp_path / "faults.jsonl"
-    told = subprocess.run(
-        [*COMMAND, str(path), "--out", str(out)], capture_output=True, text=True, timeout=4 * PATIENCE_S
-    )
+    told = run_to_its_end(path, out)
     assert told.returncode == 0, told.stdout + told.stderr
     lines = [json.loads(line) for line in out.read_text().splitlines()]
     head, orders = lines[0], next(line for line in lines if line["kind"] == "orders")
