--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -5,7 +5,7 @@
 import json
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 import msgspec
@@ -15,6 +15,9 @@
 from lab.scale.slopes import FitError, Line, fit_all, miss
 from lab.scale.world import World, WorldError, check, load, shipped
 
+if TYPE_CHECKING:
+    from lab.scale.outcome import Outcome
+
 BROKEN = 1  # exit code where revisions were lost or misplaced, or a process ended by itself
 INTERRUPTED = 130
 RESULTS = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -70,7 +73,7 @@
     from lab.scale import run as runner
 
     try:
-        read = _with_sizes(load(world), Path(world).name, hollow, nodes)
+        read = _changed(load(world), Path(world).name, seed, hollow, nodes)
         plan.check_fits(read, machine.memory_mb(), Path(world).name)
     except WorldError as error:
         refuse(str(error))
@@ -80,7 +83,7 @@
         folder = logs or Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
         try:
-            result = runner.run(read, read.seed if seed is None else seed, folder.resolve())
+            result = runner.run(read, folder.resolve())
         except runner.Stopped:
             click.echo("cloverwell: interrupted; all processes have ended", err=True)
             raise SystemExit(INTERRUPTED) from None
@@ -94,25 +97,27 @@
         raise SystemExit(BROKEN)
 
 
-def _with_sizes(world: World, where: str, hollow: int | None, nodes: int | None) -> World:
-    """The world with other sizes, checked as a file's are."""
+def _changed(world: World, where: str, seed: int | None, hollow: int | None, nodes: int | None) -> World:
+    """The world with another seed and other sizes, checked as a file's are."""
     raw = msgspec.to_builtins(world)
+    if seed is not None:
+        raw["seed"] = seed
     if hollow is not None:
         raw["hollow"]["count"] = hollow
     if nodes is not None:
         raw["nodes"]["count"] = nodes
     try:
-        resized = msgspec.convert(raw, World)
+        changed = msgspec.convert(raw, World)
     except msgspec.ValidationError as error:
         raise WorldError(f"{where}: {error}".replace("\n", " ")) from None
-    check(resized, where)
-    return resized
+    check(changed, where)
+    return changed
 
 
-def _told(name: str, result: Any) -> str:
+def _told(name: str, result: Outcome) -> str:
     """The outcome for a person."""
     sizes = f"{result.world.hollow.count} hollow, {result.world.real.count} real proxies"
-    lines = [f"{name}, seed {result.seed}: {sizes}, {result.world.nodes.count} nodes"]
+    lines = [f"{name}, seed {result.world.seed}: {sizes}, {result.world.nodes.count} nodes"]
     lines.append(f"  {len(result.server_list.changes)} changes in {result.seconds:.1f} s")
     lines += [f"  {what}" for what in result.faults]
     lines += [f"  {quantity:24} {value:g}" for quantity, value in result.quantities().items()]
--- a/lab/scale/outcome.py
+++ b/lab/scale/outcome.py
@@ -34,7 +34,6 @@
     """All that was counted and measured, between the first change and the last (`seconds`)."""
 
     world: World
-    seed: int
     seconds: float
     measures: dict[str, InForceMeasure]  # by source
     replica: MemberList  # discovery's list at the end
@@ -140,7 +139,7 @@
         return {
             "kind": "run",
             "world": name,
-            "seed": self.seed,
+            "seed": self.world.seed,
             "git": machine.git_revision(),
             "machine": machine.description(),
             "load_average": {"before": self.load_before, "after": self.load_after},
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -30,9 +30,8 @@
 class ScaleRun:
     """One run of a world. `folder` is for configuration files and logs."""
 
-    def __init__(self, world: World, seed: int, folder: Path) -> None:
+    def __init__(self, world: World, folder: Path) -> None:
         self.world = world
-        self.seed = seed
         self._folder = folder
         self._addresses = start.Addresses.free(world)
         self._listing = start.first_listing(world, self._addresses)
@@ -75,17 +74,25 @@
         began_s = time.monotonic()
         self._begin_samples()
         self._switch_changes(True)
-        faults = [asyncio.create_task(self._fault(fault)) for fault in self.world.faults]
-        sampling = asyncio.create_task(self._sample_memory())
-        await asyncio.sleep(self.world.run_s)
-        await asyncio.gather(*faults)
-        sampling.cancel()
+        await self._changes_and_faults()
         self._switch_changes(False)
         seconds = time.monotonic() - began_s
         costs = self._costs()
         await self._settle()
         return await self._finish(seconds, costs, load_before)
 
+    async def _changes_and_faults(self) -> None:
+        faults = [asyncio.create_task(self._fault(fault)) for fault in self.world.faults]
+        sampling = asyncio.create_task(self._sample_memory())
+        try:
+            await asyncio.sleep(self.world.run_s)
+            await asyncio.gather(*faults)
+        finally:
+            # Nothing may start a process again once the run is being ended.
+            for task in (*faults, sampling):
+                task.cancel()
+            await asyncio.gather(*faults, sampling, return_exceptions=True)
+
     # Processes ---------------------------------------------------------------------------------
 
     async def _start_all(self) -> None:
@@ -110,16 +117,16 @@
         await asyncio.wait_for(child.ready.wait(), START_S)
 
     def _first_message(self, name: str) -> messages.Start:
-        world, seed, addresses = self.world, self.seed, self._addresses
+        world, addresses = self.world, self._addresses
         match name:
             case "discovery":
-                return start.discovery(world, seed, addresses, self._listing_now())
+                return start.discovery(world, addresses, self._listing_now())
             case "nodes":
                 return start.nodes(world, addresses)
             case "relay":
-                return start.relay(world, seed, addresses)
+                return start.relay(world, addresses)
             case "load":
-                return start.load(world, seed, addresses)
+                return start.load(world, addresses)
         group = [] if name == start.EMPTY else self._hollow_groups[int(name.removeprefix("hollow-"))]
         incarnation = self._incarnations[name] = self._incarnations.get(name, -1) + 1
         return start.hollow(world, name, incarnation, group, addresses, self._listing_now())
@@ -267,7 +274,6 @@
                 totals[name] = told
         return Outcome(
             world=self.world,
-            seed=self.seed,
             seconds=seconds,
             measures=self._measures,
             replica=self._replica,
@@ -285,9 +291,9 @@
         interrupted.set_exception(Stopped("interrupted"))
 
 
-def run(world: World, seed: int, folder: Path) -> Outcome:
+def run(world: World, folder: Path) -> Outcome:
     """Plays the world; see `ScaleRun.run`."""
-    return asyncio.run(ScaleRun(world, seed, folder).run())
+    return asyncio.run(ScaleRun(world, folder).run())
 
 
 __all__ = ["Outcome", "ProcessEnded", "ScaleRun", "Stopped", "run"]
--- a/lab/scale/start.py
+++ b/lab/scale/start.py
@@ -54,15 +54,15 @@
     return Listing(FIRST_REVISION, True, members)
 
 
-def discovery(world: World, seed: int, addresses: Addresses, known: Listing) -> messages.StartDiscovery:
+def discovery(world: World, addresses: Addresses, known: Listing) -> messages.StartDiscovery:
     """Discovery's, with the list that it begins (again) with."""
     settings = world.discovery
     return messages.StartDiscovery(
-        addresses.discovery, settings.calls_per_s, settings.queue, seed, world.changes, known
+        addresses.discovery, settings.calls_per_s, settings.queue, world.seed, world.changes, known
     )
 
 
-def relay(world: World, seed: int, addresses: Addresses) -> messages.StartRelay:
+def relay(world: World, addresses: Addresses) -> messages.StartRelay:
     """The relay's, with a link for each region that is not discovery's."""
     delays, near = delays_ms(world), world.discovery_region
     target = (HOST, addresses.discovery)
@@ -70,7 +70,7 @@
         messages.RelayLink(region, port, target, delays[frozenset((region, near))])
         for region, port in addresses.relay.items()
     ]
-    return messages.StartRelay(seed, links)
+    return messages.StartRelay(world.seed, links)
 
 
 def nodes(world: World, addresses: Addresses) -> messages.StartNodes:
@@ -78,10 +78,10 @@
     return messages.StartNodes(addresses.nodes, addresses.origin, world.nodes.miss_share)
 
 
-def load(world: World, seed: int, addresses: Addresses) -> messages.StartLoad:
+def load(world: World, addresses: Addresses) -> messages.StartLoad:
     """That of the real proxies' clients."""
     proxies = [(HOST, port) for port in addresses.real]
-    return messages.StartLoad(seed, proxies, world.real.connections, world.real.requests_per_s)
+    return messages.StartLoad(world.seed, proxies, world.real.connections, world.real.requests_per_s)
 
 
 def hollow(
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -144,8 +144,9 @@
     assert (orders["lost"], orders["out_of_order"], orders["wrong_lists"]) == (0, 0, 0)
 
 
-def test_ctrl_c_ends_all_and_says_so(long_run):
-    parent, processes = long_run()
+@pytest.mark.parametrize("more", ["", PAUSES], ids=["running", "paused"])
+def test_ctrl_c_ends_all_and_says_so(long_run, more):
+    parent, processes = long_run(more)
     parent.send_signal(signal.SIGINT)
     assert parent.wait(PATIENCE_S) == 130
     assert "interrupted" in parent.stderr.read()
