--- a/lab/scale/relay.py
+++ b/lab/scale/relay.py
@@ -106,6 +106,7 @@
         self._opened = opened
         self.pipe: Pipe | None = None  # what comes in here goes on by it
         self.up = False
+        self.closed = False  # it will not be up again, if it ever was
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -116,10 +117,30 @@
         self.pipe.put(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.up = False
+        self.up, self.closed = False, True
         self.pipe.put(None)
 
 
+class RelayedConnection:
+    """A connection from a proxy (`near`), the one to discovery (`far`), and the pipes between them."""
+
+    def __init__(self, reactor: Any, near: RelayEnd, there: Way, back: Way) -> None:
+        self.near = near
+        self.far = RelayEnd(lambda _: self.move())
+        self.near.pipe = Pipe(reactor, time.monotonic, there, self.near, self.far)
+        self.far.pipe = Pipe(reactor, time.monotonic, back, self.far, self.near)
+
+    def move(self) -> None:
+        """Hands over what may go, either way."""
+        self.near.pipe.move()
+        self.far.pipe.move()
+
+    @property
+    def ended(self) -> bool:
+        """Both ends have closed: the close of one reaches the other behind what a cut holds back."""
+        return self.near.closed and self.far.closed
+
+
 class _Outgoing(ClientFactory):
     noisy = False
 
@@ -131,6 +152,7 @@
         return self._far
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+        self._far.closed = True
         self._near.transport.abortConnection()
 
 
@@ -146,7 +168,7 @@
         self.there = Way(delay_s, Random(f"there {link.region} {seed}"))
         self.back = Way(delay_s, Random(f"back {link.region} {seed}"))
         self.connections = 0
-        self._pipes: dict[RelayEnd, tuple[Pipe, Pipe]] = {}  # by the near end
+        self._relayed: list[RelayedConnection] = []
         reactor.listenTCP(link.port, self, backlog=2048, interface="127.0.0.1")
 
     def buildProtocol(self, addr: IAddress) -> RelayEnd:
@@ -154,27 +176,15 @@
 
     def _accepted(self, near: RelayEnd) -> None:
         self.connections += 1
-        far = RelayEnd(lambda _: self._move(near))
-        near.pipe = Pipe(self._reactor, time.monotonic, self.there, near, far)
-        far.pipe = Pipe(self._reactor, time.monotonic, self.back, far, near)
-        self._pipes[near] = (near.pipe, far.pipe)
-        self._forget_ended()
-        self._reactor.connectTCP(*self._target, _Outgoing(near, far), timeout=CONNECT_S)
-
-    def _forget_ended(self) -> None:
-        ended = [near for near in self._pipes if not near.up]
-        for near in ended:
-            del self._pipes[near]
-
-    def _move(self, near: RelayEnd) -> None:
-        for pipe in self._pipes.get(near, ()):
-            pipe.move()
+        relayed = RelayedConnection(self._reactor, near, self.there, self.back)
+        self._relayed = [known for known in self._relayed if not known.ended] + [relayed]
+        self._reactor.connectTCP(*self._target, _Outgoing(near, relayed.far), timeout=CONNECT_S)
 
     def set_ways(self, there: messages.LinkWay, back: messages.LinkWay) -> None:
         """What was held back by a cut goes on at once."""
         self.there.state, self.back.state = there, back
-        for near in list(self._pipes):
-            self._move(near)
+        for relayed in self._relayed:
+            relayed.move()
 
 
 class Relay:
