--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -70,6 +70,7 @@
         self.failed_calls = 0
         self._incarnation = incarnation
         self._in_force = in_force
+        self._row: messages.InForce | None = None  # what the answer in hand put in force
         epoch_ms = monotonic_ms() - time.time() * 1000.0
         config = Config(
             name=spec.name,
@@ -84,6 +85,8 @@
         self.service = Service(reactor, config, named_log, monotonic_ms, epoch_ms)
         self._decide = self.service.server_list.tell
         self.service.server_list.tell = self._told
+        self._take_answer = self.service.server_list.answered
+        self.service.server_list.answered = self._answered
         context = control_clients.ProxyContext(spec.name, self.service, reactor, self._record)
         self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
 
@@ -99,6 +102,13 @@
             client.stop()
         self.service.server_list.stop()
 
+    def _answered(self, status: int, body: bytes) -> None:
+        self._row = None
+        began_s = time.thread_time()
+        self._take_answer(status, body)
+        if self._row is not None:
+            self._row.cpu_ms = 1000.0 * (time.thread_time() - began_s)
+
     def _told(self, told: News | NoNews) -> None:
         self._decide(told)
         if isinstance(told, NoNews):
@@ -109,7 +119,10 @@
 
     def _record(self, source: str, revision: int, complete: bool, lines: int, held: bool = False) -> None:
         now = time.monotonic()
-        row = messages.InForce(self.name, self._incarnation, revision, now, complete, lines, held, source)
+        row = messages.InForce(
+            self.name, self._incarnation, revision, now, complete, lines, held, source=source
+        )
+        self._row = row
         self._in_force(row)
 
     def final_list(self) -> messages.FinalList:
--- a/lab/scale/measure.py
+++ b/lab/scale/measure.py
@@ -52,6 +52,11 @@
         self._rows[row.proxy, row.incarnation].append(row)
         self._latest[row.proxy] = row.revision
 
+    def mean_cpu_ms(self) -> float | None:
+        """CPU time of a proxy to take an answer with something new; None where there was none."""
+        costs = [row.cpu_ms for rows in self._rows.values() for row in rows if row.lines and not row.held]
+        return sum(costs) / len(costs) if costs else None
+
     def revision_of(self, proxy: str) -> int:
         """The last one that it took; -1 before the first."""
         return self._latest.get(proxy, -1)
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -126,7 +126,8 @@
 class InForce(Struct):
     """What a proxy took from a source, `at_s` being when its decisions had it.
 
-    `held`: it is what was known at the proxy's start; `lines`: entries in the answer.
+    `held`: it is what was known at the proxy's start; `lines`: entries in the answer; `cpu_ms`: CPU time that
+    taking the answer cost the proxy, from its bytes to the next call.
     """
 
     proxy: str
@@ -136,6 +137,7 @@
     complete: bool
     lines: int
     held: bool = False
+    cpu_ms: float = 0.0
     source: str = SERVER_LIST
 
 
--- a/lab/scale/outcome.py
+++ b/lab/scale/outcome.py
@@ -91,6 +91,8 @@
         found: dict[str, float] = {}
         latency = percentiles_ms(self.in_force)
         found |= {f"in_force_{share}_ms": latency[share] for share in LATENCY_SHARES if share in latency}
+        if (cpu_ms := self.server_list.mean_cpu_ms()) is not None:
+            found["take_cpu_mean_ms"] = cpu_ms
         if (cost := self.hollow_cost) is not None:
             found |= {"hollow_cpu_percent": cost.cpu_percent, "hollow_rss_mb": cost.rss_mb}
         found |= self._discovery_quantities()
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -2,6 +2,8 @@
 
 import io
 
+import msgspec
+
 from cloverwell.membership.listing import Listing, Member
 from lab.net import Net
 from lab.scale import control_clients, messages, plan
@@ -92,3 +94,15 @@
     assert {other.source for other in rows[:-1]} == {messages.SERVER_LIST}
     proxy.stop()
     assert made[0].calls == ["start", "stop"]
+
+
+def test_an_answer_of_discovery_is_taken_and_its_cost_noted():
+    rows = []
+    proxy = hollow(rows)
+    proxy.start()
+    proxy.service.server_list.watch()
+    listing = Listing(8, False, [Member("node-2", "127.0.0.1:3", "east-0", "large")])
+    proxy.service.server_list.answered(200, msgspec.json.encode(listing))
+    assert (rows[-1].revision, rows[-1].lines, rows[-1].held) == (8, 1, False)
+    assert rows[-1].cpu_ms > 0.0 and rows[0].cpu_ms == 0.0
+    assert proxy.service.pools.names() == {"node-0", "node-1", "node-2"}
--- a/tests/test_scale_measures.py
+++ b/tests/test_scale_measures.py
@@ -122,3 +122,11 @@
 def test_slopes_of_too_few_sizes_are_refused_in_one_line(tmp_path):
     told = call("slopes", write_run(tmp_path / "a.jsonl", 30, 1.0))
     assert told.exit_code == 2 and told.stderr.count("\n") == 1 and "4 different sizes" in told.stderr
+
+
+def test_the_cost_of_an_answer_is_a_mean_over_those_with_something_new():
+    measure = InForceMeasure()
+    assert measure.mean_cpu_ms() is None
+    for lines, held, cpu_ms in ((9, True, 50.0), (1, False, 2.0), (0, False, 70.0), (2, False, 4.0)):
+        measure.took(InForce("p", 0, 2, 1.0, False, lines, held, cpu_ms))
+    assert measure.mean_cpu_ms() == 3.0
