--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -126,6 +126,7 @@
         lines.append("  requests: " + ", ".join(f"{k} {v}" for k, v in counts.items() if k != "type"))
     orders = ", ".join(f"{key} {value}" for key, value in msgspec.to_builtins(result.orders).items() if value)
     lines.append(f"  revisions: {orders or 'none'}")
+    lines.append(f"  latest timer of a hollow process: {result.most_lag_ms:g} ms")
     lines.append("  good" if result.good else f"  NOT GOOD ({result.unexpected} unexpected exceptions)")
     return "\n".join(lines)
 
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -147,10 +147,15 @@
         ]
         for proxy in self._proxies:
             proxy.start()
+        self._most_lag_s = 0.0
+        self._flush_due_s = time.monotonic()
         self._flush()
         report(messages.Ready())
 
     def _flush(self) -> None:
+        now = time.monotonic()
+        self._most_lag_s = max(self._most_lag_s, now - self._flush_due_s)
+        self._flush_due_s = now + REPORT_EVERY_S
         self._send_rows()
         self._reactor.callLater(REPORT_EVERY_S, self._flush)
 
@@ -169,4 +174,4 @@
         self._send_rows()
         for proxy in self._proxies:
             proxy.stop()
-        return messages.HollowTotals(lists, failed_calls, faults=0)
+        return messages.HollowTotals(lists, failed_calls, round(1000.0 * self._most_lag_s, 1))
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -154,11 +154,16 @@
 
 
 class HollowTotals(Struct, tag="hollow-totals"):
-    """`faults` counts exceptions that nothing expected, `failed_calls` those to discovery."""
+    """`faults` counts exceptions that nothing expected, `failed_calls` those to discovery.
+
+    `most_lag_ms` is the latest that a timer of the process came: seconds mean that the machine was too busy
+    for the run, and that its delays say nothing of the proxies.
+    """
 
     lists: list[FinalList]
     failed_calls: int
-    faults: int
+    most_lag_ms: float
+    faults: int = 0
 
 
 class DiscoveryTotals(Struct, tag="discovery-totals"):
--- a/lab/scale/outcome.py
+++ b/lab/scale/outcome.py
@@ -75,6 +75,12 @@
         hollow = (t for t in self.totals.values() if isinstance(t, messages.HollowTotals))
         return sum(totals.faults for totals in hollow)
 
+    @property
+    def most_lag_ms(self) -> float:
+        """The latest that a hollow process's timer came."""
+        hollow = (t for t in self.totals.values() if isinstance(t, messages.HollowTotals))
+        return max((totals.most_lag_ms for totals in hollow), default=0.0)
+
     @property
     def good(self) -> bool:
         """Nothing was lost, misplaced or unexpected."""
@@ -124,7 +130,7 @@
         """The results; `name` is the world's."""
         return [
             self._head(name),
-            {"kind": "summary", "good": self.good, "quantities": self.quantities()},
+            self._summary(),
             *(_in_force_line(source, histogram) for source, histogram in self._histograms().items()),
             {"kind": "orders"} | asdict(self.orders),
             *({"kind": "totals", "process": process} | _told(told) for process, told in self.totals.items()),
@@ -137,6 +143,14 @@
         found = {source: measure.compare({}, 0, "")[0] for source, measure in others.items()}
         return {messages.SERVER_LIST: self.in_force} | found
 
+    def _summary(self) -> dict[str, Any]:
+        return {
+            "kind": "summary",
+            "good": self.good,
+            "most_lag_ms": self.most_lag_ms,
+            "quantities": self.quantities(),
+        }
+
     def _head(self, name: str) -> dict[str, Any]:
         return {
             "kind": "run",
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -110,6 +110,8 @@
     head, orders = by_kind["run"], by_kind["orders"]
     assert head["seed"] == 1 and head["changes"] > 0 and head["machine"]["cores"]
     assert by_kind["summary"]["good"]
+    lags = [line["most_lag_ms"] for name, line in totals.items() if name.startswith("hollow")]
+    assert len(lags) == 3 and by_kind["summary"]["most_lag_ms"] == max(lags) > 0.0
     assert (orders["lost"], orders["out_of_order"], orders["repeated"], orders["wrong_lists"]) == (0, 0, 0, 0)
     # Each change at each hollow proxy, whether it came alone or with a later one.
     assert by_kind["in-force"]["count"] == 12 * head["changes"]
