--- /dev/null
+++ b/cloverwell/control/entry.py
@@ -0,0 +1,112 @@
+"""Entries of the control log, positions in it, and what a snapshot of it holds.
+
+A position is an index and a digest that chains over all entries up to it (blake2b, 16 bytes): two logs
+with one position hold the same entries. Index 0 is the empty log. Nothing here reads a payload.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from enum import StrEnum
+
+import msgspec
+
+DIGEST_BYTES = 16
+MAX_PAYLOAD_BYTES = 1024 * 1024
+# How many purges a snapshot lists, and how many bytes of them: five minutes of 3.4 purges a second.
+SNAPSHOT_PURGES = 1024
+SNAPSHOT_PURGE_BYTES = 256 * 1024
+
+
+class EntryKind(StrEnum):
+    """The kinds that this version knows. `Entry.kind` is a plain string, so that a newer kind can be
+    carried."""
+
+    CONFIGURATION = "configuration"
+    MEMBERSHIP = "membership"
+    PURGE = "purge"
+    NOOP = "noop"  # the first entry of a leader's term; nothing to load
+
+
+class Entry(msgspec.Struct, frozen=True, array_like=True):
+    """One entry of the log. `proposal` is the proposer's id for it, by which a repeated proposal is
+    recognised."""
+
+    index: int
+    term: int
+    kind: str
+    payload: bytes = b""
+    proposal: str = ""
+
+
+class Position(msgspec.Struct, frozen=True, array_like=True):
+    """A place in the log: the index of the last entry, and the digest over all entries up to it."""
+
+    index: int
+    digest: bytes
+
+    def after(self, entry: Entry) -> Position:
+        """The position one entry further. Raises ValueError if the entry is not the next one."""
+        if entry.index != self.index + 1:
+            raise ValueError(f"entry {entry.index} does not follow position {self.index}")
+        digest = hashlib.blake2b(self.digest, digest_size=DIGEST_BYTES)
+        digest.update(msgspec.msgpack.encode(entry))
+        return Position(entry.index, digest.digest())
+
+
+START = Position(0, bytes(DIGEST_BYTES))
+
+
+class LogState(msgspec.Struct, frozen=True, array_like=True):
+    """What the log amounts to at a position: the latest entry of each kind, and the latest purges.
+
+    Purges add up instead of replacing each other. Only the last `SNAPSHOT_PURGES` are kept: who comes
+    from a position before `purges_complete_from` has missed purges that are not listed, and must drop
+    all it has cached.
+    """
+
+    latest: dict[str, Entry] = {}
+    purges: tuple[Entry, ...] = ()
+    purges_complete_from: int = 0
+
+    def after(self, entry: Entry) -> LogState:
+        """The state with one more entry."""
+        if entry.kind == EntryKind.NOOP:
+            return self
+        if entry.kind != EntryKind.PURGE:
+            return msgspec.structs.replace(self, latest={**self.latest, entry.kind: entry})
+        purges = (*self.purges, entry)
+        surplus = max(0, len(purges) - SNAPSHOT_PURGES)
+        size = sum(len(purge.payload) for purge in purges[surplus:])
+        while size > SNAPSHOT_PURGE_BYTES:
+            size -= len(purges[surplus].payload)
+            surplus += 1
+        complete_from = purges[surplus - 1].index if surplus else self.purges_complete_from
+        return msgspec.structs.replace(self, purges=purges[surplus:], purges_complete_from=complete_from)
+
+
+class Snapshot(msgspec.Struct, frozen=True, array_like=True):
+    """The log's state at a position. `term`: of the entry at the position; `checksum`: over all the rest."""
+
+    position: Position
+    term: int
+    state: LogState
+    checksum: bytes
+
+    @classmethod
+    def of(cls, position: Position, term: int, state: LogState) -> Snapshot:
+        """A snapshot with its checksum."""
+        return cls(position, term, state, _checksum(position, term, state))
+
+    @property
+    def intact(self) -> bool:
+        """Whether the checksum fits the content."""
+        return self.checksum == _checksum(self.position, self.term, self.state)
+
+
+def _checksum(position: Position, term: int, state: LogState) -> bytes:
+    content = msgspec.msgpack.Encoder(order="sorted").encode((position, term, state))
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
+
+
+EMPTY_SNAPSHOT = Snapshot.of(START, 0, LogState())
--- /dev/null
+++ b/tests/test_control_messages.py
@@ -0,0 +1,120 @@
+"""The control log's messages and entries: bytes and back, digests, states, and what is bounded."""
+
+import contextlib
+
+import msgspec
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from cloverwell.control.entry import (
+    EMPTY_SNAPSHOT,
+    SNAPSHOT_PURGE_BYTES,
+    SNAPSHOT_PURGES,
+    START,
+    Entry,
+    EntryKind,
+    LogState,
+    Position,
+    Snapshot,
+)
+from cloverwell.control.messages import (
+    MAX_MESSAGE_BYTES,
+    VERSION,
+    Acknowledge,
+    AppendEntries,
+    Entries,
+    FleetCount,
+    Heartbeat,
+    MessageError,
+    Propose,
+    Snapshotted,
+    Subscribe,
+    SubscriberReport,
+    decode,
+    encode,
+)
+
+ENTRY = Entry(1, 1, EntryKind.CONFIGURATION, b"\x00limits\xff", "change-7")
+SNAPSHOT = Snapshot.of(START.after(ENTRY), 1, LogState().after(ENTRY))
+MESSAGES = [
+    AppendEntries(3, "a", 0, 0, (ENTRY,), 0, 12.5),
+    Subscribe("proxy", 17, 1, "main", START, 0, 5.0, "b"),
+    Snapshotted(SNAPSHOT),
+    Entries(START, (ENTRY,)),
+    Heartbeat(START, 4.5, 7000.0, FleetCount(480, 2, True)),
+    Acknowledge(START, 5.5, 3, "limits: unknown name"),
+    Propose("change-7", EntryKind.CONFIGURATION, b"{}"),
+    SubscriberReport("a", 69, 0),
+]
+
+
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
+def test_a_message_comes_back_from_its_bytes(message):
+    assert decode(encode(message)) == message
+
+
+@pytest.mark.parametrize(
+    ("data", "reason"),
+    [
+        (b"", "empty"),
+        (bytes((VERSION + 1,)) + encode(MESSAGES[0])[1:], "version"),
+        (encode(MESSAGES[0])[:-3], "malformed"),
+        (bytes((VERSION,)) + b"\xff\xfe", "malformed"),
+        (bytes((VERSION,)) + msgspec.msgpack.encode({"type": "Unheard"}), "malformed"),
+        (bytes((VERSION,)) * (MAX_MESSAGE_BYTES + 1), "too long"),
+    ],
+)
+def test_bytes_that_are_no_message_are_refused_with_a_reason(data, reason):
+    with pytest.raises(MessageError, match=reason):
+        decode(data)
+
+
+@given(st.binary(max_size=64))
+def test_no_bytes_raise_anything_but_a_message_error(data):
+    with contextlib.suppress(MessageError):
+        decode(data)
+
+
+def test_a_field_that_a_newer_version_adds_is_passed_over():
+    fields = msgspec.msgpack.decode(encode(MESSAGES[-1])[1:])
+    data = bytes((VERSION,)) + msgspec.msgpack.encode({**fields, "colour": "green"})
+    assert decode(data) == MESSAGES[-1]
+
+
+def test_a_position_tells_logs_apart_that_differ_in_any_field_of_an_early_entry():
+    last = Entry(2, 1, EntryKind.PURGE, b"key")
+    changed = [{"term": 2}, {"kind": EntryKind.PURGE}, {"payload": b"other"}, {"proposal": "change-8"}]
+    logs = [ENTRY, *(msgspec.structs.replace(ENTRY, **change) for change in changed)]
+    assert len({START.after(first).after(last).digest for first in logs}) == len(logs)
+
+
+def test_only_the_next_entry_follows_a_position():
+    with pytest.raises(ValueError, match="does not follow"):
+        Position(1, b"").after(Entry(3, 1, EntryKind.NOOP))
+
+
+def test_a_state_has_the_latest_of_each_kind_and_the_last_purges():
+    state = LogState()
+    for index in range(1, SNAPSHOT_PURGES + 3):
+        state = state.after(Entry(index, 1, EntryKind.PURGE, b"key"))
+    assert [state.purges[0].index, len(state.purges), state.purges_complete_from] == [3, SNAPSHOT_PURGES, 2]
+    state = state.after(Entry(2000, 1, EntryKind.CONFIGURATION, b"old")).after(Entry(2001, 1, EntryKind.NOOP))
+    state = state.after(Entry(2002, 1, EntryKind.CONFIGURATION, b"new"))
+    assert {kind: entry.payload for kind, entry in state.latest.items()} == {"configuration": b"new"}
+
+
+def test_a_state_keeps_no_more_bytes_of_purges_than_a_snapshot_may_hold():
+    state = LogState()
+    for index in range(1, 8):
+        state = state.after(Entry(index, 1, EntryKind.PURGE, bytes(SNAPSHOT_PURGE_BYTES // 3)))
+    assert [purge.index for purge in state.purges] == [5, 6, 7]
+    assert state.purges_complete_from == 4
+
+
+def test_a_snapshot_that_was_changed_is_not_intact():
+    assert SNAPSHOT.intact
+    assert EMPTY_SNAPSHOT.intact
+    assert decode(encode(Snapshotted(SNAPSHOT))).snapshot.intact
+    for change in ({"term": 2}, {"state": LogState()}, {"position": START}, {"checksum": bytes(16)}):
+        assert not msgspec.structs.replace(SNAPSHOT, **change).intact
