--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -52,6 +52,9 @@
     """One of `nodes`, the control nodes of the log `log_name`. Times: ms of this process's monotonic
     clock."""
 
+    consensus_type = Consensus
+    subscribers_type = SubscriberTable
+
     def __init__(
         self,
         node: str,
@@ -67,8 +70,8 @@
         self.nodes = nodes
         self._timing = timing or Timing()
         self._fanout = fanout or FanoutTiming()
-        self.consensus = Consensus(node, nodes, stored, self._timing, random, now)
-        self.subscribers = SubscriberTable(log_name, self.consensus.log, self._fanout)
+        self.consensus = self.consensus_type(node, nodes, stored, self._timing, random, now)
+        self.subscribers = self.subscribers_type(log_name, self.consensus.log, self._fanout)
         self._proposals = Proposals(self.consensus, self._timing)
         self._view: FleetView | None = None  # while this node leads, of its term
         self._view_term = 0
--- /dev/null
+++ b/lab/control_explorer.py
@@ -0,0 +1,76 @@
+"""The explorer of the model check: every state up to a bound, breadth first, until a rule is broken."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass, field
+
+from lab.control_model import Action, Budget, Model, State
+from lab.control_rules import RuleBroken
+
+
+@dataclass(slots=True)
+class Trace:
+    """How a state was reached, back to the start."""
+
+    action: Action
+    before: Trace | None
+
+
+@dataclass(slots=True)
+class Result:
+    """What an exploration has found. `broken`: the first rule broken, with the actions that lead there."""
+
+    states: int = 0
+    steps: int = 0  # transitions
+    depth: int = 0
+    whole: bool = False  # all states within the budget were seen
+    seconds: float = 0.0
+    broken: str = ""
+    actions: list[str] = field(default_factory=list)
+
+
+def explore(model: Model, start: State, budget: Budget, most_states: int, most_seconds: float) -> Result:
+    """All states that can be reached from the start, breadth first, until a rule is broken or a bound met.
+
+    States are remembered by 64 bits of hash: two of a million that fell on one would leave one
+    unexplored, at odds of one in ten million.
+    """
+    began = time.perf_counter()
+    result = Result(states=1)
+    start = start._replace(budget=budget)
+    seen = {hash(start)}
+    frontier: list[tuple[State, Trace | None]] = [(start, None)]
+    while frontier:
+        following: list[tuple[State, Trace | None]] = []
+        for state, trace in frontier:
+            for action in model.actions(state):
+                result.steps += 1
+                try:
+                    after = model.step(state, action)
+                except (RuleBroken, ValueError) as error:
+                    result.broken = f"{type(error).__name__}: {error}"
+                    result.actions = described(model, Trace(action, trace))
+                    result.seconds = time.perf_counter() - began
+                    return result
+                key = hash(after)
+                if key not in seen:
+                    seen.add(key)
+                    following.append((after, Trace(action, trace)))
+            result.states = len(seen)
+            result.seconds = time.perf_counter() - began
+            if result.states >= most_states or result.seconds >= most_seconds:
+                return result
+        result.depth += bool(following)
+        frontier = following
+    result.whole = True
+    return result
+
+
+def described(model: Model, trace: Trace | None) -> list[str]:
+    """The actions of a trace in words, first to last."""
+    lines: list[str] = []
+    while trace is not None:
+        lines.append(model.described(trace.action))
+        trace = trace.before
+    return lines[::-1]
