--- a/cloverwell/control/effects.py
+++ b/cloverwell/control/effects.py
@@ -62,7 +62,8 @@
 
 
 class Disconnect(msgspec.Struct, frozen=True):
-    """To drop the connection, or the try at one, of `attempt`. Its end need not be told back."""
+    """To close the connection of `attempt` after what was sent over it, or drop the try at one. Its end
+    need not be told back."""
 
     attempt: int
 
--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -36,15 +36,15 @@
 
 
 class LeaseOffer(msgspec.Struct, frozen=True):
-    """A lease until `until` for who has taken in the log up to `index`."""
+    """A lease until `until` for who has taken in the log up to `committed`, or further."""
 
-    index: int
+    committed: Position
     until: float
 
 
 class SubscriptionStatus(msgspec.Struct, frozen=True):
-    """For operators. `refused_index`: of the entry that could not be loaded and still isn't replaced; 0:
-    none."""
+    """For operators. `refused_index`: of the entry that could not be loaded and that none of its kind has
+    replaced, 0: none. `last_failure`: why a control node was left last, "" if none was."""
 
     position: Position
     current: bool
@@ -53,6 +53,7 @@
     node: str
     refused_index: int
     refused_reason: str
+    last_failure: str
     fleet: FleetCount
 
 
@@ -88,6 +89,7 @@
         self._trying = False
         self._connected = False
         self._last_node = ""
+        self._last_failure = ""
         self._deadline = now  # of the present node to be heard of; where there is none, of the next try
         self._acknowledge_at = NEVER
         self._acknowledged_index = 0
@@ -132,6 +134,7 @@
             self._choice.node() if self._connected else "",
             refused.index if refused else 0,
             refused.reason if refused else "",
+            self._last_failure,
             self._fleet,
         )
 
@@ -147,9 +150,9 @@
     def tick(self, now: float) -> list[ProxyEffect]:
         """To be called at `next_deadline`, or at any other time."""
         if now >= self._deadline:
-            return self._fail(now) if self._trying else self._try_node(now)
+            return self._fail("silent", now) if self._trying else self._try_node(now)
         if now >= self._lease_wanted_by:
-            return self._fail(now)
+            return self._fail("gives no lease", now)
         if now >= self._home_at:
             return self._go_home(now)
         return [self._acknowledge(now)] if now >= self._acknowledge_at else []
@@ -179,13 +182,15 @@
 
     def disconnected(self, attempt: int, now: float) -> list[ProxyEffect]:
         """The connection has ended, or could not be made."""
-        return self._fail(now, ended=True) if attempt == self._attempt and self._trying else []
+        if attempt != self._attempt or not self._trying:
+            return []
+        return self._fail("disconnected", now, ended=True)
 
     def receive(self, attempt: int, message: NodeMessage, now: float) -> list[ProxyEffect]:
         if attempt != self._attempt or not self._connected:
             return []
         if isinstance(message, Refusal):
-            return self._fail(now)
+            return self._fail(f"refuses: {message.reason}", now)
         self._deadline = now + self._timing.silence_ms
         self._last_node = self._choice.node()
         try:
@@ -196,8 +201,8 @@
                     self._delivery.take_entries(message.previous, message.entries)
                 case Heartbeat():
                     self._take_heartbeat(message, now)
-        except DeliveryError:
-            return self._fail(now)
+        except DeliveryError as error:
+            return self._fail(str(error), now)
         return self._advanced(now)
 
     def loaded(self, index: int, now: float) -> list[ProxyEffect]:
@@ -230,8 +235,9 @@
         self._deadline = now + self._timing.connect_ms
         return [Connect(self._choice.node(), self._attempt)]
 
-    def _fail(self, now: float, ended: bool = False) -> list[ProxyEffect]:
+    def _fail(self, reason: str, now: float, ended: bool = False) -> list[ProxyEffect]:
         """Leaves the present node for the next one, at once or after a while."""
+        self._last_failure = f"{self._choice.node()}: {reason}"
         effects: list[ProxyEffect] = [] if ended else [Disconnect(self._attempt)]
         wait = self._choice.failed()
         self._let_go(now + wait)
@@ -258,21 +264,23 @@
         if message.lease_ms > 0 and self._attempt_at <= message.echo <= now:
             self._lease_wanted_by = now + self._timing.lease_wait_ms
             self._choice.served()
-            self._offers.append(
-                LeaseOffer(message.committed.index, lease_end(message.echo, message.lease_ms))
-            )
+            self._offers.append(LeaseOffer(message.committed, lease_end(message.echo, message.lease_ms)))
 
     def _advanced(self, now: float) -> list[ProxyEffect]:
         """After news or a load: what to load next, what to acknowledge, which lease has been reached."""
         effects = self._loads()
         if self._connected and self._delivery.position.index > self._acknowledged_index:
             effects.append(self._acknowledge(now))
-        while self._offers and self._offers[0].index <= self.position.index:
+        while self._offers and self._reached(self._offers[0].committed):
             self._lease_until = max(self._lease_until, self._offers.popleft().until)
         if self.current(now):
             self.caught_up = True
         return effects
 
+    def _reached(self, committed: Position) -> bool:
+        """Whether all up to there is loaded here; of two positions of one index only the same is meant."""
+        return self.position == committed or self.position.index > committed.index
+
     def _loads(self) -> list[ProxyEffect]:
         load = self._delivery.next_load()
         return [load] if load is not None else []
--- a/lab/control_processes.py
+++ b/lab/control_processes.py
@@ -44,6 +44,7 @@
 class NodeProcess(Process):
     storage: MemoryStorage = field(default_factory=MemoryStorage)
     node: ControlNode | None = None
+    lost_until: float = float("-inf")  # what it had sent by then, and was under way, is lost
     answers: dict[int, ProposalAnswer] = field(default_factory=dict)
 
 
--- a/lab/control_rules.py
+++ b/lab/control_rules.py
@@ -94,8 +94,8 @@
         """Whether this is what the proxy was started with, given out once."""
         return self.started_with.pop(proxy, None) == snapshot
 
-    def lease(self, proxy: str, current: bool, index: int, now: float) -> None:
+    def lease(self, proxy: str, current: bool, position: Position, now: float) -> None:
         """Who says that it is current has all that was committed LEASE_MS ago."""
         due = bisect_right(self.committed_at, now - LEASE_MS)
-        if current and index < due:
-            raise RuleBroken(f"{proxy} is current at {index}; {due} was committed {LEASE_MS:.0f} ms ago")
+        if current and position not in self.positions[due:]:
+            raise RuleBroken(f"{proxy} is current at {position}; {due} was committed {LEASE_MS:.0f} ms ago")
--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -92,10 +92,15 @@
         )
         self._schedule(process)
 
-    def kill_node(self, name: str) -> None:
-        """It dies with all it had not stored; its connections end."""
+    def kill_node(self, name: str, machine: bool = False) -> None:
+        """It dies with all it had not stored, and its connections end; with its `machine` what it had
+        sent and nobody has received is lost as well, and nobody hears of the connections' end."""
         process = self.nodes[name]
         process.up, process.node, process.due = False, None, float("inf")
+        if machine:
+            process.lost_until = self.now
+            for connection in self.connections.values():
+                connection.stalled = connection.stalled or connection.node == name
         for connection in [each for each in self.connections.values() if each.node == name]:
             self._end(connection, process)
 
@@ -188,7 +193,7 @@
         for process in self.proxies.values():
             if process.subscription is not None:
                 current = process.subscription.current(process.clock.at(self.now))
-                self.rules.lease(process.name, current, process.subscription.position.index, self.now)
+                self.rules.lease(process.name, current, process.subscription.position, self.now)
 
     # Steps
 
@@ -260,11 +265,12 @@
     def _send_peer(self, process: NodeProcess, other: NodeProcess, data: bytes) -> None:
         if self._apart(process, other) or self.random.random() < self.peer_loss:
             return
-        self._at(self.now + self._delay(process, other), self._peer_arrives, process.name, other, data)
+        self._at(self.now + self._delay(process, other), self._peer_arrives, process, self.now, other, data)
 
-    def _peer_arrives(self, sender: str, process: NodeProcess, data: bytes) -> None:
-        if process.node is not None and not self._apart(self.nodes[sender], process):
-            effects = process.node.receive_peer(sender, decode(data), process.clock.at(self.now))
+    def _peer_arrives(self, sender: NodeProcess, sent_at: float, process: NodeProcess, data: bytes) -> None:
+        lost = sent_at <= sender.lost_until or self._apart(sender, process)
+        if process.node is not None and not lost:
+            effects = process.node.receive_peer(sender.name, decode(data), process.clock.at(self.now))
             self._node_effects(process, effects)
 
     def _proxy_effects(self, process: ProxyProcess, effects: list[ProxyEffect]) -> None:
