--- /dev/null
+++ b/tests/test_control_fanout.py
@@ -0,0 +1,292 @@
+"""Fan-out at one control node, what it refuses, proposals that it refuses, and the counts of the fleet."""
+
+from collections import Counter
+from random import Random
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from cloverwell.control.choice import NodeChoice
+from cloverwell.control.control_node import ControlNode
+from cloverwell.control.effects import AnswerProposal, CloseProxy, SendPeer, SendProxy
+from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START, EntryKind, Position
+from cloverwell.control.fleet import UNHEARD_MS, FleetView, divide_by
+from cloverwell.control.messages import (
+    MAX_REPORT_POSITIONS,
+    Acknowledge,
+    Entries,
+    FleetCount,
+    Goodbye,
+    Heartbeat,
+    PositionCount,
+    ProposalOutcome,
+    Propose,
+    Refusal,
+    RefusalCount,
+    RefusalReason,
+    Snapshotted,
+    Subscribe,
+    SubscriberMoved,
+    SubscriberReport,
+    VoteAnswer,
+)
+from cloverwell.control.storage import StoredState
+from cloverwell.control.subscribers import summed_up
+from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
+
+NODES = ("a", "b", "c")
+
+
+def node(**fanout):
+    """A control node that leads alone, at 10,000 ms."""
+    alone = ControlNode(
+        "a", ("a",), "main", StoredState(), Random(1), 0.0, Timing(proposals=1), FanoutTiming(**fanout)
+    )
+    alone.tick(10_000.0)
+    return alone
+
+
+def subscribe(name="p", run=1, attempt=1, log="main", position=START, last_node=""):
+    return Subscribe(name, run, attempt, log, position, position.index, 1.0, last_node)
+
+
+def to_proxy(effects):
+    return [effect.message for effect in effects if isinstance(effect, SendProxy)]
+
+
+@pytest.mark.parametrize(
+    ("message", "reason"),
+    [
+        (subscribe(log="other"), RefusalReason.OTHER_LOG),
+        (subscribe(position=Position(99, b"")), RefusalReason.BEHIND),
+        (subscribe("third"), RefusalReason.FULL),
+        (subscribe("first", attempt=0), RefusalReason.INVALID),
+    ],
+)
+def test_a_subscription_that_is_not_taken_is_refused_with_its_reason(message, reason):
+    full = node(subscribers=2)
+    full.receive_proxy(1, subscribe("first"), 10_000.0)
+    full.receive_proxy(2, subscribe("second"), 10_000.0)
+    effects = full.receive_proxy(3, message, 10_000.0)
+    assert effects == [SendProxy(3, Refusal(reason)), CloseProxy(3)]
+    assert full.subscribers.alive == 2
+
+
+def test_a_subscriber_is_answered_by_the_tail_then_a_heartbeat_and_by_a_snapshot_for_another_digest():
+    alone = node()
+    messages = to_proxy(alone.receive_proxy(1, subscribe(), 10_000.0))
+    assert [type(message) for message in messages] == [Entries, Heartbeat]
+    assert messages[1].committed == START.after(messages[0].entries[0])
+    messages = to_proxy(alone.receive_proxy(2, subscribe("q", position=Position(1, b"other")), 10_000.0))
+    assert [type(message) for message in messages] == [Snapshotted, Heartbeat]
+    assert messages[0].snapshot.position == alone.consensus.log.committed
+
+
+def test_a_position_that_was_not_sent_ends_the_subscription_and_a_wrong_digest_brings_a_snapshot():
+    alone = node()
+    alone.receive_proxy(1, subscribe(), 10_000.0)
+    assert to_proxy(alone.receive_proxy(1, Acknowledge(Position(1, b"odd"), 2.0), 10_001.0))
+    effects = alone.receive_proxy(1, Acknowledge(Position(7, b""), 3.0), 10_002.0)
+    assert effects == [SendProxy(1, Refusal(RefusalReason.INVALID)), CloseProxy(1)]
+    assert alone.receive_proxy(1, Acknowledge(Position(1, b""), 3.0), 10_003.0) == []
+
+
+def test_a_newer_subscription_of_a_proxy_takes_the_place_of_the_older_one():
+    alone = node()
+    alone.receive_proxy(1, subscribe(), 10_000.0)
+    effects = alone.receive_proxy(2, subscribe(attempt=2), 10_000.0)
+    assert effects[0] == CloseProxy(1)
+    alone.proxy_disconnected(1, 10_001.0)
+    report = alone.subscribers.report("a")
+    assert (report.alive, report.lost) == (1, 0)
+
+
+def test_who_says_goodbye_is_gone_and_who_falls_silent_or_ends_is_lost_until_it_is_forgotten():
+    alone = node(silence_ms=5_000.0, forget_ms=60_000.0)
+    for number, name in enumerate(["good", "ended", "silent"]):
+        alone.receive_proxy(number, subscribe(name), 10_000.0)
+    assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseProxy(0)]
+    alone.proxy_disconnected(1, 10_002.0)
+    assert CloseProxy(2) in alone.tick(15_001.0)
+    assert (alone.subscribers.report("a").alive, alone.subscribers.report("a").lost) == (0, 2)
+    alone.tick(70_002.0)
+    assert alone.subscribers.report("a").lost == 1
+    alone.tick(75_002.0)
+    assert alone.subscribers.report("a").lost == 0
+
+
+def test_a_proxy_that_moves_is_not_counted_twice():
+    """The node that it comes to tells the one that it left; the news of an older move changes nothing."""
+    nodes = {name: ControlNode(name, NODES, "main", StoredState(), Random(1), 0.0) for name in NODES}
+    nodes["a"].receive_proxy(1, subscribe(), 1.0)
+    nodes["a"].proxy_disconnected(1, 2.0)
+    effects = nodes["b"].receive_proxy(1, subscribe(attempt=2, last_node="a"), 3.0)
+    moved = SendPeer("a", SubscriberMoved("p", 1, 2))
+    assert moved in effects
+    nodes["a"].receive_peer("b", moved.message, 4.0)
+    assert nodes["a"].subscribers.report("a").lost == 0
+    nodes["a"].receive_proxy(2, subscribe(attempt=3, last_node="b"), 5.0)
+    assert nodes["a"].receive_peer("b", moved.message, 6.0) == []
+    assert nodes["a"].subscribers.alive == 1
+    assert nodes["a"].receive_peer("c", SubscriberMoved("p", 1, 4), 7.0) == [CloseProxy(2)]
+
+
+def test_messages_of_strangers_and_in_the_name_of_another_node_are_passed_over():
+    one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
+    other = ControlNode("b", NODES, "main", StoredState(), Random(2), 0.0)
+    asked = next(effect.message for effect in other.tick(10_000.0) if isinstance(effect, SendPeer))
+    assert one.receive_peer("stranger", asked, 10_000.0) == []
+    assert one.receive_peer("c", asked, 10_000.0) == []
+    assert one.receive_peer("b", asked, 10_000.0) != []
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        Propose("x", EntryKind.NOOP, b""),
+        Propose("x", "unheard of", b""),
+        Propose("", EntryKind.CONFIGURATION, b""),
+        Propose("x" * 201, EntryKind.CONFIGURATION, b""),
+        Propose("x", EntryKind.CONFIGURATION, bytes(MAX_PAYLOAD_BYTES + 1)),
+    ],
+)
+def test_a_proposal_that_can_not_be_made_is_refused_at_once(message):
+    (effect,) = node().propose(7, message, 10_000.0)
+    assert isinstance(effect, AnswerProposal)
+    assert (effect.request, effect.answer.outcome) == (7, ProposalOutcome.INVALID)
+
+
+def test_more_proposals_than_may_wait_are_refused_and_one_that_waits_too_long_is_unknown():
+    three = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0, Timing(proposals=1, quorum_ms=1e9))
+    three.tick(10_000.0)
+    three.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), 10_000.0)
+    three.receive_peer("b", VoteAnswer(1, "b", 1, True), 10_000.0)
+
+    def answers(effects):
+        return [effect.answer.outcome for effect in effects if isinstance(effect, AnswerProposal)]
+
+    assert answers(three.propose(1, Propose("one", "configuration", b""), 10_000.0)) == []
+    assert answers(three.propose(2, Propose("two", "configuration", b""), 10_000.0)) == [ProposalOutcome.BUSY]
+    assert three.next_deadline() <= 10_000.0 + Timing().proposal_ms
+    assert answers(three.tick(10_000.0 + Timing().proposal_ms)) == [ProposalOutcome.UNKNOWN]
+
+
+@given(st.dictionaries(st.integers(0, 1000), st.integers(1, 50), max_size=60))
+def test_positions_are_summed_up_without_losing_a_proxy_or_telling_one_further_than_it_is(positions):
+    counts = summed_up(Counter(positions))
+    assert len(counts) <= MAX_REPORT_POSITIONS
+    assert sum(count.proxies for count in counts) == sum(positions.values())
+    for index in positions:
+        reached = sum(proxies for at, proxies in positions.items() if at >= index)
+        assert sum(count.proxies for count in counts if count.index >= index) <= reached
+    assert not positions or counts[0].index == min(positions)
+
+
+# The fleet
+
+
+def test_a_node_that_is_not_heard_of_hides_its_proxies_until_they_are_forgotten():
+    view = FleetView(NODES, 60_000.0, 0.0)
+    view.take(SubscriberReport("a", 60, 2), 100.0)
+    assert view.count(100.0) == FleetCount(60, 2, complete=False)
+    view.take(SubscriberReport("b", 70, 0), 100.0)
+    view.take(SubscriberReport("c", 50, 0), 100.0)
+    view.take(SubscriberReport("stranger", 999, 0), 100.0)
+    assert view.count(100.0) == FleetCount(180, 2, complete=True)
+    view.take(SubscriberReport("a", 60, 0), 100.0 + UNHEARD_MS)
+    view.take(SubscriberReport("b", 70, 0), 100.0 + UNHEARD_MS)
+    assert view.count(101.0 + UNHEARD_MS) == FleetCount(130, 50, complete=True)
+    assert view.count(60_101.0).hidden == 60 + 70  # those two, long silent as well; the third is forgotten
+
+
+def test_a_new_leader_does_not_call_its_count_complete_before_all_have_told_it_theirs():
+    view = FleetView(NODES, 60_000.0, 0.0)
+    view.take(SubscriberReport("a", 60, 0), 100.0)
+    assert not view.count(60_000.0).complete
+    assert view.count(60_001.0).complete  # a node that is gone for good must not hold it up for ever
+
+
+def test_in_force_counts_who_has_it_and_who_refused_it():
+    view = FleetView(("a", "b"), 60_000.0, 0.0)
+    view.take(SubscriberReport("a", 5, 0, (PositionCount(3, 1), PositionCount(7, 4))), 0.0)
+    refusals = (RefusalCount(7, "limits", 2),)
+    view.take(SubscriberReport("b", 6, 1, (PositionCount(7, 5), PositionCount(8, 1)), refusals), 0.0)
+    report = view.in_force(7, 0.0)
+    assert (report.applied, report.refused, report.alive, report.hidden) == (8, 2, 11, 1)
+    assert (report.oldest_index, report.complete, report.refusals) == (3, True, refusals)
+
+
+@given(
+    st.integers(0, 600),
+    st.integers(0, 600),
+    st.booleans(),
+    st.integers(0, 480),
+    st.booleans(),
+    st.integers(0, 600),
+)
+def test_shares_together_never_go_over_the_bound(alive, hidden, complete, provisioned, current, truly):
+    """Whatever a part of the fleet can't see: if no more live than are counted or provisioned, all
+    shares fit."""
+    share = 1 / divide_by(FleetCount(alive, hidden, complete), provisioned, current)
+    living = (
+        min(truly, alive + hidden, max(provisioned, alive))
+        if current and complete
+        else min(truly, provisioned)
+    )
+    assert living * share <= 1.0 + 1e-9
+    assert share <= 1.0
+
+
+def test_the_number_to_divide_by():
+    counted = FleetCount(400, 30, complete=True)
+    assert divide_by(counted, 480, current=True) == 430
+    assert divide_by(counted, 480, current=False) == 480
+    assert divide_by(FleetCount(400, 30, complete=False), 480, current=True) == 480
+    # moved ones are counted twice
+    assert divide_by(FleetCount(400, 300, complete=True), 480, current=True) == 480
+    # more live than were foreseen
+    assert divide_by(FleetCount(500, 0, complete=True), 480, current=True) == 500
+    assert divide_by(FleetCount(), 0, current=False) == 1
+
+
+# Which node is tried
+
+
+def test_the_own_region_is_tried_first_each_once_a_round_and_rounds_grow_apart():
+    choice = NodeChoice(
+        (("a", "b"), ("c", "d")), SubscriptionTiming(round_ms=100, round_max_ms=300), Random(3)
+    )
+    rounds = []
+    for _ in range(4):
+        tried, waits = [], []
+        for _ in range(4):
+            tried.append(choice.node())
+            waits.append(choice.failed())
+        assert set(tried[:2]) == {"a", "b"}
+        assert set(tried[2:]) == {"c", "d"}
+        assert waits[:3] == [0.0] * 3
+        rounds.append(waits[3])
+    assert 50 <= rounds[0] <= 100 <= rounds[1] <= 200
+    assert 150 <= rounds[2] <= 300
+    assert 150 <= rounds[3] <= 300
+
+
+def test_after_a_node_that_served_the_others_come_first_and_it_comes_last():
+    choice = NodeChoice((("a",), ("b", "c")), SubscriptionTiming(), Random(3))
+    choice.served()
+    assert choice.failed() == 0.0
+    others = []
+    for _ in range(2):
+        others.append(choice.node())
+        choice.failed()
+    assert (sorted(others), choice.node()) == (["b", "c"], "a")
+
+
+def test_a_proxy_at_another_regions_node_goes_home_after_a_while():
+    choice = NodeChoice((("a",), ("b",)), SubscriptionTiming(away_ms=1000.0), Random(3))
+    assert choice.away_ms() == float("inf")
+    choice.failed()
+    assert 500.0 <= choice.away_ms() <= 1000.0
+    choice.go_home()
+    assert choice.node() == "a"
