--- a/cloverwell/control/consensus.py
+++ b/cloverwell/control/consensus.py
@@ -90,7 +90,7 @@
             return max(0.0, self._lease_until - now)
         if self.log.term_at(self.log.commit_index) != self.term:
             return 0.0  # entries of older terms may be committed that this leader can't tell yet
-        return max(0.0, self.leadership.confirmed_at + LEASE_MS - now)
+        return max(0.0, lease_end(self.leadership.confirmed_at, LEASE_MS) - now)
 
     # Events
 
