--- a/lab/control_cells.py
+++ b/lab/control_cells.py
@@ -29,6 +29,7 @@
 NOW = 0.0
 ENDLESS = 1e12
 LOG_NAME = "main"
+ONLY_TOLD = {"_last_failure"}  # attributes that operators see and that decide nothing
 TIMING = Timing(
     heartbeat_ms=0.0,
     election_min_ms=0.0,
@@ -78,7 +79,7 @@
         return ""
     if isinstance(value, msgspec.Struct):
         return (type(value).__name__, *(freeze(getattr(value, name)) for name in value.__struct_fields__))
-    names = value.__slots__ if hasattr(value, "__slots__") else sorted(vars(value))
+    names = value.__slots__ if hasattr(value, "__slots__") else sorted(vars(value).keys() - ONLY_TOLD)
     return (type(value).__name__, *(freeze(getattr(value, name)) for name in names))
 
 
