--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -1,12 +1,17 @@
 """The control log's messages and entries: bytes and back, digests, states, and what is bounded."""
 
+import ast
 import contextlib
+import subprocess
+import sys
+from pathlib import Path
 
 import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
+import cloverwell.control
 from cloverwell.control.entry import (
     EMPTY_SNAPSHOT,
     SNAPSHOT_PURGE_BYTES,
@@ -118,3 +123,41 @@
     assert decode(encode(Snapshotted(SNAPSHOT))).snapshot.intact
     for change in ({"term": 2}, {"state": LogState()}, {"position": START}, {"checksum": bytes(16)}):
         assert not msgspec.structs.replace(SNAPSHOT, **change).intact
+
+
+PURE = [
+    "choice",
+    "consensus",
+    "control_node",
+    "delivery",
+    "effects",
+    "entry",
+    "fleet",
+    "leadership",
+    "messages",
+    "proposals",
+    "replicated_log",
+    "storage",
+    "subscribers",
+    "subscription",
+    "timing",
+]
+HARMLESS = {"__future__", "collections", "enum", "hashlib", "msgspec", "random", "typing"}
+
+
+@pytest.mark.parametrize("name", PURE)
+def test_a_decision_module_imports_nothing_that_could_do_io_or_read_a_clock(name):
+    source = Path(cloverwell.control.__file__).with_name(f"{name}.py").read_text()
+    for node in ast.walk(ast.parse(source)):
+        modules = [node.module] if isinstance(node, ast.ImportFrom) else []
+        modules += [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
+        for module in modules:
+            own = module.startswith("cloverwell.control.") and module.rpartition(".")[2] in PURE
+            assert own or module.partition(".")[0] in HARMLESS, f"{name} imports {module}"
+
+
+def test_the_service_does_not_import_the_control_log():
+    program = (
+        "import sys, cloverwell.service; sys.exit(any('cloverwell.control' in name for name in sys.modules))"
+    )
+    assert subprocess.run([sys.executable, "-c", program], timeout=60).returncode == 0
