--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -184,7 +184,10 @@
         return self.now - began
 
     def step(self) -> None:
-        """Plays the next event and checks the rules."""
+        """Plays the next event and checks the rules; nothing where nothing is due, as with all processes
+        down."""
+        if not self._events:
+            return
         self.now, _, event, arguments = heapq.heappop(self._events)
         event(*arguments)
 
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -165,3 +165,12 @@
     deadline=None,
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.filter_too_much],
 )
+
+
+def test_a_world_with_nothing_up_has_nothing_to_play():
+    world = ControlWorld(NODES, PROXIES)
+    for name in NODES:
+        world.kill_node(name)
+    for _ in range(100):
+        world.step()
+    assert all(process.node is None for process in world.nodes.values())
