--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -189,6 +189,11 @@
         due, self._pending = list(self._pending), deque()
         return due
 
+    def resize(self, peers_total: int) -> None:
+        """So many proxies share the servers from now on."""
+        self.settings = replace(self.settings, peers_total=peers_total)
+        self._balancer.resize(peers_total)
+
     def _forget(self, request: str) -> None:
         """The request is over: its tally goes with its last attempt."""
         if (tally := self._attempts.get(request)) is not None and not tally.out:
--- a/olivestair/decide.py
+++ b/olivestair/decide.py
@@ -5,13 +5,14 @@
 from bisect import bisect
 from collections import deque
 from collections.abc import Iterator
+from dataclasses import replace
 from random import Random
 
 from olivestair import api, places
 from olivestair.api import Effect, Group, ListKind, ServerState, Status
 from olivestair.ring import point
 from olivestair.rings import Rings
-from olivestair.state import FRESH, RATE_MS, Pace, Record, Server, Span, Turn
+from olivestair.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
 from olivestair.timers import Timers
 
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
@@ -71,10 +72,9 @@
         self._turns: dict[str, Turn] = {}  # key -> its in-turn requests
         self._queue: list[tuple[float, float, str, Record]] = []  # for a place at the origin: dearest first
         self._timers = Timers()
-        self._quotas = [[SHARE_CLUMP, 0.0] for _ in settings.tenants]  # requests in hand, as of
+        self._quotas = [Quota(SHARE_CLUMP) for _ in settings.tenants]
         self._idle_ms = settings.idle_close_ms  # connections unused for longer are not trusted
-        self._full = self._crammed = 0.0  # running shares of attempts turned away, and refused a connection
-        self._torn = 0.0  # and of those whose connection broke
+        self._full = self._crammed = self._torn = 0.0  # shares of attempts: full, refused, broken
         self._spans = [Span() for _ in settings.classes]
         self._paces = [Pace(cls.aim_ms * CROWD_AIM) for cls in settings.classes]
         self._late, self._late_room = LATE, LATE_CLUMP
@@ -107,6 +107,15 @@
         self._handlers[type(event)](now_ms, event)
         return self._acts + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
 
+    def resize(self, peers_total: int) -> None:
+        """So many balancers share the servers from now on: this one's part of all bounds follows."""
+        for server in self._servers.values():
+            least = max(ORIGIN_MIN if server.origin else LIMIT_MIN, LIMIT_CORES / peers_total)
+            server.resize(self._set.peers_total / peers_total, least)
+        self._set = replace(self._set, peers_total=peers_total)
+        self._rings.resize(self._set)
+        self._few = self._rings.few
+
     def _on_timer(self, now: float, event: api.TimerDue) -> None:
         if event.token == RESUBSCRIBE:
             self._acts.append(api.Subscribe())
@@ -163,8 +172,7 @@
 
     def _share(self, now: float, server: Server) -> float:
         """The part of its tokens that is active: misses and load rise with what it can do."""
-        start, age = self._set.start_capacity, max(0.0, now - server.warm_from_ms)
-        warm = min(1.0, start + (1.0 - start) * age / max(1.0, self._set.warm_up_ms))
+        warm = server.warmth(now, self._set.start_capacity, self._set.warm_up_ms)
         # Registered sizes flatter old machines: a kind that answers slower than all keeps fewer tokens.
         kin_ms, room = server.kin.mean_ms, 1.0
         if warm < 1.0:  # what slow kinds leave, and a storm of repeats at full servers, is not for a cold one
@@ -286,10 +294,7 @@
         if tenant >= len(self._quotas) or not self._set.tenants[tenant].quota_per_s:
             return False
         pace = SHARE_SLACK * self._set.tenants[tenant].quota_per_s / self._set.peers_total
-        hand, since = self._quotas[tenant]
-        hand = min(max(SHARE_CLUMP, pace), hand + (now - since) * pace / 1000)  # a second's worth at most
-        self._quotas[tenant] = [hand - 1 if hand >= 1 else hand, now]
-        return hand < 1
+        return not self._quotas[tenant].spend(now, pace, max(SHARE_CLUMP, pace))  # a second's worth at most
 
     def _route(self, now: float, rec: Record) -> None:
         """Sends a request to whom the ring names, or holds or ends it."""
--- a/olivestair/state.py
+++ b/olivestair/state.py
@@ -62,6 +62,16 @@
     used_ms: float = -math.inf  # last answer on a connection that may be open since
     left: bool = False  # off the list
 
+    def warmth(self, now: float, start_capacity: float, warm_up_ms: float) -> float:
+        """The part of its capacity that it has, from `start_capacity` to 1 over the warm-up."""
+        age_ms = max(0.0, now - self.warm_from_ms)
+        return min(1.0, start_capacity + (1.0 - start_capacity) * age_ms / max(1.0, warm_up_ms))
+
+    def resize(self, factor: float, least: float) -> None:
+        """This balancer's part of what all may have out has changed by that factor."""
+        self.least = least
+        self.limit = max(least, self.limit * factor)
+
 
 @dataclass(slots=True)
 class Span:
@@ -79,6 +89,23 @@
         return near
 
 
+@dataclass(slots=True)
+class Quota:
+    """A token bucket of one tenant's requests."""
+
+    tokens: float
+    since_ms: float = 0.0
+
+    def spend(self, now: float, per_s: float, most: float) -> bool:
+        """Takes one token where there is one; `per_s` come in, `most` are held."""
+        self.tokens = min(most, self.tokens + (now - self.since_ms) * per_s / 1000)
+        self.since_ms = now
+        if self.tokens < 1:
+            return False
+        self.tokens -= 1
+        return True
+
+
 @dataclass(slots=True)
 class Turn:
     """Requests of one key that run one at a time."""
