--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -12,6 +12,7 @@
 from olivestair.settings import check_whole, read_settings
 
 FD_MIN = 64
+MAX_CONTROL_WAIT_MS = 8000.0  # nine in ten restarts are ready within 10 s, whatever is down
 
 
 class ConfigError(Exception):
@@ -24,6 +25,21 @@
     sockets: int = 1024
 
 
+class ControlNode(msgspec.Struct):
+    """One node of the control log, as the file names it."""
+
+    address: str = ""
+    region: str = ""
+
+
+class ControlSection(msgspec.Struct):
+    """The file's `control`: the nodes, this proxy's region, and how long a start waits to be caught up."""
+
+    nodes: list[ControlNode] = msgspec.field(default_factory=list)
+    region: str = ""
+    wait_ms: float = 5000.0
+
+
 class File(msgspec.Struct):
     listen: str = ""
     discovery: str = ""
@@ -33,6 +49,16 @@
     limits: Limits = msgspec.field(default_factory=Limits)
     known: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []))
     settings: Any = None
+    control: ControlSection | None = None
+
+
+class Control(msgspec.Struct):
+    """Which control nodes a proxy may follow: those of its own region, and the others."""
+
+    home: list[tuple[str, int]]
+    elsewhere: list[tuple[str, int]]
+    region: str
+    wait_ms: float
 
 
 class Config(msgspec.Struct):
@@ -44,6 +70,8 @@
     known: Listing
     settings: Settings
     operator: tuple[str, int] | None = None  # where operators call; None: nowhere
+    control: Control | None = None  # None: the proxy follows no control log
+    document: bytes = b""  # the file's text, where a control log may change it
 
 
 def read_config(environ: Mapping[str, str] = os.environ, again: bool = False) -> Config:
@@ -53,9 +81,15 @@
         raise ConfigError("EDGE_CONFIG: is not set")
     try:
         with open(path, "rb") as file:
-            raw = msgspec.json.decode(file.read(), type=File)
+            return parse_config(file.read(), environ, again)
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {error.strerror}: {path}") from None
+
+
+def parse_config(document: bytes, environ: Mapping[str, str], again: bool = False) -> Config:
+    """The text of a configuration file, and what stands before it. Raises `ConfigError`."""
+    try:
+        raw = msgspec.json.decode(document, type=File)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError(f"EDGE_CONFIG: {error}") from None
     if raw.settings is None:
@@ -85,6 +119,8 @@
         known=_known(raw.known),
         settings=settings,
         operator=operator,
+        control=None if raw.control is None else _control(raw.control),
+        document=b"" if raw.control is None else document,
     )
 
 
@@ -97,6 +133,21 @@
         raise ConfigError(f"{field}: {error}") from None
 
 
+def _control(section: ControlSection) -> Control:
+    if not section.nodes:
+        raise ConfigError("control.nodes: is missing")
+    if not 0.0 <= section.wait_ms <= MAX_CONTROL_WAIT_MS:
+        raise ConfigError(f"control.wait_ms: must be from 0 to {MAX_CONTROL_WAIT_MS:g}")
+    home: list[tuple[str, int]] = []
+    elsewhere: list[tuple[str, int]] = []
+    for node in section.nodes:
+        address = _address("control.nodes.address", node.address)
+        if address in home or address in elsewhere:
+            raise ConfigError(f"control.nodes.address: {node.address} stands there twice")
+        (home if node.region == section.region else elsewhere).append(address)
+    return Control(home, elsewhere, section.region, section.wait_ms)
+
+
 def _seed(text: str) -> int:
     try:
         return int(text or "0", 16)
