--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -2,7 +2,6 @@
 
 import gc
 import os
-import resource
 import signal
 import sys
 import time
@@ -13,6 +12,7 @@
 from twisted.logger import globalLogBeginner
 
 from cloverwell.config import Config, ConfigError, read_config
+from cloverwell.descriptors import raise_descriptors
 from cloverwell.front.port import adopt, listen
 from cloverwell.handover.messages import place
 from cloverwell.handover.successor import ask
@@ -24,15 +24,6 @@
 COLLECT = (10_000, 3, 3)
 
 
-def raise_descriptors(wanted: int) -> int:
-    """Raises the process's own limit as far as it is wanted and allowed; tells what it is then."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < wanted:
-        soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    return soft
-
-
 def collect_garbage() -> None:
     """What stands now stands for ever, and is not walked again; all the rest is, each half minute or so.
 
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -4,6 +4,7 @@
 import os
 import sys
 from importlib.metadata import entry_points
+from typing import NoReturn
 
 import click
 import msgspec
@@ -13,7 +14,7 @@
 BAD_INPUT = 2
 
 
-def refuse(text: str) -> None:
+def refuse(text: str) -> NoReturn:
     """Ends with exit code 2 and one line."""
     click.echo(f"cloverwell: {text}".replace("\n", " "), err=True)
     raise SystemExit(BAD_INPUT)
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -28,6 +28,7 @@
 class ControlNode(msgspec.Struct):
     """One node of the control log, as the file names it."""
 
+    name: str = ""
     address: str = ""
     region: str = ""
 
@@ -35,6 +36,7 @@
 class ControlSection(msgspec.Struct):
     """The file's `control`: the nodes, this proxy's region, and how long a start waits to be caught up."""
 
+    log: str = "fleet"
     nodes: list[ControlNode] = msgspec.field(default_factory=list)
     region: str = ""
     wait_ms: float = 5000.0
@@ -53,13 +55,19 @@
 
 
 class Control(msgspec.Struct):
-    """Which control nodes a proxy may follow: those of its own region, and the others."""
+    """Which control nodes a proxy may follow: those of its own region, and the others, by name."""
 
-    home: list[tuple[str, int]]
-    elsewhere: list[tuple[str, int]]
+    log: str
+    home: dict[str, tuple[str, int]]
+    elsewhere: dict[str, tuple[str, int]]
     region: str
     wait_ms: float
 
+    @property
+    def nodes(self) -> dict[str, tuple[str, int]]:
+        """All of them."""
+        return self.home | self.elsewhere
+
 
 class Config(msgspec.Struct):
     name: str
@@ -119,7 +127,7 @@
         known=_known(raw.known),
         settings=settings,
         operator=operator,
-        control=None if raw.control is None else _control(raw.control),
+        control=None if raw.control is None else _control(raw.control, environ.get("EDGE_NAME") or raw.name),
         document=b"" if raw.control is None else document,
     )
 
@@ -133,19 +141,27 @@
         raise ConfigError(f"{field}: {error}") from None
 
 
-def _control(section: ControlSection) -> Control:
+def _control(section: ControlSection, proxy: str) -> Control:
+    if not proxy:
+        raise ConfigError("name: is missing, and the control log knows a proxy by it")
+    if not section.log:
+        raise ConfigError("control.log: is missing")
     if not section.nodes:
         raise ConfigError("control.nodes: is missing")
     if not 0.0 <= section.wait_ms <= MAX_CONTROL_WAIT_MS:
         raise ConfigError(f"control.wait_ms: must be from 0 to {MAX_CONTROL_WAIT_MS:g}")
-    home: list[tuple[str, int]] = []
-    elsewhere: list[tuple[str, int]] = []
+    control = Control(section.log, {}, {}, section.region, section.wait_ms)
     for node in section.nodes:
         address = _address("control.nodes.address", node.address)
-        if address in home or address in elsewhere:
+        if not node.name:
+            raise ConfigError("control.nodes.name: is missing")
+        if node.name in control.nodes:
+            raise ConfigError(f"control.nodes.name: {node.name[:60]!r} stands there twice")
+        if address in control.nodes.values():
             raise ConfigError(f"control.nodes.address: {node.address} stands there twice")
-        (home if node.region == section.region else elsewhere).append(address)
-    return Control(home, elsewhere, section.region, section.wait_ms)
+        group = control.home if node.region == section.region else control.elsewhere
+        group[node.name] = address
+    return control
 
 
 def _seed(text: str) -> int:
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -15,8 +15,9 @@
 
 import msgspec
 
-from cloverwell.config import Config, ConfigError, parse_config
-from olivestair.settings import SettingsError, read_settings
+from cloverwell.config import Config, ConfigError, File, parse_config
+from cloverwell.membership.listing import ServerListError, split_address
+from olivestair.settings import SettingsError, check_whole, read_settings
 
 DIGEST_DIGITS = 16
 CHANGEABLE = frozenset({"discovery", "settings", "document"})  # `settings` is looked into
@@ -38,6 +39,32 @@
     return hashlib.sha256(document).hexdigest()[:DIGEST_DIGITS]
 
 
+def check_document(document: bytes) -> None:
+    """What can be told of an entry without a proxy's own file. Raises `ConfigError`."""
+    named = _read_object(document)
+    try:
+        file = msgspec.convert(named, File)
+    except msgspec.ValidationError as error:
+        raise ConfigError(str(error)) from None
+    if file.discovery:
+        _check_address("discovery", file.discovery)
+    if "settings" in named:
+        if file.settings is None:
+            raise ConfigError("settings: is missing")
+        try:
+            check_whole(file.settings)
+            read_settings(file.settings)
+        except ValueError as error:
+            raise ConfigError(f"settings: {error}") from None
+
+
+def _check_address(field: str, text: str) -> None:
+    try:
+        split_address(text)
+    except ServerListError as error:
+        raise ConfigError(f"{field}: {error}") from None
+
+
 def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> Change:
     """`own`: the file this proxy started with. Raises `ConfigError`, which names the field."""
     started = parse_config(own, environ, again=True)
@@ -58,13 +85,17 @@
 
 def _merge(own: bytes, document: bytes) -> bytes:
     """The proxy's own file, with each field that the document names in its place."""
+    return msgspec.json.encode(msgspec.json.decode(own) | _read_object(document))
+
+
+def _read_object(document: bytes) -> dict[str, Any]:
     try:
         named = msgspec.json.decode(document)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError(f"configuration: {error}") from None
     if not isinstance(named, dict):
         raise ConfigError("configuration: must be an object")
-    return msgspec.json.encode(msgspec.json.decode(own) | named)
+    return named
 
 
 def _changed_setting(started: Config, merged: bytes) -> str:
--- /dev/null
+++ b/cloverwell/control/server/program.py
@@ -0,0 +1,50 @@
+"""The control node's process: from its file to its end."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable
+from pathlib import Path
+from random import SystemRandom
+from typing import NoReturn
+
+from twisted.internet import reactor
+from twisted.internet.error import CannotListenError
+from twisted.logger import globalLogBeginner
+
+from cloverwell.control.server.file_storage import FileStorage
+from cloverwell.control.server.node_server import NodeServer
+from cloverwell.control.server.port import MAX_CONNECTIONS
+from cloverwell.control.server.settings import NodeFileError, read_node_file
+from cloverwell.control.storage import StorageError
+from cloverwell.descriptors import raise_descriptors
+from cloverwell.log import Log
+from cloverwell.wheel import monotonic_ms
+
+FAILED = 1
+SPARE_DESCRIPTORS = 64  # standard streams, the reactor's own, the storage and the links to other nodes
+
+
+def serve(path: Path, refuse: Callable[[str], NoReturn]) -> int:
+    """Runs until SIGTERM or SIGINT; the exit code. `refuse`: ends the program with a line on bad input."""
+    log = Log(monotonic_ms)
+    globalLogBeginner.beginLoggingTo([log.fault], redirectStandardIO=False)
+    raise_descriptors(MAX_CONNECTIONS + SPARE_DESCRIPTORS)
+    try:
+        settings = read_node_file(path)
+        storage = FileStorage(settings.data)
+    except NodeFileError as error:
+        refuse(str(error))
+    except StorageError as error:
+        refuse(f"data: {error}")
+    if storage.dropped_bytes:
+        log.warn("storage", f"a torn record of {storage.dropped_bytes} bytes was dropped")
+    server = NodeServer(reactor, settings, storage, log, monotonic_ms, SystemRandom())
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *_: reactor.callFromThread(server.stop))
+    try:
+        server.start()
+    except CannotListenError as error:
+        refuse(f"listen: {error}")
+    reactor.run(installSignalHandlers=False)
+    return FAILED if server.failed else 0
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -6,13 +6,13 @@
 import pytest
 
 from cloverwell.config import ConfigError, parse_config, read_config
-from cloverwell.control.configuration import Change, digest, read_change
+from cloverwell.control.configuration import Change, check_document, digest, read_change
 from lab.proxy import SETTINGS
 
 NODES = [
-    {"address": "127.0.0.1:7401", "region": "north"},
-    {"address": "127.0.0.1:7402", "region": "south"},
-    {"address": "127.0.0.1:7403", "region": "north"},
+    {"name": "north-1", "address": "127.0.0.1:7401", "region": "north"},
+    {"name": "south-1", "address": "127.0.0.1:7402", "region": "south"},
+    {"name": "north-2", "address": "127.0.0.1:7403", "region": "north"},
 ]
 OWN = {
     "name": "proxy-1",
@@ -41,9 +41,9 @@
 
 def test_the_nodes_of_the_own_region_stand_apart():
     control = parse(OWN).control
-    assert control.home == [("127.0.0.1", 7401), ("127.0.0.1", 7403)]
-    assert control.elsewhere == [("127.0.0.1", 7402)]
-    assert control.region == "north" and control.wait_ms == 5000.0
+    assert control.home == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
+    assert control.elsewhere == {"south-1": ("127.0.0.1", 7402)}
+    assert control.region == "north" and control.wait_ms == 5000.0 and control.log == "fleet"
 
 
 def test_without_the_section_there_is_no_control():
@@ -56,9 +56,12 @@
     [
         ({}, "control.nodes: is missing"),
         ({"nodes": []}, "control.nodes: is missing"),
-        ({"nodes": [{"region": "north"}]}, "control.nodes.address: is missing"),
-        ({"nodes": [{"address": "here"}]}, "control.nodes.address: not an address"),
-        ({"nodes": [NODES[0], NODES[0]]}, "control.nodes.address: 127.0.0.1:7401 stands there twice"),
+        ({"nodes": [{"name": "a"}]}, "control.nodes.address: is missing"),
+        ({"nodes": [{"name": "a", "address": "here"}]}, "control.nodes.address: not an address"),
+        ({"nodes": [{"address": "127.0.0.1:7"}]}, "control.nodes.name: is missing"),
+        ({"nodes": [NODES[0], NODES[1] | {"name": "north-1"}]}, "control.nodes.name: 'north-1' stands"),
+        ({"nodes": [NODES[0], NODES[0] | {"name": "b"}]}, "control.nodes.address: 127.0.0.1:7401 stands"),
+        ({"nodes": NODES, "log": ""}, "control.log: is missing"),
         ({"nodes": NODES, "wait_ms": -1}, "control.wait_ms"),
         ({"nodes": NODES, "wait_ms": 60_000}, "control.wait_ms"),
         ({"nodes": "127.0.0.1:1"}, "control.nodes"),
@@ -71,6 +74,12 @@
         parse(OWN | {"control": section})
 
 
+def test_a_proxy_that_follows_the_log_has_a_name():
+    with pytest.raises(ConfigError, match="name: is missing"):
+        parse(OWN | {"name": ""})
+    assert parse(OWN | {"name": ""}, {"EDGE_NAME": "proxy-9"}).name == "proxy-9"
+
+
 # A committed entry -----------------------------------------------------------------------------------
 
 
@@ -128,6 +137,14 @@
 def test_what_the_reader_of_files_refuses_is_refused_in_its_words(told, field):
     with pytest.raises(ConfigError, match=field):
         change(told)
+    # As far as it can be told without a proxy's own file, a proposal is refused in the same words.
+    with pytest.raises(ConfigError, match=field):
+        check_document(json.dumps(told).encode())
+
+
+def test_what_a_proxy_takes_may_be_proposed():
+    check_document(b"{}")
+    check_document(json.dumps(with_settings(**{"peers-total": 9}) | {"discovery": "127.0.0.1:9"}).encode())
 
 
 def test_a_document_that_is_no_json_is_refused():
--- a/tests/test_control_framing.py
+++ b/tests/test_control_framing.py
@@ -7,30 +7,35 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from cloverwell.control.entry import Entry, Position
+from cloverwell.control.messages import (
+    VERSION,
+    Acknowledge,
+    Entries,
+    MessageError,
+    Propose,
+    encode,
+)
 from cloverwell.control.net.framing import (
     HEADER,
-    VERSION,
+    EmptyFrameError,
     FrameDecoder,
     FrameTooLongError,
     FramingError,
-    MalformedMessageError,
-    UnknownVersionError,
     encode_frame,
 )
+from cloverwell.control.net.wire import PeerHello, StatusRequest, decode_body, encode_body
 
-
-class Said(msgspec.Struct, tag=True, frozen=True):
-    text: str
-    number: int
-
-
-class Data(msgspec.Struct, tag=True, frozen=True):
-    body: bytes
-
-
+POSITIONS = st.builds(Position, st.integers(0, 2**40), st.binary(min_size=16, max_size=16))
+ENTRIES = st.builds(
+    Entry, st.integers(1, 2**40), st.integers(0, 2**40), st.text(max_size=9), st.binary(max_size=99)
+)
 MESSAGES = st.lists(
-    st.builds(Said, st.text(max_size=40), st.integers(-(2**63), 2**63 - 1))
-    | st.builds(Data, st.binary(max_size=300))
+    st.builds(PeerHello, st.text(max_size=40), st.text(max_size=9))
+    | st.just(StatusRequest())
+    | st.builds(Acknowledge, POSITIONS, st.floats(allow_nan=False), st.integers(0, 9), st.text(max_size=9))
+    | st.builds(Entries, POSITIONS, st.lists(ENTRIES, max_size=3).map(tuple))
+    | st.builds(Propose, st.text(max_size=9), st.text(max_size=9), st.binary(max_size=300))
 )
 CUTS = st.lists(st.integers(0, 4000))
 
@@ -43,25 +48,28 @@
 
 def read(stream, cuts=(), max_body_bytes=1000):
     """Messages, and the error that ended them (or None)."""
-    decoder, messages = FrameDecoder(Said | Data, max_body_bytes), []
+    decoder, messages = FrameDecoder(max_body_bytes), []
     try:
         for piece in pieces(stream, cuts):
-            for message in decoder.feed(piece):
-                messages.append(message)
-    except FramingError as error:
+            for body in decoder.feed(piece):
+                messages.append(decode_body(body))
+    except (FramingError, MessageError) as error:
         return messages, error
     return messages, None
 
 
+def stream_of(messages):
+    return b"".join(encode_frame(encode_body(message)) for message in messages)
+
+
 @given(MESSAGES, CUTS)
 def test_any_cut_of_the_stream_gives_the_same_messages(messages, cuts):
-    stream = b"".join(map(encode_frame, messages))
-    assert read(stream, cuts) == (messages, None)
+    assert read(stream_of(messages), cuts) == (messages, None)
 
 
 @given(MESSAGES, CUTS, CUTS, st.binary(max_size=60))
 def test_garbage_gives_the_same_messages_and_the_same_error_however_it_is_cut(messages, one, other, garbage):
-    stream = b"".join(map(encode_frame, messages)) + garbage
+    stream = stream_of(messages) + garbage
     whole, error = read(stream)
     assert whole[: len(messages)] == messages
     for cuts in (one, other):
@@ -69,38 +77,52 @@
         assert same == whole and type(its_error) is type(error) and str(its_error) == str(error)
 
 
-@given(st.binary(min_size=1, max_size=200).filter(lambda data: data[0] != VERSION))
-def test_bytes_of_another_version_end_the_stream_at_once(data):
-    messages, error = read(data)
-    assert not messages and isinstance(error, UnknownVersionError)
+@given(st.binary(min_size=1, max_size=200).filter(lambda body: body[0] != VERSION), CUTS)
+def test_a_body_of_another_version_is_refused(body, cuts):
+    messages, error = read(encode_frame(body), cuts)
+    assert not messages and isinstance(error, MessageError) and "version" in str(error)
 
 
-@given(st.binary(max_size=200), CUTS)
-def test_a_body_that_is_no_message_is_malformed(body, cuts):
-    expected = msgspec.msgpack.Decoder(Said | Data)
-    messages, error = read(HEADER.pack(VERSION, len(body)) + body, cuts)
-    try:
-        assert messages == [expected.decode(body)] and error is None
-    except (msgspec.MsgspecError, UnicodeDecodeError):
-        assert not messages and isinstance(error, MalformedMessageError)
+@given(st.binary(max_size=200) | st.recursive(st.none(), st.lists).map(msgspec.msgpack.encode), CUTS)
+def test_a_body_that_is_no_message_is_malformed(content, cuts):
+    messages, error = read(encode_frame(bytes((VERSION,)) + content), cuts)
+    assert not messages and isinstance(error, MessageError) and "malformed" in str(error)
 
 
 @pytest.mark.parametrize("length", [1001, 2**31, 2**32 - 1])
 def test_a_length_over_the_bound_is_refused_before_its_body_comes(length):
-    decoder = FrameDecoder(Said | Data, 1000)
     with pytest.raises(FrameTooLongError):
-        list(decoder.feed(HEADER.pack(VERSION, length)))
+        list(FrameDecoder(1000).feed(HEADER.pack(length)))
+
+
+def test_an_empty_frame_is_refused_both_ways():
+    with pytest.raises(EmptyFrameError):
+        list(FrameDecoder(1000).feed(HEADER.pack(0)))
+    with pytest.raises(EmptyFrameError):
+        encode_frame(b"")
 
 
-def test_a_message_over_the_bound_is_not_encoded():
-    assert encode_frame(Data(bytes(900)), 1000)
+def test_a_body_over_the_bound_is_not_sent():
+    assert encode_frame(bytes(1000), 1000)
     with pytest.raises(FrameTooLongError):
-        encode_frame(Data(bytes(1000)), 1000)
+        encode_frame(bytes(1001), 1000)
+
+
+def test_what_speaks_another_protocol_is_refused_at_its_first_bytes():
+    for words in (b"GET / HTTP/1.1\r\n", b"mg key v\r\n", b"\x16\x03\x01\x02\x00\x01"):
+        assert isinstance(read(words)[1], FramingError | MessageError)
 
 
 def test_no_more_than_one_incomplete_frame_is_held():
-    frame, decoder = encode_frame(Data(bytes(500))), FrameDecoder(Said | Data, 1000)
+    frame, decoder = encode_frame(bytes(500)), FrameDecoder(1000)
     assert len(list(decoder.feed(frame * 3 + frame[:-1]))) == 3
     assert decoder.buffered_bytes == len(frame) - 1
     assert len(list(decoder.feed(frame[-1:]))) == 1
     assert decoder.buffered_bytes == 0
+
+
+@given(MESSAGES)
+def test_messages_of_the_log_have_one_form(messages):
+    for message in messages:
+        assert encode_body(message) == encode(message)
+        assert decode_body(encode_body(message)) == message
