--- /dev/null
+++ b/lab/control_node_processes.py
@@ -0,0 +1,124 @@
+"""Control nodes as processes on loopback, as in service; whoever waits, waits for an event."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+from cloverwell.control.net.ask import NoAnswerError
+from cloverwell.control.net.proposer import ask_status
+from cloverwell.control.net.wire import StatusAnswer
+from lab.processes import PATIENCE_S, ROOT, free_port, wait_for
+
+ANSWER_S = 5.0
+COMMAND = [sys.executable, "-c", "from cloverwell.cli.main import main; main()", "control"]
+
+
+class ControlNodeProcess:
+    """One control node. It may be killed, paused and started again over the same data."""
+
+    def __init__(self, folder: Path, name: str, region: str, address: tuple[str, int]) -> None:
+        self.folder = folder
+        self.name = name
+        self.region = region
+        self.address = address
+        self.file = folder / f"{name}.toml"
+        self.log = folder / f"{name}.log"
+        self.popen: subprocess.Popen | None = None
+
+    @property
+    def at(self) -> str:
+        return "{}:{}".format(*self.address)
+
+    def start(self) -> None:
+        with self.log.open("a") as log:
+            self.popen = subprocess.Popen([*COMMAND, "serve", str(self.file)], cwd=ROOT, stderr=log)
+
+    def end(self, number: int) -> int:
+        """By that signal; its exit code."""
+        assert self.popen is not None
+        self.popen.send_signal(number)
+        return self.popen.wait(PATIENCE_S)
+
+    def signal(self, number: int) -> None:
+        assert self.popen is not None
+        self.popen.send_signal(number)
+
+    def status(self, wait_s: float = ANSWER_S) -> StatusAnswer | None:
+        """None where it does not answer."""
+        try:
+            return ask_status(self.address, wait_s)
+        except NoAnswerError:
+            return None
+
+
+class ControlNodes:
+    """The control nodes of one log."""
+
+    def __init__(self, folder: Path, regions: tuple[str, ...] = ("north", "south", "west")) -> None:
+        self.nodes = [
+            ControlNodeProcess(folder, f"{region}-{number}", region, ("127.0.0.1", free_port()))
+            for number, region in enumerate(regions)
+        ]
+        for node in self.nodes:
+            node.file.write_text(self._file(node))
+
+    def _file(self, node: ControlNodeProcess) -> str:
+        lines = [f'name = "{node.name}"', f'data = "{node.name}"']
+        for other in self.nodes:
+            lines += ["[[nodes]]", f'name = "{other.name}"', f'address = "{other.at}"']
+            lines.append(f'region = "{other.region}"')
+        return "\n".join(lines) + "\n"
+
+    def section(self, region: str, wait_ms: float = 5000.0) -> dict:
+        """The `control` of a proxy's configuration."""
+        nodes = [{"name": n.name, "address": n.at, "region": n.region} for n in self.nodes]
+        return {"nodes": nodes, "region": region, "wait_ms": wait_ms}
+
+    def start(self) -> ControlNodes:
+        for node in self.nodes:
+            node.start()
+        self.leader()
+        return self
+
+    def leader(self, among: list[ControlNodeProcess] | None = None) -> ControlNodeProcess:
+        """Waits for one that takes proposals."""
+        found: list[ControlNodeProcess] = []
+
+        def leads() -> bool:
+            for node in among or self.nodes:
+                answer = node.status(1.0)
+                if answer is not None and answer.status.has_quorum:
+                    found.append(node)
+            return bool(found)
+
+        wait_for(leads, "a leader")
+        return found[-1]
+
+    def others(self, *nodes: ControlNodeProcess) -> list[ControlNodeProcess]:
+        return [node for node in self.nodes if node not in nodes]
+
+    def wait_for_status(
+        self, node: ControlNodeProcess, wanted: Callable[[StatusAnswer], bool], what: str
+    ) -> StatusAnswer:
+        """The first answer of a node that is as wanted."""
+        last: list[StatusAnswer | None] = [None]
+
+        def so() -> bool:
+            last[0] = node.status()
+            return last[0] is not None and wanted(last[0])
+
+        try:
+            wait_for(so, what)
+        except AssertionError:
+            raise AssertionError(f"{what}: never came; {last[0]}\n{node.log.read_text()}") from None
+        assert last[0] is not None
+        return last[0]
+
+    def close(self) -> None:
+        for node in self.nodes:
+            if node.popen is not None:
+                node.popen.kill()
+                node.popen.wait()
