--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -21,7 +21,7 @@
 
 
 class Desk(Protocol):
-    """What may be asked: each answers yes or no."""
+    """What may be asked: each call answers yes or no, but for `configuration`."""
 
     def ready(self) -> bool: ...
 
@@ -29,6 +29,9 @@
 
     def undrain(self) -> bool: ...
 
+    def configuration(self) -> str | None:
+        """One line on what is in force; None where no control log tells it."""
+
 
 class Operators(Factory):
     noisy = False
@@ -39,6 +42,7 @@
         self.callers: dict[Caller, None] = {}  # the first has stood longest
         self._calls = {"/ready": ("GET", desk.ready), "/drain": ("PUT", desk.drain)}
         self._calls["/undrain"] = ("PUT", desk.undrain)
+        self._desk = desk
 
     # As the port has it -------------------------------------------------------------------------
 
@@ -59,6 +63,8 @@
 
     def answer(self, method: str, path: str) -> tuple[int, str, list[tuple[str, str]]]:
         """Status, body and further headers."""
+        if path == "/configuration" and (told := self._desk.configuration()) is not None:
+            return (200, told, []) if method == "GET" else (405, f"{path} wants GET", [("Allow", "GET")])
         if path not in self._calls:
             return 404, "there are /ready, /drain and /undrain", []
         wanted, call = self._calls[path]
--- a/cloverwell/service.py
+++ b/cloverwell/service.py
@@ -103,8 +103,8 @@
             settings.connect_timeout_ms,
             hold=not settings.may_copy,
         )
-        facade = Facade(settings, config.seed, now)
-        self.dispatcher = Dispatcher(facade, self.wheel, self.pools, log, self.counts)
+        self.facade = Facade(settings, config.seed, now)
+        self.dispatcher = Dispatcher(self.facade, self.wheel, self.pools, log, self.counts)
         self.server_list = ServerList(
             reactor,
             self.wheel,
@@ -138,6 +138,7 @@
         self._port = None
         self._operators = None
         self._successor_listener: SuccessorListener | None = None
+        self._control: Any = None  # a `ProxyControl`, where the configuration asks for one
         self._successor_serves = False
         self._emptying = False  # a look is due
         self._cut = False  # a look has found that half commands are cut
@@ -159,7 +160,6 @@
             # Where processes are replaced, and none could be asked.
             shared = self._config.operator is not None
             self._port = listen(self._reactor, host, port, self.side, BACKLOG, shared)
-        self.side.port = self._port
         if self._config.operator is not None:
             from cloverwell.front.operators import Operators  # where nobody calls, nothing is imported for it
 
@@ -175,9 +175,31 @@
                     self._log,
                 )
                 self._successor_listener.open()
+        if self._config.control is None:
+            self._serve()
+        else:
+            self._port.pauseProducing()
+            self._follow_control()
+
+    def _follow_control(self) -> None:
+        """Who connects waits until this proxy is caught up with the control log, for a bounded time."""
+        from cloverwell.control.proxy.proxy_control import ProxyControl  # only where it is asked for
+
+        self._control = ProxyControl(self._reactor, self.wheel, self._log, self._config, self)
+        self._control.start(self._caught_up)
+
+    def _caught_up(self) -> None:
+        if self._port is not None and self.serving.state is State.STARTING:
+            self._port.resumeProducing()
+            self._serve()
+
+    def _serve(self) -> None:
+        """From now on who connects is served."""
+        self.side.port = self._port
         self.serving.serve()
         if self._left is not None:
             self._left.watch(self._reactor, self._alone)
+        host, port = self._config.listen
         self._log.info("start", f"{self._config.name or 'proxy'} serves on {host}:{port}")
 
     def _tell_figures(self) -> None:
@@ -203,7 +225,17 @@
             return
         host, port = config.discovery
         self._log.info("reload", f"discovery is at {host}:{port}")
-        self.server_list.move(config.discovery)
+        self.put_in_force(config.discovery, self.facade.settings.peers_total)
+
+    def put_in_force(self, discovery: tuple[str, int], peers_total: int) -> None:
+        """All that may change at run time changes here, at once."""
+        self.server_list.move(discovery)
+        self.resize(peers_total)
+
+    def resize(self, peers_total: int) -> None:
+        """So many proxies share the servers from now on."""
+        if peers_total != self.facade.settings.peers_total:
+            self.facade.resize(peers_total)
 
     # Another process in our place -----------------------------------------------------------------
 
@@ -229,6 +261,8 @@
     def succeeded(self) -> None:
         """Who connects from now on is the successor's."""
         self._successor_serves = True
+        if self._control is not None:
+            self._control.stop()  # the successor has the name now
         self.side.port = None
         if self._port is not None:
             self._port.pauseProducing()
@@ -239,9 +273,12 @@
             return
         self._successor_serves = False
         self._divide(self._config.limits.sockets)
-        self.side.port = self._port
-        self._port.resumeProducing()
+        if self.serving.state is not State.STARTING:
+            self.side.port = self._port
+            self._port.resumeProducing()
         self._successor_listener.open()
+        if self._control is not None:
+            self._control.resume()
         self._log.warn("handover", "the successor has gone: all is as it was")
 
     def _alone(self) -> None:
@@ -263,6 +300,10 @@
     def undrain(self) -> bool:
         return self.serving.undrain()
 
+    def configuration(self) -> str | None:
+        """Which version of the configuration is in force; None where no control log tells it."""
+        return None if self._control is None else self._control.describe()
+
     # The end --------------------------------------------------------------------------------------
 
     def stop(self) -> None:
@@ -315,4 +356,8 @@
         self._log.info("connections", self.figures.line(*What))
         self._tell_counts()
         self._log.info("stop", "all is answered")
-        self._reactor.stop()
+        if self._control is None:
+            self._reactor.stop()
+        else:
+            self._control.stop()
+            self._reactor.callLater(0, self._reactor.stop)  # its last message leaves in this turn of the loop
