--- a/cloverwell/control/server/program.py
+++ b/cloverwell/control/server/program.py
@@ -27,9 +27,6 @@
 
 def serve(path: Path, refuse: Callable[[str], NoReturn]) -> int:
     """Runs until SIGTERM or SIGINT; the exit code. `refuse`: ends the program with a line on bad input."""
-    log = Log(monotonic_ms)
-    globalLogBeginner.beginLoggingTo([log.fault], redirectStandardIO=False)
-    raise_descriptors(MAX_CONNECTIONS + SPARE_DESCRIPTORS)
     try:
         settings = read_node_file(path)
         storage = FileStorage(settings.data)
@@ -37,6 +34,9 @@
         refuse(str(error))
     except StorageError as error:
         refuse(f"data: {error}")
+    log = Log(monotonic_ms)
+    globalLogBeginner.beginLoggingTo([log.fault], redirectStandardIO=False)
+    raise_descriptors(MAX_CONNECTIONS + SPARE_DESCRIPTORS)
     if storage.dropped_bytes:
         log.warn("storage", f"a torn record of {storage.dropped_bytes} bytes was dropped")
     server = NodeServer(reactor, settings, storage, log, monotonic_ms, SystemRandom())
