--- /dev/null
+++ b/tests/test_control_follower.py
@@ -0,0 +1,217 @@
+"""A proxy's connection to the control log, against control nodes played by the test."""
+
+from random import Random
+
+import pytest
+from control_net_rig import Lines, Reactor, end, frame
+
+from cloverwell.control.entry import START, Entry, LogState, Snapshot
+from cloverwell.control.messages import (
+    Acknowledge,
+    Entries,
+    FleetCount,
+    Goodbye,
+    Heartbeat,
+    Refusal,
+    RefusalReason,
+    Snapshotted,
+    Subscribe,
+)
+from cloverwell.control.net.follower import EntryRefusedError, Follower
+from cloverwell.control.timing import SubscriptionTiming
+
+HOME = {"north-1": ("127.0.0.1", 1)}
+ELSEWHERE = {"south-1": ("127.0.0.1", 2), "west-1": ("127.0.0.1", 3)}
+TIMING = SubscriptionTiming()
+
+
+def entry(index, kind="configuration"):
+    return Entry(index, 1, kind, b"%d" % index, f"p{index}")
+
+
+def positions(entries):
+    """Before each entry, and after the last."""
+    made = [START]
+    for one in entries:
+        made.append(made[-1].after(one))
+    return made
+
+
+class Played:
+    """A follower without a proxy: `loaded` are put in force, those whose index is in `bad` refused."""
+
+    def __init__(self):
+        self.reactor, self.lines = Reactor(), Lines()
+        self.loaded, self.bad, self.missed = [], set(), 0
+        self.follower = Follower(
+            self.reactor,
+            (HOME, ELSEWHERE),
+            "fleet",
+            "proxy-1",
+            self.in_force,
+            self.lines,
+            self.purges_missed,
+            now=self.reactor.now_ms,
+            random=Random(1),
+            timing=TIMING,
+        )
+        self.follower.start()
+
+    def in_force(self, entry):
+        if entry.index in self.bad:
+            raise EntryRefusedError("field: no")
+        self.loaded.append(entry.index)
+
+    def purges_missed(self):
+        self.missed += 1
+
+    @property
+    def last(self):
+        return self.reactor.tries[-1]
+
+    def connect(self):
+        """The try that is out comes up; its `Subscribe`."""
+        (message,) = self.last.succeed().messages()
+        assert isinstance(message, Subscribe)
+        return message
+
+    def tell(self, *messages):
+        self.last.protocol.dataReceived(b"".join(map(frame, messages)))
+
+    def said(self):
+        return self.last.transport.messages()
+
+
+@pytest.fixture
+def played():
+    return Played()
+
+
+def test_the_own_region_comes_first_and_the_next_after_a_failure(played):
+    assert played.last.address == HOME["north-1"]
+    played.last.fail()
+    played.last.fail()
+    assert {t.address for t in played.reactor.tries[1:]} == set(ELSEWHERE.values())
+    played.last.fail()
+    assert len(played.reactor.tries) == 3  # all have failed: not at once
+    played.reactor.advance(TIMING.round_max_ms / 1000)
+    assert len(played.reactor.tries) == 4
+
+
+def test_entries_are_put_in_force_in_order_and_acknowledged(played):
+    entries = tuple(entry(index) for index in (1, 2, 3))
+    at = positions(entries)
+    subscribe = played.connect()
+    assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
+    played.tell(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
+    assert played.loaded == [1, 2, 3]
+    acknowledged = [m.position for m in played.said() if isinstance(m, Acknowledge)]
+    assert acknowledged[-1] == at[3] == played.follower.status.position
+
+
+def test_an_entry_that_is_refused_is_told_and_the_next_one_replaces_it(played):
+    entries = tuple(entry(index) for index in (1, 2, 3))
+    at = positions(entries)
+    played.bad = {2}
+    played.connect()
+    played.tell(Entries(START, entries[:2]))
+    last = played.said()[-1]
+    assert (last.position, last.refused_index, last.refused_reason) == (at[2], 2, "field: no")
+    assert played.loaded == [1] and played.follower.status.refused_index == 2
+    played.tell(Entries(at[2], entries[2:]))
+    assert played.loaded == [1, 3] and played.said()[-1].refused_index == 0
+
+
+def test_a_snapshot_brings_the_last_of_each_kind_and_the_purges_since(played):
+    entries = [entry(1, "purge"), entry(2), entry(3), entry(4, "purge"), entry(5, "purge")]
+    at, state = positions(entries), LogState()
+    for one in entries:
+        state = state.after(one)
+    played.connect()
+    played.tell(Entries(START, tuple(entries[:2])))
+    assert played.loaded == [1, 2]
+    played.tell(Snapshotted(Snapshot.of(at[5], 1, state)))
+    assert played.loaded == [1, 2, 3, 4, 5] and played.missed == 0
+    assert played.follower.status.position == at[5]
+
+
+def test_purges_that_nobody_can_name_any_more_are_told(played):
+    position = START
+    for index in range(1, 10):
+        position = position.after(entry(index))
+    state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
+    played.connect()
+    played.tell(Snapshotted(Snapshot.of(position, 1, state)))
+    assert played.missed == 1 and played.loaded == [9]
+
+
+def test_a_node_that_falls_silent_is_left_for_the_next(played):
+    played.connect()
+    played.reactor.advance(TIMING.silence_ms / 1000 + 0.1)
+    assert len(played.reactor.tries) == 2 and played.reactor.tries[0].transport.closed
+
+
+def test_a_connection_that_comes_up_after_it_was_given_up_is_not_used(played):
+    first = played.last
+    played.reactor.advance(TIMING.connect_ms / 1000 + 0.1)
+    assert first.given_up and len(played.reactor.tries) == 2
+    assert first.succeed().aborted
+    end(first.protocol)
+    assert len(played.reactor.tries) == 2
+
+
+def test_a_refusal_a_broken_connection_and_nonsense_all_lead_to_the_next(played):
+    played.connect()
+    played.tell(Refusal(RefusalReason.BEHIND))
+    assert len(played.reactor.tries) == 2
+    played.connect()
+    end(played.last.protocol)
+    assert len(played.reactor.tries) == 3
+    played.connect()
+    third = played.last
+    third.protocol.dataReceived(frame(Goodbye()))
+    assert third.transport.aborted
+    end(third.protocol)
+    played.reactor.advance(TIMING.round_max_ms / 1000)
+    assert len(played.reactor.tries) == 4
+
+
+def test_a_heartbeat_with_a_lease_makes_it_current_and_tells_how_many_live(played):
+    subscribe = played.connect()
+    assert not played.follower.ready
+    played.tell(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
+    assert played.follower.ready and played.follower.status.current
+    assert played.follower.divide_by(480) == 32
+    played.reactor.advance(20)  # nothing more is heard: the lease ends
+    assert not played.follower.status.current and played.follower.divide_by(480) == 480
+
+
+def test_a_start_without_any_node_waits_for_a_bounded_time(played):
+    while played.reactor.now_ms() < TIMING.wait_ms:
+        assert not played.follower.ready
+        if played.last.factory is not None:
+            played.last.fail()
+        played.reactor.advance(0.25)
+    assert played.follower.ready and not played.follower.status.caught_up
+
+
+def test_a_stop_takes_leave_and_ends_all_timers(played):
+    played.connect()
+    transport = played.last.transport
+    played.follower.stop()
+    assert transport.messages() == [Goodbye()] and transport.closed
+    end(played.last.protocol)
+    played.reactor.advance(60)
+    assert len(played.reactor.tries) == 1 and not played.reactor.getDelayedCalls()
+
+
+def test_it_may_be_started_again(played):
+    entries = (entry(1), entry(2))
+    played.connect()
+    played.tell(Entries(START, entries[:1]))
+    played.follower.stop()
+    end(played.last.protocol)
+    played.follower.start()
+    assert played.connect().position == positions(entries)[1]
+    played.tell(Entries(positions(entries)[1], entries[1:]))
+    assert played.loaded == [1, 2]
