--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from control_rig import Lines, Reactor, frame
+from control_net_rig import Lines, Reactor, frame
 
 from cloverwell.config import parse_config
 from cloverwell.control.configuration import digest
