--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -85,6 +85,7 @@
         self._timer: Any = None
         self._started = False
         self._told_node = ""  # the node that was logged last, "" for none
+        self._told_failure = ""
 
     @property
     def status(self) -> SubscriptionStatus:
@@ -222,11 +223,15 @@
     # The log
 
     def _tell_node(self) -> None:
-        node = self.status.node
-        if node != self._told_node:
+        status = self.status
+        if status.last_failure != self._told_failure:
+            self._told_failure = status.last_failure
+            self._warn(f"left {status.last_failure}")
+        if status.node != self._told_node:
             if self._log is not None:
+                node = status.node
                 self._log.info("control", f"follows {node}" if node else "follows no control node")
-            self._told_node = node
+            self._told_node = status.node
 
     def _warn(self, text: str) -> None:
         if self._log is not None:
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -149,6 +149,7 @@
     played.connect()
     played.reactor.advance(TIMING.silence_ms / 1000 + 0.1)
     assert len(played.reactor.tries) == 2 and played.reactor.tries[0].transport.closed
+    assert "warn control: left north-1: silent" in played.lines.lines
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_is_not_used(played):
