--- a/lab/control_follower.py
+++ b/lab/control_follower.py
@@ -10,7 +10,7 @@
 import sys
 import time
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
@@ -18,6 +18,7 @@
 from cloverwell.control.net.follower import Follower
 
 Address = tuple[str, int]
+SOURCE = "control"  # the name of the log among what a hollow proxy follows
 
 
 class Place(msgspec.Struct):
@@ -65,6 +66,29 @@
         self._follower.stop()
 
 
+class FollowerOf(Protocol):
+    """What a scale run tells of the hollow proxy that a follower belongs to."""
+
+    name: str
+    reactor: Any
+    in_force: Callable[[str, int, bool, int], None]  # source, revision, whether it is whole, entries
+
+
+def follower_factory(
+    regions: Mapping[str, Mapping[str, Address]], region_of: Callable[[str], str], log_name: str = "fleet"
+) -> Callable[[FollowerOf], HollowFollower]:
+    """Makes the follower of each hollow proxy of a scale run; `region_of`: of the proxy of that name."""
+
+    def make(context: FollowerOf) -> HollowFollower:
+        def in_force(entry: Entry) -> None:
+            context.in_force(SOURCE, entry.index, False, 1)
+
+        region = region_of(context.name)
+        return HollowFollower(context.reactor, regions, region, context.name, in_force, log_name)
+
+    return make
+
+
 def nearest_first(
     regions: Mapping[str, Mapping[str, Address]], region: str
 ) -> Sequence[Mapping[str, Address]]:
@@ -77,8 +101,7 @@
 
 
 def main() -> None:
-    from twisted.internet import reactor, stdio
-    from twisted.internet.protocol import Protocol
+    from twisted.internet import protocol, reactor, stdio
 
     from cloverwell.descriptors import raise_descriptors
 
@@ -93,7 +116,7 @@
 
         return in_force
 
-    class Input(Protocol):
+    class Input(protocol.Protocol):
         def connectionLost(self, reason: object = None) -> None:
             reactor.stop()
 
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,6 +1,7 @@
 """A proxy's connection to the control log, against control nodes played by the test."""
 
 from random import Random
+from types import SimpleNamespace
 
 import pytest
 from control_net_rig import Lines, Reactor, end, frame
@@ -19,6 +20,7 @@
 )
 from cloverwell.control.net.follower import EntryRefusedError, Follower
 from cloverwell.control.timing import SubscriptionTiming
+from lab.control_follower import follower_factory
 
 HOME = {"north-1": ("127.0.0.1", 1)}
 ELSEWHERE = {"south-1": ("127.0.0.1", 2), "west-1": ("127.0.0.1", 3)}
@@ -216,3 +218,20 @@
     assert played.connect().position == positions(entries)[1]
     played.tell(Entries(positions(entries)[1], entries[1:]))
     assert played.loaded == [1, 2]
+
+
+def test_a_hollow_proxy_follows_without_a_service():
+    told = []
+    context = SimpleNamespace(
+        name="hollow-1", reactor=Reactor(), in_force=lambda *arguments: told.append(arguments)
+    )
+    regions = {"north": HOME, "south": ELSEWHERE}
+    follower = follower_factory(regions, lambda proxy: "south")(context)
+    follower.start()
+    assert context.reactor.tries[0].address in ELSEWHERE.values()
+    transport = context.reactor.tries[0].succeed()
+    assert transport.messages()[0].proxy == "hollow-1"
+    context.reactor.tries[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
+    assert told == [("control", 1, False, 1), ("control", 2, False, 1)]
+    follower.stop()
+    assert transport.messages()[-1] == Goodbye()
