--- a/cloverwell/control/net/connection.py
+++ b/cloverwell/control/net/connection.py
@@ -56,6 +56,8 @@
         self._decoder.max_body_bytes = max_body_bytes
 
     def dataReceived(self, data: bytes) -> None:
+        if self.ended:  # closed behind what still leaves; what comes meanwhile counts no more
+            return
         try:
             for body in self._decoder.feed(data):
                 self.message_received(decode_body(body))
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -137,7 +137,7 @@
         self._warn(reason)
         self._handle(self.subscription.disconnected, attempt)
 
-    def fault(self, connection: FollowerConnection, reason: str) -> None:
+    def fault(self, reason: str) -> None:
         """What came makes no sense, or what leaves has waited too long."""
         self._warn(f"{self._told_node or 'a control node'}: {reason}")
 
@@ -268,7 +268,7 @@
             self.abort()
 
     def fault(self, reason: str) -> None:
-        self._follower.fault(self, reason)
+        self._follower.fault(reason)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
--- a/tests/control_net_rig.py
+++ b/tests/control_net_rig.py
@@ -97,6 +97,10 @@
     def __init__(self):
         super().__init__()
         self.tries: list[Try] = []
+        self.stopped = False
+
+    def stop(self):
+        self.stopped = True
 
     def now_ms(self):
         return self.seconds() * 1000.0
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -85,6 +85,15 @@
     assert transport.messages() == [ANSWER] and transport.closed and not transport.aborted
 
 
+def test_nothing_counts_that_comes_after_a_close():
+    connection = Kept()
+    Transport(connection)
+    connection.dataReceived(frame(ANSWER)[:9])
+    connection.close()
+    connection.dataReceived(frame(ANSWER)[9:] + frame(ANSWER))
+    assert connection.messages == [] and connection.faults == []
+
+
 @pytest.mark.parametrize("garbage", [b"\0\0\0\0", b"GET / HTTP/1.1\r\n", b"\0\0\0\3\1\2\3", b"\0\0\0\1\x09"])
 def test_garbage_ends_the_connection_behind_the_messages_before_it(garbage):
     connection = Kept()
