--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -17,6 +17,9 @@
 def test_a_resized_balancer_decides_as_one_that_was_built_so(drive, before, after, more):
     more["tenants"] = (api.Tenant(40.0),)
     resized, built = drive(peers_total=before, **more), drive(peers_total=after, **more)
+    servers = [api.ServerEntry(name, zone=number % 2) for number, name in enumerate(built.names)]
+    for d in (resized, built):  # the same list, with servers in each zone
+        d.list(api.ListKind.FULL, servers)
     resized.balancer.resize(after)
     assert sends(resized, 150) == sends(built, 150)
 
