--- a/olivestair/rings.py
+++ b/olivestair/rings.py
@@ -16,10 +16,8 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self._set = settings
-        zones = max(1, len(settings.zones))
-        self._zoned = settings.cross_price > 0 and zones > 1
-        # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
-        self.few = self._zoned and settings.peers_total < ZONE_PEERS * zones
+        self._zoned = settings.cross_price > 0 and len(settings.zones) > 1
+        self.few = self._is_few()
         self.home: Ring[Server] = Ring()
         self.abroad: Ring[Server] = Ring()  # servers of other zones, where that matters
         self.home_part = 1.0  # of the keys: as far as home has the capacity
@@ -47,6 +45,17 @@
             mine, total = self._weights.in_zone(self._set.zone), self._weights.total
             self.home_part = len(self._set.zones) * mine / max(total, 1e-9)
 
+    def resize(self, settings: api.Settings) -> None:
+        """The number of balancers is another: all stand where they would with it from the start."""
+        self._set = settings
+        self.few = self._is_few()
+        self.home_part = 1.0
+        self.change((), tuple(self._servers.values()))
+
+    def _is_few(self) -> bool:
+        # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
+        return self._zoned and self._set.peers_total < ZONE_PEERS * len(self._set.zones)
+
     def _remove(self, server: Server) -> None:
         del self._servers[server.entry.server]
         self._weights.remove(server.entry.server)
