--- a/cloverwell/codec/lines.py
+++ b/cloverwell/codec/lines.py
@@ -158,19 +158,10 @@
         """Takes all of the data, or none of it: for want of room, or because the connection is broken."""
         if self.ended or len(data) > self._out.room:
             return False
-        if not self._writing:
-            # Through the reactor it would be two system calls more, and a turn of the loop later.
-            try:
-                data = data[self._socket.send(data) :]
-            except BlockingIOError:
-                pass
-            except OSError:
-                return False
-        if data:
-            self._out.write(data)
-            if not self._writing:
-                self._drain()
-        return True
+        left = self._send_now(data)
+        if left:
+            self._queue(left)
+        return left is not None
 
     def put_command(self, data: bytes) -> bytes | None:
         """As `put`, but where the machine does not take all at once, the last byte is kept back.
@@ -178,18 +169,29 @@
         Gives what is kept back, which may be nothing; None if not a byte was taken."""
         if self.ended or len(data) > self._out.room:
             return None
+        left = self._send_now(data)
+        if left is None:
+            return None
+        if len(left) > 1:
+            self._queue(left[:-1])
+        return left[-1:]
+
+    def _send_now(self, data: bytes) -> bytes | None:
+        """Gives the socket what it takes at once: what is left of it, None if the connection is broken."""
+        if self._writing:
+            return data
+        # Through the reactor it would be two system calls more, and a turn of the loop later.
+        try:
+            return data[self._socket.send(data) :]
+        except BlockingIOError:
+            return data
+        except OSError:
+            return None
+
+    def _queue(self, data: bytes) -> None:
+        self._out.write(data)
         if not self._writing:
-            try:
-                data = data[self._socket.send(data) :]
-            except BlockingIOError:
-                pass
-            except OSError:
-                return None
-        if len(data) > 1:
-            self._out.write(data[:-1])
-            if not self._writing:
-                self._drain()
-        return data[-1:]
+            self._drain()
 
     def _drain(self) -> None:
         self._writing = bool(len(self._out))
