--- a/olivestair/api.py
+++ b/balancer/api.py
@@ -1,6 +1,6 @@
 """The interface of the decision module: settings, server entries, events in, actions out.
 
-All times are floats in milliseconds. Nothing here decides anything; see decide.py.
+All times are floats in milliseconds. Nothing here decides anything; see balancer.py.
 """
 
 from dataclasses import dataclass
--- a/olivestair/decide.py
+++ b/balancer/balancer.py
@@ -8,12 +8,12 @@
 from dataclasses import replace
 from random import Random
 
-from olivestair import api, places
-from olivestair.api import Effect, Group, ListKind, ServerState, Status
-from olivestair.ring import point
-from olivestair.rings import Rings
-from olivestair.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
-from olivestair.timers import Timers
+from balancer import api, places
+from balancer.api import Effect, Group, ListKind, ServerState, Status
+from balancer.hash_ring import point
+from balancer.rings import Rings
+from balancer.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
+from balancer.timers import Timers
 
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
 WAKE, RESUBSCRIBE = 0, 1  # timer tokens
--- a/olivestair/places.py
+++ b/balancer/places.py
@@ -11,7 +11,7 @@
 All times are milliseconds of one clock; `usual_ms` is the mean latency of the origin's answers.
 """
 
-from olivestair.state import Server
+from balancer.state import Server
 
 OVERDUE = 4.0  # mean latencies, in which a working origin answers: of exponential ones, all but one in fifty
 TRIAL_MS = 500.0  # least time between two trials
--- a/olivestair/settings.py
+++ b/balancer/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from olivestair import api
+from balancer import api
 
 EFFECT = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
 MODES = ("on_request", "pushed")
--- a/olivestair/simhost.py
+++ b/balancer/simulator_adapter.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from olivestair import api
-from olivestair.decide import Balancer
-from olivestair.settings import read_settings
+from balancer import api
+from balancer.balancer import Balancer
+from balancer.settings import read_settings
 
 STATUS = {
     "Ok": api.Status.OK,
--- a/olivestair/state.py
+++ b/balancer/state.py
@@ -1,10 +1,10 @@
-"""What decide.py remembers of a server, of the fleet's pace and of a request: measures, no decisions."""
+"""What balancer.py remembers of a server, of the fleet's pace and of a request: measures, no decisions."""
 
 import math
 from collections import deque
 from dataclasses import dataclass, field
 
-from olivestair import api
+from balancer import api
 
 RATE_MS = 2000.0  # shortest memory of latencies: some answers even in a large fleet, yet follows a burst
 PACE_MS = 5000.0  # longest memory of the pooled latencies
--- a/benchmarks/peer_view.py
+++ b/benchmarks/gossip_view.py
@@ -1,6 +1,6 @@
 """How soon a tier knows a death, and what its datagrams cost: views in virtual time, over tiers and losses.
 
-    python benchmarks/peer_view.py [--tiers 2 16 64 256 480] [--losses 0 0.1] [--seeds 3] [--json]
+    python benchmarks/gossip_view.py [--tiers 2 16 64 256 480] [--losses 0 0.1] [--seeds 3] [--json]
 
 Each tier starts at once; how long it takes to meet, and the most that a proxy sends in half a second of that,
 stand apart. Then it is quiet, one proxy dies, and ten more seconds are played. Bytes are those of the
--- a/cloverwell/__init__.py
+++ b/cloverwell/__init__.py
@@ -1,1 +1,1 @@
-"""cloverwell: a memcache proxy that carries out olivestair's decisions on real sockets."""
+"""cloverwell: a memcache proxy that carries out balancer's decisions on real sockets."""
--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -17,9 +17,9 @@
 from cloverwell.log import Log
 from cloverwell.log_stream import say_last
 from cloverwell.monotonic_reactor import install_reactor
-from cloverwell.service import Service
+from cloverwell.proxy import Service
+from cloverwell.timer_wheel import monotonic_ms
 from cloverwell.unix_time import read_epoch_ms
-from cloverwell.wheel import monotonic_ms
 
 # Net new objects, and younger collections, between those of each generation: about 3, 9 and 27 s under load.
 COLLECT = (10_000, 3, 3)
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -20,7 +20,7 @@
 from cloverwell.flow import Flow
 from cloverwell.log import Log
 from cloverwell.request import LEAST_TOLD_MS, Attempt
-from cloverwell.wheel import Timer
+from cloverwell.timer_wheel import Timer
 
 FLOW_READ = 32 * 1024  # bytes read at once of a long value: so much waits here when its reader is slow
 FRESH_MS = 10.0  # one that came up so lately has not stood idle
--- a/cloverwell/back/pool_set.py
+++ b/cloverwell/back/pool_set.py
@@ -13,7 +13,7 @@
 from cloverwell.connections.budget import Budget
 from cloverwell.connections.figures import Figures
 from cloverwell.log import Log
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 
 class PoolSet(Protocol):
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -14,7 +14,7 @@
 from cloverwell.connections.figures import Figures
 from cloverwell.connections.schedule import Schedule
 from cloverwell.log import Log
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 SWEEP_MS = 50.0
 STALL_MS, STALL_LOOKS = 25.0, 4  # an answer that has begun and does not go on for so many looks is given up
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from balancer.api import Settings
+from balancer.settings import check_whole, read_settings
 from cloverwell.membership.listing import PHASES, Listing, ServerListError, split_address
-from olivestair.api import Settings
-from olivestair.settings import check_whole, read_settings
 
 FD_MIN = 64
 MAX_CONTROL_WAIT_MS = 8000.0  # nine in ten restarts are ready within 10 s, whatever is down
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from balancer.settings import SettingsError, check_whole, read_settings
 from cloverwell.config import Config, ConfigError, File, parse_config
 from cloverwell.membership.listing import ServerListError, split_address
-from olivestair.settings import SettingsError, check_whole, read_settings
 
 DIGEST_DIGITS = 16
 CHANGEABLE = frozenset({"discovery", "settings", "document"})  # `settings` is looked into
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -30,7 +30,7 @@
 from cloverwell.control.subscription import Subscription, SubscriptionStatus
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
-from cloverwell.wheel import monotonic_ms
+from cloverwell.timer_wheel import monotonic_ms
 
 Address = tuple[str, int]
 
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -17,7 +17,7 @@
 from cloverwell.control.net.follower import EntryRefusedError, Follower
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
-from cloverwell.wheel import Timer, Wheel
+from cloverwell.timer_wheel import Timer, Wheel
 
 START_LOOK_MS = 50.0  # between two looks whether the start need not wait any longer
 LOOK_MS = 1000.0  # between two looks how many proxies live
--- a/cloverwell/control/server/program.py
+++ b/cloverwell/control/server/program.py
@@ -19,7 +19,7 @@
 from cloverwell.descriptors import raise_descriptors
 from cloverwell.log import Log
 from cloverwell.monotonic_reactor import install_reactor
-from cloverwell.wheel import monotonic_ms
+from cloverwell.timer_wheel import monotonic_ms
 
 FAILED = 1
 SPARE_DESCRIPTORS = 64  # standard streams, the reactor's own, the storage and the links to other nodes
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -10,7 +10,7 @@
 from cloverwell.flow import Flow
 from cloverwell.log import Log
 from cloverwell.request import Attempt, Failed, Refused, Request, Served
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 # Before its client gives up, a request that nothing has ended is failed. The module ends its attempts two
 # ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be refused.
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import Protocol
 
-from olivestair import Balancer, api
-from olivestair.api import Effect, ListKind, ServerEntry, Status
+from balancer import Balancer, api
+from balancer.api import Effect, ListKind, ServerEntry, Status
 
 
 class Outcome(Enum):
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -19,7 +19,7 @@
 from cloverwell.front.meta_answers import BUSY, DRAINING, FAILED, SERVING, encode_answer
 from cloverwell.front.turn import Turn
 from cloverwell.request import Answer, Refused, Request, Served
-from cloverwell.wheel import HELD_UP_MS
+from cloverwell.timer_wheel import HELD_UP_MS
 
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
 MAX_PASSED = 1024 * 1024  # a longer value is not passed over: its client is told, and the connection closed
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -6,6 +6,7 @@
 from twisted.internet.address import IPv4Address
 from twisted.internet.protocol import Factory
 
+from balancer.api import Settings
 from cloverwell.codec.lines import hung_up, unsent
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.budget import Budget, Side
@@ -16,8 +17,7 @@
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.log import Log
 from cloverwell.serving import Serving
-from cloverwell.wheel import HELD_UP_MS, Wheel
-from olivestair.api import Settings
+from cloverwell.timer_wheel import HELD_UP_MS, Wheel
 
 BACKLOG = 512  # connections that the machine lets wait to be accepted
 SWEEP_MS = 50.0
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -7,7 +7,7 @@
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.serving import Serving
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 
 class ConnectionOwner(Protocol):
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -13,7 +13,7 @@
 
 from cloverwell.codec.steady_socket import steady
 from cloverwell.log import Log
-from cloverwell.wheel import Timer, Wheel
+from cloverwell.timer_wheel import Timer, Wheel
 
 CALLERS = 8  # at once; one more, and the one that has stood longest is closed
 CALL_MS = 5000.0  # what a caller may take
--- a/cloverwell/peers/view.py
+++ b/cloverwell/gossip/view.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cloverwell.peers.wire import (
+from cloverwell.gossip.wire import (
     MOST_INCARNATION,
     MOST_PROXIES,
     MOST_RUMOURS,
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -17,7 +17,7 @@
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
 from cloverwell.handover.sockets import clear, is_ours, short
 from cloverwell.log import Log
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 HELLO_MS = 1000.0  # what a caller may take to say what it wants
 CALLERS = 2  # at once: one that says nothing does not shut the successor out
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -17,7 +17,7 @@
 from cloverwell.handover.sockets import is_ours, short
 from cloverwell.log import Log
 from cloverwell.system_calls import MOMENTARY
-from cloverwell.wheel import monotonic_ms
+from cloverwell.timer_wheel import monotonic_ms
 
 TELL_AGAIN_S = 0.02  # a message that the machine does not take is sent again
 WAIT_S = 1.0  # for a silent predecessor: the platform waits 6 s for the first yes
--- a/cloverwell/membership/list_retry.py
+++ b/cloverwell/membership/list_retry.py
@@ -18,7 +18,7 @@
 
 from random import Random
 
-from olivestair.api import Settings
+from balancer.api import Settings
 
 TOLD_MS = 6000.0  # the page's
 MARGIN_MS = 400.0  # an answer's way here, and its list's taking effect
--- a/cloverwell/membership/listing.py
+++ b/cloverwell/membership/listing.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from olivestair.api import ServerState
+from balancer.api import ServerState
 
 PHASES = {
     "in_service": ServerState.READY,
--- a/cloverwell/membership/server_list.py
+++ b/cloverwell/membership/server_list.py
@@ -9,6 +9,7 @@
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
+from balancer.api import ServerEntry, ServerState, Settings
 from cloverwell.back.pools import Pools
 from cloverwell.codec.http import HttpReceiver, encode_request
 from cloverwell.counts import Counts
@@ -19,8 +20,7 @@
 from cloverwell.membership.listing import PHASES, Listing, Member, ServerListError, split_address
 from cloverwell.membership.node_starts import KnownStarts, NodeStarts
 from cloverwell.system_calls import connect_fault
-from cloverwell.wheel import Timer, Wheel
-from olivestair.api import ServerEntry, ServerState, Settings
+from cloverwell.timer_wheel import Timer, Wheel
 
 # A watch that has fallen silent counts as told 6 s later, or 2 s after the end of its wait; soon after that a
 # node that drains must get nothing new. So it is found out, and the same is asked anew, before the first of
--- a/cloverwell/service.py
+++ b/cloverwell/proxy.py
@@ -26,7 +26,7 @@
 from cloverwell.log import Log
 from cloverwell.membership.server_list import ServerList
 from cloverwell.serving import Serving, State
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 
 TICK_MS = 5.0
 SPARE_DESCRIPTORS = 24  # standard streams, the reactor's own, discovery, and what is closed but not yet free
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -10,7 +10,7 @@
 
 from cloverwell.facade import Outcome, Send
 from cloverwell.flow import Flow
-from cloverwell.wheel import Timer
+from cloverwell.timer_wheel import Timer
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverwell/unix_time.py
+++ b/cloverwell/unix_time.py
@@ -2,7 +2,7 @@
 
 import time
 
-from cloverwell.wheel import monotonic_ms
+from cloverwell.timer_wheel import monotonic_ms
 
 
 def read_epoch_ms() -> float:
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -17,7 +17,7 @@
 from cloverwell.facade import Outcome, Send
 from cloverwell.log import Log
 from cloverwell.request import Attempt
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from random import Random
 
-from cloverwell.peers.view import Change, Figures, Out, View
-from cloverwell.peers.wire import State, decode, encode
+from cloverwell.gossip.view import Change, Figures, Out, View
+from cloverwell.gossip.wire import State, decode, encode
 
 TICK_S = 0.02
 EPOCH_MS = 1_700_000_000_000  # Unix time when the virtual clock shows 0
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -12,16 +12,16 @@
 from copy import deepcopy
 from typing import Any
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.net import Address, Net
 from lab.nodes import Discovery, Web
 from lab.proxy import SETTINGS
 from lab.world import Discovery as Capacity
 from lab.world import World
-from olivestair.settings import read_settings
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
 CHANGED = "node-0"  # whose phase is told as changed
--- a/lab/play.py
+++ b/lab/play.py
@@ -8,10 +8,13 @@
 from random import Random
 from typing import Any
 
+from balancer.hash_ring import Ring, point
+from balancer.rings import TOKENS
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.front_layer import Watch
 from lab.judge import RULES, Judge
 from lab.machine_faults import befall
@@ -24,9 +27,6 @@
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import EPOCH_S, WallClocks
 from lab.world import ON_MACHINES, ON_NODES, Class, Fault, World
-from olivestair.ring import Ring, point
-from olivestair.rings import TOKENS
-from olivestair.settings import read_settings
 
 KILL_S = 4.0  # what a planned end may take
 
--- a/lab/proxies.py
+++ b/lab/proxies.py
@@ -8,7 +8,7 @@
 
 from twisted.python.failure import Failure
 
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.net import Address, Net
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import WallClock
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -2,13 +2,13 @@
 
 import io
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.cache_nodes import CacheNode
 from lab.net import Address, Net
-from olivestair.settings import read_settings
 
 LISTEN: Address = ("127.0.0.1", 11211)
 SETTINGS = {
--- a/lab/scale/control_clients.py
+++ b/lab/scale/control_clients.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 
 
 @dataclass(frozen=True, slots=True)
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow proxies: whole proxies (`cloverwell.service.Service`) that no client can reach.
+"""A process of hollow proxies: whole proxies (`cloverwell.proxy.Service`) that no client can reach.
 
 All of a proxy runs but its listening port: the watch, the decisions, the pools with their sweeps, the timer
 wheel. Their reactor is one, as is their process.
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.facade import News, NoNews
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing
-from cloverwell.service import Service
+from cloverwell.proxy import Service
+from cloverwell.timer_wheel import monotonic_ms
 from cloverwell.unix_time import read_epoch_ms
-from cloverwell.wheel import monotonic_ms
 from lab.scale import control_clients, messages
 from lab.scale.membership import digest
-from olivestair.settings import read_settings
 
 REPORT_EVERY_S = 0.25
 NOWHERE = ("127.0.0.1", 0)
--- a/olivestair/__init__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""olivestair: the decisions of a proxy that spreads keys over cache servers in front of a slow origin."""
-
-from olivestair.decide import Balancer
-
-__all__ = ["Balancer"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,10 +7,10 @@
 from hypothesis import settings
 from rig import Rig
 
+from balancer import api
+from balancer.balancer import Balancer
 from cloverwell.back.pool import Pool
 from lab.processes import share_ports
-from olivestair import api
-from olivestair.decide import Balancer
 
 # Tests run in several processes: none takes a port that another may have looked at.
 WORKERS = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -13,14 +13,14 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.front.port import listen
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
-from cloverwell.wheel import monotonic_ms
+from cloverwell.proxy import Service
+from cloverwell.timer_wheel import monotonic_ms
 from lab.proxy import SETTINGS
-from olivestair.settings import read_settings
 
 PATIENCE_S = 5.0
 RESET = struct.pack("ii", 1, 0)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -26,12 +26,12 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, ConfigError, Limits
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.proxy import SETTINGS
-from olivestair.settings import read_settings
 
 HTTP = ("origin", "discovery", "discovery2")
 NOBODY = os.eventfd(0)  # a descriptor on which nothing ever happens
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -15,7 +15,7 @@
 from cloverwell.facade import Outcome
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
 from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
-from cloverwell.wheel import HELD_UP_MS
+from cloverwell.timer_wheel import HELD_UP_MS
 from lab.play import Play
 from lab.proxy import SETTINGS
 from lab.world import load
--- a/tests/test_clock_sources.py
+++ b/tests/test_clock_sources.py
@@ -14,7 +14,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("cloverwell", "olivestair", "lab", "examples", "benchmarks")
+PACKAGES = ("cloverwell", "balancer", "lab", "examples", "benchmarks")
 
 
 class Use(NamedTuple):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -2,12 +2,13 @@
 
 import pytest
 
+from balancer import api
+from balancer import balancer as decide
+from balancer.balancer import COLD_SPILL, Balancer
+from balancer.hash_ring import point
 from lab.judge import Judge
 from lab.play import Play
 from lab.world import Rules, load
-from olivestair import api, decide
-from olivestair.decide import COLD_SPILL, Balancer
-from olivestair.ring import point
 
 START = 0.14  # what a server can do at its start: the least that a site has named
 WARM_UP_MS = 20_000.0
--- a/tests/test_config_failures.py
+++ b/tests/test_config_failures.py
@@ -9,7 +9,7 @@
 
 from cloverwell import config as proxy_config
 from cloverwell.config import ConfigError, read_config
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 
 ERRORS = [errno.EIO, errno.ENOENT, errno.EACCES, errno.EISDIR, errno.EMFILE, errno.ESTALE]
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -151,7 +151,7 @@
     program = (
         "import sys, json, cloverwell.__main__ as main\n"
         "from cloverwell.config import read_config\n"
-        "from cloverwell.service import Service\n"
+        "from cloverwell.proxy import Service\n"
         "from cloverwell.log import Log\n"
         "from twisted.internet import reactor\n"
         "config = read_config({'EDGE_CONFIG': sys.argv[1], 'EDGE_LISTEN': sys.argv[2]})\n"
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -158,6 +158,6 @@
 
 def test_the_service_does_not_import_the_control_log():
     program = (
-        "import sys, cloverwell.service; sys.exit(any('cloverwell.control' in name for name in sys.modules))"
+        "import sys, cloverwell.proxy; sys.exit(any('cloverwell.control' in name for name in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", program], timeout=60).returncode == 0
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -11,7 +11,7 @@
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
 from cloverwell.control.proxy.proxy_control import LOOK_MS, ProxyControl
 from cloverwell.front.operators import Operators
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 from lab.proxy import SETTINGS
 
 OWN = {
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -3,9 +3,9 @@
 import pytest
 from conftest import LATE
 
-from olivestair import api
-from olivestair.api import Status
-from olivestair.decide import RESUBSCRIBE, Balancer
+from balancer import api
+from balancer.api import Status
+from balancer.balancer import RESUBSCRIBE, Balancer
 
 
 def warm_up(d, rounds=60):
--- a/tests/test_peers.py
+++ b/tests/test_gossip.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwell.peers import view as peers
-from cloverwell.peers.view import Figures, View
-from cloverwell.peers.wire import MOST_BYTES, Kind, Message, Rumour, State, WireError, decode, encode
+from cloverwell.gossip import view as peers
+from cloverwell.gossip.view import Figures, View
+from cloverwell.gossip.wire import MOST_BYTES, Kind, Message, Rumour, State, WireError, decode, encode
 from lab.datagrams import Datagrams, Host
 
 KNOWN_S = 2.0  # by then all survivors of a tier of four or fewer hold a death
--- a/tests/test_peers_large.py
+++ b/tests/test_gossip_large.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from cloverwell.peers.view import Figures, View
-from cloverwell.peers.wire import (
+from cloverwell.gossip.view import Figures, View
+from cloverwell.gossip.wire import (
     HEAD,
     MOST_BYTES,
     MOST_PROXIES,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,8 +24,8 @@
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
 from cloverwell.membership.node_starts import KnownStarts, NodeStart
-from cloverwell.service import Service
-from cloverwell.wheel import monotonic_ms
+from cloverwell.proxy import Service
+from cloverwell.timer_wheel import monotonic_ms
 from lab.processes import PATIENCE_S, Clients, Place
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -12,18 +12,24 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("cloverwell", "olivestair", "lab")
+PACKAGES = ("cloverwell", "balancer", "lab")
 
 # From the bottom up. A module may import what stands in its own line or below; the longest prefix counts.
 # A new package is put where it belongs here, see docs/design.md.
 LEVELS = (
-    ("olivestair",),
+    ("balancer",),
     ("cloverwell.descriptors", "cloverwell.log_stream", "cloverwell.system_calls"),
     ("cloverwell.monotonic_reactor",),
-    ("cloverwell.wheel", "cloverwell.log", "cloverwell.counts", "cloverwell.flow", "cloverwell.serving"),
+    (
+        "cloverwell.timer_wheel",
+        "cloverwell.log",
+        "cloverwell.counts",
+        "cloverwell.flow",
+        "cloverwell.serving",
+    ),
     ("cloverwell.unix_time",),
     ("cloverwell.codec", "cloverwell.store"),
-    ("cloverwell.connections", "cloverwell.peers", "cloverwell.limits"),
+    ("cloverwell.connections", "cloverwell.gossip", "cloverwell.limits"),
     ("cloverwell.placement", "cloverwell.recovery"),
     ("cloverwell.facade",),
     ("cloverwell.request",),
@@ -33,13 +39,13 @@
     ("cloverwell.front",),
     ("cloverwell.config",),
     ("cloverwell.control", "cloverwell.handover"),
-    ("cloverwell.service",),
+    ("cloverwell.proxy",),
     ("cloverwell.__main__",),
     ("cloverwell.cli",),
     ("lab",),
 )
 # What the packages' own `__init__` imports stands with its package.
-OPEN_ROOTS = ("cloverwell", "olivestair", "lab")
+OPEN_ROOTS = ("cloverwell", "balancer", "lab")
 
 
 def modules() -> dict[str, Path]:
@@ -175,7 +181,7 @@
     for line in listing.splitlines():
         top, *owners = line.split()
         names = {owner.lower().replace("_", "-").replace(".", "-") for owner in owners}
-        if top not in ("cloverwell", "olivestair") and not names & allowed:
+        if top not in ("cloverwell", "balancer") and not names & allowed:
             found.append(line)
     return found
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,6 +10,8 @@
 import pytest
 from click.testing import CliRunner
 
+from balancer import balancer as decide
+from balancer.balancer import Balancer
 from cloverwell import dispatcher, facade, service
 from cloverwell.back.cache_connection import CacheConnection
 from cloverwell.back.pools import Pools
@@ -23,8 +25,6 @@
 from lab.play import Play
 from lab.server import Keys, Server
 from lab.world import Fault, Rules, WorldError, load, names
-from olivestair import decide
-from olivestair.decide import Balancer
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab import play
 from lab.judge import RULES
 from lab.play import Play
--- a/tests/test_list_retry.py
+++ b/tests/test_list_retry.py
@@ -4,6 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.settings import read_settings
 from cloverwell.membership.list_retry import (
     ANSWER_MS,
     BEHIND_MS,
@@ -14,7 +15,6 @@
     ListRetry,
 )
 from lab.proxy import SETTINGS
-from olivestair.settings import read_settings
 
 
 def retry_of(seed, proxies=1, **changes):
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PLACES = ("cloverwell", "lab", "tests", "docs", "olivestair", "benchmarks", "examples", "README.md")
+PLACES = ("cloverwell", "lab", "tests", "docs", "balancer", "benchmarks", "examples", "README.md")
 SUFFIXES = (".py", ".md", ".toml", ".txt", ".json")
 
 # Each word that was once used, by the one that stands for it now. Parts of names count: `next_leg`.
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,14 +11,14 @@
 from scenario import SETTINGS
 from twisted.internet.task import Clock
 
+from balancer.api import ServerEntry
+from balancer.settings import SettingsError, read_settings
 from cloverwell import facade as f
 from cloverwell.__main__ import handle_signals
 from cloverwell.codec.ring_buffer import SMALLEST, RingBuffer
 from cloverwell.config import ConfigError, read_config
 from cloverwell.log import PER_SECOND, Log
-from cloverwell.wheel import Wheel
-from olivestair.api import ServerEntry
-from olivestair.settings import SettingsError, read_settings
+from cloverwell.timer_wheel import Wheel
 
 
 def test_ring_keeps_order_round_its_end_and_takes_no_more_than_its_bound():
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("delay", [6.0, 12.5, 249.0, 6000.0])
-def test_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
+def test_timer_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
     wheel, clock = wheel_and_clock()
     due, fired = wheel.now() + delay, {}
     wheel.at(due, lambda: fired.update(at=wheel.now()))
@@ -63,7 +63,7 @@
     assert due <= fired["not_before"] + 0.01 < due + 5 + step
 
 
-def test_wheel_goes_on_behind_a_timer_that_fails_and_a_stall():
+def test_timer_wheel_goes_on_behind_a_timer_that_fails_and_a_stall():
     # Guards every deadline: one fault must not stop the wheel or take the slot's other timers with it.
     wheel, clock = wheel_and_clock()
     fired = []
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from olivestair import api, places
-from olivestair.api import Status
-from olivestair.places import OVERDUE, TRIAL_MS
-from olivestair.state import Pace, Server
+from balancer import api, places
+from balancer.api import Status
+from balancer.places import OVERDUE, TRIAL_MS
+from balancer.state import Pace, Server
 
 READ = api.RequestClass(aim_ms=800.0, deadline_ms=2000.0)
 WRITES = {
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -20,6 +20,7 @@
 from test_flow import Slow
 from twisted.internet.task import Clock
 
+from balancer import api
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.pool import FLOW_STILL_MS
 from cloverwell.control.control_node import ControlNode
@@ -28,14 +29,13 @@
 from cloverwell.control.storage import StoredState
 from cloverwell.facade import Outcome
 from cloverwell.flow import LONG
+from cloverwell.gossip.view import Figures, View
+from cloverwell.gossip.wire import NOBODY, Kind, Message, Rumour, State
 from cloverwell.handover import successor
 from cloverwell.log import Log
 from cloverwell.membership.list_retry import ListRetry
-from cloverwell.peers.view import Figures, View
-from cloverwell.peers.wire import NOBODY, Kind, Message, Rumour, State
-from cloverwell.wheel import Wheel
+from cloverwell.timer_wheel import Wheel
 from lab.proxy import SETTINGS as SITE
-from olivestair import api
 
 FIGURES = Figures()
 SETTINGS = Driver().settings
--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from balancer import api
 from cloverwell.facade import Facade
-from olivestair import api
 
 
 def sends(d, number):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,7 @@
 from test_lab import broken, short
 from test_processes import says_mn
 
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.judge import RULES
 from lab.play import Play
 from lab.processes import PATIENCE_S, Clients, Place
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -2,9 +2,9 @@
 
 from collections import Counter
 
-from olivestair import api
-from olivestair.ring import point, tokens
-from olivestair.rings import TOKENS
+from balancer import api
+from balancer.hash_ring import point, tokens
+from balancer.rings import TOKENS
 
 KEYS = [f"key-{i}" for i in range(600)]
 
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -5,13 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivestair import api, ring
-from olivestair.api import ListKind, ServerState
-from olivestair.decide import Balancer
-from olivestair.ring import Ring, tokens
-from olivestair.rings import TOKENS, Rings
-from olivestair.state import Pace, Server
-from olivestair.weights import Weights
+from balancer import api
+from balancer import hash_ring as ring
+from balancer.api import ListKind, ServerState
+from balancer.balancer import Balancer
+from balancer.hash_ring import Ring, tokens
+from balancer.rings import TOKENS, Rings
+from balancer.state import Pace, Server
+from balancer.weights import Weights
 
 NAMES = [f"node-{number}" for number in range(9)]
 WEIGHTS = (0.0, 0.1, 0.3, 0.7, 1.0, 2.5)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from olivestair import api
-from olivestair.api import Status
+from balancer import api
+from balancer.api import Status
 
 
 def test_hit_ends_the_request(drive):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from balancer.settings import check_whole, read_settings
 from cloverwell.config import ConfigError, read_config
 from lab.proxy import SETTINGS
-from olivestair.settings import check_whole, read_settings
 
 CONFIG = {
     "listen": "127.0.0.1:1",
--- a/tests/test_simhost.py
+++ b/tests/test_simulator_adapter.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from olivestair.settings import read_settings
-from olivestair.simhost import Host
+from balancer.settings import read_settings
+from balancer.simulator_adapter import Host
 
 OPTIONS = {
     "classes": [{"objective": 500.0, "deadline": 2000.0, "effect": "retryable", "importance": 1.0}],
@@ -68,7 +68,10 @@
 )
 def test_malformed_input_ends_with_one_plain_line(line):
     run = subprocess.run(
-        [sys.executable, "-m", "olivestair.simhost"], input=line + "\n", capture_output=True, text=True
+        [sys.executable, "-m", "balancer.simulator_adapter"],
+        input=line + "\n",
+        capture_output=True,
+        text=True,
     )
     assert run.returncode != 0 and run.stdout == ""
     assert len(run.stderr.strip().splitlines()) == 1 and "Traceback" not in run.stderr
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,6 +13,7 @@
 from rig import read, write
 from scenario import Player
 
+from balancer.state import Server
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.front import Stage
@@ -20,7 +21,6 @@
 from lab.play import Play
 from lab.proxy import SETTINGS
 from lab.world import load
-from olivestair.state import Server
 
 SLACK_MS = 150.0  # the page's, of the time that a node is told
 HIT = b"VA 1 O%d\r\nx\r\n"
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -8,17 +8,17 @@
 import pytest
 from twisted.internet.protocol import Factory, Protocol
 
+from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.connections.figures import Figures, What
 from cloverwell.handover import messages
 from cloverwell.log import Log
 from cloverwell.membership.listing import Listing, Member
-from cloverwell.service import Service
+from cloverwell.proxy import Service
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 from lab.proxy import SETTINGS
 from lab.world import World
-from olivestair.settings import read_settings
 
 NODES = 1024
 PROXIES = 1024
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cloverwell.wheel import SLOTS, Wheel
+from cloverwell.timer_wheel import SLOTS, Wheel
 
 START_MS = (0.0, 0.75, 123_456.789, 4.0e9 + 0.3)
 HOUR_MS = 3_600_000.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from olivestair import api
-from olivestair.settings import read_settings
+from balancer import api
+from balancer.settings import read_settings
 from tests.test_ring import KEYS, owners
 
 EAST, WEST = 0, 1
