--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cloverwell.connections.figures import What
+from cloverwell.connections.metrics import ConnectionEvent
 from lab.attempts import PATTERNS, Fixed, Rig
 
 
@@ -36,7 +36,7 @@
         "attempts": attempts,
         "stale_share": rig.stale / attempts,
         "dear_lost": rig.tally.dear_lost,
-        "caught": rig.figures.total(What.CAUGHT),
+        "caught": rig.metrics.total(ConnectionEvent.CAUGHT),
         "handshakes_an_attempt": rig.handshakes / attempts,
         "p50_ms": rig.percentile(0.5),
         "p99_ms": rig.percentile(0.99),
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -11,7 +11,7 @@
 import time
 from random import Random
 
-from cloverwell.control.effects import Connect, LoadEntry
+from cloverwell.control.effects import ApplyEntry, ConnectToNode
 from cloverwell.control.entry import Entry, EntryKind
 from cloverwell.control.messages import Entries, FleetCount, Heartbeat, Propose, decode, encode
 from cloverwell.control.subscription import Subscription
@@ -87,7 +87,7 @@
 def processor_ms(messages: int = 20_000) -> tuple[float, float]:
     """Of a heartbeat with an acknowledgement, and of an entry that is given out, loaded and acknowledged."""
     subscription = Subscription("proxy", 1, "main", (("node",),), Random(1), 0.0)
-    attempt = next(each.attempt for each in subscription.start(0.0) if isinstance(each, Connect))
+    attempt = next(each.attempt for each in subscription.start(0.0) if isinstance(each, ConnectToNode))
     subscription.connected(attempt, 0.0)
     heartbeat = encode(Heartbeat(subscription.position, 0.0, 5000.0, FleetCount(480, 0, True)))
     acknowledged = 0
@@ -107,7 +107,7 @@
     began = time.process_time()
     for data in chain:
         for effect in subscription.receive(attempt, decode(data), now):
-            if isinstance(effect, LoadEntry):
+            if isinstance(effect, ApplyEntry):
                 for answer in subscription.loaded(effect.entry.index, now):
                     acknowledged += len(encode(answer.message)) > 0
     entries = time.process_time() - began
--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -25,7 +25,7 @@
 from cloverwell.control.messages import ProposalOutcome, Propose
 from cloverwell.control.net.ask import NoAnswerError
 from cloverwell.control.net.proposer import propose_to_leader
-from lab.control_follower import InForce, Place, Start
+from lab.control_follower import ActivationCount, Place, Start
 from lab.control_node_processes import ControlNodeProcess, ControlNodes
 from lab.processes import ROOT
 
@@ -38,7 +38,7 @@
 class Hollow:
     """One process of hollow proxies; `rows` is what they have put in force."""
 
-    def __init__(self, nodes: ControlNodes, places: list[Place], rows: list[InForce]) -> None:
+    def __init__(self, nodes: ControlNodes, places: list[Place], rows: list[ActivationCount]) -> None:
         regions: dict[str, dict[str, tuple[str, int]]] = {}
         for node in nodes.nodes:
             regions.setdefault(node.region, {})[node.name] = node.address
@@ -53,9 +53,9 @@
         self.popen.stdin.flush()
         threading.Thread(target=self._read, args=(rows,), daemon=True).start()
 
-    def _read(self, rows: list[InForce]) -> None:
+    def _read(self, rows: list[ActivationCount]) -> None:
         for line in self.popen.stdout:
-            rows.append(msgspec.json.decode(line, type=InForce))
+            rows.append(msgspec.json.decode(line, type=ActivationCount))
 
     def end(self) -> None:
         self.popen.stdin.close()
@@ -111,7 +111,7 @@
     folder = Path(tempfile.mkdtemp(prefix="control-fleet-"))
     regions = tuple(REGIONS[number % len(REGIONS)] for number in range(told.nodes))
     nodes = ControlNodes(folder, regions)
-    rows: list[InForce] = []
+    rows: list[ActivationCount] = []
     processes: list[Hollow] = []
     try:
         nodes.start()
@@ -132,7 +132,7 @@
 
 
 def run(
-    told: argparse.Namespace, nodes: ControlNodes, processes: list[Hollow], rows: list[InForce]
+    told: argparse.Namespace, nodes: ControlNodes, processes: list[Hollow], rows: list[ActivationCount]
 ) -> tuple[dict[int, tuple[float, float]], float, dict[int, float], int]:
     """Versions with when they were first proposed and answered; how long it took; CPU before; the kill."""
     before = {process.popen.pid: cpu_s(process.popen.pid) for process in processes}
@@ -163,7 +163,7 @@
     nodes: ControlNodes,
     processes: list[Hollow],
     empty: Hollow,
-    rows: list[InForce],
+    rows: list[ActivationCount],
     made: dict[int, tuple[float, float]],
     seconds: float,
     before: dict[int, float],
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -42,10 +42,10 @@
     """The body of a whole list, with names and addresses as long as in service."""
     import msgspec
 
-    from cloverwell.membership.listing import Listing
+    from cloverwell.membership.endpoint_list import EndpointList
 
     members = [_member(number) for number in range(nodes)]
-    return len(msgspec.json.encode(Listing(123_456, True, members)))
+    return len(msgspec.json.encode(EndpointList(123_456, True, members)))
 
 
 def change_bytes() -> int:
@@ -53,17 +53,17 @@
     import msgspec
 
     from cloverwell.codec.http import request
-    from cloverwell.membership.listing import Listing
+    from cloverwell.membership.endpoint_list import EndpointList
 
-    body = msgspec.json.encode(Listing(123_457, False, [_member(7)]))
+    body = msgspec.json.encode(EndpointList(123_457, False, [_member(7)]))
     call = request("GET", "/v1/servers?after=123456&wait_ms=4000", "10.20.30.40:8500", {})
     return len(call) + len(f"HTTP/1.1 200 \r\nContent-Length: {len(body)}\r\n\r\n") + len(body)
 
 
 def _member(number: int):
-    from cloverwell.membership.listing import Member
+    from cloverwell.membership.endpoint_list import Endpoint
 
-    return Member(
+    return Endpoint(
         f"cache-{number:04d}-7f3a",
         f"10.20.{number // 250}.{number % 250}:11211",
         "region-1-zone-b",
@@ -77,7 +77,7 @@
 
 def measure(nodes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
-    from cloverwell.membership.listing import Listing, Member
+    from cloverwell.membership.endpoint_list import Endpoint, EndpointList
     from lab.proxy import World
 
     gc.collect()
@@ -93,13 +93,13 @@
         return 1000.0 * (time.process_time() - begun) / IDLE_S
 
     idle_ms = quiet_ms_per_s()
-    table, member = world.service.server_list, None
+    table, member = world.service.endpoint_discovery, None
     begun = time.process_time()
     for number in range(CHANGES):
         phase = "terminated" if number % 2 else "in_service"
-        member = member or Member("fresh", "127.0.9.9:99", flavor="large")
+        member = member or Endpoint("fresh", "127.0.9.9:99", flavor="large")
         member.phase = phase
-        table._take(Listing(42 + number, False, [member]))
+        table._take(EndpointList(42 + number, False, [member]))
         world.service.dispatcher.settle()
     change_ms = 1000.0 * (time.process_time() - begun) / CHANGES
     grown_mb = rss_mb() - before_mb
--- a/benchmarks/long_values.py
+++ b/benchmarks/long_values.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from cloverwell.flow import LONGEST
+from cloverwell.streamed_value import LONGEST
 from lab.processes import Place
 
 PIECE = 16 * 1024  # read at once
--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -17,7 +17,7 @@
 from cloverwell.log import Log
 from cloverwell.log_stream import say_last
 from cloverwell.monotonic_reactor import install_reactor
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
 from cloverwell.unix_time import read_epoch_ms
 
@@ -35,7 +35,7 @@
     gc.set_threshold(*COLLECT)
 
 
-def handle_signals(service: Service, call: Callable[..., object]) -> None:
+def handle_signals(service: Proxy, call: Callable[..., object]) -> None:
     """`call` hands a call over to the loop: a signal may come in the middle of anything."""
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: call(service.stop))
@@ -55,7 +55,7 @@
     folder = os.environ.get("TMPDIR", "") if config.operator else ""
     left = ask(place(folder, config.listen), config.listen, log) if folder else None
     reactor = install_reactor()
-    service = Service(reactor, config, log, monotonic_ms, read_epoch_ms, left)
+    service = Proxy(reactor, config, log, monotonic_ms, read_epoch_ms, left)
     handle_signals(service, reactor.callFromThread)
     try:
         service.start(listen, adopt, folder)
--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -2,9 +2,9 @@
 
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.codec.lines import FramingError
-from cloverwell.facade import Outcome
-from cloverwell.flow import LONG, LONGEST
+from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
+from cloverwell.streamed_value import LONG, LONGEST
 
 
 class CacheConnection(NodeConnection):
@@ -33,14 +33,14 @@
                 receipts = [word[1:] for word in words[1:] if word.startswith(b"c")]
                 if not receipts:
                     raise FramingError("a receipt is missing")
-                self.finish_attempt(Outcome.SERVED, receipts[0])
+                self.finish_attempt(AttemptOutcome.SERVED, receipts[0])
             case [b"EN"]:
                 self._check(words[1:])
-                self.finish_attempt(Outcome.MISS)
+                self.finish_attempt(AttemptOutcome.MISS)
             case [b"SERVER_ERROR"] if words[1:2] == [b"busy"]:
-                self.finish_attempt(Outcome.BUSY, named=False)
+                self.finish_attempt(AttemptOutcome.BUSY, named=False)
             case [b"SERVER_ERROR"] if words[1:2] == [b"failed"]:
-                self.finish_attempt(Outcome.ERROR, named=False)
+                self.finish_attempt(AttemptOutcome.ERROR, named=False)
             case _:
                 raise FramingError(f"unknown line {line[:60]!r}")
 
@@ -54,7 +54,7 @@
             raise FramingError("a value without its line end")
         if self.flow is not None:
             return self.end_flow()
-        return self.finish_attempt(Outcome.SERVED, data[:-2])
+        return self.finish_attempt(AttemptOutcome.SERVED, data[:-2])
 
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
         # An answer under another id is another request's: it must not reach this one. Nor may a receipt be
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -15,11 +15,11 @@
 
 from cloverwell.codec.lines import PEEK, RingLineReceiver
 from cloverwell.codec.steady_socket import TryAgainError
-from cloverwell.connections.back import Use
-from cloverwell.facade import Outcome
-from cloverwell.flow import Flow
+from cloverwell.connections.node_policy import ConnectionUse
+from cloverwell.facade import AttemptOutcome
 from cloverwell.log import Log
 from cloverwell.request import LEAST_TOLD_MS, Attempt
+from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import Timer
 
 FLOW_READ = 32 * 1024  # bytes read at once of a long value: so much waits here when its reader is slow
@@ -27,7 +27,7 @@
 REST_MS = 15.0  # behind an answer, a second one or noise may come some milliseconds late
 
 
-class Sent(Enum):
+class SendResult(Enum):
     """What became of an attempt that a connection was given."""
 
     OUT = auto()  # its first byte has left
@@ -77,7 +77,7 @@
     def move(self, attempt: Attempt) -> None:
         """Its connection was closed before its last byte: it goes to another."""
 
-    def closed(self, attempt: Attempt, outcome: Outcome) -> None:
+    def closed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """We have closed the connection that it was out on."""
 
     def answered(self, age_ms: float | None, first_ms: float) -> None: ...
@@ -110,7 +110,7 @@
         self._age_ms: float | None = None  # how long it had stood idle before its oldest attempt
         self._first_ms = 0.0  # when that attempt's first byte was written
         self._held_back: HeldBack | None = None
-        self.flow: Flow | None = None  # a long value that is coming
+        self.flow: StreamedValue | None = None  # a long value that is coming
         self.flow_ms = 0.0  # when a piece of it came last
         self._last = False  # nothing may follow on it
         self.moved = False  # its node is elsewhere: what is out here is let finish
@@ -141,21 +141,21 @@
         """What may come late behind its last answer has come by now, and is seen before the next attempt."""
         return not self.served or now - self.idle_since_ms >= REST_MS
 
-    def send(self, attempt: Attempt, use: Use = Use.WHOLE) -> Sent:
+    def send(self, attempt: Attempt, use: ConnectionUse = ConnectionUse.WHOLE) -> SendResult:
         now = self._pool.now()
-        wait = self._pool.hold_ms() if use is Use.SPLIT else 0.0
+        wait = self._pool.hold_ms() if use is ConnectionUse.SPLIT else 0.0
         # The wheel rounds the wait up, to its next tick.
         left = attempt.left_ms(now, wait + self._pool.tick_ms if wait else 0.0)
         if left < LEAST_TOLD_MS:
-            return Sent.LATE
+            return SendResult.LATE
         if not self.attempts and self._spoilt():
-            return Sent.BROKEN
+            return SendResult.BROKEN
         attempt.told_ms = left
         data = self.command(attempt)
-        rest = data[-1:] if use is Use.SPLIT else b""
+        rest = data[-1:] if use is ConnectionUse.SPLIT else b""
         kept = self.put_command(data[:-1] if rest else data)
         if kept is None:
-            return Sent.BROKEN
+            return SendResult.BROKEN
         if not self.attempts:
             self._age_ms, self._first_ms = self.age_ms(now), now
         if rest := kept + rest:
@@ -163,7 +163,7 @@
             self._held_back = HeldBack(attempt, rest, timer)
         else:
             self._written(attempt, now)
-        return Sent.OUT
+        return SendResult.OUT
 
     def _written(self, attempt: Attempt, before_ms: float) -> None:
         """`before_ms`: the clock before the write; the process may have been held up since."""
@@ -176,16 +176,16 @@
         held = self._held_back
         if self._pool.too_late(held.attempt):
             self._held_back = None
-            self.drop(Outcome.RESET)
-            held.attempt.end(Outcome.NOT_CONNECTED)
+            self.drop(AttemptOutcome.RESET)
+            held.attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         # What was told counts from the last byte on: one that left too slowly is written anew elsewhere.
         now = self._pool.now()
         if self._spoilt() or held.attempt.over_told_ms(now) > 0.0:
-            return self.drop(Outcome.RESET)
+            return self.drop(AttemptOutcome.RESET)
         kept = held.rest if self._writing else self.put_command(held.rest)
         if kept is None:
-            return self.drop(Outcome.RESET)
+            return self.drop(AttemptOutcome.RESET)
         if kept:
             held.rest = kept
             held.timer = self._pool.later(self._pool.now() + self._pool.tick_ms, self._write_rest)
@@ -207,7 +207,7 @@
             pass
         return True
 
-    def finish_attempt(self, outcome: Outcome, body: bytes = b"", named: bool = True) -> None:
+    def finish_attempt(self, outcome: AttemptOutcome, body: bytes = b"", named: bool = True) -> None:
         """The oldest attempt has its answer; `named`: its id stood in it."""
         attempt = self._next_attempt()
         self._go_on(named)
@@ -222,11 +222,11 @@
     def _go_on(self, named: bool = True) -> None:
         """An answer has ended. A late copy of one that bears no id would be taken for the next attempt's."""
         if self._last:
-            self.drop(Outcome.RESET)
+            self.drop(AttemptOutcome.RESET)
         elif not self.attempts and self.unparsed:
             # A second copy or noise behind a good answer would be read as the answer of the next attempt.
             self._pool.log.info("answer", f"more than the answer came from {self._pool.node}")
-            self.drop(Outcome.RESET)
+            self.drop(AttemptOutcome.RESET)
         else:
             if not self.attempts:
                 self.idle_since_ms = self._pool.now()
@@ -238,12 +238,14 @@
     def begin(self, length: int) -> None:
         """The head of the oldest attempt's answer is sound, and a long value follows."""
         attempt = self._next_attempt()
-        flow = self.flow = Flow(length, self.hold, self.release, lambda: self.drop(Outcome.RESET))
+        flow = self.flow = StreamedValue(
+            length, self.hold, self.release, lambda: self.drop(AttemptOutcome.RESET)
+        )
         self.flow_ms = self._pool.now()
         self.transport.bufferSize = FLOW_READ
         self.expect_pieces(length)
         self.hold()  # until its turn has come
-        attempt.end(Outcome.SERVED, flow)
+        attempt.end(AttemptOutcome.SERVED, flow)
         if not flow.wanted:  # too late, or its client has gone
             flow.drop()
 
@@ -274,9 +276,9 @@
 
     def framingLost(self, reason: str) -> None:
         self._pool.log.warn("answer", f"malformed answer of {self._pool.node}: {reason}")
-        self.drop(Outcome.RESET)
+        self.drop(AttemptOutcome.RESET)
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> bool:
+    def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> bool:
         """Ends that attempt and with it the connection; False if the attempt is not here."""
         if self._held_back is not None and self._held_back.attempt is attempt:
             self.drop(outcome, attempt)
@@ -295,7 +297,7 @@
         self.drop(outcome, attempt)
         return True
 
-    def drop(self, outcome: Outcome, of: Attempt | None = None) -> None:
+    def drop(self, outcome: AttemptOutcome, of: Attempt | None = None) -> None:
         """Ends the connection and each of its attempts: `of` by that outcome, the others by a reset."""
         unsent = self._take_unsent()
         attempts, self.attempts = self.attempts, deque()
@@ -303,10 +305,10 @@
         self._pool.lost(self)
         self._break_flow()
         for attempt in attempts:
-            self._pool.closed(attempt, outcome if attempt is of else Outcome.RESET)
+            self._pool.closed(attempt, outcome if attempt is of else AttemptOutcome.RESET)
         if unsent is not None and unsent is of:
             # Without its last byte it can't have run: to call it off, or time it out, leaves nothing.
-            unsent.end(Outcome.NOT_CONNECTED if outcome is Outcome.TIMED_OUT else outcome)
+            unsent.end(AttemptOutcome.NOT_CONNECTED if outcome is AttemptOutcome.TIMED_OUT else outcome)
         elif unsent is not None:
             self._pool.move(unsent)
 
@@ -333,6 +335,6 @@
         self._pool.lost(self)
         self._break_flow()
         for attempt in attempts:
-            attempt.end(Outcome.RESET)
+            attempt.end(AttemptOutcome.RESET)
         if unsent is not None:
             self._pool.move(unsent)
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -32,7 +32,7 @@
         """It could not be made. `refused`: the node said so; else it never came up."""
 
 
-class Opener(ClientFactory):
+class ConnectionOpener(ClientFactory):
     noisy = False
 
     def __init__(self, pool: OpeningPool) -> None:
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -7,9 +7,9 @@
 from cloverwell.back.pool import Pool
 from cloverwell.codec.http import HttpReceiver, encode_request
 from cloverwell.codec.lines import FramingError
-from cloverwell.facade import Outcome
-from cloverwell.flow import LONG, LONGEST
+from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
+from cloverwell.streamed_value import LONG, LONGEST
 
 RECEIPT = re.compile(rb"[!-~]{1,250}")  # a word of the meta commands
 
@@ -57,16 +57,16 @@
         if closing:
             self.ended = True  # no further attempt is written to it
         if status == 200:
-            outcome = Outcome.SERVED
+            outcome = AttemptOutcome.SERVED
             if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
                 raise FramingError("not a receipt")  # in the client's line it would be noise, or a second one
         elif status in (503, 504) and headers.get("not-started") == "1":
-            outcome = Outcome.BUSY
+            outcome = AttemptOutcome.BUSY
         elif 500 <= status < 600:
-            outcome = Outcome.ERROR
+            outcome = AttemptOutcome.ERROR
         else:
             raise FramingError(f"unknown status {status}")
-        self.finish_attempt(outcome, body if outcome is Outcome.SERVED else b"", named=False)
+        self.finish_attempt(outcome, body if outcome is AttemptOutcome.SERVED else b"", named=False)
         if closing:
             self.ended = False
-            self.drop(Outcome.RESET)
+            self.drop(AttemptOutcome.RESET)
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -1,5 +1,5 @@
-"""The connections to each node, and the attempts that wait for one: carries out what `connections.back`
-decides.
+"""The connections to each node, and the attempts that wait for one: carries out what
+`connections.node_policy` decides.
 
 An attempt takes an idle connection, the one used last; else one more is opened, and whichever comes free
 first takes it. Only at the caps are attempts written behind others: one that is behind waits for those before
@@ -10,14 +10,14 @@
 
 from collections import deque
 
-from cloverwell.back.node_connection import NodeConnection, Sent
-from cloverwell.back.opener import Opener
-from cloverwell.back.pool_set import PoolSet
-from cloverwell.connections.back import Use
-from cloverwell.connections.budget import Side
+from cloverwell.back.node_connection import NodeConnection, SendResult
+from cloverwell.back.opener import ConnectionOpener
+from cloverwell.back.pool_set import PoolContext
+from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.connect_retry import HOLD_MS, RETRY_MS, ConnectRetry
-from cloverwell.connections.figures import What
-from cloverwell.facade import Outcome
+from cloverwell.connections.metrics import ConnectionEvent
+from cloverwell.connections.node_policy import ConnectionUse
+from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
 from cloverwell.system_calls import LocalFault
 
@@ -29,18 +29,18 @@
 class Pool:
     """One node's connections."""
 
-    def __init__(self, pools: PoolSet, node: str, origin: bool) -> None:
+    def __init__(self, pools: PoolContext, node: str, origin: bool) -> None:
         self._pools = pools
         self._back = pools.back
-        self._figures = pools.figures
+        self._metrics = pools.metrics
         self.node = node
         self.origin = origin
         self.kind = "origin" if origin else "cache"
         self.address: tuple[str, int] | None = None
         self.log = pools.log
-        self.now = pools.wheel.now
-        self.later = pools.wheel.not_before
-        self.tick_ms = pools.wheel.granularity_ms
+        self.now = pools.timer_wheel.now
+        self.later = pools.timer_wheel.not_before
+        self.tick_ms = pools.timer_wheel.granularity_ms
         self.connections: list[NodeConnection] = []
         self.idle: list[NodeConnection] = []  # used last at the end
         self.opening = 0
@@ -63,7 +63,7 @@
 
         It may have waited, for a connection or for the close of the one before, and timers lag; its client
         may have left meanwhile."""
-        self._pools.wheel.catch_up()
+        self._pools.timer_wheel.check_after_stall()
         now = self.now()
         if attempt.over or self.address is None:
             return True
@@ -71,7 +71,7 @@
 
     def start(self, attempt: Attempt) -> None:
         if self.too_late(attempt):
-            attempt.end(Outcome.NOT_CONNECTED)
+            attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         now = self.now()
         self._back.started(self.node, len(self.connections) - len(self.idle) + 1, now)
@@ -85,17 +85,17 @@
         if attempt.over:
             return
         if attempt.moves > MAX_MOVES or self.too_late(attempt):
-            attempt.end(Outcome.NOT_CONNECTED)
+            attempt.end(AttemptOutcome.NOT_CONNECTED)
         else:
             self._place(attempt)
 
     def _place(self, attempt: Attempt) -> None:
         while (connection := self._pop_idle()) is not None:
             sent = self._hand_to(connection, attempt)
-            if sent is Sent.LATE:
+            if sent is SendResult.LATE:
                 self.freed(connection)
-                attempt.end(Outcome.NOT_CONNECTED)
-            if sent is not Sent.BROKEN:
+                attempt.end(AttemptOutcome.NOT_CONNECTED)
+            if sent is not SendResult.BROKEN:
                 return
         expected = self.opening + self._resting > len(self._waiting)
         if expected or self._pools.may_open(self):
@@ -104,23 +104,23 @@
                 self._open()
             return
         shared = [c for c in self.connections if self._may_share(c, attempt)]
-        sent = min(shared, key=lambda c: len(c.attempts)).send(attempt) if shared else Sent.BROKEN
-        if sent is Sent.LATE:
-            attempt.end(Outcome.NOT_CONNECTED)
-        elif sent is Sent.BROKEN:
+        sent = min(shared, key=lambda c: len(c.attempts)).send(attempt) if shared else SendResult.BROKEN
+        if sent is SendResult.LATE:
+            attempt.end(AttemptOutcome.NOT_CONNECTED)
+        elif sent is SendResult.BROKEN:
             self._wait(attempt)
 
-    def _hand_to(self, connection: NodeConnection, attempt: Attempt) -> Sent:
+    def _hand_to(self, connection: NodeConnection, attempt: Attempt) -> SendResult:
         age = connection.age_ms(self.now())
         use = self._back.use(self.node, age, attempt.dear)
-        if use is Use.RETIRE:
+        if use is ConnectionUse.RETIRE:
             self.retire(connection)
-            return Sent.BROKEN
+            return SendResult.BROKEN
         sent = connection.send(attempt, use)
-        if sent is Sent.BROKEN:
-            connection.drop(Outcome.RESET)
-        elif sent is Sent.OUT and age is not None:
-            self._figures.add(What.REUSED, self.node)
+        if sent is SendResult.BROKEN:
+            connection.drop(AttemptOutcome.RESET)
+        elif sent is SendResult.OUT and age is not None:
+            self._metrics.add(ConnectionEvent.REUSED, self.node)
         return sent
 
     def _may_share(self, connection: NodeConnection, attempt: Attempt) -> bool:
@@ -143,24 +143,24 @@
         self._waiting.append(attempt)
         self._pools.wake(self)
         # Too long without a connection is a failure to connect: nothing was written, it never ran.
-        self._pools.wheel.at(attempt.write_by_ms, lambda: self._unheard(attempt))
+        self._pools.timer_wheel.at(attempt.write_by_ms, lambda: self._unheard(attempt))
 
     def _unheard(self, attempt: Attempt) -> None:
         if attempt.written_ms is None and not attempt.over and attempt in self._waiting:
             self.give_up(attempt, self._unsent_outcome)
 
     @property
-    def _unsent_outcome(self) -> Outcome:
+    def _unsent_outcome(self) -> AttemptOutcome:
         """Of an attempt that found no connection."""
-        return Outcome.NOT_CONNECTED if self._retry.fault is None else Outcome.NOT_SENT
+        return AttemptOutcome.NOT_CONNECTED if self._retry.fault is None else AttemptOutcome.NOT_SENT
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.over:
             return
         if attempt in self._waiting:
             self._waiting.remove(attempt)
             # Not a byte of it was written: to call it off, or time it out, leaves nothing that may have run.
-            attempt.end(self._unsent_outcome if outcome is Outcome.TIMED_OUT else outcome)
+            attempt.end(self._unsent_outcome if outcome is AttemptOutcome.TIMED_OUT else outcome)
             return
         if not any(connection.give_up(attempt, outcome) for connection in list(self.connections)):
             attempt.end(outcome)
@@ -174,7 +174,7 @@
         """Whether no request may have two attempts out together."""
         return self._pools.hold
 
-    def closed(self, attempt: Attempt, outcome: Outcome) -> None:
+    def closed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """We have closed the connection of an attempt that was out: it ends now, and its answer need not
         wait.
 
@@ -201,10 +201,10 @@
 
     def _open(self) -> None:
         self.opening += 1
-        self._pools.budget.take(Side.BACK)
+        self._pools.budget.take(DescriptorSide.NODES)
         host, port = self.address
         timeout = self._pools.connect_timeout_ms / 1000.0
-        self._pools.reactor.connectTCP(host, port, Opener(self), timeout=timeout)
+        self._pools.reactor.connectTCP(host, port, ConnectionOpener(self), timeout=timeout)
 
     def failed(self, asked_ms: float, refused: bool) -> None:
         """A connection could not be made: the attempt that has waited longest ends, others have their own.
@@ -212,13 +212,13 @@
         `refused`: the node said so; else it never came up."""
         self._gave_up()
         held_back = self._retry.answered()
-        self._figures.add(What.CONNECT_REFUSED, self.node)
+        self._metrics.add(ConnectionEvent.CONNECT_REFUSED, self.node)
         if refused:
             self._back.connect_refused(self.node, len(self.connections), self.now())
         else:
             self._back.timed_out(self.node, len(self.connections), asked_ms, self.now())
         if len(self._waiting) > self.opening + self._resting:
-            self._waiting.popleft().end(Outcome.NOT_CONNECTED)
+            self._waiting.popleft().end(AttemptOutcome.NOT_CONNECTED)
         if held_back:
             self._open_for_waiting()
 
@@ -230,13 +230,13 @@
     def not_begun(self, fault: LocalFault) -> None:
         """This machine could not begin a connection: it is tried again soon, for those that wait."""
         self._gave_up()
-        self._figures.add(What.NOT_OPENED, self.node)
+        self._metrics.add(ConnectionEvent.NOT_OPENED, self.node)
         now = self.now()
         if self._retry.not_begun(fault):
             self.later(now + RETRY_MS, self._try_again)
         # Not for long: another node may have an idle connection, and this one must not seem to be silent.
         for attempt in [one for one in self._waiting if now - one.asked_ms >= HOLD_MS]:
-            self.give_up(attempt, Outcome.NOT_SENT)
+            self.give_up(attempt, AttemptOutcome.NOT_SENT)
 
     def _try_again(self) -> None:
         self._retry.pause_over()
@@ -246,14 +246,14 @@
         """One that was opening is not any more."""
         self.opening -= 1
         self._pools.wake(self)
-        self._pools.budget.give_back(Side.BACK)
+        self._pools.budget.give_back(DescriptorSide.NODES)
 
     def opened(self, connection: NodeConnection) -> None:
         self.opening -= 1
         self._pools.wake(self)
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
-        self._figures.add(What.OPENED, self.node)
+        self._metrics.add(ConnectionEvent.OPENED, self.node)
         self._back.connected(self.node, now - connection.asked_ms, now)
         held_back = self._retry.answered()
         self.freed(connection)
@@ -265,15 +265,15 @@
         rests_ms = connection.rests_until_ms - self.now()
         while connection.free and self._waiting and not connection.moved and rests_ms <= 0.0:
             attempt = self._waiting.popleft()
-            sent = Sent.LATE if self.too_late(attempt) else self._hand_to(connection, attempt)
-            if sent is Sent.LATE:
-                attempt.end(Outcome.NOT_CONNECTED)
-            elif sent is Sent.BROKEN:
+            sent = SendResult.LATE if self.too_late(attempt) else self._hand_to(connection, attempt)
+            if sent is SendResult.LATE:
+                attempt.end(AttemptOutcome.NOT_CONNECTED)
+            elif sent is SendResult.BROKEN:
                 return self.start(attempt)
         if not connection.free:
             return None
         if self.left or connection.moved:
-            connection.drop(Outcome.RESET)
+            connection.drop(AttemptOutcome.RESET)
             self._open_for_waiting()
         else:
             self.idle.append(connection)
@@ -313,8 +313,8 @@
         del self._pools.idle[connection]
 
     def retire(self, connection: NodeConnection) -> None:
-        self._figures.add(What.RETIRED, self.node)
-        connection.drop(Outcome.RESET)
+        self._metrics.add(ConnectionEvent.RETIRED, self.node)
+        connection.drop(AttemptOutcome.RESET)
 
     def broken(
         self,
@@ -329,10 +329,15 @@
 
         `torn`: by a reset; `served`: an attempt had ended on it."""
         if after_ms is None:
-            self._figures.add(What.CLOSED, self.node)
+            self._metrics.add(ConnectionEvent.CLOSED, self.node)
             return
-        what = What.CAUGHT if caught else What.STALE if age_ms is not None and not begun else What.RESET
-        self._figures.add(what, self.node)
+        if caught:
+            event = ConnectionEvent.CAUGHT
+        elif age_ms is not None and not begun:
+            event = ConnectionEvent.STALE
+        else:
+            event = ConnectionEvent.RESET
+        self._metrics.add(event, self.node)
         if torn and not served:  # let in only to be thrown out
             self._back.connect_refused(self.node, len(self.connections) - 1, self.now())
         self._back.lost(self.node, age_ms, after_ms, begun, torn, self.now())
@@ -342,7 +347,7 @@
         if connection in self.connections:
             self.connections.remove(connection)
             self._pools.wake(self)
-            self._pools.budget.give_back(Side.BACK)
+            self._pools.budget.give_back(DescriptorSide.NODES)
         if self._pools.idle.pop(connection, None) is not None:
             self.idle.remove(connection)
 
@@ -375,7 +380,7 @@
         for _ in range(wanted):
             if not self._pools.spare_room():
                 break
-            self._figures.add(What.AHEAD, self.node)
+            self._metrics.add(ConnectionEvent.AHEAD, self.node)
             self._open()
         return wanted > 0
 
--- a/cloverwell/back/pool_set.py
+++ b/cloverwell/back/pool_set.py
@@ -9,22 +9,22 @@
 from twisted.internet.interfaces import IReactorTCP
 
 from cloverwell.back.node_connection import NodeConnection
-from cloverwell.connections.back import Back
-from cloverwell.connections.budget import Budget
-from cloverwell.connections.figures import Figures
+from cloverwell.connections.budget import DescriptorBudget
+from cloverwell.connections.metrics import ConnectionMetrics
+from cloverwell.connections.node_policy import NodeConnectionPolicy
 from cloverwell.log import Log
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 
 
-class PoolSet(Protocol):
+class PoolContext(Protocol):
     """All nodes' pools, as one of them sees them. A pool itself is `back.pool.Pool`."""
 
     reactor: IReactorTCP
-    wheel: Wheel
+    timer_wheel: TimerWheel
     log: Log
-    budget: Budget
-    back: Back
-    figures: Figures
+    budget: DescriptorBudget
+    back: NodeConnectionPolicy
+    metrics: ConnectionMetrics
     attempts_each: int
     connect_timeout_ms: float
     hold: bool
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -9,41 +9,41 @@
 
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.pool import Pool
-from cloverwell.connections.back import Back
-from cloverwell.connections.budget import Budget, Side
-from cloverwell.connections.figures import Figures
+from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
+from cloverwell.connections.metrics import ConnectionMetrics
+from cloverwell.connections.node_policy import NodeConnectionPolicy
 from cloverwell.connections.schedule import Schedule
 from cloverwell.log import Log
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 
 SWEEP_MS = 50.0
 STALL_MS, STALL_LOOKS = 25.0, 4  # an answer that has begun and does not go on for so many looks is given up
 AHEAD_ROOM = 0.1  # of the descriptors: so many stay free when connections are opened ahead
 
 
-class Pools:
+class NodePools:
     """All nodes' pools, within one budget of descriptors."""
 
     def __init__(
         self,
         reactor: IReactorTCP,
-        wheel: Wheel,
+        timer_wheel: TimerWheel,
         log: Log,
         build: Callable[[Pool, float], NodeConnection],
-        budget: Budget,
-        back: Back,
-        figures: Figures,
+        budget: DescriptorBudget,
+        back: NodeConnectionPolicy,
+        metrics: ConnectionMetrics,
         attempts_each: int,
         connect_timeout_ms: float,
         hold: bool = False,
     ) -> None:
         self.reactor = reactor
-        self.wheel = wheel
+        self.timer_wheel = timer_wheel
         self.log = log
         self.build = build
         self.budget = budget
         self.back = back
-        self.figures = figures
+        self.metrics = metrics
         self.attempts_each = attempts_each
         self.connect_timeout_ms = connect_timeout_ms
         # whether an attempt that we close stays out until the close can have reached its node
@@ -64,17 +64,17 @@
                 connection.framingLost("it stopped short")
             else:
                 self.begun[connection] = looks + 1
-        self.wheel.not_before(self.wheel.now() + STALL_MS, self._look_for_stalls)
+        self.timer_wheel.not_before(self.timer_wheel.now() + STALL_MS, self._look_for_stalls)
 
     def _sweep(self) -> None:
-        now = self.wheel.now()
-        if self.wheel.just_held_up:  # nothing is too old before what came meanwhile is read
-            self.wheel.at(now, self._sweep)
+        now = self.timer_wheel.now()
+        if self.timer_wheel.just_stalled:  # nothing is too old before what came meanwhile is read
+            self.timer_wheel.at(now, self._sweep)
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
         self.back.limits.tick(now)
-        self.wheel.at(now + SWEEP_MS, self._sweep)
+        self.timer_wheel.at(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
         pool.sweep(now)
@@ -82,7 +82,7 @@
             del self._pools[pool.node]
             self._schedule.discard(pool)
             self.back.forget(pool.node)
-            self.figures.forget(pool.node)
+            self.metrics.forget(pool.node)
             return
         wanted = not pool.left and pool.open_ahead(now)
         self._schedule.at(pool, now if wanted else pool.due_ms(now))
@@ -138,16 +138,16 @@
         if (pool := self._pools.get(node)) is not None:
             pool.left = True
             self.wake(pool)
-            self.back.left(node, self.wheel.now())
+            self.back.left(node, self.timer_wheel.now())
             pool.hang_up()
 
     def may_open(self, pool: Pool) -> bool:
         """Within the node's cap and the budget; an idle connection of another node makes room."""
-        if not self.back.may_open(pool.node, pool.held, self.wheel.now()):
+        if not self.back.may_open(pool.node, pool.held, self.timer_wheel.now()):
             return False
-        if not self.budget.room(Side.BACK) and not self.lend():
+        if not self.budget.room(DescriptorSide.NODES) and not self.lend():
             self.borrow()
-        return self.budget.room(Side.BACK) > 0
+        return self.budget.room(DescriptorSide.NODES) > 0
 
     def lend(self) -> bool:
         """Closes the connection that has been idle longest."""
@@ -164,4 +164,4 @@
 
     def spare_room(self) -> bool:
         """Whether one may be opened that no attempt waits for: not with the last descriptors."""
-        return self.budget.room(Side.BACK) > AHEAD_ROOM * self.budget.total
+        return self.budget.room(DescriptorSide.NODES) > AHEAD_ROOM * self.budget.total
--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -143,9 +143,9 @@
 
 
 def _address(text: str) -> tuple[str, int]:
-    from cloverwell.membership.listing import ServerListError, split_address
+    from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
     try:
         return split_address(text)
-    except ServerListError as error:
+    except EndpointListError as error:
         refuse(f"--to: {error}")
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -9,7 +9,7 @@
 
 from balancer.api import Settings
 from balancer.settings import check_whole, read_settings
-from cloverwell.membership.listing import PHASES, Listing, ServerListError, split_address
+from cloverwell.membership.endpoint_list import PHASES, EndpointList, EndpointListError, split_address
 
 FD_MIN = 64
 MAX_CONTROL_WAIT_MS = 8000.0  # nine in ten restarts are ready within 10 s, whatever is down
@@ -49,7 +49,7 @@
     name: str = ""
     seed: str = ""
     limits: Limits = msgspec.field(default_factory=Limits)
-    known: Listing = msgspec.field(default_factory=lambda: Listing(0, True, []))
+    known: EndpointList = msgspec.field(default_factory=lambda: EndpointList(0, True, []))
     settings: Any = None
     control: ControlSection | None = None
 
@@ -75,7 +75,7 @@
     discovery: tuple[str, int]
     seed: int
     limits: Limits
-    known: Listing
+    known: EndpointList
     settings: Settings
     operator: tuple[str, int] | None = None  # where operators call; None: nowhere
     control: Control | None = None  # None: the proxy follows no control log
@@ -137,7 +137,7 @@
         raise ConfigError(f"{field}: is missing")
     try:
         return split_address(text)
-    except ServerListError as error:
+    except EndpointListError as error:
         raise ConfigError(f"{field}: {error}") from None
 
 
@@ -171,7 +171,7 @@
         raise ConfigError("seed: must be a hexadecimal number") from None
 
 
-def _known(listing: Listing) -> Listing:
+def _known(listing: EndpointList) -> EndpointList:
     for member in listing.members:
         _address("known.members.host_port", member.host_port)
         if member.phase not in PHASES:
--- a/cloverwell/connections/arrival.py
+++ b/cloverwell/connections/arrival.py
@@ -52,11 +52,12 @@
         """A look has shown that no byte waits: what comes from now on comes when it is read."""
         self._unread_since_ms, self._queued = None, False
 
-    def read(self, now: float, begins: bool, behind_ms: float = 0.0) -> None:
-        """Bytes have been read; `begins`: they begin a command, no part of one was in hand; `behind_ms`: the
-        loop was held up for so long, and they may have been there as long."""
+    def read(self, now: float, begins: bool, unread_delay_ms: float = 0.0) -> None:
+        """Bytes have been read; `begins`: they begin a command, no part of one was in hand.
+
+        `unread_delay_ms`: the loop was stalled for so long, and they may have been there as long."""
         self._looked_ms = now
-        since_ms = now - behind_ms
+        since_ms = now - unread_delay_ms
         if self._unread_since_ms is not None:
             since_ms = min(since_ms, self._unread_since_ms)
         self._read_ms = since_ms
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -13,20 +13,20 @@
 WORK_SHARE = 0.45  # clients with requests in hand beyond that are refused: there is room left to do it in
 
 
-class Side(Enum):
-    FRONT = "front"
-    BACK = "back"
+class DescriptorSide(Enum):
+    CLIENTS = "front"
+    NODES = "back"
 
 
-def other(side: Side) -> Side:
-    return Side.BACK if side is Side.FRONT else Side.FRONT
+def other(side: DescriptorSide) -> DescriptorSide:
+    return DescriptorSide.NODES if side is DescriptorSide.CLIENTS else DescriptorSide.CLIENTS
 
 
 class BudgetError(Exception):
     """More was taken than there is, or given back than was held: a fault of the caller."""
 
 
-class Budget:
+class DescriptorBudget:
     def __init__(self, total: int, front_floor: float = FRONT_FLOOR, back_floor: float = BACK_FLOOR) -> None:
         """`total`: descriptors for both sides; the floors are shares of it and may not pass 1 together."""
         if total < 2 or front_floor + back_floor > 1.0 or min(front_floor, back_floor) <= 0.0:
@@ -34,14 +34,14 @@
         self._shares = (front_floor, back_floor)
         self.total = total
         self.floors = {
-            Side.FRONT: max(1, int(front_floor * total)),
-            Side.BACK: max(1, int(back_floor * total)),
+            DescriptorSide.CLIENTS: max(1, int(front_floor * total)),
+            DescriptorSide.NODES: max(1, int(back_floor * total)),
         }
-        self.held = {Side.FRONT: 0, Side.BACK: 0}
+        self.held = {DescriptorSide.CLIENTS: 0, DescriptorSide.NODES: 0}
 
     def resize(self, total: int) -> None:
         """Another total, with the same shares; what is held beyond it is given back by and by (`over`)."""
-        fresh = Budget(max(2, total), *self._shares)
+        fresh = DescriptorBudget(max(2, total), *self._shares)
         self.total, self.floors = fresh.total, fresh.floors
 
     @property
@@ -54,27 +54,27 @@
         """So many clients may have requests in hand."""
         return max(1, int(WORK_SHARE * self.total))
 
-    def room(self, side: Side) -> int:
+    def room(self, side: DescriptorSide) -> int:
         """How many more `side` may hold now."""
         theirs = other(side)
         kept = max(self.held[theirs], self.floors[theirs])
         return max(0, self.total - self.held[side] - kept)
 
-    def most(self, side: Side) -> int:
+    def most(self, side: DescriptorSide) -> int:
         """What `side` could hold at the best."""
         return self.total - self.floors[other(side)]
 
-    def take(self, side: Side) -> None:
+    def take(self, side: DescriptorSide) -> None:
         if not self.room(side):
             raise BudgetError(f"{side.value}: no room")
         self.held[side] += 1
 
-    def give_back(self, side: Side) -> None:
+    def give_back(self, side: DescriptorSide) -> None:
         if not self.held[side]:
             raise BudgetError(f"{side.value}: nothing is held")
         self.held[side] -= 1
 
-    def lender(self, side: Side) -> bool:
+    def lender(self, side: DescriptorSide) -> bool:
         """Whether the other side holds more than its floor: one closed there makes room here."""
         theirs = other(side)
         return self.held[theirs] > self.floors[theirs]
--- a/cloverwell/connections/front.py
+++ b/cloverwell/connections/client_policy.py
@@ -9,7 +9,7 @@
 
 - how long after its connection a client sends its first request (`_asks_after`): one that is silent far
   beyond that is of a crowd that never asks, whatever it is there for;
-- how often a client that has asked once, or a few times, or often, asks again (`Habit`).
+- how often a client that has asked once, or a few times, or often, asks again (`IdleStatistics`).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 TURN = 32  # accepted in one turn of the loop, at most: the others' requests wait meanwhile
 
 
-class Stage(Enum):
+class ClientStage(Enum):
     NEW = 0  # has asked nothing
     HALF = 1  # stands in the middle of a command
     BUSY = 2  # has a request open
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseClient:
     """`cut`: its descriptor is wanted now, without waiting for the client's close."""
 
     guest: Hashable
@@ -64,16 +64,16 @@
 
 
 @dataclass(slots=True)
-class Guest:
+class ClientState:
     source: str
-    stage: Stage
+    stage: ClientStage
     since_ms: float  # in this stage
     heard_ms: float = 0.0  # when bytes came last, of half a command
     asked: int = 0  # requests so far
     waits_ms: float = 0.0  # spared: not named again before then
 
 
-class Habit:
+class IdleStatistics:
     """How often those that have asked so many times ask again: a share that forgets."""
 
     WEIGHT = 0.02
@@ -90,7 +90,7 @@
     return 0 if asked <= 1 else 1 if asked < 4 else 2
 
 
-class HighMark:
+class PeakEstimate:
     """A value that about 19 of 20 samples stay under: it rises fast and sinks slowly, in constant memory."""
 
     SHARE = 0.95
@@ -104,7 +104,7 @@
         self.value = max(0.1, self.value + step * (self.SHARE if sample > self.value else self.SHARE - 1.0))
 
 
-class Front:
+class ClientConnectionPolicy:
     """The guests by stage, longest in it first, and what is known of their habits."""
 
     def __init__(self, most: int, asking: int, now: float) -> None:
@@ -112,7 +112,7 @@
         so many have asked and stand, a client with a request can't open another, whatever room there is."""
         self.most = most
         self.asking = asking
-        self._guests: dict[Hashable, Guest] = {}
+        self._guests: dict[Hashable, ClientState] = {}
         # BUSY ones need no order: they are never named. QUIET ones stand by group.
         self._new: OrderedDict[Hashable, None] = OrderedDict()
         self._half: OrderedDict[Hashable, None] = OrderedDict()
@@ -120,15 +120,15 @@
         self._closing: OrderedDict[Hashable, None] = OrderedDict()
         self._busy = 0
         self._sources: Counter[str] = Counter()  # of those that have not asked
-        self._habits = [Habit(0.3), Habit(0.7), Habit(0.9)]
-        self._asks_after = HighMark(FIRST_GRACE_MS / GRACE_TIMES)
+        self._habits = [IdleStatistics(0.3), IdleStatistics(0.7), IdleStatistics(0.9)]
+        self._asks_after = PeakEstimate(FIRST_GRACE_MS / GRACE_TIMES)
         self._rate = 0.0  # arrivals a millisecond
         self._heard_ms = now
 
     # What happens -------------------------------------------------------------------------------
 
     def opened(self, guest: Hashable, now: float, source: str = "") -> None:
-        self._guests[guest] = Guest(source, Stage.NEW, now)
+        self._guests[guest] = ClientState(source, ClientStage.NEW, now)
         self._new[guest] = None
         self._sources[source] += 1
         self._decay(now)
@@ -137,28 +137,28 @@
     def asked(self, guest: Hashable, now: float) -> None:
         """A request of it has begun to be served."""
         entry = self._guests.get(guest)
-        if entry is None or entry.stage is Stage.CLOSING:
+        if entry is None or entry.stage is ClientStage.CLOSING:
             return
         if not entry.asked:
             self._asks_after.learn(now - entry.since_ms)
-        elif entry.stage is Stage.QUIET:
+        elif entry.stage is ClientStage.QUIET:
             self._habits[group_of(entry.asked)].learn(True)
-        self._move(guest, entry, Stage.BUSY, now)
+        self._move(guest, entry, ClientStage.BUSY, now)
         entry.asked += 1  # only now: it decides in which line a quiet one stands
 
     def quiet(self, guest: Hashable, now: float, half: bool, begun_ms: float = math.inf) -> None:
         """It has no open request; `half`: but a part of one, which may have begun behind the last one."""
         entry = self._guests.get(guest)
-        if entry is None or entry.stage is Stage.CLOSING:
+        if entry is None or entry.stage is ClientStage.CLOSING:
             return
-        stage = Stage.HALF if half else Stage.QUIET if entry.asked else Stage.NEW
+        stage = ClientStage.HALF if half else ClientStage.QUIET if entry.asked else ClientStage.NEW
         if stage is entry.stage:
             return  # its time runs from its connection, its first byte or its answer on: an error wins none
         self._move(guest, entry, stage, now)
         if half and begun_ms < now:
             self._put_in_order(entry, begun_ms)
 
-    def _put_in_order(self, entry: Guest, begun_ms: float) -> None:
+    def _put_in_order(self, entry: ClientState, begun_ms: float) -> None:
         """The part of a request that it has sent is that old: those that are younger stand behind it."""
         entry.since_ms = begun_ms
         for other in [one for one in self._half if self._guests[one].since_ms > begun_ms]:
@@ -172,10 +172,10 @@
     def closing(self, guest: Hashable, now: float) -> None:
         """Our side is closed."""
         entry = self._guests.get(guest)
-        if entry is not None and entry.stage is not Stage.CLOSING:
-            if entry.stage is Stage.QUIET:
+        if entry is not None and entry.stage is not ClientStage.CLOSING:
+            if entry.stage is ClientStage.QUIET:
                 self._habits[group_of(entry.asked)].learn(False)
-            self._move(guest, entry, Stage.CLOSING, now)
+            self._move(guest, entry, ClientStage.CLOSING, now)
 
     def closed(self, guest: Hashable) -> None:
         entry = self._guests.pop(guest, None)
@@ -187,35 +187,35 @@
         if (entry := self._guests.get(guest)) is not None:
             entry.waits_ms = now + SETTLE_MS
 
-    def _move(self, guest: Hashable, entry: Guest, stage: Stage, now: float) -> None:
+    def _move(self, guest: Hashable, entry: ClientState, stage: ClientStage, now: float) -> None:
         self._leave(guest, entry)
         entry.stage, entry.since_ms, entry.waits_ms, entry.heard_ms = stage, now, 0.0, now
         match stage:
-            case Stage.BUSY:
+            case ClientStage.BUSY:
                 self._busy += 1
-            case Stage.NEW:
+            case ClientStage.NEW:
                 self._new[guest] = None
                 self._sources[entry.source] += 1
             case _:
                 self._line(entry)[guest] = None
 
-    def _leave(self, guest: Hashable, entry: Guest) -> None:
-        if entry.stage is Stage.BUSY:
+    def _leave(self, guest: Hashable, entry: ClientState) -> None:
+        if entry.stage is ClientStage.BUSY:
             self._busy -= 1
             return
-        if entry.stage is Stage.NEW:
+        if entry.stage is ClientStage.NEW:
             self._sources[entry.source] -= 1
             if not self._sources[entry.source]:
                 del self._sources[entry.source]
         self._line(entry).pop(guest, None)
 
-    def _line(self, entry: Guest) -> OrderedDict[Hashable, None]:
+    def _line(self, entry: ClientState) -> OrderedDict[Hashable, None]:
         match entry.stage:
-            case Stage.NEW:
+            case ClientStage.NEW:
                 return self._new
-            case Stage.HALF:
+            case ClientStage.HALF:
                 return self._half
-            case Stage.QUIET:
+            case ClientStage.QUIET:
                 return self._quiet[group_of(entry.asked)]
         return self._closing
 
@@ -228,7 +228,7 @@
     def busy(self) -> int:
         return self._busy
 
-    def stage_of(self, guest: Hashable) -> Stage | None:
+    def stage_of(self, guest: Hashable) -> ClientStage | None:
         entry = self._guests.get(guest)
         return None if entry is None else entry.stage
 
@@ -252,26 +252,28 @@
 
     # Who goes -----------------------------------------------------------------------------------
 
-    def overdue(self, now: float) -> list[Close]:
+    def overdue(self, now: float) -> list[CloseClient]:
         """Those whose time is over, however much room there is."""
-        found: list[Close] = []
+        found: list[CloseClient] = []
         lines = ((self._new, QUIET_MS, Reason.SILENT), (self._half, HALF_MS, Reason.HALF))
         lines += tuple((line, KEEP_MS, Reason.IDLE) for line in self._quiet)
         for line, most_ms, reason in lines:
-            found += [Close(guest, reason) for guest in self._older(line, now, most_ms)]
-        found += [Close(guest, Reason.LINGER, True) for guest in self._older(self._closing, now, LINGER_MS)]
+            found += [CloseClient(guest, reason) for guest in self._older(line, now, most_ms)]
+        found += [
+            CloseClient(guest, Reason.LINGER, True) for guest in self._older(self._closing, now, LINGER_MS)
+        ]
         return found
 
-    def for_room(self, now: float, wanted: int, room: int) -> list[Close]:
+    def for_room(self, now: float, wanted: int, room: int) -> list[CloseClient]:
         """Up to twice `wanted` guests whose closing makes room, those first who are least likely to ask.
 
         `room`: what there is without. Those that are closing come free by themselves within moments, so
         they count as room; they are cut off only where there is none at all.
         """
-        found: list[Close] = []
+        found: list[CloseClient] = []
         if room <= 0:
             found += [
-                Close(guest, Reason.LINGER, True)
+                CloseClient(guest, Reason.LINGER, True)
                 for guest in self._older(self._closing, now, PRESSED_LINGER_MS, wanted)
             ]
         else:
@@ -284,7 +286,7 @@
             found += candidates(now, most - len(found), cut)
         return found[: max(0, most)]
 
-    def for_asking(self, now: float) -> list[Close]:
+    def for_asking(self, now: float) -> list[CloseClient]:
         """Those to close so that clients can open as many as will be wanted for requests."""
         # Clients that write slowly ask too; who has sent one piece and no more does not look like one.
         slow = [guest for guest in self._half if (entry := self._guests[guest]).heard_ms > entry.since_ms]
@@ -294,7 +296,7 @@
         # The last places: each that is held by half a command would serve many others meanwhile.
         wanted = RESERVE[0] - (self.asking - held) - len(found)
         old = [guest for guest in slow if now - self._guests[guest].since_ms >= HALF_GRACE_MS]
-        return found + [Close(guest, Reason.HALF) for guest in old[: max(0, wanted)]]
+        return found + [CloseClient(guest, Reason.HALF) for guest in old[: max(0, wanted)]]
 
     def _older(
         self, line: OrderedDict[Hashable, None], now: float, age_ms: float, most: int = 1 << 30
@@ -308,7 +310,7 @@
                 found.append(guest)
         return found
 
-    def _silent(self, now: float, most: int, cut: bool) -> list[Close]:
+    def _silent(self, now: float, most: int, cut: bool) -> list[CloseClient]:
         # Where they are a crowd, their first moments must do: others wait behind them to be let in.
         age = GRACE_MS[0] if self.crowd() else self.grace_ms()
         old = self._older(self._new, now, age)
@@ -316,16 +318,16 @@
             # Fair between sources: the one that holds most without asking gives first. Sorting is stable.
             count = self._sources
             old.sort(key=lambda guest: -count[self._guests[guest].source])
-        return [Close(guest, Reason.SILENT, cut) for guest in old[:most]]
+        return [CloseClient(guest, Reason.SILENT, cut) for guest in old[:most]]
 
-    def _halves(self, now: float, most: int, cut: bool) -> list[Close]:
+    def _halves(self, now: float, most: int, cut: bool) -> list[CloseClient]:
         # A client that writes slowly goes on writing; by age alone it would go before it is done.
         old = self._older(self._half, now, HALF_GRACE_MS)
         silent = [guest for guest in old if now - self._guests[guest].heard_ms >= HALF_GRACE_MS]
         silent.sort(key=lambda guest: self._guests[guest].heard_ms)
-        return [Close(guest, Reason.HALF, False) for guest in silent[:most]]
+        return [CloseClient(guest, Reason.HALF, False) for guest in silent[:most]]
 
-    def _quiet_ones(self, now: float, most: int, cut: bool) -> list[Close]:
+    def _quiet_ones(self, now: float, most: int, cut: bool) -> list[CloseClient]:
         """Longest quiet first, where a group that seldom asks again counts as quiet for longer."""
         found: list[tuple[float, int, Hashable]] = []
         for number, line in enumerate(self._quiet):
@@ -335,6 +337,6 @@
         found.sort()
         # A cut throws away what the client has not read yet: only where its answer has long been there.
         return [
-            Close(guest, Reason.ROOM, cut and now - self._guests[guest].since_ms >= PRESSED_LINGER_MS)
+            CloseClient(guest, Reason.ROOM, cut and now - self._guests[guest].since_ms >= PRESSED_LINGER_MS)
             for _, _, guest in found[:most]
         ]
--- a/cloverwell/connections/figures.py
+++ b/cloverwell/connections/metrics.py
@@ -8,7 +8,7 @@
 MAX_NAMES = 1100  # nodes counted by name; successors have new names, and a long day would gather them
 
 
-class What(Enum):
+class ConnectionEvent(Enum):
     """Each is counted by the node it was for, or by the reason behind it."""
 
     OPENED = "opened"  # back: a connection came up
@@ -28,13 +28,13 @@
     PAUSED = "paused"  # front: nothing was accepted for a while
 
 
-class Figures:
+class ConnectionMetrics:
     """Counters by kind and name; what a forgotten name counted stays in the total."""
 
     def __init__(self) -> None:
-        self._by: dict[What, Counter[str]] = {what: Counter() for what in What}
+        self._by: dict[ConnectionEvent, Counter[str]] = {what: Counter() for what in ConnectionEvent}
 
-    def add(self, what: What, name: str = "", number: int = 1) -> None:
+    def add(self, what: ConnectionEvent, name: str = "", number: int = 1) -> None:
         counter = self._by[what]
         if name not in counter and len(counter) >= MAX_NAMES:
             name = OTHERS
@@ -46,10 +46,10 @@
             if name in counter:
                 counter[OTHERS] += counter.pop(name)
 
-    def total(self, what: What) -> int:
+    def total(self, what: ConnectionEvent) -> int:
         return sum(self._by[what].values())
 
-    def by(self, what: What) -> dict[str, int]:
+    def by(self, what: ConnectionEvent) -> dict[str, int]:
         return dict(self._by[what])
 
     def rows(self) -> Iterator[tuple[str, str, int]]:
@@ -58,6 +58,6 @@
             for name in sorted(counter):
                 yield what.value, name, counter[name]
 
-    def line(self, *whats: What) -> str:
+    def line(self, *whats: ConnectionEvent) -> str:
         """`kind number` of each that has happened, for a log line."""
         return ", ".join(f"{what.value} {total}" for what in whats if (total := self.total(what)))
--- a/cloverwell/connections/back.py
+++ b/cloverwell/connections/node_policy.py
@@ -46,7 +46,7 @@
 QUICK_MS = 60.0  # a reset that takes longer fell on work, and says nothing of how long resets take to come
 
 
-class Use(Enum):
+class ConnectionUse(Enum):
     WHOLE = "whole"  # write all of the attempt
     SPLIT = "split"  # write all but its last byte, and that after `hold_ms`
     RETIRE = "retire"  # close the connection: it is too old
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class Kin:
+class NodeTypeStatistics:
     """What nodes of a kind have in common."""
 
     resets: float = 0.0  # of late, per attempt
@@ -86,14 +86,14 @@
     reset_ms: float = 0.0  # the longest that one took to come, sinking slowly
 
 
-class Back:
+class NodeConnectionPolicy:
     def __init__(self, most_idle_ms: float, grace_ms: float, now: float) -> None:
         """`most_idle_ms`: an idle connection is retired by then; `grace_ms`: in which a leaving node is still
         opened to."""
         self.limits = Limits(most_idle_ms, now)
         self._grace_ms = grace_ms
         self._nodes: dict[str, Node] = {}
-        self._kinds: dict[str, Kin] = {}
+        self._kinds: dict[str, NodeTypeStatistics] = {}
 
     # What is known of nodes ---------------------------------------------------------------------
 
@@ -102,7 +102,7 @@
         entry = self._nodes.get(node)
         if entry is None:
             entry = self._nodes[node] = Node(kind)
-            self._kinds.setdefault(kind, Kin())
+            self._kinds.setdefault(kind, NodeTypeStatistics())
         entry.cold_until_ms = cold_until_ms
         entry.left_ms = None
 
@@ -216,7 +216,7 @@
             return False
         return entry.answered_ms < written_ms < now - SILENT_TIMES * max(entry.answer_ms, 1.0)
 
-    def _drops(self, kin: Kin, drops: float) -> None:
+    def _drops(self, kin: NodeTypeStatistics, drops: float) -> None:
         """Whether dead connections are silent decides which limit holds for each node of the kind."""
         before, kin.drops = kin.drops, drops
         if (before > SILENT) != (drops > SILENT):
@@ -224,23 +224,23 @@
 
     # What to do ---------------------------------------------------------------------------------
 
-    def use(self, node: str, age_ms: float | None, dear: bool) -> Use:
+    def use(self, node: str, age_ms: float | None, dear: bool) -> ConnectionUse:
         """Of a connection that has stood idle so long, None for a fresh one; `dear`: the attempt may not run
         twice."""
         entry = self._nodes.get(node)
         if entry is None:
-            return Use.WHOLE
+            return ConnectionUse.WHOLE
         if age_ms is not None and age_ms >= self.limit_ms(entry, node):
-            return Use.RETIRE
+            return ConnectionUse.RETIRE
         if dear and self._kinds[entry.kind].resets > SUSPECT:
-            return Use.SPLIT
+            return ConnectionUse.SPLIT
         if age_ms is None or age_ms < YOUNG_MS:
-            return Use.WHOLE
+            return ConnectionUse.WHOLE
         calm = self._kinds[entry.kind].worry < CALM and not self.limits.has_lost(node)
         if calm and not dear:
-            return Use.WHOLE
+            return ConnectionUse.WHOLE
         proven = self.limits.proven(node, entry.kind, age_ms, DEAR_TIMES if dear else 1.0)
-        return Use.WHOLE if proven else Use.SPLIT
+        return ConnectionUse.WHOLE if proven else ConnectionUse.SPLIT
 
     def hold_ms(self, node: str) -> float:
         """How long to wait for a reset before the last byte."""
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -17,7 +17,7 @@
 
 from balancer.settings import SettingsError, check_whole, read_settings
 from cloverwell.config import Config, ConfigError, File, parse_config
-from cloverwell.membership.listing import ServerListError, split_address
+from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
 DIGEST_DIGITS = 16
 CHANGEABLE = frozenset({"discovery", "settings", "document"})  # `settings` is looked into
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class ConfigurationChange:
     """What a version of the configuration brings, read whole."""
 
     discovery: tuple[str, int]
@@ -61,11 +61,11 @@
 def _check_address(field: str, text: str) -> None:
     try:
         split_address(text)
-    except ServerListError as error:
+    except EndpointListError as error:
         raise ConfigError(f"{field}: {error}") from None
 
 
-def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> Change:
+def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> ConfigurationChange:
     """`own`: the file this proxy started with. Raises `ConfigError`, which names the field."""
     started = parse_config(own, environ, again=True)
     merged = _merge(own, document)
@@ -76,7 +76,7 @@
     same_size = replace(config.settings, peers_total=started.settings.peers_total)
     if same_size != started.settings:
         raise _unchangeable(_changed_setting(started, merged))
-    return Change(config.discovery, config.settings.peers_total)
+    return ConfigurationChange(config.discovery, config.settings.peers_total)
 
 
 def _unchangeable(field: str) -> ConfigError:
--- a/cloverwell/control/consensus.py
+++ b/cloverwell/control/consensus.py
@@ -15,7 +15,7 @@
 from enum import StrEnum
 from random import Random
 
-from cloverwell.control.effects import Committed, NodeEffect, SendPeer, SnapshotInstalled
+from cloverwell.control.effects import EntriesCommitted, NodeEffect, SendToPeer, SnapshotInstalled
 from cloverwell.control.entry import Entry, EntryKind, Snapshot
 from cloverwell.control.leadership import Leadership, Progress
 from cloverwell.control.messages import (
@@ -170,14 +170,14 @@
 
     def _ask_votes(self, term: int, pre_vote: bool) -> list[NodeEffect]:
         request = RequestVote(term, self.node, self.log.last_index, self.log.last_term, pre_vote)
-        return [SendPeer(peer, request) for peer in self.peers]
+        return [SendToPeer(peer, request) for peer in self.peers]
 
     def _pre_vote_asked(self, message: RequestVote, now: float) -> list[NodeEffect]:
         """Nothing changes here; no to whoever stands against a leader that was heard of lately."""
         led = self.role is Role.LEADER or now - self._heard_leader_at < self._timing.election_min_ms
         granted = message.term > self.term and not led and self._up_to_date(message)
         answer = VoteAnswer(self.term, self.node, message.term, granted, pre_vote=True)
-        return [SendPeer(message.candidate, answer)]
+        return [SendToPeer(message.candidate, answer)]
 
     def _vote_asked(self, message: RequestVote, now: float) -> list[NodeEffect]:
         effects: list[NodeEffect] = []
@@ -189,7 +189,7 @@
                 self.vote = message.candidate
                 effects.append(self._write())
         answer = VoteAnswer(self.term, self.node, message.term, granted)
-        return [*effects, SendPeer(message.candidate, answer)]
+        return [*effects, SendToPeer(message.candidate, answer)]
 
     def _up_to_date(self, message: RequestVote) -> bool:
         return (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
@@ -230,7 +230,7 @@
             if not progress.snapshot_due(now):
                 return []
             progress.snapshot_sent_at = now
-            return [SendPeer(peer, InstallSnapshot(self.term, self.node, self.log.base, now))]
+            return [SendToPeer(peer, InstallSnapshot(self.term, self.node, self.log.base, now))]
         entries = self.log.after(previous, self._timing.append_entries, self._timing.append_bytes)
         progress.next_index += len(entries)
         message = AppendEntries(
@@ -244,7 +244,7 @@
             progress.token,
             self._lease_for(progress, now),
         )
-        return [SendPeer(peer, message)]
+        return [SendToPeer(peer, message)]
 
     def _lease_for(self, progress: Progress, now: float) -> float:
         """What is left of this node's own lease, from when the follower sent its token."""
@@ -282,7 +282,7 @@
         entries = self.log.commit(index)
         if not entries:
             return []
-        effects: list[NodeEffect] = [Committed(entries)]
+        effects: list[NodeEffect] = [EntriesCommitted(entries)]
         if (base := self.log.compact()) is not None:
             effects.append(self._write(snapshot=base))
         return effects
@@ -360,7 +360,7 @@
         self, message: AppendEntries | InstallSnapshot, success: bool, match_index: int, now: float
     ) -> NodeEffect:
         answer = AppendAnswer(self.term, self.node, success, match_index, message.token, now)
-        return SendPeer(message.leader, answer)
+        return SendToPeer(message.leader, answer)
 
     def _write(
         self,
--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from cloverwell.control.consensus import Consensus, Role
-from cloverwell.control.effects import Committed, NodeEffect, SendPeer, SnapshotInstalled
+from cloverwell.control.effects import EntriesCommitted, NodeEffect, SendToPeer, SnapshotInstalled
 from cloverwell.control.entry import Position
-from cloverwell.control.fleet import FleetView, InForce
+from cloverwell.control.fleet import ActivationCount, FleetView
 from cloverwell.control.messages import (
     Acknowledge,
     FleetCount,
@@ -109,7 +109,7 @@
             return FleetCount(self._fleet.alive, self._fleet.hidden, complete=False)
         return self._fleet
 
-    def in_force(self, index: int, now: float) -> InForce | None:
+    def in_force(self, index: int, now: float) -> ActivationCount | None:
         """Where the entry at an index is in force; None on a node that doesn't lead."""
         return self._view.in_force(index, now) if self._leads() and self._view is not None else None
 
@@ -177,7 +177,7 @@
         effects += self.subscribers.heartbeat(connection, lease_ms, self.fleet(now), now)
         if message.last_node in self.consensus.peers:
             moved = SubscriberMoved(message.proxy, message.run, message.attempt)
-            effects.append(SendPeer(message.last_node, moved))
+            effects.append(SendToPeer(message.last_node, moved))
         return effects
 
     def _leads(self) -> bool:
@@ -187,7 +187,7 @@
         """The effects with what follows from them: to proxies what was committed, to proposers their
         answers."""
         self._follow_leadership(now)
-        if any(isinstance(effect, (Committed, SnapshotInstalled)) for effect in effects):
+        if any(isinstance(effect, (EntriesCommitted, SnapshotInstalled)) for effect in effects):
             effects = effects + self.subscribers.feed()
         return effects + self._proposals.settle(now)
 
@@ -205,11 +205,11 @@
         report = self.subscribers.report(self.node)
         if self._view is None:
             leader = self.consensus.leader
-            return [SendPeer(leader, report)] if leader else []
+            return [SendToPeer(leader, report)] if leader else []
         self._view.take(report, now)
         self._fleet = self._view.count(now)
         summary = FleetSummary(self.consensus.term, self.node, self._fleet)
-        return [SendPeer(peer, summary) for peer in self.consensus.peers]
+        return [SendToPeer(peer, summary) for peer in self.consensus.peers]
 
 
 def message_sender(message: PeerMessage) -> str:
--- a/cloverwell/control/delivery.py
+++ b/cloverwell/control/delivery.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cloverwell.control.effects import LoadEntry, LoadSnapshot
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import START, Entry, EntryKind, Position, Snapshot
 from cloverwell.control.messages import MAX_REASON_CHARS
 
@@ -17,7 +17,7 @@
     """What was received doesn't follow what is here; the text says why. The connection has to go."""
 
 
-class Refused(msgspec.Struct, frozen=True):
+class RefusedEntry(msgspec.Struct, frozen=True):
     """An entry that could not be loaded, and why."""
 
     index: int
@@ -31,13 +31,13 @@
     def __init__(self) -> None:
         self.position = START
         self.received = START  # loaded, being loaded, or waiting for it
-        self._loading: LoadEntry | LoadSnapshot | None = None
+        self._loading: ApplyEntry | ApplySnapshot | None = None
         self._loading_to = START
         self._pending: deque[Entry | Snapshot] = deque()
-        self._refused: dict[str, Refused] = {}  # by kind, until one of the kind is loaded
+        self._refused: dict[str, RefusedEntry] = {}  # by kind, until one of the kind is loaded
 
     @property
-    def refused(self) -> Refused | None:
+    def refused(self) -> RefusedEntry | None:
         """The latest of those that are refused and not replaced."""
         return max(self._refused.values(), key=lambda refused: refused.index, default=None)
 
@@ -68,17 +68,17 @@
             self._pending.append(snapshot)
             self.received = snapshot.position
 
-    def next_load(self) -> LoadEntry | LoadSnapshot | None:
+    def next_load(self) -> ApplyEntry | ApplySnapshot | None:
         """What is to be loaded next, None while something is, or where nothing waits. No-ops need no
         loading."""
         while self._loading is None and self._pending:
             item = self._pending.popleft()
             if isinstance(item, Snapshot):
-                self._loading, self._loading_to = LoadSnapshot(item, self.position), item.position
+                self._loading, self._loading_to = ApplySnapshot(item, self.position), item.position
             elif item.kind == EntryKind.NOOP:
                 self.position = self.position.after(item)
             else:
-                self._loading, self._loading_to = LoadEntry(item), self.position.after(item)
+                self._loading, self._loading_to = ApplyEntry(item), self.position.after(item)
             if self._loading is not None:
                 return self._loading
         return None
@@ -87,7 +87,7 @@
         """The caller has loaded what was given; False if that isn't what it was given last."""
         if not self._is_loading(index):
             return False
-        if isinstance(self._loading, LoadEntry):
+        if isinstance(self._loading, ApplyEntry):
             self._refused.pop(self._loading.entry.kind, None)
         else:
             self._refused.clear()
@@ -101,11 +101,11 @@
         """
         if not self._is_loading(index):
             return False
-        if isinstance(self._loading, LoadEntry):
+        if isinstance(self._loading, ApplyEntry):
             kind = self._loading.entry.kind
         else:
             self._refused.clear()
-        self._refused[kind] = Refused(index, reason[:MAX_REASON_CHARS])
+        self._refused[kind] = RefusedEntry(index, reason[:MAX_REASON_CHARS])
         self._finish()
         return True
 
--- a/cloverwell/control/effects.py
+++ b/cloverwell/control/effects.py
@@ -11,21 +11,24 @@
 # A control node's
 
 
-class SendPeer(msgspec.Struct, frozen=True):
+class SendToPeer(msgspec.Struct, frozen=True):
     """To another control node. It may be lost; it must not be changed, and may come late or twice."""
 
     node: str
     message: PeerMessage
 
 
-class Committed(msgspec.Struct, frozen=True):
+class EntriesCommitted(msgspec.Struct, frozen=True):
     """Entries that are committed from now on, in order, each told once between two restarts."""
 
     entries: tuple[Entry, ...]
 
 
 class SnapshotInstalled(msgspec.Struct, frozen=True):
-    """The leader's snapshot has taken the place of what was committed here; `Committed` goes on after it."""
+    """The leader's snapshot has taken the place of what was committed here.
+
+    `EntriesCommitted` goes on after it.
+    """
 
     snapshot: Snapshot
 
@@ -37,14 +40,14 @@
     answer: ProposalAnswer
 
 
-class SendProxy(msgspec.Struct, frozen=True):
+class SendToSubscriber(msgspec.Struct, frozen=True):
     """To the proxy at a connection, in order after what was sent there before."""
 
     connection: int
     message: NodeMessage
 
 
-class CloseProxy(msgspec.Struct, frozen=True):
+class CloseSubscriber(msgspec.Struct, frozen=True):
     """The connection has no use any more: close it after what was sent to it. Its end need not be told
     back."""
 
@@ -54,34 +57,34 @@
 # A proxy's
 
 
-class Connect(msgspec.Struct, frozen=True):
+class ConnectToNode(msgspec.Struct, frozen=True):
     """To open a connection to this control node, then tell `connected` or `disconnected` with `attempt`."""
 
     node: str
     attempt: int
 
 
-class Disconnect(msgspec.Struct, frozen=True):
+class DisconnectFromNode(msgspec.Struct, frozen=True):
     """To close the connection of `attempt` after what was sent over it, or drop the try at one. Its end
     need not be told back."""
 
     attempt: int
 
 
-class SendNode(msgspec.Struct, frozen=True):
+class SendToControlNode(msgspec.Struct, frozen=True):
     """To the control node over the connection of `attempt`."""
 
     attempt: int
     message: ProxyMessage
 
 
-class LoadEntry(msgspec.Struct, frozen=True):
+class ApplyEntry(msgspec.Struct, frozen=True):
     """To put an entry in force, then tell `loaded` or `refused` with its index. One at a time."""
 
     entry: Entry
 
 
-class LoadSnapshot(msgspec.Struct, frozen=True):
+class ApplySnapshot(msgspec.Struct, frozen=True):
     """To put a snapshot's state in force in place of all before, then tell `loaded` or `refused` with its
     index.
 
@@ -94,5 +97,13 @@
     previous: Position
 
 
-NodeEffect = Write | SendPeer | Committed | SnapshotInstalled | AnswerProposal | SendProxy | CloseProxy
-ProxyEffect = Connect | Disconnect | SendNode | LoadEntry | LoadSnapshot
+NodeEffect = (
+    Write
+    | SendToPeer
+    | EntriesCommitted
+    | SnapshotInstalled
+    | AnswerProposal
+    | SendToSubscriber
+    | CloseSubscriber
+)
+ProxyEffect = ConnectToNode | DisconnectFromNode | SendToControlNode | ApplyEntry | ApplySnapshot
--- a/cloverwell/control/fleet.py
+++ b/cloverwell/control/fleet.py
@@ -25,7 +25,7 @@
     return max(1, min(count.alive + count.hidden, max(provisioned, count.alive)))
 
 
-class InForce(msgspec.Struct, frozen=True):
+class ActivationCount(msgspec.Struct, frozen=True):
     """Where the entry at an index is in force: at `applied` of `alive` proxies.
 
     `refused`: those that could not load it, not among the applied. `hidden`, `complete`: as in FleetCount.
@@ -68,7 +68,7 @@
         complete = len(self._reports) == len(self._nodes) or now - self._since > self._forget_ms
         return FleetCount(alive, hidden, complete)
 
-    def in_force(self, index: int, now: float) -> InForce:
+    def in_force(self, index: int, now: float) -> ActivationCount:
         """Who has the entry at an index; a proxy that refused it and has gone on past it is no such."""
         heard = [report for node, report in self._reports.items() if self._heard(node, now)]
         positions: Counter[int] = Counter()
@@ -79,7 +79,7 @@
         refused = sum(refusal.proxies for refusal in refusals if refusal.index == index)
         reached = sum(proxies for at, proxies in positions.items() if at >= index)
         count = self.count(now)
-        return InForce(
+        return ActivationCount(
             index,
             max(0, reached - refused),
             refused,
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -16,12 +16,12 @@
 from twisted.python.failure import Failure
 
 from cloverwell.control.effects import (
-    Connect,
-    Disconnect,
-    LoadEntry,
-    LoadSnapshot,
+    ApplyEntry,
+    ApplySnapshot,
+    ConnectToNode,
+    DisconnectFromNode,
     ProxyEffect,
-    SendNode,
+    SendToControlNode,
 )
 from cloverwell.control.entry import Entry, LogState, Position
 from cloverwell.control.messages import MAX_MESSAGE_BYTES, NodeMessage
@@ -162,20 +162,20 @@
 
     def _carry_out(self, effect: ProxyEffect) -> None:
         match effect:
-            case Connect(node, attempt):
+            case ConnectToNode(node, attempt):
                 host, port = self._addresses[node]
                 factory = _FollowerFactory(self, attempt)
                 self._connector = _Connector(
                     attempt, self._reactor.connectTCP(host, port, factory, timeout=CONNECT_S)
                 )
-            case Disconnect():
+            case DisconnectFromNode():
                 self._hang_up()
-            case SendNode(_, message):
+            case SendToControlNode(_, message):
                 if self._connection is not None:
                     self._connection.send(message)
-            case LoadEntry(entry):
+            case ApplyEntry(entry):
                 self._load([entry], entry.index)
-            case LoadSnapshot(snapshot, previous):
+            case ApplySnapshot(snapshot, previous):
                 self._load_snapshot(snapshot.state, snapshot.position, previous)
 
     def _hang_up(self) -> None:
--- a/cloverwell/control/net/proposer.py
+++ b/cloverwell/control/net/proposer.py
@@ -7,7 +7,7 @@
 from cloverwell.control.messages import ProposalAnswer, ProposalOutcome, Propose
 from cloverwell.control.net.ask import NoAnswerError, ask
 from cloverwell.control.net.wire import StatusAnswer, StatusRequest
-from cloverwell.membership.listing import split_address
+from cloverwell.membership.endpoint_list import split_address
 
 MAX_REDIRECTS = 3  # a leader may change while it is looked for
 
--- a/cloverwell/control/net/wire.py
+++ b/cloverwell/control/net/wire.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from cloverwell.control.control_node import NodeStatus
-from cloverwell.control.fleet import InForce
+from cloverwell.control.fleet import ActivationCount
 from cloverwell.control.messages import VERSION, Message, MessageError, SubscriberReport, encode
 
 
@@ -35,7 +35,7 @@
     status: NodeStatus
     leader_address: str
     own: SubscriberReport
-    in_force: InForce | None = None
+    in_force: ActivationCount | None = None
 
 
 WireMessage = Message | PeerHello | StatusRequest | StatusAnswer
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -14,7 +14,7 @@
 PROPOSED_KINDS = frozenset(EntryKind) - {EntryKind.NOOP}
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class PendingProposal(msgspec.Struct, frozen=True):
     """A proposal whose entry is in the leader's log and not committed yet."""
 
     request: int
@@ -29,7 +29,7 @@
     def __init__(self, consensus: Consensus, timing: Timing) -> None:
         self._consensus = consensus
         self._timing = timing
-        self._waiting: list[Waiting] = []
+        self._waiting: list[PendingProposal] = []
         self._term = 0  # in which those that wait were taken
 
     def next_deadline(self) -> float:
@@ -51,7 +51,9 @@
             entry, effects = self._consensus.propose(message.kind, message.payload, message.proposal, now)
             index = entry.index
         self._term = self._consensus.term
-        self._waiting.append(Waiting(request, message.proposal, index, now + self._timing.proposal_ms))
+        self._waiting.append(
+            PendingProposal(request, message.proposal, index, now + self._timing.proposal_ms)
+        )
         return effects
 
     def settle(self, now: float) -> list[NodeEffect]:
@@ -60,7 +62,7 @@
             return []
         leads = self._consensus.leadership is not None and self._consensus.term == self._term
         answers: list[NodeEffect] = []
-        still: list[Waiting] = []
+        still: list[PendingProposal] = []
         for waiting in self._waiting:
             if leads and waiting.index <= self._consensus.log.commit_index:
                 outcome = ProposalOutcome.COMMITTED
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -12,21 +12,21 @@
 from typing import Any, Protocol
 
 from cloverwell.config import Config, ConfigError
-from cloverwell.control.configuration import Change, digest, read_change
+from cloverwell.control.configuration import ConfigurationChange, digest, read_change
 from cloverwell.control.entry import Entry, EntryKind
 from cloverwell.control.net.follower import EntryRefusedError, Follower
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
-from cloverwell.timer_wheel import Timer, Wheel
+from cloverwell.timer_wheel import Timer, TimerWheel
 
 START_LOOK_MS = 50.0  # between two looks whether the start need not wait any longer
 LOOK_MS = 1000.0  # between two looks how many proxies live
 
 
-class Target(Protocol):
+class ConfigurationTarget(Protocol):
     """What a version of the configuration changes in a running proxy."""
 
-    def put_in_force(self, discovery: tuple[str, int], peers_total: int) -> None:
+    def activate(self, discovery: tuple[str, int], peers_total: int) -> None:
         """Discovery's address, and by how many proxies fleet-wide bounds are divided."""
 
     def resize(self, peers_total: int) -> None:
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Version:
+class ActiveVersion:
     """What is in force: the index of its entry, 0 for the proxy's own file, and its digest."""
 
     index: int
@@ -48,23 +48,23 @@
     def __init__(
         self,
         reactor: Any,
-        wheel: Wheel,
+        timer_wheel: TimerWheel,
         log: Log,
         config: Config,
-        target: Target,
+        target: ConfigurationTarget,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
         """`config.control` is there."""
         control = config.control
         assert control is not None
-        self._wheel = wheel
+        self._wheel = timer_wheel
         self._log = log
         self._own = config.document
         self._target = target
         self._environ = environ
         self._ready: Callable[[], None] | None = None  # until it has been called
         self._timer: Timer | None = None
-        self.version = Version(0, digest(config.document), config.settings.peers_total)
+        self.version = ActiveVersion(0, digest(config.document), config.settings.peers_total)
         self._divided_by = config.settings.peers_total
         self.follower = Follower(
             reactor,
@@ -73,7 +73,7 @@
             config.name,
             self.load,
             log,
-            now=wheel.now,
+            now=timer_wheel.now,
             timing=SubscriptionTiming(wait_ms=control.wait_ms),
         )
 
@@ -124,13 +124,13 @@
             stays = f"version {self.version.index} stays in force"
             self._log.warn("version", f"{entry.index} refused, digest {name}: {reason}; {stays}")
             raise EntryRefusedError(reason) from None
-        self._put_in_force(Version(entry.index, name, change.peers_total), change)
+        self._put_in_force(ActiveVersion(entry.index, name, change.peers_total), change)
 
-    def _put_in_force(self, version: Version, change: Change) -> None:
+    def _put_in_force(self, version: ActiveVersion, change: ConfigurationChange) -> None:
         """The one point at which a version of the configuration takes effect."""
         self.version = version
         self._divided_by = self.follower.divide_by(version.peers_total)
-        self._target.put_in_force(change.discovery, self._divided_by)
+        self._target.activate(change.discovery, self._divided_by)
         host, port = change.discovery
         told = f"discovery is at {host}:{port}, {version.peers_total} proxies"
         self._log.info("version", f"{version.index} in force, digest {version.digest}: {told}")
--- a/cloverwell/control/server/node_server.py
+++ b/cloverwell/control/server/node_server.py
@@ -13,11 +13,11 @@
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import (
     AnswerProposal,
-    CloseProxy,
-    Committed,
+    CloseSubscriber,
+    EntriesCommitted,
     NodeEffect,
-    SendPeer,
-    SendProxy,
+    SendToPeer,
+    SendToSubscriber,
     SnapshotInstalled,
 )
 from cloverwell.control.messages import PeerMessage, Propose, ProxyMessage
@@ -154,16 +154,16 @@
         match effect:
             case Write():
                 self._storage.write(effect)
-            case SendPeer(node, message):
+            case SendToPeer(node, message):
                 if node in self._links:
                     self._links[node].send(message)
-            case SendProxy(connection, message) | AnswerProposal(connection, message):
+            case SendToSubscriber(connection, message) | AnswerProposal(connection, message):
                 if (target := self._port.connection(connection)) is not None:
                     target.send(message)
-            case CloseProxy(connection):
+            case CloseSubscriber(connection):
                 if (target := self._port.connection(connection)) is not None:
                     target.close()
-            case Committed(entries):
+            case EntriesCommitted(entries):
                 for entry in entries:
                     self._log.info(
                         "commit", f"entry {entry.index}: {entry.kind} {entry.proposal[:60]}".rstrip()
--- a/cloverwell/control/server/port.py
+++ b/cloverwell/control/server/port.py
@@ -28,7 +28,7 @@
 MAX_FIRST_BYTES = MAX_PAYLOAD_BYTES + 4096  # a proposal is the longest message that anybody may send
 
 
-class Desk(Protocol):
+class ControlRequestHandler(Protocol):
     """What a message becomes an event of."""
 
     def is_peer(self, hello: PeerHello) -> bool:
@@ -50,7 +50,7 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, desk: Desk, log: Log) -> None:
+    def __init__(self, reactor: Any, desk: ControlRequestHandler, log: Log) -> None:
         self.reactor = reactor
         self.desk = desk
         self.log = log
--- a/cloverwell/control/server/settings.py
+++ b/cloverwell/control/server/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cloverwell.membership.listing import ServerListError, split_address
+from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
 Address = tuple[str, int]
 
@@ -91,5 +91,5 @@
         raise NodeFileError(f"{field}: is missing")
     try:
         return split_address(text)
-    except ServerListError as error:
+    except EndpointListError as error:
         raise NodeFileError(f"{field}: {error}") from None
--- a/cloverwell/control/subscribers.py
+++ b/cloverwell/control/subscribers.py
@@ -16,7 +16,7 @@
 from collections import Counter, deque
 from typing import NamedTuple
 
-from cloverwell.control.effects import CloseProxy, NodeEffect, SendProxy
+from cloverwell.control.effects import CloseSubscriber, NodeEffect, SendToSubscriber
 from cloverwell.control.entry import Position, Snapshot
 from cloverwell.control.messages import (
     MAX_REASON_CHARS,
@@ -145,7 +145,7 @@
         displaced_runs: tuple[int, ...] = ()
         if (old := self._connections.get(message.proxy)) is not None:
             displaced_runs = self._remove(old).displaced_by(message)
-            effects.append(CloseProxy(old))
+            effects.append(CloseSubscriber(old))
         self._lost.pop(message.proxy, None)
         subscriber = Subscriber(message, now, displaced_runs)
         self._subscribers[connection] = subscriber
@@ -169,7 +169,7 @@
         if connection not in self._subscribers:
             return []
         self._remove(connection)
-        return [CloseProxy(connection)]
+        return [CloseSubscriber(connection)]
 
     def disconnected(self, connection: int, now: float) -> None:
         """The connection has ended without a goodbye; the proxy may still serve."""
@@ -185,7 +185,7 @@
         if connection is None or not self._subscribers[connection].run_attempt.precedes(elsewhere):
             return []
         self._remove(connection)
-        return [CloseProxy(connection)]
+        return [CloseSubscriber(connection)]
 
     def feed(self) -> list[NodeEffect]:
         """To each subscriber what it may be sent now; to be called when entries have been committed."""
@@ -199,7 +199,7 @@
         for connection in silent:
             self._lose(connection, now)
         self._lost = {proxy: lost for proxy, lost in self._lost.items() if lost[1] > now}
-        return [CloseProxy(connection) for connection in silent]
+        return [CloseSubscriber(connection) for connection in silent]
 
     def heartbeats(self, lease_ms: float, fleet: FleetCount, now: float) -> list[NodeEffect]:
         return [
@@ -213,7 +213,9 @@
         if subscriber is None:
             return []
         lease_ms = lease_ms + now - subscriber.heard_at if lease_ms else 0.0
-        return [SendProxy(connection, Heartbeat(self._log.committed, subscriber.token, lease_ms, fleet))]
+        return [
+            SendToSubscriber(connection, Heartbeat(self._log.committed, subscriber.token, lease_ms, fleet))
+        ]
 
     # Sums
 
@@ -250,7 +252,7 @@
         return None if self._subscribers[old].gives_way_to(message) else RefusalReason.INVALID
 
     def _refuse(self, connection: int, reason: RefusalReason) -> list[NodeEffect]:
-        return [SendProxy(connection, Refusal(reason)), CloseProxy(connection)]
+        return [SendToSubscriber(connection, Refusal(reason)), CloseSubscriber(connection)]
 
     def _strays(self, subscriber: Subscriber, position: Position) -> bool:
         """Whether it has told a position that the log, which still goes back so far, does not have."""
@@ -281,13 +283,13 @@
         message = Entries(subscriber.sent, entries)
         sizes = [(entry.index, len(entry.payload)) for entry in entries]
         subscriber.entries_sent(self._log.position_at(entries[-1].index), sizes)
-        return [SendProxy(connection, message)]
+        return [SendToSubscriber(connection, message)]
 
     def _send_snapshot(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
         if self._snapshot is None or self._snapshot.position != self._log.committed:
             self._snapshot = self._log.committed_snapshot()
         subscriber.snapshot_sent(self._snapshot.position)
-        return [SendProxy(connection, Snapshotted(self._snapshot))]
+        return [SendToSubscriber(connection, Snapshotted(self._snapshot))]
 
     def _remove(self, connection: int) -> Subscriber:
         subscriber = self._subscribers.pop(connection)
--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -15,7 +15,7 @@
 
 from cloverwell.control.choice import NodeChoice
 from cloverwell.control.delivery import Delivery, DeliveryError
-from cloverwell.control.effects import Connect, Disconnect, ProxyEffect, SendNode
+from cloverwell.control.effects import ConnectToNode, DisconnectFromNode, ProxyEffect, SendToControlNode
 from cloverwell.control.entry import EntryKind, Position, Snapshot
 from cloverwell.control.fleet import divide_by
 from cloverwell.control.messages import (
@@ -175,7 +175,7 @@
             now,
             self._last_node if self._last_node != self._choice.node() else "",
         )
-        effects: list[ProxyEffect] = [SendNode(attempt, subscribe)]
+        effects: list[ProxyEffect] = [SendToControlNode(attempt, subscribe)]
         if self._delivery.refused is not None:
             effects.append(self._acknowledge(now))
         return effects
@@ -220,9 +220,9 @@
         """The proxy stops in good order: it won't be counted as one that may live unseen."""
         effects: list[ProxyEffect] = []
         if self._connected:
-            effects.append(SendNode(self._attempt, Goodbye()))
+            effects.append(SendToControlNode(self._attempt, Goodbye()))
         if self._trying:
-            effects.append(Disconnect(self._attempt))
+            effects.append(DisconnectFromNode(self._attempt))
         self._let_go(NEVER)
         return effects
 
@@ -233,18 +233,18 @@
         self._attempt_at = now
         self._trying = True
         self._deadline = now + self._timing.connect_ms
-        return [Connect(self._choice.node(), self._attempt)]
+        return [ConnectToNode(self._choice.node(), self._attempt)]
 
     def _fail(self, reason: str, now: float, ended: bool = False) -> list[ProxyEffect]:
         """Leaves the present node for the next one, at once or after a while."""
         self._last_failure = f"{self._choice.node()}: {reason}"
-        effects: list[ProxyEffect] = [] if ended else [Disconnect(self._attempt)]
+        effects: list[ProxyEffect] = [] if ended else [DisconnectFromNode(self._attempt)]
         wait = self._choice.failed()
         self._let_go(now + wait)
         return effects + (self._try_node(now) if not wait else [])
 
     def _go_home(self, now: float) -> list[ProxyEffect]:
-        effects: list[ProxyEffect] = [Disconnect(self._attempt)]
+        effects: list[ProxyEffect] = [DisconnectFromNode(self._attempt)]
         self._choice.go_home()
         self._let_go(now)
         return effects + self._try_node(now)
@@ -292,4 +292,4 @@
         message = Acknowledge(
             self.position, now, refused.index if refused else 0, refused.reason if refused else ""
         )
-        return SendNode(self._attempt, message)
+        return SendToControlNode(self._attempt, message)
--- a/cloverwell/counts.py
+++ b/cloverwell/counters.py
@@ -5,7 +5,7 @@
 MAX_NAMES = 200  # names are made of words of ours alone; more of them would be a fault
 
 
-class Counts:
+class Counters:
     """Numbers that are added up, and highest values, both since the last `line`."""
 
     def __init__(self) -> None:
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -4,13 +4,13 @@
 from collections.abc import Callable
 
 from cloverwell import facade as f
-from cloverwell.back.pools import Pools
-from cloverwell.counts import Counts
-from cloverwell.facade import Facade, Outcome
-from cloverwell.flow import Flow
+from cloverwell.back.pools import NodePools
+from cloverwell.counters import Counters
+from cloverwell.facade import AttemptOutcome, Facade
 from cloverwell.log import Log
-from cloverwell.request import Attempt, Failed, Refused, Request, Served
-from cloverwell.timer_wheel import Wheel
+from cloverwell.request import Attempt, Failed, Rejected, Request, Served
+from cloverwell.streamed_value import StreamedValue
+from cloverwell.timer_wheel import TimerWheel
 
 # Before its client gives up, a request that nothing has ended is failed. The module ends its attempts two
 # ticks and 2 ms before: a guard rounded down into the tick of those would fail what is to be refused.
@@ -20,9 +20,11 @@
 
 
 class Dispatcher:
-    def __init__(self, facade: Facade, wheel: Wheel, pools: Pools, log: Log, counts: Counts) -> None:
+    def __init__(
+        self, facade: Facade, timer_wheel: TimerWheel, pools: NodePools, log: Log, counts: Counters
+    ) -> None:
         self._facade = facade
-        self._wheel = wheel
+        self._wheel = timer_wheel
         self._pools = pools
         self._log = log
         self._counts = counts
@@ -31,7 +33,7 @@
         self._close_by_ms = math.inf
         self.watch: Callable[[], None] = lambda: None  # the server list's
         self.list_age_ms: Callable[[], float] = lambda: 0.0  # the same
-        wheel.each_tick = self.settle
+        timer_wheel.each_tick = self.settle
 
     @property
     def open_count(self) -> int:
@@ -52,7 +54,7 @@
         bound = self._facade.settings.max_open
         if bound and len(self._open) >= bound:
             self._counts.add("refused.open")
-            request.finish(Refused(self._facade.settings.max_retry_after_ms))
+            request.finish(Rejected(self._facade.settings.max_retry_after_ms))
             return
         self._open[request.id] = request
         request.guard = self._wheel.at(request.deadline_ms - GUARD_MS, lambda: self._overdue(request))
@@ -75,19 +77,19 @@
         closed = [request for request in requests if not request.over]
         for request in closed:
             request.close()
-            self._facade.report(request, f.Gone())
+            self._facade.report(request, f.ClientDisconnected())
         for request in closed:
             for attempt in list(request.attempts.values()):
                 # A write that is out is let finish. One that waits for a connection, or for the close of the
                 # one before, is not sent on for nobody.
                 if not request.write or attempt.pool.unsent(attempt):
-                    attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
+                    attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
             self._forget(request)
         if closed:
             self.settle()
 
-    def news(self, told: f.News | f.NoNews) -> None:
-        self._facade.report(f.Watch(), told)
+    def news(self, told: f.EndpointUpdate | f.EndpointUpdateFailed) -> None:
+        self._facade.report(f.WatchEndpoints(), told)
         self.settle()
 
     def settle(self) -> None:
@@ -102,43 +104,43 @@
         finally:
             self._settling = False
 
-    def _carry_out_other(self, choice: f.Choice) -> None:
+    def _carry_out_other(self, choice: f.Decision) -> None:
         match choice:
-            case f.Send(name):
+            case f.SendAttempt(name):
                 request = self._open.get(name)
                 if request is None or request.over:
                     # Chosen as its client left: unreported, it would hold a place for good.
-                    self._facade.report(choice, Outcome.NOT_SENT, True)
+                    self._facade.report(choice, AttemptOutcome.NOT_SENT, True)
                 else:
                     self._carry_out(choice, request)
-            case f.Refuse(name) | f.Fail(name):
+            case f.RejectRequest(name) | f.FailRequest(name):
                 if (request := self._open.get(name)) is not None:
                     self._carry_out(choice, request)
-            case f.CallOff(name, number):
+            case f.CancelAttempt(name, number):
                 request = self._open.get(name)
                 if request is not None and (attempt := request.attempts.get(number)) is not None:
-                    attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
-            case f.HangUp(node):
+                    attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
+            case f.CloseConnections(node):
                 self._pools.hang_up(node)
-            case f.Watch():
+            case f.WatchEndpoints():
                 self.watch()
-            case f.Note(text):
+            case f.LogEvent(text):
                 self._log.info("decision", text)
 
-    def _carry_out(self, choice: f.Choice, request: Request) -> None:
+    def _carry_out(self, choice: f.Decision, request: Request) -> None:
         match choice:
-            case f.Send():
+            case f.SendAttempt():
                 self._start(choice, request)
-            case f.Refuse(_, retry_after_ms, reason):
+            case f.RejectRequest(_, retry_after_ms, reason):
                 self._counts.add(f"refused.{reason}")
-                request.finish(Refused(retry_after_ms))
+                request.finish(Rejected(retry_after_ms))
                 self._forget(request)
-            case f.Fail(_, reason):
+            case f.FailRequest(_, reason):
                 self._counts.add(f"failed.{reason}")
                 request.finish(Failed())
                 self._forget(request)
 
-    def _start(self, choice: f.Send, request: Request) -> None:
+    def _start(self, choice: f.SendAttempt, request: Request) -> None:
         now = self._wheel.now()
         settings = self._facade.settings
         write_by = now + min(choice.timeout_ms, settings.connect_timeout_ms)
@@ -161,7 +163,11 @@
     def _await_close(self, attempt: Attempt) -> None:
         """The close that the attempt waits for has left with this turn of the loop at the latest, and by so
         much later as that was held up."""
-        late_ms = self._wheel.lag_ms if self._wheel.lag_ms > self._wheel.granularity_ms else 0.0
+        late_ms = (
+            self._wheel.last_tick_delay_ms
+            if self._wheel.last_tick_delay_ms > self._wheel.granularity_ms
+            else 0.0
+        )
         clear_ms = attempt.request.clear_ms + late_ms
         if clear_ms > self._wheel.now():
             self._wheel.not_before(clear_ms, lambda: self._start_clear(attempt))
@@ -173,19 +179,19 @@
             attempt.pool.start(attempt)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        attempt.pool.give_up(attempt, Outcome.TIMED_OUT)
+        attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _ended(self, attempt: Attempt, outcome: Outcome, body: bytes | Flow) -> None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
         request = attempt.request
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
         request.attempts.pop(attempt.choice.number, None)
         self._count_told(attempt)
         if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
             request.ran_ms = min(request.ran_ms or attempt.runs_from_ms, attempt.runs_from_ms)
-        if outcome is Outcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             request.finish(Served(body))
         choice = self._facade.report(attempt.choice, outcome, request.over)
-        if outcome is Outcome.NOT_SENT and self._may_pick_again(request, choice):
+        if outcome is AttemptOutcome.NOT_SENT and self._may_pick_again(request, choice):
             again_ms = self._wheel.now() + PICK_AGAIN_MS
             self._wheel.not_before(again_ms, lambda: self._pick_again(request, choice))
         elif not request.over:
@@ -193,12 +199,12 @@
         self._forget(request)
         self.settle()
 
-    def _may_pick_again(self, request: Request, choice: f.Choice) -> bool:
+    def _may_pick_again(self, request: Request, choice: f.Decision) -> bool:
         """The module has no further attempt for a request that this machine alone kept from being sent, and
         there is time for one: what it was short of may be there by then."""
         if request.over or request.attempts or request.ran_ms is not None:
             return False
-        if not isinstance(choice, f.Refuse | f.Fail):
+        if not isinstance(choice, f.RejectRequest | f.FailRequest):
             return False
         if self._facade.settings.classes[request.class_number].in_turn:
             return False  # picked anew, others with its key would overtake it
@@ -206,7 +212,7 @@
         latest_ms = self._answer_by_ms(request) - GUARD_MS - 2.0 * self._wheel.granularity_ms
         return self._wheel.now() + PICK_AGAIN_MS < latest_ms
 
-    def _pick_again(self, request: Request, before: f.Choice) -> None:
+    def _pick_again(self, request: Request, before: f.Decision) -> None:
         """`before`: what the module had left for it; that stands where a hold-up has taken its time."""
         if request.over:
             return
@@ -231,9 +237,9 @@
         # The module ends every request in time; this guards the client against a fault in either of us.
         if request.finish(Failed()):
             self._log.warn("overdue", f"request {request.id} was failed at its deadline")
-            self._facade.report(request, f.Gone())
+            self._facade.report(request, f.ClientDisconnected())
             for attempt in list(request.attempts.values()):
-                attempt.pool.give_up(attempt, Outcome.TIMED_OUT)
+                attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
             self._forget(request)
             self.settle()
 
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -15,7 +15,7 @@
 from balancer.api import Effect, ListKind, ServerEntry, Status
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
     SERVED = Status.OK
@@ -29,10 +29,10 @@
     NOT_SENT = Status.MOOT  # its request was over, or this machine at fault: it says nothing of the server
 
 
-NEVER_RAN = tuple(Outcome(status) for status in api.NEVER_RAN)
+NEVER_RAN = tuple(AttemptOutcome(status) for status in api.NEVER_RAN)
 
 
-class Subject(Protocol):
+class RoutableRequest(Protocol):
     """What the facade has to know of a request."""
 
     id: str
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendAttempt:
     """One attempt, to be made now."""
 
     request: str
@@ -55,12 +55,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wait:
+class Undecided:
     """Nothing to do for now; a later `tick` has the next choice."""
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class RejectRequest:
     """Final answer: a new try does no harm, best after that time."""
 
     request: str
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fail:
+class FailRequest:
     """Final answer that promises nothing."""
 
     request: str
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallOff:
+class CancelAttempt:
     """Stop waiting for an attempt that is out."""
 
     request: str
@@ -85,26 +85,26 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HangUp:
+class CloseConnections:
     """Close the idle connections to a node."""
 
     node: str
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class WatchEndpoints:
     """Discovery's news are wanted from now; report them, or the failure, with `report`."""
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogEvent:
     """A line for the log."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class EndpointUpdate:
     """What discovery told: the whole list, or just what changed."""
 
     revision: int
@@ -114,21 +114,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NoNews:
+class EndpointUpdateFailed:
     """A call to discovery failed; the list stays."""
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class ClientDisconnected:
     """The client has gone away; reported with the request."""
 
 
-Choice = Send | Wait | Refuse | Fail | CallOff | HangUp | Watch | Note
-WAIT = Wait()
+Decision = (
+    SendAttempt
+    | Undecided
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | CloseConnections
+    | WatchEndpoints
+    | LogEvent
+)
+UNDECIDED = Undecided()
 
 
 @dataclass(slots=True)
-class Tally:
+class AttemptCount:
     """A request's attempts: chosen so far, which numbers them, and out now."""
 
     chosen: int = 0
@@ -143,10 +152,10 @@
         self._balancer = Balancer(replace(settings, may_probe=False), seed)
         self._now = now
         self._timers: list[tuple[float, int]] = []
-        self._pending: deque[Choice] = deque()
-        self._attempts: dict[str, Tally] = {}  # of the requests that had an attempt and are not over
+        self._pending: deque[Decision] = deque()
+        self._attempts: dict[str, AttemptCount] = {}  # of the requests that had an attempt and are not over
 
-    def pick(self, request: Subject) -> Choice:
+    def pick(self, request: RoutableRequest) -> Decision:
         """The first choice for a new request."""
         event = api.Request(
             request.id,
@@ -159,30 +168,33 @@
         return self._hand_over(self._now(), event, request.id)
 
     def report(
-        self, subject: "Send | Subject | Watch", outcome: Outcome | Gone | News | NoNews, over: bool = False
-    ) -> Choice:
+        self,
+        subject: SendAttempt | RoutableRequest | WatchEndpoints,
+        outcome: AttemptOutcome | ClientDisconnected | EndpointUpdate | EndpointUpdateFailed,
+        over: bool = False,
+    ) -> Decision:
         """How an attempt or a watch ended, or that the client left; `over`: its answer has been given."""
         now = self._now()
         match outcome:
-            case Outcome():
+            case AttemptOutcome():
                 name = subject.request
-                ended = over or outcome is Outcome.SERVED
+                ended = over or outcome is AttemptOutcome.SERVED
                 self._attempts[name].out -= 1
                 if ended:
                     self._forget(name)
                 event = api.Outcome(name, subject.node, subject.number, outcome.value, 0.0, ended)
                 return self._hand_over(now, event, name)
-            case Gone():
+            case ClientDisconnected():
                 self._forget(subject.id)
                 return self._hand_over(now, api.ClientGone(subject.id), subject.id)
-            case News():
+            case EndpointUpdate():
                 kind = ListKind.FULL if outcome.complete else ListKind.DELTA
                 kind = ListKind.CACHED if outcome.held else kind
                 return self._hand_over(now, api.ServerList(kind, outcome.revision, outcome.entries), None)
-            case NoNews():
+            case EndpointUpdateFailed():
                 return self._hand_over(now, api.ServerList(ListKind.FAILED), None)
 
-    def tick(self, now: float) -> list[Choice]:
+    def tick(self, now: float) -> list[Decision]:
         """The choices that are due for others: what the last calls left, and what timers bring."""
         while self._timers and self._timers[0][0] <= now:
             _, token = heapq.heappop(self._timers)
@@ -200,43 +212,43 @@
         if (tally := self._attempts.get(request)) is not None and not tally.out:
             del self._attempts[request]
 
-    def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Choice:
-        choice: Choice = WAIT
+    def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Decision:
+        choice: Decision = UNDECIDED
         for action in self._balancer.handle(now, event):
             if type(action) is api.SetTimer:
                 heapq.heappush(self._timers, (now + action.delay_ms, action.token))
                 continue
             meant = self._read(action)
-            for_one = isinstance(meant, Send | Refuse | Fail)
-            if for_one and choice is WAIT and meant.request == mine:
+            for_one = isinstance(meant, SendAttempt | RejectRequest | FailRequest)
+            if for_one and choice is UNDECIDED and meant.request == mine:
                 choice = meant
             else:
                 self._pending.append(meant)
         return choice
 
-    def _read(self, action: api.Action) -> Choice:
+    def _read(self, action: api.Action) -> Decision:
         match action:
             case api.Send(name, node, timeout_ms):
-                tally = self._attempts.setdefault(name, Tally())
+                tally = self._attempts.setdefault(name, AttemptCount())
                 tally.chosen += 1
                 tally.out += 1
-                return Send(name, node, tally.chosen - 1, timeout_ms)
+                return SendAttempt(name, node, tally.chosen - 1, timeout_ms)
             case api.Refuse(name, retry_after_ms, reason):
                 self._forget(name)
-                return Refuse(name, retry_after_ms, reason)
+                return RejectRequest(name, retry_after_ms, reason)
             case api.Fail(name, reason):
                 self._forget(name)
-                return Fail(name, reason)
+                return FailRequest(name, reason)
             case api.Cancel(name, number):
-                return CallOff(name, number)
+                return CancelAttempt(name, number)
             case api.Close(node):
-                return HangUp(node)
+                return CloseConnections(node)
             case api.Subscribe():
-                return Watch()
+                return WatchEndpoints()
             case api.Log(text):
-                return Note(text)
+                return LogEvent(text)
         # Probes are never carried out, and the module is told that they may not be (see __init__).
-        return Note(f"not carried out: {action}")
+        return LogEvent(f"not carried out: {action}")
 
 
 def resend_window_ms(settings: api.Settings, class_number: int) -> float | None:
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -14,12 +14,12 @@
 from cloverwell.codec.meta import CommandError, read_fields
 from cloverwell.codec.steady_socket import TryAgainError
 from cloverwell.connections.arrival import Arrival
-from cloverwell.flow import Flow, Stage
 from cloverwell.front.connection_owner import ConnectionOwner
 from cloverwell.front.meta_answers import BUSY, DRAINING, FAILED, SERVING, encode_answer
-from cloverwell.front.turn import Turn
-from cloverwell.request import Answer, Refused, Request, Served
-from cloverwell.timer_wheel import HELD_UP_MS
+from cloverwell.front.pending_response import PendingResponse
+from cloverwell.request import FinalAnswer, Rejected, Request, Served
+from cloverwell.streamed_value import StreamedValue, StreamStage
+from cloverwell.timer_wheel import STALL_MS
 
 AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
 MAX_PASSED = 1024 * 1024  # a longer value is not passed over: its client is told, and the connection closed
@@ -39,17 +39,17 @@
     def __init__(self, side: ConnectionOwner) -> None:
         super().__init__()
         self._side = side
-        self._turns: deque[Turn] = deque()
-        self._write: Turn | None = None  # its request waits for the value
+        self._turns: deque[PendingResponse] = deque()
+        self._write: PendingResponse | None = None  # its request waits for the value
         self._skip = 0  # bytes to pass over, of a value that is not wanted
         self._error = ""  # what is wrong with the command whose value is passed over
         self._errors = 0  # malformed commands in a row
         self._paused = False  # for a while, behind an error
         self._first = True  # nothing has been read yet
         self._begun = False  # a command has begun and is not whole
-        self._flow: Flow | None = None  # the long value that is on its way out
+        self._flow: StreamedValue | None = None  # the long value that is on its way out
         self._arrival = Arrival()
-        self._made_ms = self.shut_ms = side.wheel.now()  # when our side was closed
+        self._made_ms = self.shut_ms = side.timer_wheel.now()  # when our side was closed
 
     def waited(self, since_ms: float) -> None:
         """It waited to be accepted: what it has sent may have come since then."""
@@ -66,13 +66,15 @@
             return
         # It may have waited to be let in, or for a loop that was held up, and its client have left since: the
         # close stands behind what is read now.
-        behind_ms = self._side.wheel.behind_ms
-        old, self._first = self._first or behind_ms > HELD_UP_MS, False
+        unread_delay_ms = self._side.timer_wheel.unread_delay_ms
+        old, self._first = self._first or unread_delay_ms > STALL_MS, False
         if old and hung_up([self._socket]):
             self._side.have_left([self])
             return
         if not self._held:  # else it stands behind what came before
-            self._arrival.read(self._side.wheel.now(), not (len(self._in) or self._wanted), behind_ms)
+            self._arrival.read(
+                self._side.timer_wheel.now(), not (len(self._in) or self._wanted), unread_delay_ms
+            )
             self._look_behind()
         super().dataReceived(data)
         begun, self._begun = self._begun, self.halfway
@@ -84,7 +86,7 @@
     def hold(self) -> None:
         super().hold()
         self._side.not_read[self] = None
-        self._arrival.not_read(self._side.wheel.now())
+        self._arrival.not_read(self._side.timer_wheel.now())
 
     def release(self) -> None:
         self._side.not_read.pop(self, None)
@@ -121,8 +123,8 @@
         if not self._paused:
             self._paused = True
             self.transport.pauseProducing()
-            wheel = self._side.wheel
-            wheel.not_before(wheel.now() + wait_ms, self._go_on)
+            timer_wheel = self._side.timer_wheel
+            timer_wheel.not_before(timer_wheel.now() + wait_ms, self._go_on)
 
     def _go_on(self) -> None:
         self._paused = False
@@ -195,9 +197,9 @@
         self._arrival.ended()
         return None
 
-    def _parse_request(self, key: str, flags: list[str], write: bool) -> Turn:
+    def _parse_request(self, key: str, flags: list[str], write: bool) -> PendingResponse:
         fields = read_fields(key, flags, self._side.classes, self._side.tenants)
-        turn = Turn()
+        turn = PendingResponse()
         turn.request = Request(
             id=fields.id,
             class_number=fields.class_number,
@@ -211,24 +213,24 @@
         )
         return turn
 
-    def _give(self, turn: Turn, request: Request, answer: Answer) -> None:
+    def _give(self, turn: PendingResponse, request: Request, answer: FinalAnswer) -> None:
         turn.request = None  # each knows the other: a cycle for every request is work for the collector
         turn.data = encode_answer(request, answer)
-        if isinstance(answer, Served) and isinstance(answer.body, Flow):
+        if isinstance(answer, Served) and isinstance(answer.body, StreamedValue):
             turn.flow = answer.body
             turn.flow.wanted = True
         self._flush()
 
-    def _take(self, turn: Turn) -> None:
+    def _take(self, turn: PendingResponse) -> None:
         self._errors = 0
         # `d` counts from its first byte, which may have lain unread, or come long before a slow last one.
-        turn.request.left_ms = self._arrival.left_ms(self._side.wheel.now(), turn.request.left_ms)
+        turn.request.left_ms = self._arrival.left_ms(self._side.timer_wheel.now(), turn.request.left_ms)
         self._turns.append(turn)
         self._side.busy(self)
         if len(self._turns) >= AHEAD:
             self.hold()
         if self._side.crowded():
-            turn.request.finish(Refused(self._side.busy_ms))
+            turn.request.finish(Rejected(self._side.busy_ms))
         else:
             self._side.dispatcher.take(turn.request)
 
@@ -258,14 +260,16 @@
     # Answers -----------------------------------------------------------------------------------
 
     def _say(self, data: bytes) -> None:
-        self._turns.append(Turn(data))
+        self._turns.append(PendingResponse(data))
         self._flush()
 
     def _flush(self) -> None:
         """Sends the answers whose turn it is, as far as there is room."""
         while self._turns and self._turns[0].data is not None:
             turn = self._turns[0]
-            if turn.flow is not None and turn.flow.stage is Stage.ENDED:  # it broke before its turn came
+            if (
+                turn.flow is not None and turn.flow.stage is StreamStage.ENDED
+            ):  # it broke before its turn came
                 turn.data, turn.flow = FAILED, None
             if not self.put(turn.data):
                 break
@@ -292,7 +296,7 @@
             self._flow.go_on()
         self._flush()
 
-    def _begin(self, flow: Flow) -> None:
+    def _begin(self, flow: StreamedValue) -> None:
         self._flow = flow
         self._side.flows += 1
         flow.open(self._pass_on, self._passed)
@@ -313,7 +317,7 @@
         else:
             self.end()  # behind a part of the value: its client can tell
 
-    def _end_flow(self) -> Flow:
+    def _end_flow(self) -> StreamedValue:
         flow, self._flow = self._flow, None
         self._side.flows -= 1
         return flow
@@ -344,7 +348,7 @@
     @property
     def awaits_first(self) -> bool:
         """Its first request may be on the way: closed now, it would be read and get no answer."""
-        return self._first and self._side.wheel.now() - self._made_ms < FIRST_REQUEST_MS
+        return self._first and self._side.timer_wheel.now() - self._made_ms < FIRST_REQUEST_MS
 
     def time_out(self) -> bool:
         """It has had no open request for long enough: tells of half a command, and closes."""
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -7,7 +7,7 @@
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.serving import Serving
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 
 
 class ConnectionOwner(Protocol):
@@ -15,7 +15,7 @@
 
     dispatcher: Dispatcher
     serving: Serving
-    wheel: Wheel
+    timer_wheel: TimerWheel
     classes: dict[str, int]  # place by name
     tenants: dict[str, int]
     not_read: dict[RingLineReceiver, None]
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -1,4 +1,7 @@
-"""The operators' port: HTTP/1.1, one call to a connection. It has no state of its own and asks `Desk`."""
+"""The operators' port: HTTP/1.1, one call to a connection.
+
+It has no state of its own and asks `OperatorService`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 from cloverwell.codec.steady_socket import steady
 from cloverwell.log import Log
-from cloverwell.timer_wheel import Timer, Wheel
+from cloverwell.timer_wheel import Timer, TimerWheel
 
 CALLERS = 8  # at once; one more, and the one that has stood longest is closed
 CALL_MS = 5000.0  # what a caller may take
@@ -21,7 +24,7 @@
 MAX_BODY = 4096  # no call has one; what comes all the same is thrown away
 
 
-class Desk(Protocol):
+class OperatorService(Protocol):
     """What may be asked: each call answers yes or no, but for `configuration`."""
 
     def ready(self) -> bool: ...
@@ -37,10 +40,10 @@
 class Operators(Factory):
     noisy = False
 
-    def __init__(self, desk: Desk, wheel: Wheel, log: Log) -> None:
+    def __init__(self, desk: OperatorService, timer_wheel: TimerWheel, log: Log) -> None:
         self._log = log
-        self.wheel = wheel
-        self.callers: dict[Caller, None] = {}  # the first has stood longest
+        self.timer_wheel = timer_wheel
+        self.callers: dict[OperatorConnection, None] = {}  # the first has stood longest
         self._calls = {"/ready": ("GET", desk.ready), "/drain": ("PUT", desk.drain)}
         self._calls["/undrain"] = ("PUT", desk.undrain)
         self._desk = desk
@@ -56,10 +59,10 @@
     def accepts_no_more(self) -> None:
         """How long a caller waits to be let in does not count."""
 
-    def buildProtocol(self, addr: IPv4Address) -> Caller:
+    def buildProtocol(self, addr: IPv4Address) -> OperatorConnection:
         while len(self.callers) >= CALLERS:
             next(iter(self.callers)).close()
-        caller = Caller(self)
+        caller = OperatorConnection(self)
         self.callers[caller] = None
         return caller
 
@@ -80,7 +83,7 @@
         return (200, "yes", []) if yes else (503, "no", [])
 
 
-class Caller(Connection):
+class OperatorConnection(Connection):
     """One caller's connection: a call comes, its answer leaves, and that was all."""
 
     def __init__(self, side: Operators) -> None:
@@ -93,8 +96,8 @@
 
     def connectionMade(self) -> None:
         steady(self.transport)
-        wheel = self._side.wheel
-        self._timer = wheel.at(wheel.now() + CALL_MS, self.close)
+        timer_wheel = self._side.timer_wheel
+        self._timer = timer_wheel.at(timer_wheel.now() + CALL_MS, self.close)
 
     def dataReceived(self, data: bytes) -> None:
         if self._answered:
--- a/cloverwell/front/turn.py
+++ b/cloverwell/front/pending_response.py
@@ -1,10 +1,10 @@
 """One command's place in the order of a connection's answers."""
 
-from cloverwell.flow import Flow
 from cloverwell.request import Request
+from cloverwell.streamed_value import StreamedValue
 
 
-class Turn:
+class PendingResponse:
     """`data`: its answer, once there is one; `request`: until then; `flow`: a long value behind `data`."""
 
     __slots__ = ("data", "flow", "request")
@@ -12,4 +12,4 @@
     def __init__(self, data: bytes | None = None) -> None:
         self.data = data
         self.request: Request | None = None
-        self.flow: Flow | None = None
+        self.flow: StreamedValue | None = None
--- a/cloverwell/gossip/view.py
+++ b/cloverwell/gossip/view.py
@@ -27,15 +27,15 @@
     MOST_PROXIES,
     MOST_RUMOURS,
     NOBODY,
-    Kind,
+    DatagramKind,
+    MembershipUpdate,
+    MemberStatus,
     Message,
-    Rumour,
-    State,
 )
 
 
 @dataclass(slots=True, frozen=True)
-class Figures:
+class GossipTiming:
     """The defaults: for datagrams that take up to 17 ms one way."""
 
     period_ms: float = 200.0  # one ping
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
+class OutgoingDatagram:
     """A message to be sent to a proxy, by its number."""
 
     to: int
@@ -56,25 +56,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class MemberChange:
     proxy: int
-    state: State
+    state: MemberStatus
     incarnation: int
 
 
 @dataclass(slots=True)
-class Known:
+class MemberState:
     """What is held of one other proxy."""
 
     incarnation: int
-    state: State
+    state: MemberStatus
     since_ms: float  # of that state
     asked_ms: float = -math.inf  # while it is suspected: its last ping
     ours: bool = False  # it is suspected since it did not answer this proxy
 
 
 @dataclass(slots=True)
-class Trial:
+class PendingProbe:
     """The ping that is out."""
 
     whom: int
@@ -85,16 +85,16 @@
 
 
 @dataclass
-class View:
+class MembershipView:
     """`number`: this proxy's among `total`; deterministic by its seed."""
 
     number: int
     total: int
     incarnation: int
     seed: int
-    figures: Figures = field(default_factory=Figures)
-    known: dict[int, Known] = field(default_factory=dict)  # by number; at most `total` - 1
-    changes: list[Change] = field(default_factory=list)  # since they were taken last
+    figures: GossipTiming = field(default_factory=GossipTiming)
+    known: dict[int, MemberState] = field(default_factory=dict)  # by number; at most `total` - 1
+    changes: list[MemberChange] = field(default_factory=list)  # since they were taken last
     stale: int = 0  # messages of an incarnation that has been overtaken
 
     def __post_init__(self) -> None:
@@ -102,7 +102,7 @@
             raise ValueError(f"number: must be under total, and total at most {MOST_PROXIES}")
         self._rng = Random(self.seed)
         self._turn: list[int] = []  # whom to ping in this round yet
-        self._trial: Trial | None = None
+        self._trial: PendingProbe | None = None
         self._sequence = 0
         self._errands: dict[int, tuple[int, int, float]] = {}  # our sequence -> (asker, its sequence, when)
         self._news: dict[int, int] = {}  # number -> how often its state is to be told yet
@@ -116,15 +116,15 @@
 
     def alive(self) -> set[int]:
         """Those not known to be dead, and this proxy itself: a suspect still lives."""
-        return {self.number} | {n for n, known in self.known.items() if known.state is not State.DEAD}
+        return {self.number} | {n for n, known in self.known.items() if known.state is not MemberStatus.DEAD}
 
-    def take_changes(self) -> list[Change]:
+    def take_changes(self) -> list[MemberChange]:
         taken, self.changes = self.changes, []
         return taken
 
     # What comes in ------------------------------------------------------------------------------
 
-    def receive(self, now: float, message: Message) -> list[Out]:
+    def receive(self, now: float, message: Message) -> list[OutgoingDatagram]:
         """A message, already decoded; one that names numbers outside the tier is dropped whole."""
         numbers = {message.sender, *(rumour.proxy for rumour in message.rumours)}
         if message.sender == self.number or max(numbers) >= self.total:
@@ -133,19 +133,19 @@
         if held is not None and message.incarnation < held.incarnation:
             self.stale += 1  # of a process that has been replaced, or sent before its denial
             return []
-        self._hear(now, Rumour(message.sender, message.incarnation, State.ALIVE))
+        self._hear(now, MembershipUpdate(message.sender, message.incarnation, MemberStatus.ALIVE))
         for rumour in message.rumours:
             self._hear(now, rumour)
         match message.kind:
-            case Kind.PING:
-                return [self._out(message.sender, Kind.ACK, message.sequence, self.number)]
-            case Kind.ASK if message.whom < self.total and message.whom != self.number:
+            case DatagramKind.PING:
+                return [self._out(message.sender, DatagramKind.ACK, message.sequence, self.number)]
+            case DatagramKind.ASK if message.whom < self.total and message.whom != self.number:
                 return self._run_errand(now, message)
-            case Kind.ACK:
+            case DatagramKind.ACK:
                 return self._take_ack(message)
         return []
 
-    def _run_errand(self, now: float, message: Message) -> list[Out]:
+    def _run_errand(self, now: float, message: Message) -> list[OutgoingDatagram]:
         old = [n for n, (_, _, at) in self._errands.items() if now - at > self.figures.period_ms]
         for sequence in old:
             del self._errands[sequence]
@@ -153,21 +153,21 @@
             return []
         sequence = self._next_sequence()
         self._errands[sequence] = (message.sender, message.sequence, now)
-        return [self._out(message.whom, Kind.PING, sequence)]
+        return [self._out(message.whom, DatagramKind.PING, sequence)]
 
-    def _take_ack(self, message: Message) -> list[Out]:
+    def _take_ack(self, message: Message) -> list[OutgoingDatagram]:
         errand = self._errands.pop(message.sequence, None)
         if errand is not None:
             asker, sequence, _ = errand
-            return [self._out(asker, Kind.ACK, sequence, message.sender)]
+            return [self._out(asker, DatagramKind.ACK, sequence, message.sender)]
         trial = self._trial
         if trial is not None and trial.sequence == message.sequence and trial.whom == message.whom:
             trial.answered = True
         return []
 
-    def _hear(self, now: float, rumour: Rumour) -> None:
+    def _hear(self, now: float, rumour: MembershipUpdate) -> None:
         if rumour.proxy == self.number:
-            if rumour.state is not State.ALIVE and rumour.incarnation >= self.incarnation:
+            if rumour.state is not MemberStatus.ALIVE and rumour.incarnation >= self.incarnation:
                 # Said of this process, or of one before it whose clock was ahead: it lives.
                 # The head of whatever it sends says so.
                 self.incarnation = min(MOST_INCARNATION, rumour.incarnation + 1)
@@ -177,20 +177,20 @@
             return
         self._hold(now, rumour)
 
-    def _hold(self, now: float, rumour: Rumour, ours: bool = False) -> None:
+    def _hold(self, now: float, rumour: MembershipUpdate, ours: bool = False) -> None:
         """What is news: it is told on, so often that all hear it with hardly any doubt."""
-        self.known[rumour.proxy] = Known(rumour.incarnation, rumour.state, now, ours=ours)
-        for state, numbers in ((State.DEAD, self._lost), (State.SUSPECT, self._suspects)):
+        self.known[rumour.proxy] = MemberState(rumour.incarnation, rumour.state, now, ours=ours)
+        for state, numbers in ((MemberStatus.DEAD, self._lost), (MemberStatus.SUSPECT, self._suspects)):
             if rumour.state is state:
                 numbers.add(rumour.proxy)
             else:
                 numbers.discard(rumour.proxy)
-        self.changes.append(Change(rumour.proxy, rumour.state, rumour.incarnation))
+        self.changes.append(MemberChange(rumour.proxy, rumour.state, rumour.incarnation))
         self._news[rumour.proxy] = 3 * math.ceil(math.log2(self.total + 1))
 
     # What goes out ------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingDatagram]:
         """To be called at least a few times in each period."""
         self._make_up(now)
         out = self._judge(now) + self._advance(now)
@@ -210,7 +210,7 @@
         if self._trial is not None:
             self._trial.begun_ms += held_up_ms
 
-    def _call(self) -> list[Out]:
+    def _call(self) -> list[OutgoingDatagram]:
         """Calls some of the lost ones, each once before any a second time. News would be lost on them."""
         called: set[int] = set()
         while len(called) < min(self.figures.calls, len(self._lost)):
@@ -219,31 +219,34 @@
                 self._rng.shuffle(self._call_turn)
             called |= {self._call_turn.pop()} & self._lost
         return [
-            Out(number, self._message(Kind.PING, self._next_sequence(), NOBODY, self._told_dead(number)))
+            OutgoingDatagram(
+                number,
+                self._message(DatagramKind.PING, self._next_sequence(), NOBODY, self._told_dead(number)),
+            )
             for number in sorted(called)
         ]
 
-    def _told_dead(self, number: int) -> tuple[Rumour, ...]:
+    def _told_dead(self, number: int) -> tuple[MembershipUpdate, ...]:
         """What one that lives has to hear of itself, if it is held for dead or suspected."""
         held = self.known.get(number)
-        if held is None or held.state is State.ALIVE:
+        if held is None or held.state is MemberStatus.ALIVE:
             return ()
-        return (Rumour(number, held.incarnation, held.state),)
+        return (MembershipUpdate(number, held.incarnation, held.state),)
 
-    def _judge(self, now: float) -> list[Out]:
+    def _judge(self, now: float) -> list[OutgoingDatagram]:
         """A suspect is pinged again and again, since a lost datagram must not stand for it; then it dies."""
         out = []
         for number in sorted(self._suspects):
             known = self.known[number]
             if now - known.since_ms >= self.figures.suspect_ms:
-                self._hold(now, Rumour(number, known.incarnation, State.DEAD))
+                self._hold(now, MembershipUpdate(number, known.incarnation, MemberStatus.DEAD))
             elif now - known.asked_ms >= self.figures.answer_ms:
                 known.asked_ms = now
                 if known.ours or self._rng.random() * self.total < self.figures.suspect_pings:
-                    out.append(self._out(number, Kind.PING, self._next_sequence()))
+                    out.append(self._out(number, DatagramKind.PING, self._next_sequence()))
         return out
 
-    def _advance(self, now: float) -> list[Out]:
+    def _advance(self, now: float) -> list[OutgoingDatagram]:
         trial = self._trial
         if trial is None:
             return self._begin(now)
@@ -251,15 +254,15 @@
             trial.asked = True
             others = sorted(self.alive() - {self.number, trial.whom})
             helpers = self._rng.sample(others, min(self.figures.helpers, len(others)))
-            return [self._out(helper, Kind.ASK, trial.sequence, trial.whom) for helper in helpers]
+            return [self._out(helper, DatagramKind.ASK, trial.sequence, trial.whom) for helper in helpers]
         if now - trial.begun_ms < self.figures.period_ms:
             return []
         known = self.known[trial.whom]
-        if not trial.answered and known.state is State.ALIVE:
-            self._hold(now, Rumour(trial.whom, known.incarnation, State.SUSPECT), ours=True)
+        if not trial.answered and known.state is MemberStatus.ALIVE:
+            self._hold(now, MembershipUpdate(trial.whom, known.incarnation, MemberStatus.SUSPECT), ours=True)
         return self._begin(now)
 
-    def _begin(self, now: float) -> list[Out]:
+    def _begin(self, now: float) -> list[OutgoingDatagram]:
         """Pings the next one: each once in an order drawn anew, so that a death is met within a round."""
         self._trial = None
         while self._turn and self._turn[-1] in self._lost:
@@ -270,16 +273,18 @@
         if not self._turn:
             return []
         whom = self._turn.pop()
-        self._trial = Trial(whom, self._next_sequence(), now)
-        return [self._out(whom, Kind.PING, self._trial.sequence)]
+        self._trial = PendingProbe(whom, self._next_sequence(), now)
+        return [self._out(whom, DatagramKind.PING, self._trial.sequence)]
 
-    def _out(self, to: int, kind: Kind, sequence: int, whom: int = NOBODY) -> Out:
-        return Out(to, self._message(kind, sequence, whom, self._rumours(to)))
+    def _out(self, to: int, kind: DatagramKind, sequence: int, whom: int = NOBODY) -> OutgoingDatagram:
+        return OutgoingDatagram(to, self._message(kind, sequence, whom, self._rumours(to)))
 
-    def _message(self, kind: Kind, sequence: int, whom: int, rumours: tuple[Rumour, ...]) -> Message:
+    def _message(
+        self, kind: DatagramKind, sequence: int, whom: int, rumours: tuple[MembershipUpdate, ...]
+    ) -> Message:
         return Message(kind, self.number, self.incarnation, sequence, whom, rumours)
 
-    def _rumours(self, to: int) -> tuple[Rumour, ...]:
+    def _rumours(self, to: int) -> tuple[MembershipUpdate, ...]:
         """What is to be told yet, the least told first; a suspect always hears that it is one."""
         told = list(self._told_dead(to))
         room = MOST_RUMOURS - len(told)
@@ -289,7 +294,7 @@
                 del self._news[number]
             known = self.known[number]
             if number != to:
-                told.append(Rumour(number, known.incarnation, known.state))
+                told.append(MembershipUpdate(number, known.incarnation, known.state))
         return tuple(told)
 
     def _next_sequence(self) -> int:
--- a/cloverwell/gossip/wire.py
+++ b/cloverwell/gossip/wire.py
@@ -30,13 +30,13 @@
     """A datagram that is no message of ours; the text is one of few words, for the counts."""
 
 
-class Kind(IntEnum):
+class DatagramKind(IntEnum):
     PING = 0  # answer me
     ACK = 1  # the answer, to whom the ping came from
     ASK = 2  # ping `whom` for me, and tell me if it answers
 
 
-class State(IntEnum):
+class MemberStatus(IntEnum):
     """At one incarnation the higher one stands."""
 
     ALIVE = 0
@@ -45,22 +45,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rumour:
+class MembershipUpdate:
     proxy: int
     incarnation: int
-    state: State
+    state: MemberStatus
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
     """`sequence` is the asker's; `whom`: the proxy that an ASK is about, or whose life an ACK tells."""
 
-    kind: Kind
+    kind: DatagramKind
     sender: int
     incarnation: int
     sequence: int
     whom: int = NOBODY
-    rumours: tuple[Rumour, ...] = ()
+    rumours: tuple[MembershipUpdate, ...] = ()
 
 
 def encode(message: Message) -> bytes:
@@ -90,13 +90,15 @@
     if len(data) < HEAD:
         raise WireError("short")
     _, kind, sender, incarnation, sequence, whom, number = _HEAD.unpack_from(data)
-    if kind not in iter(Kind):
+    if kind not in iter(DatagramKind):
         raise WireError("kind")
     if len(data) != HEAD + RUMOUR * number:
         raise WireError("length")
     rumours = []
     for proxy, life, state in _RUMOUR.iter_unpack(data[HEAD:]):
-        if state not in iter(State):
+        if state not in iter(MemberStatus):
             raise WireError("state")
-        rumours.append(Rumour(proxy, int.from_bytes(life, "big"), State(state)))
-    return Message(Kind(kind), sender, int.from_bytes(incarnation, "big"), sequence, whom, tuple(rumours))
+        rumours.append(MembershipUpdate(proxy, int.from_bytes(life, "big"), MemberStatus(state)))
+    return Message(
+        DatagramKind(kind), sender, int.from_bytes(incarnation, "big"), sequence, whom, tuple(rumours)
+    )
--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from cloverwell.membership.listing import Listing, ServerListError, split_address
+from cloverwell.membership.endpoint_discovery import MAX_LIST
+from cloverwell.membership.endpoint_list import EndpointList, EndpointListError, split_address
 from cloverwell.membership.node_starts import KnownStarts
-from cloverwell.membership.server_list import MAX_LIST
 
 VERSION = 1
 MAX_HELLO = 1024
@@ -41,7 +41,7 @@
 
     version: int
     sockets: int
-    table: Listing
+    table: EndpointList
     node_starts: KnownStarts | None = None
 
     def keep_starts_of(self, asked_ms: float, received_ms: float) -> bool:
@@ -75,7 +75,7 @@
         try:
             for member in message.table.members:
                 split_address(member.host_port)
-        except ServerListError as error:
+        except EndpointListError as error:
             raise HandoverError(str(error)) from None
     return message
 
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -17,7 +17,7 @@
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
 from cloverwell.handover.sockets import clear, is_ours, short
 from cloverwell.log import Log
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 
 HELLO_MS = 1000.0  # what a caller may take to say what it wants
 CALLERS = 2  # at once: one that says nothing does not shut the successor out
@@ -48,14 +48,20 @@
     noisy = False
 
     def __init__(
-        self, reactor: Any, path: str, listen: tuple[str, int], owner: Owner, wheel: Wheel, log: Log
+        self,
+        reactor: Any,
+        path: str,
+        listen: tuple[str, int],
+        owner: Owner,
+        timer_wheel: TimerWheel,
+        log: Log,
     ):
         self._reactor = reactor
         self._path = path
         self._listen = f"{listen[0]}:{listen[1]}"
         self._port: Any = None
         self.owner = owner
-        self.wheel = wheel
+        self.timer_wheel = timer_wheel
         self.log = log
         self.successor: SuccessorConnection | None = None
         self._callers = 0
@@ -127,8 +133,8 @@
         self._timer: Any = None
 
     def connectionMade(self) -> None:
-        wheel = self._successor_listener.wheel
-        self._timer = wheel.at(wheel.now() + HELLO_MS, lambda: self._refuse("it says nothing"))
+        timer_wheel = self._successor_listener.timer_wheel
+        self._timer = timer_wheel.at(timer_wheel.now() + HELLO_MS, lambda: self._refuse("it says nothing"))
         if not is_ours(self.transport.getHandle()):
             self._refuse("it is another user's")
 
--- a/cloverwell/membership/server_list.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -10,17 +10,23 @@
 from twisted.python.failure import Failure
 
 from balancer.api import ServerEntry, ServerState, Settings
-from cloverwell.back.pools import Pools
+from cloverwell.back.pools import NodePools
 from cloverwell.codec.http import HttpReceiver, encode_request
-from cloverwell.counts import Counts
-from cloverwell.facade import News, NoNews
+from cloverwell.counters import Counters
+from cloverwell.facade import EndpointUpdate, EndpointUpdateFailed
 from cloverwell.log import Log
+from cloverwell.membership.endpoint_list import (
+    PHASES,
+    Endpoint,
+    EndpointList,
+    EndpointListError,
+    split_address,
+)
 from cloverwell.membership.list_retry import ANSWER_MS as RETRY_ANSWER_MS
 from cloverwell.membership.list_retry import ListRetry
-from cloverwell.membership.listing import PHASES, Listing, Member, ServerListError, split_address
 from cloverwell.membership.node_starts import KnownStarts, NodeStarts
 from cloverwell.system_calls import connect_fault
-from cloverwell.timer_wheel import Timer, Wheel
+from cloverwell.timer_wheel import Timer, TimerWheel
 
 # A watch that has fallen silent counts as told 6 s later, or 2 s after the end of its wait; soon after that a
 # node that drains must get nothing new. So it is found out, and the same is asked anew, before the first of
@@ -35,26 +41,26 @@
 MAX_LIST = 4 * 1024 * 1024  # no cap on its lines: a thousand of them, with long names and indented
 
 
-class ServerList:
+class EndpointDiscovery:
     """Tells the facade what discovery says, and the pools where a node is."""
 
     def __init__(
         self,
         reactor: IReactorTCP,
-        wheel: Wheel,
+        timer_wheel: TimerWheel,
         settings: Settings,
-        pools: Pools,
+        pools: NodePools,
         log: Log,
         discovery: tuple[str, int],
         read_epoch_ms: Callable[[], float],
-        counts: Counts,
+        counts: Counters,
         seed: int,
     ) -> None:
         """`read_epoch_ms`: what the wheel's clock showed when Unix time was 0, as the wall clock has it now;
         `seed`: this proxy's own."""
-        self.tell: Callable[[News | NoNews], None] = lambda told: None
+        self.tell: Callable[[EndpointUpdate | EndpointUpdateFailed], None] = lambda told: None
         self._reactor = reactor
-        self._wheel = wheel
+        self._wheel = timer_wheel
         self._settings = settings
         self._pools = pools
         self._log = log
@@ -62,7 +68,7 @@
         self._node_starts = NodeStarts(read_epoch_ms(), settings.warm_up_ms)
         self._read_epoch_ms = read_epoch_ms
         self._counts = counts
-        self._heard_ms = wheel.now()  # discovery's last answer
+        self._heard_ms = timer_wheel.now()  # discovery's last answer
         self._revision: int | None = None  # None: the whole list is to be asked for
         self._call: Call | None = None
         self._opener: _Opener | None = None
@@ -71,11 +77,11 @@
         self._pause: Timer | None = None  # after a failed call
         self._stopped = False
         self._told = 0  # the last revision
-        self._members: dict[str, Member] = {}  # as they were told last
+        self._members: dict[str, Endpoint] = {}  # as they were told last
 
     # The list ----------------------------------------------------------------------------------
 
-    def start(self, known: Listing, inherited: KnownStarts | None = None) -> None:
+    def start(self, known: EndpointList, inherited: KnownStarts | None = None) -> None:
         """`inherited`: what a predecessor that reads the same clock knows of the nodes' starts."""
         if inherited is not None:
             self._node_starts.inherit(inherited, self._wheel.now())
@@ -87,15 +93,15 @@
             # on the simulator's wire it comes unasked.
             self._ask()
 
-    def _take(self, listing: Listing, held: bool = False) -> None:
+    def _take(self, listing: EndpointList, held: bool = False) -> None:
         # A node that a list names twice is what it names last, here, for the pools and for the decisions.
         once = list({member.id: member for member in listing.members}.values())
-        listing = Listing(listing.revision, listing.complete, once)
+        listing = EndpointList(listing.revision, listing.complete, once)
         # All is read before any of it takes effect: half a list would be worse than none.
         addresses = [split_address(member.host_port) for member in listing.members]
         for member in listing.members:
             if member.phase not in PHASES:
-                raise ServerListError(f"unknown phase {member.phase[:60]!r}")
+                raise EndpointListError(f"unknown phase {member.phase[:60]!r}")
         entries = self._entries(listing, held)
         for entry, (host, port) in zip(entries, addresses, strict=True):
             if entry.state is ServerState.READY:
@@ -104,7 +110,7 @@
                 self._pools.name(entry.server, host, port, origin, cold_until)
         self._revision = self._told = listing.revision
         self._keep(listing)
-        self.tell(News(listing.revision, listing.complete, entries, held))
+        self.tell(EndpointUpdate(listing.revision, listing.complete, entries, held))
         # Told that a node drains, nothing new may go there: its idle connections are of no more use.
         listed = {entry.server for entry in entries if entry.state is ServerState.READY}
         leaving = {entry.server for entry in entries} - listed
@@ -113,7 +119,7 @@
         for node in sorted(leaving):  # in one order in every process
             self._pools.leave(node)
 
-    def _keep(self, listing: Listing) -> None:
+    def _keep(self, listing: EndpointList) -> None:
         if listing.complete:
             self._members.clear()
         for member in listing.members:
@@ -123,21 +129,21 @@
                 self._members[member.id] = member
         self._node_starts.forget_gone(self._members.keys())
 
-    def listing(self) -> Listing:
+    def listing(self) -> EndpointList:
         """The whole list, for another process."""
-        return Listing(self._told, True, list(self._members.values()))
+        return EndpointList(self._told, True, list(self._members.values()))
 
     def node_starts(self) -> KnownStarts:
         """When the nodes started, for another process on this machine."""
         return self._node_starts.snapshot(self._wheel.now())
 
-    def _entries(self, listing: Listing, held: bool) -> tuple[ServerEntry, ...]:
+    def _entries(self, listing: EndpointList, held: bool) -> tuple[ServerEntry, ...]:
         """The list as the decisions take it. All of it has been found sound: here the starts are kept."""
         up_since_ms = {member.id: member.up_since_ms for member in listing.members}
         started_ms = self._node_starts.take(up_since_ms, self._wheel.now(), self._read_epoch_ms(), held)
         return tuple(self._entry(member, started_ms[member.id]) for member in listing.members)
 
-    def _entry(self, member: Member, started_ms: float) -> ServerEntry:
+    def _entry(self, member: Endpoint, started_ms: float) -> ServerEntry:
         return ServerEntry(
             server=member.id,
             state=PHASES[member.phase],
@@ -235,9 +241,9 @@
         if status != 200:
             return self.failed(f"status {status}")
         try:
-            listing = msgspec.json.decode(body, type=Listing)
+            listing = msgspec.json.decode(body, type=EndpointList)
             self._take(listing)
-        except (msgspec.MsgspecError, ServerListError, UnicodeDecodeError) as error:
+        except (msgspec.MsgspecError, EndpointListError, UnicodeDecodeError) as error:
             return self.failed(f"malformed: {error}")
         self._heard_ms = self._wheel.now()
         self._retry.answered()
@@ -259,7 +265,7 @@
             self._log.warn("discovery", f"call failed: {reason}")
             due_ms = self._wheel.now() + self._retry.failed(took_ms)
             self._pause = self._wheel.not_before(due_ms, self._ask)
-            self.tell(NoNews())
+            self.tell(EndpointUpdateFailed())
 
     def _silent(self) -> None:
         if self._call is None or not self._call.waits:
@@ -303,9 +309,9 @@
 class WatchConnection(HttpReceiver):
     max_body = MAX_LIST
 
-    def __init__(self, server_list: ServerList, target: str, host: str) -> None:
+    def __init__(self, endpoint_discovery: EndpointDiscovery, target: str, host: str) -> None:
         super().__init__()
-        self._server_list = server_list
+        self._server_list = endpoint_discovery
         self._target = target
         self._host = host
         self._used = False  # it has carried an answer before the call that is out
@@ -352,8 +358,8 @@
 class _Opener(ClientFactory):
     noisy = False
 
-    def __init__(self, server_list: ServerList, target: str) -> None:
-        self._server_list = server_list
+    def __init__(self, endpoint_discovery: EndpointDiscovery, target: str) -> None:
+        self._server_list = endpoint_discovery
         self._target = target
 
     def buildProtocol(self, addr: IAddress) -> WatchConnection | None:
--- a/cloverwell/membership/listing.py
+++ b/cloverwell/membership/endpoint_list.py
@@ -13,7 +13,7 @@
 }
 
 
-class Member(msgspec.Struct):
+class Endpoint(msgspec.Struct):
     id: str
     host_port: str
     locality: str = ""
@@ -24,20 +24,20 @@
     up_since_ms: float = 0.0
 
 
-class Listing(msgspec.Struct):
+class EndpointList(msgspec.Struct):
     """What discovery answers, and the form of `known` in the configuration."""
 
     revision: int
     complete: bool
-    members: list[Member]
+    members: list[Endpoint]
 
 
-class ServerListError(ValueError):
+class EndpointListError(ValueError):
     """A listing that can't be used."""
 
 
 def split_address(text: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ServerListError(f"not an address: {text[:60]!r}")
+        raise EndpointListError(f"not an address: {text[:60]!r}")
     return host, int(port)
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -11,12 +11,12 @@
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.origin_connection import OriginConnection
 from cloverwell.back.pool import Pool
-from cloverwell.back.pools import Pools
+from cloverwell.back.pools import NodePools
 from cloverwell.config import FD_MIN, Config, ConfigError
-from cloverwell.connections.back import Back
-from cloverwell.connections.budget import Budget, Side
-from cloverwell.connections.figures import Figures, What
-from cloverwell.counts import Counts
+from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
+from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
+from cloverwell.connections.node_policy import NodeConnectionPolicy
+from cloverwell.counters import Counters
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import Facade
 from cloverwell.front.client_connections import BACKLOG, ClientConnections
@@ -24,9 +24,9 @@
 from cloverwell.handover.predecessor import SuccessorListener
 from cloverwell.handover.successor import Predecessor
 from cloverwell.log import Log
-from cloverwell.membership.server_list import ServerList
-from cloverwell.serving import Serving, State
-from cloverwell.timer_wheel import Wheel
+from cloverwell.membership.endpoint_discovery import EndpointDiscovery
+from cloverwell.serving import Serving, ServingState
+from cloverwell.timer_wheel import TimerWheel
 
 TICK_MS = 5.0
 SPARE_DESCRIPTORS = 24  # standard streams, the reactor's own, discovery, and what is closed but not yet free
@@ -44,7 +44,14 @@
 OPERATOR_BACKLOG = 16
 COUNTS_MS = 5_000.0  # between the log lines that count what was done since the last one
 # of connections, in these too
-COUNTED = (What.OPENED, What.CONNECT_REFUSED, What.NOT_OPENED, What.AHEAD, What.STALE, What.RESET)
+COUNTED = (
+    ConnectionEvent.OPENED,
+    ConnectionEvent.CONNECT_REFUSED,
+    ConnectionEvent.NOT_OPENED,
+    ConnectionEvent.AHEAD,
+    ConnectionEvent.STALE,
+    ConnectionEvent.RESET,
+)
 FIGURES_MS = 60_000.0  # between the log lines that count what connections did
 LINGER_MS = 500.0  # what the last answers may take to leave
 
@@ -63,7 +70,7 @@
     return reactor.adoptStreamPort(descriptor, socket.AF_INET, factory)
 
 
-class Service:
+class Proxy:
     def __init__(
         self,
         reactor: Any,
@@ -80,9 +87,9 @@
         self._reactor = reactor
         self._config = config
         self._log = log
-        self.wheel = Wheel(reactor, settings.granularity_ms, now)
-        self.figures = Figures()
-        self.counts = Counts()
+        self.timer_wheel = TimerWheel(reactor, settings.granularity_ms, now)
+        self.metrics = ConnectionMetrics()
+        self.counts = Counters()
         self._counted = dict.fromkeys(COUNTED, 0)
         self.serving = Serving()
         self._left = left
@@ -90,26 +97,28 @@
         sockets = (
             config.limits.sockets if left is None else min(left.handover_state.sockets, config.limits.sockets)
         )
-        self.budget = Budget(max(MIN_BUDGET, sockets - self._spare))
+        self.budget = DescriptorBudget(max(MIN_BUDGET, sockets - self._spare))
         grace_ms = max(0.0, settings.drain_grace_ms - DRAIN_MARGIN_MS)
-        self.back = Back(IDLE_SHARE * settings.idle_close_ms, grace_ms, self.wheel.now())
-        self.pools = Pools(
+        self.back = NodeConnectionPolicy(
+            IDLE_SHARE * settings.idle_close_ms, grace_ms, self.timer_wheel.now()
+        )
+        self.pools = NodePools(
             reactor,
-            self.wheel,
+            self.timer_wheel,
             log,
             build,
             self.budget,
             self.back,
-            self.figures,
+            self.metrics,
             settings.attempts_per_connection,
             settings.connect_timeout_ms,
             hold=not settings.may_copy,
         )
         self.facade = Facade(settings, config.seed, now)
-        self.dispatcher = Dispatcher(self.facade, self.wheel, self.pools, log, self.counts)
-        self.server_list = ServerList(
+        self.dispatcher = Dispatcher(self.facade, self.timer_wheel, self.pools, log, self.counts)
+        self.endpoint_discovery = EndpointDiscovery(
             reactor,
-            self.wheel,
+            self.timer_wheel,
             settings,
             self.pools,
             log,
@@ -118,18 +127,18 @@
             self.counts,
             config.seed,
         )
-        self.server_list.tell = self.dispatcher.news
-        self.dispatcher.watch = self.server_list.watch
-        self.dispatcher.list_age_ms = self.server_list.age_ms
+        self.endpoint_discovery.tell = self.dispatcher.news
+        self.dispatcher.watch = self.endpoint_discovery.watch
+        self.dispatcher.list_age_ms = self.endpoint_discovery.age_ms
         asking = int(ASKING_SHARE * config.limits.sockets)
         flow_bytes = int(FLOW_SHARE * config.limits.memory_mb * 1024 * 1024)
         self.side = ClientConnections(
             settings,
             self.dispatcher,
-            self.wheel,
+            self.timer_wheel,
             log,
             self.budget,
-            self.figures,
+            self.metrics,
             asking,
             self.serving,
             flow_bytes,
@@ -148,13 +157,13 @@
 
     def start(self, listen: Callable = _listen, adopt: Callable = _adopt, folder: str = "") -> None:
         """Listens only when the list is known: who connects is served. `folder`: where a successor asks."""
-        self.wheel.start()
+        self.timer_wheel.start()
         known, inherited = self._config.known, None
         if self._left is not None:
             inherited = self._left.handover_state.node_starts
             if self._left.handover_state.table.revision > known.revision:
                 known = self._left.handover_state.table
-        self.server_list.start(known, inherited)
+        self.endpoint_discovery.start(known, inherited)
         self._tell_figures()
         self._tell_counts()
         host, port = self._config.listen
@@ -167,7 +176,7 @@
         if self._config.operator is not None:
             from cloverwell.front.operators import Operators  # where nobody calls, nothing is imported for it
 
-            desk = Operators(self, self.wheel, self._log)
+            desk = Operators(self, self.timer_wheel, self._log)
             self._operators = listen(self._reactor, *self._config.operator, desk, OPERATOR_BACKLOG)
             if folder:
                 self._successor_listener = SuccessorListener(
@@ -175,7 +184,7 @@
                     place(folder, self._config.listen),
                     self._config.listen,
                     self,
-                    self.wheel,
+                    self.timer_wheel,
                     self._log,
                 )
                 self._successor_listener.open()
@@ -190,11 +199,11 @@
         """Who connects waits until this proxy is caught up with the control log, for a bounded time."""
         from cloverwell.control.proxy.proxy_control import ProxyControl  # only where it is asked for
 
-        self._control = ProxyControl(self._reactor, self.wheel, self._log, self._config, self)
+        self._control = ProxyControl(self._reactor, self.timer_wheel, self._log, self._config, self)
         self._control.start(self._caught_up)
 
     def _caught_up(self) -> None:
-        if self._port is not None and self.serving.state is State.STARTING:
+        if self._port is not None and self.serving.state is ServingState.STARTING:
             self._port.resumeProducing()
             self._serve()
 
@@ -208,18 +217,18 @@
         self._log.info("start", f"{self._config.name or 'proxy'} serves on {host}:{port}")
 
     def _tell_figures(self) -> None:
-        if told := self.figures.line(*What):
+        if told := self.metrics.line(*ConnectionEvent):
             self._log.info("connections", told)
-        self.wheel.at(self.wheel.now() + FIGURES_MS, self._tell_figures)
+        self.timer_wheel.at(self.timer_wheel.now() + FIGURES_MS, self._tell_figures)
 
     def _tell_counts(self) -> None:
         for what, before in self._counted.items():
-            if total := self.figures.total(what) - before:
+            if total := self.metrics.total(what) - before:
                 self.counts.add(f"connections.{what.value}", total)
                 self._counted[what] += total
         if told := self.counts.line():
             self._log.info("counts", told)
-        self.wheel.at(self.wheel.now() + COUNTS_MS, self._tell_counts)
+        self.timer_wheel.at(self.timer_wheel.now() + COUNTS_MS, self._tell_counts)
 
     def reload(self, read: Callable[[], Config]) -> None:
         """The file has been replaced: discovery's address is taken from it, all else at the next start."""
@@ -230,11 +239,11 @@
             return
         host, port = config.discovery
         self._log.info("reload", f"discovery is at {host}:{port}")
-        self.put_in_force(config.discovery, self.facade.settings.peers_total)
+        self.activate(config.discovery, self.facade.settings.peers_total)
 
-    def put_in_force(self, discovery: tuple[str, int], peers_total: int) -> None:
+    def activate(self, discovery: tuple[str, int], peers_total: int) -> None:
         """All that may change at run time changes here, at once."""
-        self.server_list.move(discovery)
+        self.endpoint_discovery.move(discovery)
         self.resize(peers_total)
 
     def resize(self, peers_total: int) -> None:
@@ -249,21 +258,25 @@
         if self._port is None:
             raise HandoverError("it listens no more")
         full = self._config.limits.sockets
-        used = self.budget.held[Side.FRONT] + self.budget.held[Side.BACK] - len(self.pools.idle)
+        used = (
+            self.budget.held[DescriptorSide.CLIENTS]
+            + self.budget.held[DescriptorSide.NODES]
+            - len(self.pools.idle)
+        )
         keep = min(full - FD_MIN, max(full // 2, self._spare + used + SPARE_DESCRIPTORS))
         self._divide(keep)
         held = self._spare + sum(self.budget.held.values())
         handover_state = HandoverState(
             VERSION,
             max(FD_MIN, full - max(keep, held)),
-            self.server_list.listing(),
-            self.server_list.node_starts(),
+            self.endpoint_discovery.listing(),
+            self.endpoint_discovery.node_starts(),
         )
         return handover_state, self._port.share()
 
     def _divide(self, sockets: int) -> None:
         self.budget.resize(max(MIN_BUDGET, sockets - self._spare))
-        self.side.front.most = self.budget.most(Side.FRONT)
+        self.side.front.most = self.budget.most(DescriptorSide.CLIENTS)
         self.pools.shrink()
 
     def succeeded(self) -> None:
@@ -278,11 +291,11 @@
         self._log.info("handover", "the successor serves")
 
     def successor_lost(self) -> None:
-        if self.serving.state is State.STOPPING:
+        if self.serving.state is ServingState.STOPPING:
             return
         self._successor_serves = False
         self._divide(self._config.limits.sockets)
-        if self.serving.state is not State.STARTING:
+        if self.serving.state is not ServingState.STARTING:
             self.side.port = self._port
             self._port.resumeProducing()
         self._successor_listener.open()
@@ -302,7 +315,7 @@
 
     def drain(self) -> bool:
         """Empties the proxy; it goes on following discovery, and serves what comes all the same."""
-        done = self.serving.drain(self.wheel.now())
+        done = self.serving.drain(self.timer_wheel.now())
         self._empty()
         return done
 
@@ -317,7 +330,7 @@
 
     def stop(self) -> None:
         """A planned end: all that was taken is answered, then the program ends."""
-        now = self.wheel.now()
+        now = self.timer_wheel.now()
         longest_ms = max(cls.deadline_ms for cls in self._config.settings.classes)
         if self.serving.stop(now, longest_ms, self._successor_serves):
             self._log.info("stop", f"draining, {self.dispatcher.open_count} requests open")
@@ -328,17 +341,17 @@
         """A look each tick while the process is being emptied; more than one caller makes no more of them."""
         if not self._emptying and self.serving.emptying:
             self._emptying = True
-            self.wheel.at(self.wheel.now() + self.wheel.granularity_ms, self._look)
+            self.timer_wheel.at(self.timer_wheel.now() + self.timer_wheel.granularity_ms, self._look)
 
     def _look(self) -> None:
-        now = self.wheel.now()
+        now = self.timer_wheel.now()
         self._emptying = False
         if not self.serving.accepts(now) and self._port is not None:
             self._port.stopListening()
             self._port = self.side.port = None
         if self.serving.lets_go(now):
             self.side.let_go(cut=self.serving.cuts(now))
-        if self.serving.state is State.STOPPING and self._all_left(now):
+        if self.serving.state is ServingState.STOPPING and self._all_left(now):
             self._end()
         else:
             self._empty()
@@ -353,7 +366,9 @@
             self._cut = self.serving.cuts(now)
             self._linger_until_ms = now + LINGER_MS
             return False
-        self._linger_until_ms += self.wheel.lag_ms  # in which nothing could leave, or be read
+        self._linger_until_ms += (
+            self.timer_wheel.last_tick_delay_ms
+        )  # in which nothing could leave, or be read
         # A client that does not read its answer must not keep the program from its end.
         return now >= self._linger_until_ms
 
@@ -362,8 +377,8 @@
             self._operators.stopListening()
         if self._successor_listener is not None:
             self._successor_listener.close()
-        self.server_list.stop()
-        self._log.info("connections", self.figures.line(*What))
+        self.endpoint_discovery.stop()
+        self._log.info("connections", self.metrics.line(*ConnectionEvent))
         self._tell_counts()
         self._log.info("stop", "all is answered")
         if self._control is None:
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from cloverwell.facade import Outcome, Send
-from cloverwell.flow import Flow
+from cloverwell.facade import AttemptOutcome, SendAttempt
+from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import Timer
 
 
@@ -18,11 +18,11 @@
     """`body`: a value for a read, a receipt for a write. A flow is a long value that has begun to come: from
     then on no other attempt is made and nothing is refused, and a break ends the client's connection."""
 
-    body: bytes | Flow
+    body: bytes | StreamedValue
 
 
 @dataclass(slots=True, frozen=True)
-class Refused:
+class Rejected:
     retry_after_ms: float
 
 
@@ -31,7 +31,7 @@
     pass
 
 
-Answer = Served | Refused | Failed
+FinalAnswer = Served | Rejected | Failed
 
 LEAST_TOLD_MS = 1  # `d` counts whole milliseconds: less can't be told, and an attempt that would is not sent
 
@@ -44,7 +44,7 @@
     def start(self, attempt: Attempt) -> None:
         """Writes it to a connection, or has it wait for one."""
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends it by that outcome, wherever it is."""
 
     def unsent(self, attempt: Attempt) -> bool:
@@ -55,10 +55,10 @@
 class Attempt:
     """An attempt that is out: it ends exactly once, and tells its owner how."""
 
-    choice: Send
+    choice: SendAttempt
     request: Request
     write_by_ms: float  # no byte of it leaves later
-    done: Callable[[Attempt, Outcome, bytes | Flow], None]
+    done: Callable[[Attempt, AttemptOutcome, bytes | StreamedValue], None]
     pool: AttemptPool
     ends_ms: float  # it is given up then, at its client's deadline at the latest
     dear: bool = False  # it may not run twice: a reset behind its last byte loses the request
@@ -80,7 +80,7 @@
         """By how much it told more than its client has left, if its last byte is written now."""
         return now + self.told_ms - self.request.deadline_ms
 
-    def end(self, outcome: Outcome, body: bytes | Flow = b"") -> None:
+    def end(self, outcome: AttemptOutcome, body: bytes | StreamedValue = b"") -> None:
         # A late answer or a second break must not be reported again, or reach another request.
         if self.over:
             return
@@ -102,7 +102,7 @@
     left_ms: float
     value: bytes
     info: str  # its names and values as they came
-    answer: Callable[[Request, Answer], None]
+    answer: Callable[[Request, FinalAnswer], None]
     deadline_ms: float = 0.0
     over: bool = False
     attempts: dict[int, Attempt] = field(default_factory=dict)  # those out, by number
@@ -111,7 +111,7 @@
     clear_ms: float = 0.0
     guard: Timer | None = None
 
-    def finish(self, answer: Answer) -> bool:
+    def finish(self, answer: FinalAnswer) -> bool:
         """Gives the one final answer; False if it has been given."""
         if self.over:
             return False
--- a/cloverwell/serving.py
+++ b/cloverwell/serving.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 
-class State(Enum):
+class ServingState(Enum):
     STARTING = "starting"
     READY = "ready"
     DRAINED = "drained"
@@ -48,7 +48,7 @@
 
 class Serving:
     def __init__(self) -> None:
-        self.state = State.STARTING
+        self.state = ServingState.STARTING
         self._plan: Plan | None = None
         self._handed_over = False
         self._since_ms = 0.0
@@ -57,25 +57,25 @@
 
     def serve(self) -> None:
         """The table is usable and the port listens."""
-        if self.state is State.STARTING:
-            self.state = State.READY
+        if self.state is ServingState.STARTING:
+            self.state = ServingState.READY
 
     def drain(self, now: float) -> bool:
-        if self.state is State.READY:
-            self.state, self._plan, self._since_ms = State.DRAINED, DRAIN, now
-        return self.state is State.DRAINED
+        if self.state is ServingState.READY:
+            self.state, self._plan, self._since_ms = ServingState.DRAINED, DRAIN, now
+        return self.state is ServingState.DRAINED
 
     def undrain(self) -> bool:
-        if self.state is State.DRAINED:
-            self.state, self._plan = State.READY, None
-        return self.state is State.READY
+        if self.state is ServingState.DRAINED:
+            self.state, self._plan = ServingState.READY, None
+        return self.state is ServingState.READY
 
     def stop(self, now: float, longest_ms: float, handed_over: bool = False) -> bool:
         """It wins over all else, and is never taken back; False if it has been called before."""
-        if self.state is State.STOPPING:
+        if self.state is ServingState.STOPPING:
             return False
         self._plan, self._handed_over = stop_plan(longest_ms, handed_over), handed_over
-        self.state, self._since_ms = State.STOPPING, now
+        self.state, self._since_ms = ServingState.STOPPING, now
         return True
 
     # What follows from it ---------------------------------------------------------------------------
@@ -83,12 +83,12 @@
     @property
     def ready(self) -> bool:
         """This process can serve; drained, it is not sent anything."""
-        return self.state in (State.READY, State.DRAINED)
+        return self.state in (ServingState.READY, ServingState.DRAINED)
 
     @property
     def wanted(self) -> bool:
         """The answer to `mn`, which is asked of an address: another process may serve it by now."""
-        return self.state is State.READY or self._handed_over
+        return self.state is ServingState.READY or self._handed_over
 
     @property
     def emptying(self) -> bool:
--- a/cloverwell/flow.py
+++ b/cloverwell/streamed_value.py
@@ -14,7 +14,7 @@
 AHEAD = (8 * 1024, 64 * 1024)  # what a client that reads slowly may be behind, at the least and at the most
 
 
-class Stage(Enum):
+class StreamStage(Enum):
     WAITING = "waiting"  # its turn in the order of answers has not come
     OPEN = "open"
     ENDED = "ended"
@@ -25,7 +25,7 @@
     return max(AHEAD[0], min(AHEAD[1], room // max(1, flows)))
 
 
-class Flow:
+class StreamedValue:
     """One value of `length` bytes. A sink that takes the Served answer with it sets `wanted`."""
 
     def __init__(
@@ -34,7 +34,7 @@
         """What the source does when the sink wants no more for now, more again, or nothing any more."""
         self.length = length
         self.left = length
-        self.stage = Stage.WAITING
+        self.stage = StreamStage.WAITING
         self.wanted = False
         self._hold, self._go_on, self._stop = hold, go_on, stop
         self._take: Callable[[bytes], None] = lambda data: None
@@ -46,24 +46,24 @@
     def open(self, take: Callable[[bytes], None], end: Callable[[bool], None]) -> None:
         """`end` is called once, with whether all of it has come."""
         self._take, self._end = take, end
-        if self.stage is Stage.ENDED:  # it broke while it waited
+        if self.stage is StreamStage.ENDED:  # it broke while it waited
             end(False)
             return
-        self.stage = Stage.OPEN
+        self.stage = StreamStage.OPEN
         self._go_on()
 
     def hold(self) -> None:
-        if self.stage is Stage.OPEN:
+        if self.stage is StreamStage.OPEN:
             self._hold()
 
     def go_on(self) -> None:
-        if self.stage is Stage.OPEN:
+        if self.stage is StreamStage.OPEN:
             self._go_on()
 
     def drop(self) -> None:
         """The reader has gone."""
-        if self.stage is not Stage.ENDED:
-            self.stage = Stage.ENDED
+        if self.stage is not StreamStage.ENDED:
+            self.stage = StreamStage.ENDED
             self._stop()
 
     # The source -------------------------------------------------------------------------------------
@@ -72,12 +72,12 @@
         self.left -= len(data)
         if not self.left:
             data, self._last = data[:-1], data[-1:]
-        if data and self.stage is Stage.OPEN:
+        if data and self.stage is StreamStage.OPEN:
             self._take(data)
 
     def whole(self) -> None:
         """All has come, and its end is sound."""
-        if self.stage is Stage.OPEN:
+        if self.stage is StreamStage.OPEN:
             self._take(self._last)
         self._finish(True)
 
@@ -85,6 +85,6 @@
         self._finish(False)
 
     def _finish(self, whole: bool) -> None:
-        was, self.stage = self.stage, Stage.ENDED
-        if was is Stage.OPEN:
+        was, self.stage = self.stage, StreamStage.ENDED
+        if was is StreamStage.OPEN:
             self._end(whole)
--- a/cloverwell/timer_wheel.py
+++ b/cloverwell/timer_wheel.py
@@ -11,7 +11,7 @@
 # A tick that is so late, or a turn of the loop so long: what stands in sockets' buffers may be that old, and
 # is looked at before anything that may hang on it leaves. A quarter of the 100 ms after which nothing may
 # begin for a client that has left; the look at connections that are not read has another.
-HELD_UP_MS = 25.0
+STALL_MS = 25.0
 
 
 def monotonic_ms() -> float:
@@ -31,7 +31,7 @@
         self.call = None
 
 
-class Wheel:
+class TimerWheel:
     """Fires deadlines at the last tick that does not overrun them.
 
     One tick costs the reactor one delayed call, however many timers there are. The clock is monotonic: a
@@ -43,28 +43,30 @@
     ) -> None:
         self.now = now
         self.granularity_ms = max(1.0, granularity_ms)
-        self.lag_ms = 0.0  # how late the last tick came: the loop, or the machine, was held up so long
+        self.last_tick_delay_ms = (
+            0.0  # how late the last tick came: the loop, or the machine, was held up so long
+        )
         self.each_tick: Callable[[], None] = lambda: None
-        self.held_up: Callable[[], None] = lambda: None  # looks at what came meanwhile
+        self.on_stall: Callable[[], None] = lambda: None  # looks at what came meanwhile
         # The tick came late, and what came to the sockets meanwhile may not have been read yet: who judges by
         # age alone waits for the next tick, before which the loop reads. Never true of two ticks in a row.
-        self.just_held_up = False
+        self.just_stalled = False
         self._reactor = reactor
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._tick = math.floor(now() / self.granularity_ms)
         self._faults = Logger(namespace="wheel")
 
     @property
-    def behind_ms(self) -> float:
+    def unread_delay_ms(self) -> float:
         """How long what is read now may have lain in its socket's buffer: the last tick came late, or this
         turn of the loop is a long one."""
-        return max(self.lag_ms, self.now() - (self._tick + 1) * self.granularity_ms)
+        return max(self.last_tick_delay_ms, self.now() - (self._tick + 1) * self.granularity_ms)
 
-    def catch_up(self) -> None:
+    def check_after_stall(self) -> None:
         """Called before anything leaves: if the loop was held up, what came meanwhile is looked at first."""
-        if self.behind_ms > HELD_UP_MS:
+        if self.unread_delay_ms > STALL_MS:
             try:
-                self.held_up()
+                self.on_stall()
             except Exception:  # a look that fails must not hold up the deadlines
                 self._faults.failure("look")
 
@@ -93,10 +95,10 @@
     def _turn(self) -> None:
         now = self.now()
         until = math.floor(now / self.granularity_ms + 1e-6)
-        self.lag_ms = max(0.0, now - (self._tick + 1) * self.granularity_ms)
-        self.just_held_up = self.lag_ms > HELD_UP_MS and not self.just_held_up
+        self.last_tick_delay_ms = max(0.0, now - (self._tick + 1) * self.granularity_ms)
+        self.just_stalled = self.last_tick_delay_ms > STALL_MS and not self.just_stalled
         try:
-            self.catch_up()  # the ticks come before the reads
+            self.check_after_stall()  # the ticks come before the reads
             self._advance(until)
             self.each_tick()
         finally:
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -10,14 +10,14 @@
 from types import SimpleNamespace
 
 from cloverwell.back.cache_connection import CacheConnection
-from cloverwell.back.pools import Pools
-from cloverwell.connections.back import Back, Use
-from cloverwell.connections.budget import Budget
-from cloverwell.connections.figures import Figures
-from cloverwell.facade import Outcome, Send
+from cloverwell.back.pools import NodePools
+from cloverwell.connections.budget import DescriptorBudget
+from cloverwell.connections.metrics import ConnectionMetrics
+from cloverwell.connections.node_policy import ConnectionUse, NodeConnectionPolicy
+from cloverwell.facade import AttemptOutcome, SendAttempt
 from cloverwell.log import Log
 from cloverwell.request import Attempt
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 
@@ -25,10 +25,10 @@
 
 
 @dataclass
-class Tally:
+class AttemptCount:
     """How attempts ended, and how long those that were answered took to their first byte out, in ms."""
 
-    outcomes: Counter[Outcome] = field(default_factory=Counter)
+    outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
     waits_ms: list[float] = field(default_factory=list)
     dear_lost: int = 0  # attempts that may not run twice, lost behind their last byte
 
@@ -45,27 +45,27 @@
         nodes: int,
         descriptors: int = 512,
         idle_close_ms: float = 120_000.0,
-        back: Callable[[float, float], Back] | None = None,
+        back: Callable[[float, float], NodeConnectionPolicy] | None = None,
     ) -> None:
         self.net = Net()
         self.now = self.net.now_ms
-        self.wheel = Wheel(self.net, 5.0, self.now)
-        self.figures = Figures()
-        self.budget = Budget(descriptors)
+        self.timer_wheel = TimerWheel(self.net, 5.0, self.now)
+        self.metrics = ConnectionMetrics()
+        self.budget = DescriptorBudget(descriptors)
         idle_ms = 0.5 * idle_close_ms
-        self.back = back(idle_ms, self.now()) if back else Back(idle_ms, GRACE_MS, self.now())
-        self.pools = Pools(
+        self.back = back(idle_ms, self.now()) if back else NodeConnectionPolicy(idle_ms, GRACE_MS, self.now())
+        self.pools = NodePools(
             self.net,
-            self.wheel,
+            self.timer_wheel,
             Log(self.now, io.StringIO()),
             lambda pool, asked_ms: CacheConnection(pool, asked_ms),
             self.budget,
             self.back,
-            self.figures,
+            self.metrics,
             attempts_each=8,
             connect_timeout_ms=250.0,
         )
-        self.tally = Tally()
+        self.tally = AttemptCount()
         self.nodes: list[CacheNode] = []
         self._names: list[str] = []
         self._open = 0
@@ -74,13 +74,13 @@
             self.nodes.append(CacheNode(self.net, (f"127.0.1.{number % 250}", 1000 + number), seed=number))
             self._names.append(f"s{number}")
             self.pools.name(f"s{number}", *self.nodes[-1].address, False, -1.0)
-        self.wheel.start()
+        self.timer_wheel.start()
 
     @property
     def stale(self) -> int:
         """Attempts lost behind their last byte: whatever befell them, none of these nodes fails otherwise."""
         ends = self.tally.outcomes
-        return ends[Outcome.RESET] + ends[Outcome.TIMED_OUT]
+        return ends[AttemptOutcome.RESET] + ends[AttemptOutcome.TIMED_OUT]
 
     @property
     def handshakes(self) -> int:
@@ -96,19 +96,19 @@
             info_with=lambda wait_ms: f"c=page,d={int(wait_ms)}",
             deadline_ms=now + timeout_ms,
         )
-        choice = Send(name, self._names[place], 0, timeout_ms)
+        choice = SendAttempt(name, self._names[place], 0, timeout_ms)
         pool = self.pools.of(self._names[place])
         attempt = Attempt(choice, request, now + 250.0, self._ended, pool, now + timeout_ms, dear)
-        attempt.timer = self.wheel.not_before(
-            now + timeout_ms, lambda: pool.give_up(attempt, Outcome.TIMED_OUT)
+        attempt.timer = self.timer_wheel.not_before(
+            now + timeout_ms, lambda: pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
         )
         attempt.asked_ms = now
         pool.start(attempt)
         return attempt
 
-    def _ended(self, attempt: Attempt, outcome: Outcome, body: bytes) -> None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes) -> None:
         self.tally.outcomes[outcome] += 1
-        if outcome is Outcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             self.tally.waits_ms.append(attempt.written_ms - attempt.asked_ms)
         elif attempt.dear and attempt.written_ms is not None:
             self.tally.dear_lost += 1
@@ -127,15 +127,19 @@
         return waits[min(len(waits) - 1, int(share * len(waits)))] if waits else 0.0
 
 
-class Fixed(Back):
+class Fixed(NodeConnectionPolicy):
     """A baseline: one idle time for all nodes, attempts written whole, nothing opened ahead, no caps
     learnt."""
 
     def __init__(self, idle_ms: float, now: float) -> None:
         super().__init__(idle_ms, GRACE_MS, now)
 
-    def use(self, node: str, age_ms: float | None, dear: bool) -> Use:
-        return Use.RETIRE if age_ms is not None and age_ms >= self.limits.most_ms else Use.WHOLE
+    def use(self, node: str, age_ms: float | None, dear: bool) -> ConnectionUse:
+        return (
+            ConnectionUse.RETIRE
+            if age_ms is not None and age_ms >= self.limits.most_ms
+            else ConnectionUse.WHOLE
+        )
 
     def idle_limit_ms(self, node: str) -> float:
         return self.limits.most_ms
--- a/lab/control_cells.py
+++ b/lab/control_cells.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from cloverwell.control.control_node import ControlNode
-from cloverwell.control.effects import LoadEntry, LoadSnapshot, NodeEffect, ProxyEffect
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot, NodeEffect, ProxyEffect
 from cloverwell.control.entry import START, EntryKind, LogState, Position, Snapshot
 from cloverwell.control.messages import NodeMessage, PeerMessage, Propose, ProxyMessage, VoteAnswer
 from cloverwell.control.storage import StoredState, Write
@@ -220,11 +220,11 @@
         while effects:
             effect = effects.pop(0)
             done.append(effect)
-            if isinstance(effect, LoadEntry):
+            if isinstance(effect, ApplyEntry):
                 self.kept.state = self.kept.state.after(effect.entry)
                 self.kept.term = effect.entry.term
                 effects += self._keep(effect.entry.index)
-            elif isinstance(effect, LoadSnapshot):
+            elif isinstance(effect, ApplySnapshot):
                 self.kept.state, self.kept.term = effect.snapshot.state, effect.snapshot.term
                 effects += self._keep(effect.snapshot.position.index)
         return done
--- a/lab/control_follower.py
+++ b/lab/control_follower.py
@@ -1,8 +1,8 @@
 """Proxies that do nothing but follow the control log: `Follower` as real proxies run it, on real sockets.
 
 `HollowFollower` is one of them, for whoever has a reactor. `python -m lab.control_follower` is a process of
-many: it reads a `Start` from its first line of standard input, and writes an `InForce` a line to standard
-output until its input ends.
+many: it reads a `Start` from its first line of standard input, and writes an `ActivationCount` a line to
+standard output until its input ends.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     places: list[Place]
 
 
-class InForce(msgspec.Struct):
+class ActivationCount(msgspec.Struct):
     """A proxy has put the entry at `index` in force, at `at_s` of the machine's monotonic clock."""
 
     proxy: str
@@ -112,7 +112,7 @@
 
     def told(proxy: str) -> Callable[[Entry], None]:
         def in_force(entry: Entry) -> None:
-            row = InForce(proxy, entry.index, time.monotonic())
+            row = ActivationCount(proxy, entry.index, time.monotonic())
             sys.stdout.buffer.write(msgspec.json.encode(row) + b"\n")
             sys.stdout.buffer.flush()
 
--- a/lab/control_model.py
+++ b/lab/control_model.py
@@ -18,15 +18,15 @@
 from cloverwell.control.consensus import Role
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import (
-    CloseProxy,
-    Committed,
-    Connect,
-    Disconnect,
-    LoadEntry,
-    LoadSnapshot,
-    SendNode,
-    SendPeer,
-    SendProxy,
+    ApplyEntry,
+    ApplySnapshot,
+    CloseSubscriber,
+    ConnectToNode,
+    DisconnectFromNode,
+    EntriesCommitted,
+    SendToControlNode,
+    SendToPeer,
+    SendToSubscriber,
     SnapshotInstalled,
 )
 from cloverwell.control.messages import (
@@ -319,19 +319,19 @@
     def _out(self, effect: Any) -> tuple | None:
         """An effect in short; messages by number."""
         match effect:
-            case SendPeer() if not isinstance(effect.message, UNCOUNTED):
+            case SendToPeer() if not isinstance(effect.message, UNCOUNTED):
                 return "peer", self._numbers[effect.node], self._message(effect.message)
-            case SendProxy():
+            case SendToSubscriber():
                 return "proxy", effect.connection, self._message(effect.message)
-            case CloseProxy():
+            case CloseSubscriber():
                 return "proxy", effect.connection, END
-            case SendNode():
+            case SendToControlNode():
                 return "node", effect.attempt, self._message(effect.message)
-            case Connect():
+            case ConnectToNode():
                 return "connect", self._numbers[effect.node], effect.attempt
-            case Disconnect():
+            case DisconnectFromNode():
                 return "disconnect", effect.attempt
-            case Committed() | SnapshotInstalled() | LoadEntry() | LoadSnapshot() | Started():
+            case EntriesCommitted() | SnapshotInstalled() | ApplyEntry() | ApplySnapshot() | Started():
                 return "rule", effect
         return None
 
@@ -359,7 +359,7 @@
 
     def _tell(self, rules: Rules, name: str, effect: Any) -> None:
         match effect:
-            case Committed():
+            case EntriesCommitted():
                 rules.committed(effect.entries)
             case SnapshotInstalled():
                 rules.snapshot(effect.snapshot)
--- a/lab/control_processes.py
+++ b/lab/control_processes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from cloverwell.control.control_node import ControlNode
-from cloverwell.control.effects import LoadEntry, LoadSnapshot
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import Entry
 from cloverwell.control.messages import ProposalAnswer
 from cloverwell.control.storage import MemoryStorage
@@ -56,7 +56,7 @@
     load_ms: float = 0.0
     load: Callable[[Entry], str | None] = lambda entry: None
     serving: dict[str, Entry] = field(default_factory=dict)  # in force, by kind
-    loads: list[LoadEntry | LoadSnapshot] = field(default_factory=list)  # of this run
+    loads: list[ApplyEntry | ApplySnapshot] = field(default_factory=list)  # of this run
 
 
 @dataclass(slots=True)
--- a/lab/control_rules.py
+++ b/lab/control_rules.py
@@ -4,7 +4,7 @@
 
 from bisect import bisect_right
 
-from cloverwell.control.effects import LoadEntry, LoadSnapshot
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import START, Entry, EntryKind, LogState, Position, Snapshot
 from cloverwell.control.timing import LEASE_MS
 
@@ -66,12 +66,12 @@
         if position not in self.positions:
             self.strays.add(proxy)
 
-    def load(self, proxy: str, effect: LoadEntry | LoadSnapshot) -> None:
+    def load(self, proxy: str, effect: ApplyEntry | ApplySnapshot) -> None:
         """What a proxy is given is the committed log: nothing skipped, nothing twice, all in order."""
         given = self.loaded_to[proxy]
-        if isinstance(effect, LoadSnapshot) and self._is_start(proxy, effect.snapshot):
+        if isinstance(effect, ApplySnapshot) and self._is_start(proxy, effect.snapshot):
             return
-        if isinstance(effect, LoadSnapshot):
+        if isinstance(effect, ApplySnapshot):
             self.snapshot(effect.snapshot)
             index = effect.snapshot.position.index
             if index <= given and proxy not in self.strays:
