--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -16,17 +16,17 @@
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import (
     AnswerProposal,
-    CloseProxy,
-    Committed,
-    Connect,
-    Disconnect,
-    LoadEntry,
-    LoadSnapshot,
+    ApplyEntry,
+    ApplySnapshot,
+    CloseSubscriber,
+    ConnectToNode,
+    DisconnectFromNode,
+    EntriesCommitted,
     NodeEffect,
     ProxyEffect,
-    SendNode,
-    SendPeer,
-    SendProxy,
+    SendToControlNode,
+    SendToPeer,
+    SendToSubscriber,
     SnapshotInstalled,
 )
 from cloverwell.control.entry import EntryKind, Snapshot
@@ -248,18 +248,18 @@
             match effect:
                 case Write():
                     process.storage.write(effect)
-                case SendPeer():
+                case SendToPeer():
                     self._send_peer(process, self.nodes[effect.node], encode(effect.message))
-                case Committed():
+                case EntriesCommitted():
                     self.rules.committed(effect.entries, self.now)
                 case SnapshotInstalled():
                     self.rules.snapshot(effect.snapshot)
                 case AnswerProposal():
                     assert effect.request not in process.answers, "answered twice"
                     process.answers[effect.request] = effect.answer
-                case SendProxy():
+                case SendToSubscriber():
                     self._send_over(effect.connection, process, encode(effect.message))
-                case CloseProxy():
+                case CloseSubscriber():
                     connection = self.connections.get(effect.connection)
                     if connection is not None:
                         self._end(connection, process)
@@ -279,23 +279,23 @@
     def _proxy_effects(self, process: ProxyProcess, effects: list[ProxyEffect]) -> None:
         for effect in effects:
             match effect:
-                case Connect():
+                case ConnectToNode():
                     self._connect(process, effect)
-                case SendNode():
+                case SendToControlNode():
                     connection = self._by_attempt.get((process.name, process.run, effect.attempt))
                     if connection is not None:
                         self._send_over(connection.number, process, encode(effect.message))
-                case Disconnect():
+                case DisconnectFromNode():
                     connection = self._by_attempt.get((process.name, process.run, effect.attempt))
                     if connection is not None:
                         self._end(connection, process)
-                case LoadEntry() | LoadSnapshot():
+                case ApplyEntry() | ApplySnapshot():
                     process.loads.append(effect)
                     self.rules.load(process.name, effect)
                     self._at(self.now + process.load_ms, self._load, process, process.run, effect)
         self._schedule(process)
 
-    def _connect(self, process: ProxyProcess, effect: Connect) -> None:
+    def _connect(self, process: ProxyProcess, effect: ConnectToNode) -> None:
         node = self.nodes[effect.node]
         if self._apart(process, node):
             return  # nobody answers
@@ -374,11 +374,11 @@
             assert receiver.subscription is not None
             self._proxy_effects(receiver, receiver.subscription.disconnected(connection.attempt, reading))
 
-    def _load(self, process: ProxyProcess, run: int, effect: LoadEntry | LoadSnapshot) -> None:
+    def _load(self, process: ProxyProcess, run: int, effect: ApplyEntry | ApplySnapshot) -> None:
         if process.subscription is None or run != process.run:
             return
         reading = process.clock.at(self.now)
-        if isinstance(effect, LoadEntry):
+        if isinstance(effect, ApplyEntry):
             index, entries = effect.entry.index, [effect.entry]
         else:
             index, entries = effect.snapshot.position.index, list(effect.snapshot.state.latest.values())
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from random import Random
 
-from cloverwell.gossip.view import Change, Figures, Out, View
-from cloverwell.gossip.wire import State, decode, encode
+from cloverwell.gossip.view import GossipTiming, MemberChange, MembershipView, OutgoingDatagram
+from cloverwell.gossip.wire import MemberStatus, decode, encode
 
 TICK_S = 0.02
 EPOCH_MS = 1_700_000_000_000  # Unix time when the virtual clock shows 0
@@ -21,7 +21,7 @@
 class Host:
     """One proxy's process, as far as its peers see it."""
 
-    def __init__(self, view: View) -> None:
+    def __init__(self, view: MembershipView) -> None:
         self.view = view
         self.up, self.stopped = True, False
         self.held: list[tuple[int, bytes]] = []
@@ -34,14 +34,14 @@
         seed: int,
         loss: float = 0.0,
         delay_s: tuple[float, float] = (0.001, 0.017),
-        figures: Figures | None = None,
+        figures: GossipTiming | None = None,
     ) -> None:
         self.now_s = 0.0
-        self.figures = figures or Figures()
+        self.figures = figures or GossipTiming()
         self.rng = Random(f"datagrams {seed}")
         self.loss, self.delay_s = loss, delay_s
         self.cut: set[tuple[int, int]] = set()  # from, to
-        self.changes: list[tuple[float, int, Change]] = []  # when, who noticed, what
+        self.changes: list[tuple[float, int, MemberChange]] = []  # when, who noticed, what
         self.sent, self.bytes = Counter(), Counter()
         self.received = Counter()  # datagrams sent to each, whether they reach it or not
         self._events: list = []
@@ -52,7 +52,7 @@
 
     def _process(self, number: int, total: int) -> Host:
         born = EPOCH_MS + int(1000 * self.now_s)
-        return Host(View(number, total, born, self.rng.getrandbits(32), self.figures))
+        return Host(MembershipView(number, total, born, self.rng.getrandbits(32), self.figures))
 
     # What befalls them --------------------------------------------------------------------------
 
@@ -93,7 +93,7 @@
         if host.up and not host.stopped:
             self._carry_out(number, host.view.tick(1000.0 * self.now_s))
 
-    def _carry_out(self, number: int, outs: list[Out]) -> None:
+    def _carry_out(self, number: int, outs: list[OutgoingDatagram]) -> None:
         view = self.hosts[number].view
         self.changes += [(self.now_s, number, change) for change in view.take_changes()]
         for out in outs:
@@ -115,7 +115,11 @@
 
     def deaths(self, since_s: float = 0.0) -> list[tuple[float, int, int]]:
         """When, who noticed, and whom."""
-        return [(at, who, c.proxy) for at, who, c in self.changes if c.state is State.DEAD and at >= since_s]
+        return [
+            (at, who, c.proxy)
+            for at, who, c in self.changes
+            if c.state is MemberStatus.DEAD and at >= since_s
+        ]
 
     def agree(self, living: set[int]) -> bool:
         """Whether each of these holds just these for alive."""
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -11,7 +11,7 @@
 from lab.judge import Judge
 from lab.net import Net
 from lab.people import People
-from lab.proxies import Proxy
+from lab.proxies import SimulatedProxy
 
 ASK_S = 0.1
 HEARD_S = 0.2  # after a no, until new connections stop
@@ -49,7 +49,7 @@
 
     noisy = False
 
-    def __init__(self, play: PlayForFrontLayer, proxy: Proxy) -> None:
+    def __init__(self, play: PlayForFrontLayer, proxy: SimulatedProxy) -> None:
         self._play, self._proxy = play, proxy
         self.wanted = True
         self._no_s: float | None = None
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -15,8 +15,8 @@
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from lab.net import Address, Net
 from lab.nodes import Discovery, Web
 from lab.proxy import SETTINGS
@@ -92,9 +92,13 @@
         self.rows.append(self._row(nodes, "origin"))
         self.attempts: Counter[int] = Counter()  # connection attempts to discovery, by tenth of a second
         self.discovery = ListDiscovery(self, DISCOVERY)
-        self.proxies: list[Service] = []
+        self.proxies: list[Proxy] = []
         self.logs: list[io.StringIO] = []
-        listing = Listing(1, True, [Member(**row) for row in self.rows]) if known else Listing(0, True, [])
+        listing = (
+            EndpointList(1, True, [Endpoint(**row) for row in self.rows])
+            if known
+            else EndpointList(0, True, [])
+        )
         settings = deepcopy(SETTINGS) | {"granularity": granularity_ms, "peers-total": number}
         for place in range(number):
             self._start(place, listing, settings | (changes or {}))
@@ -105,7 +109,7 @@
         return {"id": f"node-{place}", "host_port": address, "locality": "east", "flavor": flavor, "cell": 0,
                 "phase": "in_service", "size": 1.0, "up_since_ms": 0.0}  # fmt: skip
 
-    def _start(self, place: int, listing: Listing, settings: dict[str, Any]) -> None:
+    def _start(self, place: int, listing: EndpointList, settings: dict[str, Any]) -> None:
         host = f"10.1.{place // 250}.{place % 250 + 1}"
         config = Config(
             f"proxy-{place}",
@@ -118,7 +122,7 @@
         )
         self.logs.append(io.StringIO())
         log = Log(self.net.now_ms, self.logs[-1])
-        service = Service(ProxyReactor(self, host), config, log, self.net.now_ms, lambda: EPOCH_MS)
+        service = Proxy(ProxyReactor(self, host), config, log, self.net.now_ms, lambda: EPOCH_MS)
         service.start()
         self.proxies.append(service)
 
@@ -171,7 +175,7 @@
     def knowing(self) -> int:
         """How many proxies have discovery's present list."""
         revision = self.discovery.revision
-        return sum(proxy.server_list.listing().revision == revision for proxy in self.proxies)
+        return sum(proxy.endpoint_discovery.listing().revision == revision for proxy in self.proxies)
 
     def learning_times(self, longest: float) -> list[float]:
         """After how many seconds from now the first, second.. proxy has the present list; those that do not
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -7,7 +7,7 @@
 
 from lab.net import Net
 from lab.people import People, Till
-from lab.proxies import Proxy
+from lab.proxies import SimulatedProxy
 from lab.wall_clock import WallClocks
 from lab.world import Fault
 
@@ -16,7 +16,7 @@
     """What these faults need of the play."""
 
     net: Net
-    proxies: list[Proxy]
+    proxies: list[SimulatedProxy]
     people: list[People]
     wall_clocks: WallClocks
 
@@ -38,7 +38,7 @@
             play.net.callLater(fault.for_s, proxy.system_calls.end, fault.kind)
 
 
-def _break_connections(play: PlayForMachines, proxy: Proxy, fault: Fault) -> None:
+def _break_connections(play: PlayForMachines, proxy: SimulatedProxy, fault: Fault) -> None:
     """Some of the proxy's connections break, to its clients and to nodes; the other sides hear nothing."""
     if proxy.service is None:
         return
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from cloverwell.flow import LONG
+from cloverwell.streamed_value import LONG
 from lab.answers import in_pieces, told_ms
 from lab.net import Address
 from lab.node_play import PlayForNodes
--- a/lab/people.py
+++ b/lab/people.py
@@ -18,10 +18,10 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from cloverwell.flow import LONG
+from cloverwell.streamed_value import LONG
 from lab.judge import Case, Judge
 from lab.net import Net
-from lab.proxies import Proxy
+from lab.proxies import SimulatedProxy
 from lab.world import Class, World
 
 NOTICE_S = 2.0  # after which the front layer sends no more to a proxy that refuses
@@ -38,7 +38,7 @@
     seed: int
     net: Net
     judge: Judge
-    proxies: list[Proxy]
+    proxies: list[SimulatedProxy]
     requests: dict[str, tuple[Class, float, str]]  # name -> class, work in s, key
 
     def body_of(self, name: str) -> str: ...
@@ -67,7 +67,7 @@
 class Till(LineReceiver):
     delimiter = b"\r\n"
 
-    def __init__(self, people: People, proxy: Proxy) -> None:
+    def __init__(self, people: People, proxy: SimulatedProxy) -> None:
         self.people, self.proxy = people, proxy
         self.try_: tuple[str, Wish] | None = None
         self._value = bytearray()
@@ -131,7 +131,7 @@
 class _Opener(ClientFactory):
     noisy = False
 
-    def __init__(self, people: People, proxy: Proxy, wish: Wish) -> None:
+    def __init__(self, people: People, proxy: SimulatedProxy, wish: Wish) -> None:
         self.people, self.proxy, self.wish = people, proxy, wish
 
     def buildProtocol(self, addr: Any) -> Till:
@@ -173,7 +173,7 @@
         rng, spread = Random(f"shares {self.play.seed}"), self.traffic.proxy_spread
         return {proxy.name: math.exp(rng.gauss(0.0, spread)) for proxy in self.play.proxies}
 
-    def _pick(self, proxies: list[Proxy]) -> Proxy:
+    def _pick(self, proxies: list[SimulatedProxy]) -> SimulatedProxy:
         if not self.traffic.proxy_spread:
             return self.rng.choice(proxies)
         return self.rng.choices(proxies, [self._shares[proxy.name] for proxy in proxies])[0]
@@ -210,7 +210,7 @@
 
     # Tries --------------------------------------------------------------------------------------
 
-    def _proxies(self) -> list[Proxy]:
+    def _proxies(self) -> list[SimulatedProxy]:
         """Those of the zone that are not known to be dead, else of any zone."""
         live = [
             proxy for proxy in self.play.proxies if self.now - self._dead.get(proxy.name, self.now) < NOTICE_S
@@ -334,7 +334,7 @@
         self.play.requests.pop(name, None)
         self.play.judge.forget(name)
 
-    def refused(self, proxy: Proxy, wish: Wish) -> None:
+    def refused(self, proxy: SimulatedProxy, wish: Wish) -> None:
         self._dead.setdefault(proxy.name, self.now)
         wish.end = "connect_refused"
         self.play.net.callLater(0.05, self._try, wish)
@@ -361,7 +361,7 @@
     # Figures ------------------------------------------------------------------------------------
 
     @staticmethod
-    def figures(everybody: list[People], world: World) -> dict[str, Any]:
+    def metrics(everybody: list[People], world: World) -> dict[str, Any]:
         """Shares of the worth asked for that was answered in time: whole, worst window, class and tenant."""
         everything = [wish for people in everybody for wish in people.wishes]
         wishes = [wish for wish in everything if wish.end != LEFT]
--- a/lab/play.py
+++ b/lab/play.py
@@ -13,15 +13,15 @@
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from lab.front_layer import Watch
 from lab.judge import RULES, Judge
 from lab.machine_faults import befall
 from lab.net import Address, Net
 from lab.nodes import CacheNode, Discovery, Origin
 from lab.people import People
-from lab.proxies import Inside, Left, Proxy
+from lab.proxies import Inside, Left, SimulatedProxy
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
 from lab.system_call_faults import SystemCalls
@@ -79,10 +79,10 @@
             for at_s in fault.instants():
                 self.net.callLater(at_s, self._happen, fault)
 
-    def _proxy(self, number: int) -> Proxy:
+    def _proxy(self, number: int) -> SimulatedProxy:
         name, zone = f"proxy-{number}", number % self.world.zones
         address = (f"10.{1 + zone}.{100 + number // 250}.{number % 250 + 1}", 11211)
-        return Proxy(name, address, zone, self.wall_clocks.of(name), SystemCalls(name, self.seed))
+        return SimulatedProxy(name, address, zone, self.wall_clocks.of(name), SystemCalls(name, self.seed))
 
     def _warm(self) -> None:
         """Nodes that run when the day begins hold what the ring has long asked them for."""
@@ -142,32 +142,32 @@
 
     # Proxies ------------------------------------------------------------------------------------
 
-    def start(self, proxy: Proxy, left: Left | None = None) -> None:
+    def start(self, proxy: SimulatedProxy, left: Left | None = None) -> None:
         proxy.starts += 1
         proxy.draining = False
         inside = Inside(self, proxy)
         self.judge.starts_with(proxy.name, rows := self.members())
-        known = [Member(**row) for row in self.as_listed(rows)]
+        known = [Endpoint(**row) for row in self.as_listed(rows)]
         number = self.proxies.index(proxy) if hasattr(self, "proxies") else 0
         config = Config(
             proxy.name, proxy.address, self.discovery.address, self.seed * 1000 + number * 10 + proxy.starts,
-            Limits(sockets=self.world.sockets), Listing(self.discovery.revision, True, known),
+            Limits(sockets=self.world.sockets), EndpointList(self.discovery.revision, True, known),
             read_settings(proxy_settings(self.world, number)),
         )  # fmt: skip
         now = self.net.now_ms
-        service = Service(inside, config, Log(now, proxy.log), now, proxy.wall_clock.epoch_ms, left)
+        service = Proxy(inside, config, Log(now, proxy.log), now, proxy.wall_clock.epoch_ms, left)
         service.inside = inside
         proxy.service, proxy.old = service, proxy.service
         service.start(adopt=lambda _, listening, factory: self.net.adopt(listening, factory, inside))
 
-    def replace(self, proxy: Proxy, for_s: float) -> None:
+    def replace(self, proxy: SimulatedProxy, for_s: float) -> None:
         """Another process starts beside it, and takes over; the old one is asked to end after `for_s`."""
         old = proxy.service
         self.start(proxy, Left(old))
         self.net.callLater(for_s, old.stop)
         self.net.callLater(for_s + KILL_S, self._gone, proxy, old, "did not end by itself")
 
-    def _gone(self, proxy: Proxy, service: Service, text: str = "") -> None:
+    def _gone(self, proxy: SimulatedProxy, service: Proxy, text: str = "") -> None:
         """The process that has been replaced ends."""
         if not service.inside.alive:
             return
@@ -179,7 +179,7 @@
             proxy.old = None
             proxy.service._alone()
 
-    def kill(self, proxy: Proxy) -> None:
+    def kill(self, proxy: SimulatedProxy) -> None:
         if proxy.service is None:
             return
         inside = proxy.service.inside
@@ -188,7 +188,7 @@
         proxy.service = None
         self.judge.restarted(proxy.name)
 
-    def ended(self, proxy: Proxy, inside: Inside) -> None:
+    def ended(self, proxy: SimulatedProxy, inside: Inside) -> None:
         """It has answered all and stops by itself."""
         if proxy.old is not None and proxy.old.inside is inside:
             self._gone(proxy, proxy.old)
@@ -196,7 +196,7 @@
         self.kill(proxy)
         self.net.callLater(proxy.back_s, self.start, proxy)
 
-    def _kill_late(self, proxy: Proxy, service: Service) -> None:
+    def _kill_late(self, proxy: SimulatedProxy, service: Proxy) -> None:
         """It has not ended in the time that a planned end may take."""
         if proxy.service is service:
             self.note(f"{proxy.name} did not end by itself")
@@ -342,7 +342,7 @@
         self.phases[node.name] = phase
         self.discovery.changed(node.name)
 
-    def _befall(self, proxy: Proxy, fault: Fault) -> None:
+    def _befall(self, proxy: SimulatedProxy, fault: Fault) -> None:
         match fault.kind:
             case "proxy_restart" if proxy.service is not None:
                 proxy.draining, proxy.back_s = True, fault.for_s
@@ -370,14 +370,14 @@
         return self.summary(time.perf_counter() - begun)
 
     def summary(self, wall_s: float) -> dict[str, Any]:
-        figures = People.figures(self.people, self.world)
+        metrics = People.metrics(self.people, self.world)
         return {
             "seed": self.seed,
-            "requests": figures["requests"],
-            "service": figures["service"],
-            "classes": figures["classes"],
-            "worst_window": figures["worst_window"],
-            "ends": figures["ends"],
+            "requests": metrics["requests"],
+            "service": metrics["service"],
+            "classes": metrics["classes"],
+            "worst_window": metrics["worst_window"],
+            "ends": metrics["ends"],
             "rules": {rule: self.judge.counts[rule] for rule in RULES},
             "breaches": self.judge.breaches,
             "notes": self.notes,
--- a/lab/proxies.py
+++ b/lab/proxies.py
@@ -8,7 +8,7 @@
 
 from twisted.python.failure import Failure
 
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 from lab.net import Address, Net
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import WallClock
@@ -19,7 +19,7 @@
 
     net: Net
 
-    def ended(self, proxy: Proxy, inside: Inside) -> None: ...
+    def ended(self, proxy: SimulatedProxy, inside: Inside) -> None: ...
 
 
 class FrontLayerWatch(Protocol):
@@ -33,25 +33,25 @@
 
 
 @dataclass
-class Proxy:
+class SimulatedProxy:
     name: str
     address: Address
     zone: int
     wall_clock: WallClock  # of its machine, for all its processes
     system_calls: SystemCalls
     log: io.StringIO = field(default_factory=io.StringIO)
-    service: Service | None = None
+    service: Proxy | None = None
     starts: int = 0
     draining: bool = False
     back_s: float = 0.0  # after a planned end, until it is started again
     watch: FrontLayerWatch = None  # the front layer's
-    old: Service | None = None  # ends beside the one that has replaced it
+    old: Proxy | None = None  # ends beside the one that has replaced it
 
 
 class Inside:
     """A proxy's own view of the network: its reactor, which dies with it."""
 
-    def __init__(self, play: PlayForProxies, proxy: Proxy) -> None:
+    def __init__(self, play: PlayForProxies, proxy: SimulatedProxy) -> None:
         self._net, self._play, self._proxy = play.net, play, proxy
         self.alive = True
         self.ends: list[Any] = []
@@ -85,7 +85,7 @@
 class Left:
     """What a process that is replaced leaves its successor, as `handover.successor.Predecessor` has it."""
 
-    def __init__(self, old: Service) -> None:
+    def __init__(self, old: Proxy) -> None:
         self._old = old
         self.handover_state, self.listening = old.hand_over()
 
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -5,8 +5,8 @@
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from lab.cache_nodes import CacheNode
 from lab.net import Address, Net
 
@@ -45,20 +45,20 @@
         self.log = io.StringIO()
         self.nodes = [CacheNode(self.net, (f"127.0.1.{n}", 1000 + n), seed=n) for n in range(nodes)]
         members = [
-            Member(f"s{n}", f"{node.address[0]}:{node.address[1]}") for n, node in enumerate(self.nodes)
+            Endpoint(f"s{n}", f"{node.address[0]}:{node.address[1]}") for n, node in enumerate(self.nodes)
         ]
-        members.append(Member("origin", "127.0.2.1:80", flavor="origin"))
+        members.append(Endpoint("origin", "127.0.2.1:80", flavor="origin"))
         config = Config(
             "p",
             listen,
             ("127.0.3.1", 8500),
             1,
             Limits(sockets=sockets),
-            Listing(41, True, members),
+            EndpointList(41, True, members),
             read_settings(SETTINGS),
         )
         now = self.net.now_ms
-        self.service = Service(self.net, config, Log(now, self.log), now, lambda: -1.0e9)
+        self.service = Proxy(self.net, config, Log(now, self.log), now, lambda: -1.0e9)
         self.service.start()
         self.listen = listen
         self.sockets = sockets
--- a/lab/scale/control_clients.py
+++ b/lab/scale/control_clients.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     """The hollow proxy that a control client belongs to."""
 
     name: str
-    service: Service
+    service: Proxy
     reactor: Any
     # To be called with the client's own name for its source, a revision, whether that came as a whole, and
     # its number of entries; the source's stand-in reports `Changed` under the same name.
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -1,4 +1,4 @@
-"""A process of hollow proxies: whole proxies (`cloverwell.proxy.Service`) that no client can reach.
+"""A process of hollow proxies: whole proxies (`cloverwell.proxy.Proxy`) that no client can reach.
 
 All of a proxy runs but its listening port: the watch, the decisions, the pools with their sweeps, the timer
 wheel. Their reactor is one, as is their process.
@@ -13,10 +13,10 @@
 
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
-from cloverwell.facade import News, NoNews
+from cloverwell.facade import EndpointUpdate, EndpointUpdateFailed
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import EndpointList
+from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
 from cloverwell.unix_time import read_epoch_ms
 from lab.scale import control_clients, messages
@@ -62,16 +62,16 @@
         self,
         reactor: Any,
         spec: messages.HollowSpec,
-        known: Listing,
+        known: EndpointList,
         log: TextIO,
-        in_force: Callable[[messages.InForce], None],
+        in_force: Callable[[messages.ActivationCount], None],
         incarnation: int,
     ) -> None:
         self.name = spec.name
         self.failed_calls = 0
         self._incarnation = incarnation
         self._in_force = in_force
-        self._row: messages.InForce | None = None  # what the answer in hand put in force
+        self._row: messages.ActivationCount | None = None  # what the answer in hand put in force
         config = Config(
             name=spec.name,
             listen=NOWHERE,
@@ -82,11 +82,11 @@
             settings=read_settings(spec.settings),
         )
         named_log = Log(monotonic_ms, NamedLog(spec.name, log))
-        self.service = Service(reactor, config, named_log, monotonic_ms, read_epoch_ms)
-        self._decide = self.service.server_list.tell
-        self.service.server_list.tell = self._told
-        self._take_answer = self.service.server_list.answered
-        self.service.server_list.answered = self._answered
+        self.service = Proxy(reactor, config, named_log, monotonic_ms, read_epoch_ms)
+        self._decide = self.service.endpoint_discovery.tell
+        self.service.endpoint_discovery.tell = self._told
+        self._take_answer = self.service.endpoint_discovery.answered
+        self.service.endpoint_discovery.answered = self._answered
         context = control_clients.ProxyContext(spec.name, self.service, reactor, self._record)
         self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
 
@@ -100,7 +100,7 @@
         """Ends what it follows."""
         for client in self._control_clients:
             client.stop()
-        self.service.server_list.stop()
+        self.service.endpoint_discovery.stop()
 
     def _answered(self, status: int, body: bytes) -> None:
         self._row = None
@@ -109,9 +109,9 @@
         if self._row is not None:
             self._row.cpu_ms = 1000.0 * (time.thread_time() - began_s)
 
-    def _told(self, told: News | NoNews) -> None:
+    def _told(self, told: EndpointUpdate | EndpointUpdateFailed) -> None:
         self._decide(told)
-        if isinstance(told, NoNews):
+        if isinstance(told, EndpointUpdateFailed):
             self.failed_calls += 1
             return
         lines = len(told.entries)
@@ -119,7 +119,7 @@
 
     def _record(self, source: str, revision: int, complete: bool, lines: int, held: bool = False) -> None:
         now = time.monotonic()
-        row = messages.InForce(
+        row = messages.ActivationCount(
             self.name, self._incarnation, revision, now, complete, lines, held, source=source
         )
         self._row = row
@@ -127,7 +127,7 @@
 
     def final_list(self) -> messages.FinalList:
         """The list as the proxy would hand it to a successor."""
-        listing = self.service.server_list.listing()
+        listing = self.service.endpoint_discovery.listing()
         return messages.FinalList(self.name, listing.revision, digest(listing.members))
 
 
@@ -139,7 +139,7 @@
     ) -> None:
         self._reactor = reactor
         self._report = report
-        self._rows: list[messages.InForce] = []
+        self._rows: list[messages.ActivationCount] = []
         self._log = open(f"{start.process}.proxies.log", "a")  # noqa: SIM115 (open as long as the process is)
         self._proxies = [
             HollowProxy(reactor, spec, start.known, self._log, self._rows.append, start.incarnation)
--- a/lab/scale/measure.py
+++ b/lab/scale/measure.py
@@ -40,14 +40,14 @@
 
     def __init__(self) -> None:
         self.changes: list[messages.Changed] = []
-        self._rows: dict[tuple[str, int], list[messages.InForce]] = defaultdict(list)
+        self._rows: dict[tuple[str, int], list[messages.ActivationCount]] = defaultdict(list)
         self._latest: dict[str, int] = {}
 
     def changed(self, change: messages.Changed) -> None:
         """Discovery has a new revision."""
         self.changes.append(change)
 
-    def took(self, row: messages.InForce) -> None:
+    def took(self, row: messages.ActivationCount) -> None:
         """A proxy took a revision; each proxy's come in their order."""
         self._rows[row.proxy, row.incarnation].append(row)
         self._latest[row.proxy] = row.revision
@@ -85,7 +85,9 @@
         return histogram, orders
 
 
-def delays_s(changes: list[messages.Changed], rows: list[messages.InForce]) -> tuple[list[float], int]:
+def delays_s(
+    changes: list[messages.Changed], rows: list[messages.ActivationCount]
+) -> tuple[list[float], int]:
     """Of one proxy since one start: the delay of each change that it had in force, and how many it had not.
 
     A change made before the proxy's start is no change to it.
@@ -102,7 +104,7 @@
     return delays, 0
 
 
-def _count_order(rows: list[messages.InForce], orders: Orders) -> None:
+def _count_order(rows: list[messages.ActivationCount], orders: Orders) -> None:
     for before, row in pairwise(rows):
         step = row.revision - before.revision
         if step < 0:
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from cloverwell.membership.listing import Listing, Member
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from lab.scale.world import Changes
 
 # To a process ----------------------------------------------------------------------------------
@@ -22,7 +22,7 @@
     queue: int
     seed: int
     changes: Changes
-    known: Listing
+    known: EndpointList
 
 
 class HollowSpec(Struct):
@@ -40,7 +40,7 @@
     process: str
     incarnation: int
     proxies: list[HollowSpec]
-    known: Listing
+    known: EndpointList
 
 
 class RelayLink(Struct):
@@ -115,7 +115,7 @@
 
     revision: int
     at_s: float
-    members: list[Member] = []
+    members: list[Endpoint] = []
     source: str = SERVER_LIST
 
 
@@ -123,7 +123,7 @@
     """No further revision comes."""
 
 
-class InForce(Struct):
+class ActivationCount(Struct):
     """What a proxy took from a source, `at_s` being when its decisions had it.
 
     `held`: it is what was known at the proxy's start; `lines`: entries in the answer; `cpu_ms`: CPU time that
@@ -142,7 +142,7 @@
 
 
 class InForceBatch(Struct, tag="in-force"):
-    rows: list[InForce]
+    rows: list[ActivationCount]
 
 
 class FinalList(Struct):
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cloverwell.membership.listing import Member
+from cloverwell.membership.endpoint_list import Endpoint
 from lab.proxy import SETTINGS
 from lab.scale.world import World, WorldError
 
@@ -80,11 +80,11 @@
     return told | {"limits": limits}
 
 
-def first_members(world: World, ports: list[int], origin_port: int) -> list[Member]:
+def first_members(world: World, ports: list[int], origin_port: int) -> list[Endpoint]:
     """Discovery's first list: the cache nodes spread over zones and ports, then the origin."""
     spread = zones(world)
     members = [
-        Member(
+        Endpoint(
             id=f"node-{number}",
             host_port=f"127.0.0.1:{ports[number % len(ports)]}",
             locality=spread[number % len(spread)][1],
@@ -92,7 +92,7 @@
         )
         for number in range(world.nodes.count)
     ]
-    return [*members, Member(ORIGIN, f"127.0.0.1:{origin_port}", spread[0][1], ORIGIN)]
+    return [*members, Endpoint(ORIGIN, f"127.0.0.1:{origin_port}", spread[0][1], ORIGIN)]
 
 
 def process_count(world: World) -> int:
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from cloverwell.membership.listing import Listing
+from cloverwell.membership.endpoint_list import EndpointList
 from lab.scale import machine, messages, plan, start
 from lab.scale.faults import far_region, link_state
 from lab.scale.measure import InForceMeasure, ProcessCost
@@ -131,7 +131,7 @@
         incarnation = self._incarnations[name] = self._incarnations.get(name, -1) + 1
         return start.hollow(world, name, incarnation, group, addresses, self._listing_now())
 
-    def _listing_now(self) -> Listing:
+    def _listing_now(self) -> EndpointList:
         """The list as discovery told it to us last."""
         return self._replica.listing()
 
--- a/lab/scale/start.py
+++ b/lab/scale/start.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from cloverwell.membership.listing import Listing
+from cloverwell.membership.endpoint_list import EndpointList
 from lab.processes import free_port
 from lab.scale import messages, plan
 from lab.scale.plan import ProxyPlace
@@ -48,13 +48,13 @@
         return HOST, self.relay.get(region, self.discovery)
 
 
-def first_listing(world: World, addresses: Addresses) -> Listing:
+def first_listing(world: World, addresses: Addresses) -> EndpointList:
     """The list that all begin with."""
     members = plan.first_members(world, addresses.nodes, addresses.origin)
-    return Listing(FIRST_REVISION, True, members)
+    return EndpointList(FIRST_REVISION, True, members)
 
 
-def discovery(world: World, addresses: Addresses, known: Listing) -> messages.StartDiscovery:
+def discovery(world: World, addresses: Addresses, known: EndpointList) -> messages.StartDiscovery:
     """Discovery's, with the list that it begins (again) with."""
     settings = world.discovery
     return messages.StartDiscovery(
@@ -85,7 +85,12 @@
 
 
 def hollow(
-    world: World, name: str, incarnation: int, group: list[ProxyPlace], addresses: Addresses, known: Listing
+    world: World,
+    name: str,
+    incarnation: int,
+    group: list[ProxyPlace],
+    addresses: Addresses,
+    known: EndpointList,
 ) -> messages.StartHollow:
     """A process of hollow proxies."""
     specs = [
@@ -101,7 +106,7 @@
 
 
 def write_real(
-    world: World, folder: Path, number: int, place: ProxyPlace, addresses: Addresses, known: Listing
+    world: World, folder: Path, number: int, place: ProxyPlace, addresses: Addresses, known: EndpointList
 ) -> Path:
     """The configuration file of a real proxy."""
     host, port = addresses.discovery_from(place.region)
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -1,6 +1,6 @@
 """A small fleet for the control log's tests, in virtual time."""
 
-from cloverwell.control.effects import LoadEntry
+from cloverwell.control.effects import ApplyEntry
 from cloverwell.control.entry import START, Entry, EntryKind, LogState, Snapshot
 from lab.control_world import ControlWorld
 
@@ -40,7 +40,7 @@
 
 
 def times_loaded(process, proposal):
-    entries = [load.entry for load in process.loads if isinstance(load, LoadEntry)]
+    entries = [load.entry for load in process.loads if isinstance(load, ApplyEntry)]
     return sum(entry.proposal == proposal for entry in entries)
 
 
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -117,6 +117,6 @@
 
 def take_watch_back(proxy):
     """Discovery has not been asked yet: the start may have begun a call before its faults are set."""
-    server_list = proxy.service.server_list
-    server_list._end_call()
-    server_list._hang_up()
+    endpoint_discovery = proxy.service.endpoint_discovery
+    endpoint_discovery._end_call()
+    endpoint_discovery._hang_up()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,8 +17,8 @@
 from cloverwell.config import Config, Limits
 from cloverwell.front.port import listen
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
 from lab.proxy import SETTINGS
 
@@ -113,13 +113,13 @@
         self.reactor = Reactor()
         self.origin, self.discovery = Node(self), Node(self)
         self.nodes = [Node(self, backlog) for _ in range(nodes)]
-        members = [Member(f"s{n}", "{}:{}".format(*node.address)) for n, node in enumerate(self.nodes, 1)]
-        members.append(Member("origin", "{}:{}".format(*self.origin.address), flavor="origin"))
+        members = [Endpoint(f"s{n}", "{}:{}".format(*node.address)) for n, node in enumerate(self.nodes, 1)]
+        members.append(Endpoint("origin", "{}:{}".format(*self.origin.address), flavor="origin"))
         self.log = io.StringIO()
-        known = Listing(41, True, members)
+        known = EndpointList(41, True, members)
         told = (self.discovery.address, 1, Limits(sockets=sockets), known, read_settings(settings))
         config = Config("p", ("127.0.0.1", 0), *told)
-        self.service = Service(self.reactor, config, Log(self.now, self.log), self.now, lambda: -1.0e9)
+        self.service = Proxy(self.reactor, config, Log(self.now, self.log), self.now, lambda: -1.0e9)
         self.service.start(listen)
         self.address = ("127.0.0.1", self.service._port.getHost().port)
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -29,8 +29,8 @@
 from balancer.settings import read_settings
 from cloverwell.config import Config, ConfigError, Limits
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from lab.proxy import SETTINGS
 
 HTTP = ("origin", "discovery", "discovery2")
@@ -95,19 +95,19 @@
         self.log = io.StringIO()
         self.ports = {"discovery": 100, "discovery2": 101, "origin": 200}
         self.ports |= {f"s{number}": 200 + number for number in range(1, nodes + 1)}
-        members = [Member(name, f"127.0.0.9:{port}") for name, port in self.ports.items() if name[0] == "s"]
-        members.append(Member("origin", "127.0.0.9:200", flavor="origin"))
+        members = [Endpoint(name, f"127.0.0.9:{port}") for name, port in self.ports.items() if name[0] == "s"]
+        members.append(Endpoint("origin", "127.0.0.9:200", flavor="origin"))
         config = self.config = Config(
             "p",
             ("127.0.0.1", 11211),
             ("127.0.0.9", 100),
             1,
             Limits(sockets=sockets),
-            Listing(41, True, members),
+            EndpointList(41, True, members),
             read_settings(settings),
             ("127.0.0.1", 11212) if operator else None,
         )
-        self.service = Service(self.reactor, config, Log(self.now, self.log), self.now, lambda: self.epoch_ms)
+        self.service = Proxy(self.reactor, config, Log(self.now, self.log), self.now, lambda: self.epoch_ms)
         self.service.start()
         self.opened = {}  # party -> its connections as (protocol, transport)
         self.asked = 0  # connections the proxy has asked for and a party has taken or refused
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -21,7 +21,7 @@
 TURNS = 100
 
 
-class Desk(Factory):
+class PortOwner(Factory):
     noisy = False
 
     def __init__(self):
@@ -64,7 +64,7 @@
 
 @pytest.fixture
 def knock():
-    made = SimpleNamespace(loop=Loop(), desk=Desk(), clients=[])
+    made = SimpleNamespace(loop=Loop(), desk=PortOwner(), clients=[])
 
     def clients(number):
         made.port = listen(made.loop, "127.0.0.1", 0, made.desk, 50)
@@ -211,7 +211,7 @@
 def test_a_machine_that_is_short_of_something_for_a_moment_does_not_end_the_start(number, naps, monkeypatch):
     calls, make = Calls(number, number), BoundedPort.createInternetSocket
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check() or make(port))
-    port = listen(Loop(), "127.0.0.1", 0, Desk(), 50)
+    port = listen(Loop(), "127.0.0.1", 0, PortOwner(), 50)
     assert port.getHost().port and len(naps) == 2
     port.socket.close()
 
@@ -221,7 +221,7 @@
     calls = Calls(always=number)
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check())
     with pytest.raises(CannotListenError):
-        listen(Loop(), "127.0.0.1", 0, Desk(), 50)
+        listen(Loop(), "127.0.0.1", 0, PortOwner(), 50)
     assert calls.count == tries
 
 
@@ -229,7 +229,7 @@
     listening = socket.create_server(("127.0.0.1", 0))
     calls, make = Calls(errno.ENFILE), socket.fromfd
     monkeypatch.setattr(socket, "fromfd", lambda *where: calls.check() or make(*where))
-    port = adopt(Loop(), listening.detach(), Desk())
+    port = adopt(Loop(), listening.detach(), PortOwner())
     assert port.getHost().port and len(naps) == 1
     port.socket.close()
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -7,11 +7,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from cloverwell.connections.back import AHEAD_EACH, HOLD_MS, MOST_REACH_MS, Back, Use
-from cloverwell.connections.budget import Budget, BudgetError, Side, other
-from cloverwell.connections.figures import MAX_NAMES, OTHERS, Figures, What
+from cloverwell.connections.budget import BudgetError, DescriptorBudget, DescriptorSide, other
+from cloverwell.connections.metrics import MAX_NAMES, OTHERS, ConnectionEvent, ConnectionMetrics
+from cloverwell.connections.node_policy import (
+    AHEAD_EACH,
+    HOLD_MS,
+    MOST_REACH_MS,
+    ConnectionUse,
+    NodeConnectionPolicy,
+)
 from cloverwell.connections.stale import EDGES, MARGIN, Ages, bucket
-from cloverwell.facade import Outcome
+from cloverwell.facade import AttemptOutcome
 from lab.attempts import GRACE_MS, PATTERNS, Fixed, Rig
 
 # The budget ------------------------------------------------------------------------------------
@@ -22,10 +28,10 @@
 )
 def test_every_state_of_a_small_budget_keeps_its_promises(total, floors):
     # Exhaustive: each side takes, ends work, and closes what is idle, its own or as the lender.
-    sides = (Side.FRONT, Side.BACK)
+    sides = (DescriptorSide.CLIENTS, DescriptorSide.NODES)
 
     def budget_of(state):
-        budget = Budget(total, *floors)
+        budget = DescriptorBudget(total, *floors)
         for side, (busy, idle) in zip(sides, state, strict=True):
             budget.held[side] = busy + idle
         return budget
@@ -68,10 +74,10 @@
     assert len(seen) > 20
 
 
-@given(st.integers(2, 300), st.lists(st.tuples(st.sampled_from(Side), st.booleans()), max_size=400))
+@given(st.integers(2, 300), st.lists(st.tuples(st.sampled_from(DescriptorSide), st.booleans()), max_size=400))
 @settings(max_examples=80, derandomize=True, deadline=None)
 def test_a_budget_is_never_passed_and_never_goes_below_nothing(total, moves):
-    budget = Budget(total)
+    budget = DescriptorBudget(total)
     for side, take in moves:
         try:
             budget.take(side) if take else budget.give_back(side)
@@ -130,7 +136,7 @@
 
     @initialize()
     def start(self):
-        self.now, self.back = 1000.0, Back(2500.0, GRACE_MS, 1000.0)
+        self.now, self.back = 1000.0, NodeConnectionPolicy(2500.0, GRACE_MS, 1000.0)
         self.named: dict[str, float | None] = {}
 
     @rule(node=st.sampled_from("abcdef"), cold=st.booleans())
@@ -187,7 +193,7 @@
         use, limit = self.back.use(node, age, dear), self.back.idle_limit_ms(node)
         assert limit <= 2500.0
         if node in self.named:
-            assert (use is Use.RETIRE) == (age is not None and age >= limit)
+            assert (use is ConnectionUse.RETIRE) == (age is not None and age >= limit)
         assert HOLD_MS[0] <= self.back.hold_ms(node) <= HOLD_MS[1]
         left = self.named.get(node)
         late = left is not None and self.now - left >= GRACE_MS
@@ -210,13 +216,16 @@
 
 
 def test_figures_of_nodes_that_are_gone_do_not_gather():
-    figures = Figures()
+    metrics = ConnectionMetrics()
     for number in range(3 * MAX_NAMES):
-        figures.add(What.OPENED, f"s{number}")
+        metrics.add(ConnectionEvent.OPENED, f"s{number}")
         if number % 3:
-            figures.forget(f"s{number}")
-    assert figures.total(What.OPENED) == 3 * MAX_NAMES
-    assert len(figures.by(What.OPENED)) <= MAX_NAMES + 1 and figures.by(What.OPENED)[OTHERS] > 0
+            metrics.forget(f"s{number}")
+    assert metrics.total(ConnectionEvent.OPENED) == 3 * MAX_NAMES
+    assert (
+        len(metrics.by(ConnectionEvent.OPENED)) <= MAX_NAMES + 1
+        and metrics.by(ConnectionEvent.OPENED)[OTHERS] > 0
+    )
 
 
 # Before stand-in nodes -------------------------------------------------------------------------
@@ -250,12 +259,12 @@
     rig.net.run_for(0.6)
     rig.attempt(0, dear=True)
     rig.net.run_for(0.6)
-    assert rig.tally.outcomes == {Outcome.SERVED: 2} and node.dead_requests == 0
-    assert rig.figures.total(What.CAUGHT) == 1 and node.requests == 2
+    assert rig.tally.outcomes == {AttemptOutcome.SERVED: 2} and node.dead_requests == 0
+    assert rig.metrics.total(ConnectionEvent.CAUGHT) == 1 and node.requests == 2
 
 
 def test_a_close_reaches_its_node_within_a_round_trip_of_late():
-    back = Back(2500.0, GRACE_MS, 0.0)
+    back = NodeConnectionPolicy(2500.0, GRACE_MS, 0.0)
     for node in ("near", "far"):
         back.named(node, "cache")
     assert back.reach_ms("far") == back.reach_ms("nobody") == MOST_REACH_MS
@@ -286,7 +295,7 @@
         rig.net.run_for(0.01)
     asked = [at - latency_ms / 1000.0 for at in rig.nodes[0].opened_at]
     assert max(asked) <= told + GRACE_MS / 1000.0
-    assert rig.tally.outcomes[Outcome.NOT_CONNECTED] >= 50
+    assert rig.tally.outcomes[AttemptOutcome.NOT_CONNECTED] >= 50
     rig.net.run_for(5.0)
     rig.pools._sweep()
     assert rig.pools.names() == {"s1"} and len(rig.back) == 1
@@ -299,7 +308,7 @@
     rig.load(60.0, 20.0)
     # Each refusal that is not learnt from is a handshake's work for a node that is full already.
     assert node.refused < 60, node.refused
-    assert len(node.connections) <= 5 and rig.tally.outcomes[Outcome.SERVED] > 0.9 * rig.tally.attempts
+    assert len(node.connections) <= 5 and rig.tally.outcomes[AttemptOutcome.SERVED] > 0.9 * rig.tally.attempts
 
 
 def test_one_refused_connection_is_no_full_node():
@@ -313,7 +322,7 @@
     for _ in range(6):
         rig.attempt(0)
     rig.net.run_for(1.0)
-    assert rig.tally.outcomes == {Outcome.SERVED: 7, Outcome.NOT_CONNECTED: 1}
+    assert rig.tally.outcomes == {AttemptOutcome.SERVED: 7, AttemptOutcome.NOT_CONNECTED: 1}
 
 
 def test_connections_are_opened_ahead_where_handshakes_are_dear():
@@ -321,7 +330,7 @@
     for node in rig.nodes:
         rig.net.path(node.address).latency_s = 0.012
     rig.load(150.0, 20.0)
-    ahead = rig.figures.total(What.AHEAD)
+    ahead = rig.metrics.total(ConnectionEvent.AHEAD)
     assert ahead > 0 and ahead < 0.1 * rig.tally.attempts
     rig.pools.leave("s0")
     before = len(rig.nodes[0].opened_at)
@@ -336,29 +345,32 @@
 
     def look():
         nonlocal peak
-        peak = max(peak, rig.budget.held[Side.BACK])
-        assert len(rig.pools.idle) <= rig.budget.held[Side.BACK]
+        peak = max(peak, rig.budget.held[DescriptorSide.NODES])
+        assert len(rig.pools.idle) <= rig.budget.held[DescriptorSide.NODES]
         rig.net.callLater(0.01, look)
 
     look()
     rig.load(per_s, 4.0)
-    assert peak <= rig.budget.most(Side.BACK)
-    assert rig.tally.outcomes[Outcome.SERVED] > 0.99 * rig.tally.attempts
-    assert sum(len(pool.connections) for pool in rig.pools._pools.values()) == rig.budget.held[Side.BACK]
+    assert peak <= rig.budget.most(DescriptorSide.NODES)
+    assert rig.tally.outcomes[AttemptOutcome.SERVED] > 0.99 * rig.tally.attempts
+    assert (
+        sum(len(pool.connections) for pool in rig.pools._pools.values())
+        == rig.budget.held[DescriptorSide.NODES]
+    )
 
 
 def test_the_last_descriptors_go_to_whoever_needs_them():
     # The clients' side holds all between the floors; for an attempt without room one of its idle ones is
     # closed.
     rig = Rig(4, descriptors=20)
-    while rig.budget.room(Side.FRONT):
-        rig.budget.take(Side.FRONT)
-    rig.pools.borrow = lambda: rig.budget.give_back(Side.FRONT)
+    while rig.budget.room(DescriptorSide.CLIENTS):
+        rig.budget.take(DescriptorSide.CLIENTS)
+    rig.pools.borrow = lambda: rig.budget.give_back(DescriptorSide.CLIENTS)
     for _ in range(12):
         rig.attempt(0)
     rig.net.run_for(1.0)
-    assert rig.tally.outcomes == {Outcome.SERVED: 12}
-    assert rig.budget.held[Side.BACK] > rig.budget.floors[Side.BACK]
+    assert rig.tally.outcomes == {AttemptOutcome.SERVED: 12}
+    assert rig.budget.held[DescriptorSide.NODES] > rig.budget.floors[DescriptorSide.NODES]
 
 
 @given(st.floats(0.0, 200_000.0))
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -12,10 +12,10 @@
 
 from cloverwell.codec import lines
 from cloverwell.dispatcher import Dispatcher
-from cloverwell.facade import Outcome
+from cloverwell.facade import AttemptOutcome
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
 from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
-from cloverwell.timer_wheel import HELD_UP_MS
+from cloverwell.timer_wheel import STALL_MS
 from lab.play import Play
 from lab.proxy import SETTINGS
 from lab.world import load
@@ -45,7 +45,7 @@
 
 def test_the_bounds_on_the_way_to_knowing_of_a_close_leave_half_the_time():
     # A look at those that are not read, as late as a loop may be that is not yet held up.
-    assert CLIENT_LOOK_MS + HELD_UP_MS <= GONE_MS / 2
+    assert CLIENT_LOOK_MS + STALL_MS <= GONE_MS / 2
 
 
 # Connections that are not read --------------------------------------------------------------------
@@ -112,7 +112,7 @@
     conn = proxy.client(data)
     leave(conn)
     proxy.skip(400)
-    proxy.until(lambda: proxy.service.wheel.behind_ms < HELD_UP_MS / 2)
+    proxy.until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
     proxy.service._port.resumeProducing()
     proxy.skip(400)
     assert not begun and not proxy.service.dispatcher.open_count
@@ -175,7 +175,7 @@
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     proxy.service.back.reach_ms = lambda node: 40.0
     conn = taken(proxy, begun, read(1))
-    begun[0].pool.give_up(begun[0], Outcome.TIMED_OUT)
+    begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1 and len(begun) == 1
     leave(conn)
     proxy.lag(LAG_MS)
@@ -271,7 +271,7 @@
     real = ClientConnections.have_left
 
     def have_left(self, connections):
-        self.wheel.not_before(self.wheel.now() + ms, lambda: real(self, connections))
+        self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: real(self, connections))
 
     patch.setattr(ClientConnections, "have_left", have_left)
 
--- a/tests/test_config_failures.py
+++ b/tests/test_config_failures.py
@@ -9,7 +9,7 @@
 
 from cloverwell import config as proxy_config
 from cloverwell.config import ConfigError, read_config
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 
 ERRORS = [errno.EIO, errno.ENOENT, errno.EACCES, errno.EISDIR, errno.EMFILE, errno.ESTALE]
 
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("number", ERRORS)
 def test_a_reload_that_cannot_read_its_file_changes_nothing_and_says_so_once(failing_at, number):
     failing_at(number)
-    service = Service.__new__(Service)  # a reload that went on would need more of it
+    service = Proxy.__new__(Proxy)  # a reload that went on would need more of it
     service._log = Lines()
     service.reload(lambda: read_config({"EDGE_CONFIG": "/etc/proxy.json"}, again=True))
     (line,) = service._log.lines
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -11,8 +11,8 @@
 from twisted.internet.error import ConnectError, TimeoutError, getConnectError
 from twisted.python.failure import Failure
 
-from cloverwell.connections.budget import Side
-from cloverwell.connections.figures import What
+from cloverwell.connections.budget import DescriptorSide
+from cloverwell.connections.metrics import ConnectionEvent
 from lab.proxy import SETTINGS
 
 SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -42,7 +42,7 @@
 
 
 def figure(proxy, what):
-    return proxy.service.figures.total(what)
+    return proxy.service.metrics.total(what)
 
 
 def reached(proxy, node, wanted):
@@ -81,9 +81,9 @@
     node.sendall(b"VA 1 O1\r\nx\r\n")
     assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n" and failing.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
-    assert figure(proxy, What.CONNECT_REFUSED) == 0
+    assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.of("s1")
-    assert pool.opening == 0 and proxy.service.budget.held[Side.BACK] == len(pool.connections)
+    assert pool.opening == 0 and proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
     assert proxy.origin._accept() is None
 
 
@@ -137,7 +137,7 @@
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     proxy.skip(500)
     assert answers(proxy, conn) == b"" and not proxy.service.dispatcher.open_count
-    assert not proxy.service.budget.held[Side.BACK]
+    assert not proxy.service.budget.held[DescriptorSide.NODES]
 
 
 def fail_all_connects(player):
@@ -221,7 +221,7 @@
     fail(outgoing, proxy.nodes[0].address, stage, number)
     proxy.client(read(1))
     proxy.until(lambda: "s1 marked missed" in proxy.log.getvalue())
-    assert figure(proxy, What.CONNECT_REFUSED) == 1
+    assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
 
 
 # Discovery -----------------------------------------------------------------------------------------
@@ -232,18 +232,18 @@
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     take_watch_back(proxy)
-    proxy.service.server_list.watch()
+    proxy.service.endpoint_discovery.watch()
     reached(proxy, proxy.discovery, b"GET /v1/servers")
     assert failing.failed >= 1 and "call failed" not in proxy.log.getvalue()
-    assert not proxy.service.server_list._retry.failing
+    assert not proxy.service.endpoint_discovery._retry.failing
 
 
 def test_a_call_to_discovery_that_can_not_be_made_in_its_time_is_a_failed_one(rig, outgoing):
     proxy = rig()
     failing = fail(outgoing, proxy.discovery.address, "socket", always=errno.ENFILE)
-    proxy.service.server_list._revision = None  # a call that does not wait for news
+    proxy.service.endpoint_discovery._revision = None  # a call that does not wait for news
     take_watch_back(proxy)
-    proxy.service.server_list.watch()
+    proxy.service.endpoint_discovery.watch()
     begun_ms = proxy.now()
     proxy.skip(1950)
     assert "call failed: no answer in time" in proxy.log.getvalue()
@@ -258,7 +258,7 @@
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
     take_watch_back(proxy)
-    proxy.service.server_list.watch()
+    proxy.service.endpoint_discovery.watch()
     proxy.until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -151,11 +151,11 @@
     program = (
         "import sys, json, cloverwell.__main__ as main\n"
         "from cloverwell.config import read_config\n"
-        "from cloverwell.proxy import Service\n"
+        "from cloverwell.proxy import Proxy\n"
         "from cloverwell.log import Log\n"
         "from twisted.internet import reactor\n"
         "config = read_config({'EDGE_CONFIG': sys.argv[1], 'EDGE_LISTEN': sys.argv[2]})\n"
-        "service = Service(reactor, config, Log(main.monotonic_ms), main.monotonic_ms, lambda: 0.0)\n"
+        "service = Proxy(reactor, config, Log(main.monotonic_ms), main.monotonic_ms, lambda: 0.0)\n"
         "service.start(main.listen, main.adopt)\n"
         "reactor.callLater(0.1, reactor.stop)\n"
         "reactor.run()\n"
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cloverwell.config import ConfigError, parse_config, read_config
-from cloverwell.control.configuration import Change, check_document, digest, read_change
+from cloverwell.control.configuration import ConfigurationChange, check_document, digest, read_change
 from lab.proxy import SETTINGS
 
 NODES = [
@@ -85,11 +85,11 @@
 
 def test_discovery_and_the_number_of_proxies_may_change():
     told = with_settings(**{"peers-total": 480}) | {"discovery": "127.0.0.1:9"}
-    assert change(told) == Change(("127.0.0.1", 9), 480)
+    assert change(told) == ConfigurationChange(("127.0.0.1", 9), 480)
 
 
 def test_what_an_entry_does_not_name_is_the_proxys_own():
-    assert change({}) == Change(("127.0.0.1", 2), SETTINGS["peers-total"])
+    assert change({}) == ConfigurationChange(("127.0.0.1", 2), SETTINGS["peers-total"])
     assert change({"discovery": "127.0.0.1:9"}).peers_total == SETTINGS["peers-total"]
 
 
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -106,7 +106,7 @@
 # The port of a node ---------------------------------------------------------------------------------
 
 
-class Desk:
+class ControlRequestHandler:
     """A control node's side of the port: keeps what it is told."""
 
     def __init__(self):
@@ -133,7 +133,7 @@
 
 @pytest.fixture
 def port():
-    made = ControlPort(Reactor(), Desk(), Lines())
+    made = ControlPort(Reactor(), ControlRequestHandler(), Lines())
 
     def connect():
         class Address:
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cloverwell.control.consensus import Consensus, Role
-from cloverwell.control.effects import Committed, SendPeer, SnapshotInstalled
+from cloverwell.control.effects import EntriesCommitted, SendToPeer, SnapshotInstalled
 from cloverwell.control.entry import EMPTY_SNAPSHOT, START, Entry, EntryKind, LogState, Snapshot
 from cloverwell.control.messages import (
     NO_TOKEN,
@@ -47,7 +47,7 @@
     return [
         effect.message
         for effect in effects
-        if isinstance(effect, SendPeer) and isinstance(effect.message, kind)
+        if isinstance(effect, SendToPeer) and isinstance(effect.message, kind)
     ]
 
 
@@ -61,7 +61,7 @@
     effects = node.receive(RequestVote(1, "b", 0, 0), 1.0)
     writes = [effect for effect in effects if isinstance(effect, Write)]
     assert (writes[-1].term, writes[-1].vote) == (1, "b")
-    assert isinstance(effects[-1], SendPeer)
+    assert isinstance(effects[-1], SendToPeer)
     assert effects[-1].message.granted
 
 
@@ -69,7 +69,7 @@
     node = consensus()
     effects = node.receive(append(1, (0, 0), entries(1)), 1.0)
     kinds = [type(effect) for effect in effects]
-    assert kinds.index(SendPeer) > max(number for number, kind in enumerate(kinds) if kind is Write)
+    assert kinds.index(SendToPeer) > max(number for number, kind in enumerate(kinds) if kind is Write)
     _, effects = leader().propose("configuration", b"", "x", 10_001.0)
     assert isinstance(effects[0], Write)
 
@@ -120,7 +120,7 @@
     assert node.leadership.confirmed_at == 10_000.0
     assert node.lease_ms(10_050.0) == 0.0
     effects = node.receive(AppendAnswer(2, "c", True, 2, 10_050.0, 6.0), 10_100.0)
-    assert effects[0] == Committed((*entries(1), Entry(2, 2, EntryKind.NOOP)))
+    assert effects[0] == EntriesCommitted((*entries(1), Entry(2, 2, EntryKind.NOOP)))
     left = lease_end(10_050.0, LEASE_MS) - 10_100.0
     assert node.lease_ms(10_100.0) == left < LEASE_MS - 50.0
     heartbeat = sent(effects, AppendEntries)[1]
@@ -181,7 +181,7 @@
     assert storage.load() == StoredState(1, "", snapshot, entries(1, first=3))
     assert node.log.committed == position
     effects = node.receive(InstallSnapshot(1, "b", EMPTY_SNAPSHOT, 1.0), 1.0)
-    assert [type(effect) for effect in effects] == [SendPeer]
+    assert [type(effect) for effect in effects] == [SendToPeer]
 
 
 def test_a_follower_too_far_behind_is_sent_a_snapshot_and_not_again_at_once():
@@ -214,7 +214,7 @@
 def test_a_node_alone_leads_and_commits_at_once():
     node = consensus(nodes=("a",))
     effects = node.tick(10_000.0)
-    assert Committed((Entry(1, 1, EntryKind.NOOP),)) in effects
+    assert EntriesCommitted((Entry(1, 1, EntryKind.NOOP),)) in effects
     assert node.has_quorum(10_000.0)
     assert node.lease_ms(10_000.0) == lease_end(10_000.0, LEASE_MS) - 10_000.0
 
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -9,7 +9,7 @@
 
 from cloverwell.control.choice import NodeChoice
 from cloverwell.control.control_node import ControlNode
-from cloverwell.control.effects import AnswerProposal, CloseProxy, SendPeer, SendProxy
+from cloverwell.control.effects import AnswerProposal, CloseSubscriber, SendToPeer, SendToSubscriber
 from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START, EntryKind, Position
 from cloverwell.control.fleet import UNHEARD_MS, FleetView, divide_by
 from cloverwell.control.messages import (
@@ -52,7 +52,7 @@
 
 
 def to_proxy(effects):
-    return [effect.message for effect in effects if isinstance(effect, SendProxy)]
+    return [effect.message for effect in effects if isinstance(effect, SendToSubscriber)]
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     full.receive_proxy(1, subscribe("first"), 10_000.0)
     full.receive_proxy(2, subscribe("second"), 10_000.0)
     effects = full.receive_proxy(3, message, 10_000.0)
-    assert effects == [SendProxy(3, Refusal(reason)), CloseProxy(3)]
+    assert effects == [SendToSubscriber(3, Refusal(reason)), CloseSubscriber(3)]
     assert full.subscribers.alive == 2
 
 
@@ -88,7 +88,7 @@
     alone.receive_proxy(1, subscribe(), 10_000.0)
     assert to_proxy(alone.receive_proxy(1, Acknowledge(Position(1, b"odd"), 2.0), 10_001.0))
     effects = alone.receive_proxy(1, Acknowledge(Position(7, b""), 3.0), 10_002.0)
-    assert effects == [SendProxy(1, Refusal(RefusalReason.INVALID)), CloseProxy(1)]
+    assert effects == [SendToSubscriber(1, Refusal(RefusalReason.INVALID)), CloseSubscriber(1)]
     assert alone.receive_proxy(1, Acknowledge(Position(1, b""), 3.0), 10_003.0) == []
 
 
@@ -96,7 +96,7 @@
     alone = node()
     alone.receive_proxy(1, subscribe(), 10_000.0)
     effects = alone.receive_proxy(2, subscribe(attempt=2), 10_000.0)
-    assert effects[0] == CloseProxy(1)
+    assert effects[0] == CloseSubscriber(1)
     alone.proxy_disconnected(1, 10_001.0)
     report = alone.subscribers.report("a")
     assert (report.alive, report.lost) == (1, 0)
@@ -108,7 +108,7 @@
     alone = node()
     alone.receive_proxy(1, subscribe(run=7, attempt=3), 10_000.0)
     effects = alone.receive_proxy(2, subscribe(run=run), 10_000.0)
-    assert effects[0] == CloseProxy(1) and 2 in alone.subscribers
+    assert effects[0] == CloseSubscriber(1) and 2 in alone.subscribers
     report = alone.subscribers.report("a")
     assert (report.alive, report.lost) == (1, 0)
 
@@ -118,9 +118,9 @@
     alone = node()
     alone.receive_proxy(1, subscribe(run=7), 10_000.0)
     alone.receive_proxy(2, subscribe(run=run), 10_000.0)
-    refused = [SendProxy(3, Refusal(RefusalReason.INVALID)), CloseProxy(3)]
+    refused = [SendToSubscriber(3, Refusal(RefusalReason.INVALID)), CloseSubscriber(3)]
     assert alone.receive_proxy(3, subscribe(run=7, attempt=2), 10_001.0) == refused
-    assert alone.receive_proxy(4, subscribe(run=run, attempt=2), 10_002.0)[0] == CloseProxy(2)
+    assert alone.receive_proxy(4, subscribe(run=run, attempt=2), 10_002.0)[0] == CloseSubscriber(2)
     assert alone.receive_proxy(3, subscribe(run=7, attempt=3), 10_003.0) == refused
     # The successor has died: its predecessor is welcome again.
     alone.proxy_disconnected(4, 10_004.0)
@@ -153,9 +153,9 @@
     alone = node(silence_ms=5_000.0, forget_ms=60_000.0)
     for number, name in enumerate(["good", "ended", "silent"]):
         alone.receive_proxy(number, subscribe(name), 10_000.0)
-    assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseProxy(0)]
+    assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseSubscriber(0)]
     alone.proxy_disconnected(1, 10_002.0)
-    assert CloseProxy(2) in alone.tick(15_001.0)
+    assert CloseSubscriber(2) in alone.tick(15_001.0)
     assert (alone.subscribers.report("a").alive, alone.subscribers.report("a").lost) == (0, 2)
     alone.tick(70_002.0)
     assert alone.subscribers.report("a").lost == 1
@@ -169,20 +169,20 @@
     nodes["a"].receive_proxy(1, subscribe(), 1.0)
     nodes["a"].proxy_disconnected(1, 2.0)
     effects = nodes["b"].receive_proxy(1, subscribe(attempt=2, last_node="a"), 3.0)
-    moved = SendPeer("a", SubscriberMoved("p", 1, 2))
+    moved = SendToPeer("a", SubscriberMoved("p", 1, 2))
     assert moved in effects
     nodes["a"].receive_peer("b", moved.message, 4.0)
     assert nodes["a"].subscribers.report("a").lost == 0
     nodes["a"].receive_proxy(2, subscribe(attempt=3, last_node="b"), 5.0)
     assert nodes["a"].receive_peer("b", moved.message, 6.0) == []
     assert nodes["a"].subscribers.alive == 1
-    assert nodes["a"].receive_peer("c", SubscriberMoved("p", 1, 4), 7.0) == [CloseProxy(2)]
+    assert nodes["a"].receive_peer("c", SubscriberMoved("p", 1, 4), 7.0) == [CloseSubscriber(2)]
 
 
 def test_messages_of_strangers_and_in_the_name_of_another_node_are_passed_over():
     one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
     other = ControlNode("b", NODES, "main", StoredState(), Random(2), 0.0)
-    asked = next(effect.message for effect in other.tick(10_000.0) if isinstance(effect, SendPeer))
+    asked = next(effect.message for effect in other.tick(10_000.0) if isinstance(effect, SendToPeer))
     assert one.receive_peer("stranger", asked, 10_000.0) == []
     assert one.receive_peer("c", asked, 10_000.0) == []
     assert one.receive_peer("b", asked, 10_000.0) != []
--- a/tests/test_control_hard_cases.py
+++ b/tests/test_control_hard_cases.py
@@ -16,7 +16,7 @@
     world,
 )
 
-from cloverwell.control.effects import LoadEntry, LoadSnapshot
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import EntryKind
 from cloverwell.control.messages import ProposalOutcome, Propose
 from cloverwell.control.timing import LEASE_MS
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize(
     ("changes", "whole_region", "loads_after"),
-    [(200, True, {LoadEntry: 200}), (200, False, {LoadEntry: 200}), (300, False, {LoadSnapshot: 1})],
+    [(200, True, {ApplyEntry: 200}), (200, False, {ApplyEntry: 200}), (300, False, {ApplySnapshot: 1})],
 )
 def test_a_region_is_cut_off_for_minutes_while_changes_are_made(changes, whole_region, loads_after):
     """With its control node, or its proxies without one: then the tail may have grown too long."""
--- a/tests/test_control_proxies.py
+++ b/tests/test_control_proxies.py
@@ -12,7 +12,7 @@
     world,
 )
 
-from cloverwell.control.effects import LoadEntry, LoadSnapshot
+from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import LogState, Position, Snapshot
 from cloverwell.control.timing import FanoutTiming, SubscriptionTiming
 from lab.control_world import ControlWorld
@@ -43,7 +43,7 @@
     assert serving(process) == "change-1"  # at once, before control was reached
     assert not process.subscription.caught_up
     played.run_until(lambda: process.subscription.caught_up, 2_000)
-    assert [type(load) for load in process.loads] == [LoadSnapshot, LoadEntry]
+    assert [type(load) for load in process.loads] == [ApplySnapshot, ApplyEntry]
     assert serving(process) == "change-2"
 
 
@@ -57,7 +57,7 @@
     played.start_proxy("p0", ahead)
     process = played.proxies["p0"]
     run_checked(played, 20_000)
-    assert [type(load) for load in process.loads] == [LoadSnapshot]
+    assert [type(load) for load in process.loads] == [ApplySnapshot]
     assert process.subscription.position == ahead.position
     status = process.subscription.status(process.clock.at(played.now))
     assert (status.current, status.caught_up, status.gave_up) == (False, False, True)
@@ -79,7 +79,7 @@
     played.run_until(lambda: process.subscription.caught_up, 2_000)
     assert serving(process) == "change-1"
     assert process.subscription.position == good.position
-    snapshots = [load.snapshot for load in process.loads if isinstance(load, LoadSnapshot)]
+    snapshots = [load.snapshot for load in process.loads if isinstance(load, ApplySnapshot)]
     assert (bad in snapshots) == (damage == "digest")
 
 
@@ -167,5 +167,5 @@
     assert serving(slow) != "change-99"
     played.run_until(all_serve(played, "change-99"), 8_000)
     kinds = Counter(type(load) for load in slow.loads)
-    assert kinds[LoadSnapshot] >= 1
-    assert kinds[LoadEntry] < 100
+    assert kinds[ApplySnapshot] >= 1
+    assert kinds[ApplyEntry] < 100
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -11,7 +11,7 @@
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
 from cloverwell.control.proxy.proxy_control import LOOK_MS, ProxyControl
 from cloverwell.front.operators import Operators
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 from lab.proxy import SETTINGS
 
 OWN = {
@@ -31,10 +31,10 @@
     def __init__(self, environ=None):
         self.reactor, self.lines = Reactor(), Lines()
         self.done, self.ready = [], 0
-        self.wheel = Wheel(self.reactor, 5.0, self.reactor.now_ms)
-        self.wheel.start()
+        self.timer_wheel = TimerWheel(self.reactor, 5.0, self.reactor.now_ms)
+        self.timer_wheel.start()
         config = parse_config(json.dumps(OWN).encode(), {})
-        self.control = ProxyControl(self.reactor, self.wheel, self.lines, config, self, environ or {})
+        self.control = ProxyControl(self.reactor, self.timer_wheel, self.lines, config, self, environ or {})
         self.control.start(self.on_ready)
         self.node = self.reactor.tries[0].succeed()
         (self.subscribe,) = self.node.messages()
@@ -43,7 +43,7 @@
     def on_ready(self):
         self.ready += 1
 
-    def put_in_force(self, discovery, peers_total):
+    def activate(self, discovery, peers_total):
         self.done.append((discovery, peers_total))
 
     def resize(self, peers_total):
@@ -152,7 +152,7 @@
     "told, method, status", [("version=1", "GET", 200), ("version=1", "PUT", 405), (None, "GET", 404)]
 )
 def test_operators_ask_for_the_configuration_where_a_control_log_tells_it(told, method, status):
-    class Desk:
+    class ControlRequestHandler:
         def ready(self):
             return True
 
@@ -161,5 +161,5 @@
         def configuration(self):
             return told
 
-    answer = Operators(Desk(), None, Lines()).answer(method, "/configuration")
+    answer = Operators(ControlRequestHandler(), None, Lines()).answer(method, "/configuration")
     assert answer[0] == status and (status != 200 or answer[1] == told)
--- a/tests/test_counts.py
+++ b/tests/test_counters.py
@@ -4,14 +4,14 @@
 import sys
 from pathlib import Path
 
-from cloverwell.counts import MAX_NAMES, Counts
+from cloverwell.counters import MAX_NAMES, Counters
 from tests.scenario import Player
 
 TOOL = Path(__file__).parent.parent / "benchmarks" / "fleet_counts.py"
 
 
 def test_a_line_tells_what_happened_since_the_last():
-    counts = Counts()
+    counts = Counters()
     counts.add("b", 2)
     counts.add("a")
     counts.highest("age", 7.0)
@@ -21,7 +21,7 @@
 
 
 def test_names_are_bounded():
-    counts = Counts()
+    counts = Counters()
     for number in range(MAX_NAMES + 5):
         counts.add(str(number))
         counts.highest(str(number), 1.0)
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from cloverwell.connections.back import Back
-from cloverwell.facade import Outcome
+from cloverwell.connections.node_policy import NodeConnectionPolicy
+from cloverwell.facade import AttemptOutcome
 from lab.attempts import GRACE_MS, Rig
 
 
@@ -28,7 +28,7 @@
     for _ in range(6):
         rig.attempt(0)
     rig.net.run_for(0.5)
-    assert rig.tally.outcomes == {Outcome.SERVED: 7, Outcome.NOT_CONNECTED: 6}
+    assert rig.tally.outcomes == {AttemptOutcome.SERVED: 7, AttemptOutcome.NOT_CONNECTED: 6}
 
 
 def _flows_are_lost(rig):
@@ -49,11 +49,11 @@
     rig.net.run_for(0.5)
     rig.attempt(0)
     rig.net.run_for(2.0)
-    assert rig.tally.outcomes[Outcome.SERVED] == served
+    assert rig.tally.outcomes[AttemptOutcome.SERVED] == served
 
 
 def test_a_node_is_mute_only_while_an_attempt_is_overdue_and_nothing_came_since():
-    back = Back(2500.0, GRACE_MS, 0.0)
+    back = NodeConnectionPolicy(2500.0, GRACE_MS, 0.0)
     back.named("a", "origin")
     for at in range(0, 1000, 10):
         back.answered("a", None, 100.0, float(at))
@@ -65,7 +65,7 @@
 
 
 def test_a_node_that_answers_others_and_lets_no_more_connections_come_up_is_full():
-    back = Back(2500.0, GRACE_MS, 0.0)
+    back = NodeConnectionPolicy(2500.0, GRACE_MS, 0.0)
     back.named("a", "cache")
     back.answered("a", None, 5.0, 100.0)
     for _ in range(4):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -7,17 +7,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from cloverwell.connections.figures import What
-from cloverwell.connections.front import (
+from cloverwell.connections.client_policy import (
     GRACE_MS,
     KEEP_MS,
     LINGER_MS,
     QUIET_MS,
     SETTLE_MS,
-    Front,
+    ClientConnectionPolicy,
+    ClientStage,
     Reason,
-    Stage,
 )
+from cloverwell.connections.metrics import ConnectionEvent
 from lab.clients import Clients, Silent
 from lab.proxy import World
 
@@ -28,8 +28,8 @@
     @initialize(most=st.integers(4, 40), asking=st.integers(2, 20))
     def start(self, most, asking):
         self.now = 1000.0
-        self.front = Front(most, asking, self.now)
-        self.model: dict[int, Stage] = {}
+        self.front = ClientConnectionPolicy(most, asking, self.now)
+        self.model: dict[int, ClientStage] = {}
         self.since: dict[int, float] = {}
         self.count = 0
 
@@ -43,26 +43,30 @@
     def opens(self, source):
         self.count += 1
         self.front.opened(self.count, self.now, source)
-        self.put(self.count, Stage.NEW)
+        self.put(self.count, ClientStage.NEW)
 
-    @precondition(lambda self: any(s in (Stage.NEW, Stage.HALF, Stage.QUIET) for s in self.model.values()))
+    @precondition(
+        lambda self: any(
+            s in (ClientStage.NEW, ClientStage.HALF, ClientStage.QUIET) for s in self.model.values()
+        )
+    )
     @rule(data=st.data())
     def asks(self, data):
-        guest = self.pick(data, Stage.NEW, Stage.HALF, Stage.QUIET)
+        guest = self.pick(data, ClientStage.NEW, ClientStage.HALF, ClientStage.QUIET)
         self.front.asked(guest, self.now)
-        self.put(guest, Stage.BUSY)
+        self.put(guest, ClientStage.BUSY)
 
-    @precondition(lambda self: Stage.BUSY in self.model.values())
+    @precondition(lambda self: ClientStage.BUSY in self.model.values())
     @rule(data=st.data(), half=st.booleans())
     def is_answered(self, data, half):
-        guest = self.pick(data, Stage.BUSY)
+        guest = self.pick(data, ClientStage.BUSY)
         self.front.quiet(guest, self.now, half)
-        self.put(guest, Stage.HALF if half else Stage.QUIET)
+        self.put(guest, ClientStage.HALF if half else ClientStage.QUIET)
 
     @precondition(lambda self: self.model)
     @rule(data=st.data())
     def goes(self, data):
-        guest = self.pick(data, *Stage)
+        guest = self.pick(data, *ClientStage)
         self.front.closed(guest)
         del self.model[guest]
 
@@ -73,14 +77,14 @@
     def carry_out(self, closes, data):
         for close in closes:
             stage = self.model[close.guest]
-            assert stage is not Stage.BUSY, "named with a request in it"
-            assert (close.reason is Reason.LINGER) == (stage is Stage.CLOSING)
+            assert stage is not ClientStage.BUSY, "named with a request in it"
+            assert (close.reason is Reason.LINGER) == (stage is ClientStage.CLOSING)
             if close.reason is Reason.LINGER:
                 self.front.closed(close.guest)
                 del self.model[close.guest]
             elif data.draw(st.booleans()):
                 self.front.closing(close.guest, self.now)
-                self.put(close.guest, Stage.CLOSING)
+                self.put(close.guest, ClientStage.CLOSING)
             else:
                 self.front.spare(close.guest, self.now)  # a request stands unread
         assert len({close.guest for close in closes}) == len(closes)
@@ -90,10 +94,10 @@
         closes = self.front.overdue(self.now)
         for close in closes:
             limit = {
-                Stage.NEW: QUIET_MS,
-                Stage.HALF: QUIET_MS,
-                Stage.QUIET: KEEP_MS,
-                Stage.CLOSING: LINGER_MS,
+                ClientStage.NEW: QUIET_MS,
+                ClientStage.HALF: QUIET_MS,
+                ClientStage.QUIET: KEEP_MS,
+                ClientStage.CLOSING: LINGER_MS,
             }
             assert self.now - self.since[close.guest] >= limit[self.model[close.guest]]
         self.carry_out(closes, data)
@@ -103,14 +107,16 @@
         closes = self.front.for_room(self.now, wanted, room)
         assert len(closes) <= 2 * wanted
         for close in closes:
-            least = {Stage.NEW: GRACE_MS[0], Stage.QUIET: SETTLE_MS}.get(self.model[close.guest], 0.0)
+            least = {ClientStage.NEW: GRACE_MS[0], ClientStage.QUIET: SETTLE_MS}.get(
+                self.model[close.guest], 0.0
+            )
             assert self.now - self.since[close.guest] >= least, "named before its time"
         self.carry_out(closes, data)
 
     @rule(data=st.data())
     def let_ask(self, data):
         closes = self.front.for_asking(self.now)
-        assert all(self.model[close.guest] is Stage.QUIET and not close.cut for close in closes)
+        assert all(self.model[close.guest] is ClientStage.QUIET and not close.cut for close in closes)
         self.carry_out(closes, data)
 
     @invariant()
@@ -120,10 +126,10 @@
         front = self.front
         assert len(front) == len(self.model)
         assert {guest: front.stage_of(guest) for guest in self.model} == self.model
-        assert front.busy == list(self.model.values()).count(Stage.BUSY)
+        assert front.busy == list(self.model.values()).count(ClientStage.BUSY)
         lines = [front._new, front._half, front._closing, *front._quiet]
         assert sum(map(len, lines)) + front.busy == len(self.model)
-        assert sum(front._sources.values()) == list(self.model.values()).count(Stage.NEW)
+        assert sum(front._sources.values()) == list(self.model.values()).count(ClientStage.NEW)
         assert 1 <= front.reserve(self.now) <= max(4, front.most)
 
 
@@ -132,7 +138,7 @@
 
 
 def test_the_source_that_holds_most_without_asking_gives_first():
-    front = Front(40, 20, 0.0)
+    front = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(3):
         front.opened(f"a{number}", float(number), "a")
     for number in range(9):
@@ -142,7 +148,7 @@
 
 
 def test_who_asks_once_and_stays_goes_before_who_asks_often():
-    front = Front(40, 20, 0.0)
+    front = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(200):  # those that ask once never come back here; the others always do
         front.opened(number, float(number), "")
         front.asked(number, float(number))
@@ -160,7 +166,7 @@
 
 
 def test_a_client_has_about_as_long_to_its_first_request_as_clients_need():
-    front = Front(400, 100, 0.0)
+    front = ClientConnectionPolicy(400, 100, 0.0)
     for number in range(300):
         front.opened(number, 1000.0 * number, "")
         front.asked(number, 1000.0 * number + 5.0)
@@ -200,7 +206,7 @@
 def test_a_crowd_of_silent_ones_beside_clients_that_ask_once_and_stay():
     world, clients, _ = played(stay=True, silent=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
-    closed = Counter(world.service.figures.by(What.CLOSED_FRONT))
+    closed = Counter(world.service.metrics.by(ConnectionEvent.CLOSED_FRONT))
     assert closed["silent"] > closed["room"] > 0
 
 
@@ -230,14 +236,14 @@
     clients = Clients(world.net, world.listen, 21)
     clients.load(300.0, 5.0)
     world.net.run_for(7.0)
-    assert clients.how["lost"] <= world.service.figures.by(What.CLOSED_FRONT).get("room", 0)
+    assert clients.how["lost"] <= world.service.metrics.by(ConnectionEvent.CLOSED_FRONT).get("room", 0)
     assert clients.how["failed"] == 0
 
 
 def test_a_slow_writer_goes_only_where_clients_have_no_place_left():
     # Seen on a crowd day: 341 of 449 clients that wrote slowly were cut off at half a second, and silent ones
     # stood beside them.
-    front = Front(100, 30, 0.0)
+    front = ClientConnectionPolicy(100, 30, 0.0)
     for guest in ("slow", "silent"):
         front.opened(guest, 0.0)
         front.quiet(guest, 0.0, True)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -5,17 +5,32 @@
 from hypothesis import strategies as st
 
 from cloverwell.gossip import view as peers
-from cloverwell.gossip.view import Figures, View
-from cloverwell.gossip.wire import MOST_BYTES, Kind, Message, Rumour, State, WireError, decode, encode
+from cloverwell.gossip.view import GossipTiming, MembershipView
+from cloverwell.gossip.wire import (
+    MOST_BYTES,
+    DatagramKind,
+    MembershipUpdate,
+    MemberStatus,
+    Message,
+    WireError,
+    decode,
+    encode,
+)
 from lab.datagrams import Datagrams, Host
 
 KNOWN_S = 2.0  # by then all survivors of a tier of four or fewer hold a death
 SEEDS = range(1, 21)
 
 NUMBER, LIFE = st.integers(0, 2**16 - 1), st.integers(0, 2**48 - 1)
-RUMOURS = st.lists(st.builds(Rumour, NUMBER, LIFE, st.sampled_from(State)), max_size=40)
+RUMOURS = st.lists(st.builds(MembershipUpdate, NUMBER, LIFE, st.sampled_from(MemberStatus)), max_size=40)
 MESSAGES = st.builds(
-    Message, st.sampled_from(Kind), NUMBER, LIFE, st.integers(0, 2**16 - 1), NUMBER, RUMOURS.map(tuple)
+    Message,
+    st.sampled_from(DatagramKind),
+    NUMBER,
+    LIFE,
+    st.integers(0, 2**16 - 1),
+    NUMBER,
+    RUMOURS.map(tuple),
 )
 
 
@@ -38,7 +53,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), MESSAGES), max_size=30))
 def test_no_message_makes_a_view_hold_more_than_its_tier(messages):
-    view, now = View(0, 4, 1000, 1), 0.0
+    view, now = MembershipView(0, 4, 1000, 1), 0.0
     for ticks, message in messages:
         now += 50.0
         outs = view.tick(now) if ticks else view.receive(now, message)
@@ -101,7 +116,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_restart_within_a_second_is_another_incarnation_and_the_old_one_is_not_heard(seed):
     net = met(3, seed)
-    old = Message(Kind.PING, 2, net.hosts[2].view.incarnation, 7)
+    old = Message(DatagramKind.PING, 2, net.hosts[2].view.incarnation, 7)
     net.crash(2)
     net.run(0.4)
     net.restart(2)
@@ -120,7 +135,7 @@
     before, since_s = net.hosts[2].view.incarnation, net.now_s
     net.crash(2)
     net.run(0.1)
-    net.hosts[2] = Host(View(2, 3, before + 100 + step_ms, seed))
+    net.hosts[2] = Host(MembershipView(2, 3, before + 100 + step_ms, seed))
     net.run(KNOWN_S)
     again = net.hosts[2].view.incarnation
     assert net.agree({0, 1, 2}) and not net.deaths(since_s)
@@ -130,8 +145,11 @@
 def test_an_incarnation_that_is_not_heard_is_denied_by_the_member_itself():
     """Stepped back it is dropped as of an old process, until its silence makes it a suspect: told so, it
     takes a higher one."""
-    view = View(0, 3, 1000, 1)
-    outs = view.receive(0.0, Message(Kind.PING, 1, 1000, 1, rumours=(Rumour(0, 5000, State.SUSPECT),)))
+    view = MembershipView(0, 3, 1000, 1)
+    outs = view.receive(
+        0.0,
+        Message(DatagramKind.PING, 1, 1000, 1, rumours=(MembershipUpdate(0, 5000, MemberStatus.SUSPECT),)),
+    )
     assert view.incarnation == 5001 and outs[0].message.incarnation == 5001
 
 
@@ -156,11 +174,11 @@
 
 
 def test_without_suspicion_they_would_be():
-    assert sum(calm(seed, Figures(suspect_ms=0.0)) for seed in range(1, 5)) > 4
+    assert sum(calm(seed, GossipTiming(suspect_ms=0.0)) for seed in range(1, 5)) > 4
 
 
 def deaths_behind_a_cut(seed, helpers):
-    net = met(3, seed, figures=Figures(helpers=helpers))
+    net = met(3, seed, figures=GossipTiming(helpers=helpers))
     net.sever(0, 1)
     net.run(5.0)
     return net.deaths()
--- a/tests/test_gossip_large.py
+++ b/tests/test_gossip_large.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cloverwell.gossip.view import Figures, View
+from cloverwell.gossip.view import GossipTiming, MembershipView
 from cloverwell.gossip.wire import (
     HEAD,
     MOST_BYTES,
@@ -10,10 +10,10 @@
     MOST_RUMOURS,
     RUMOUR,
     VERSION,
-    Kind,
+    DatagramKind,
+    MembershipUpdate,
+    MemberStatus,
     Message,
-    Rumour,
-    State,
     WireError,
     decode,
     encode,
@@ -26,17 +26,19 @@
 
 def test_a_datagram_names_proxies_beyond_a_thousand():
     assert MOST_PROXIES >= 1024 and HEAD + MOST_RUMOURS * RUMOUR <= MOST_BYTES
-    rumours = tuple(Rumour(number, 2**48 - 1, State.DEAD) for number in range(1000, 1000 + MOST_RUMOURS))
-    message = Message(Kind.ASK, 1023, 1, 2**16 - 1, 1022, rumours)
+    rumours = tuple(
+        MembershipUpdate(number, 2**48 - 1, MemberStatus.DEAD) for number in range(1000, 1000 + MOST_RUMOURS)
+    )
+    message = Message(DatagramKind.ASK, 1023, 1, 2**16 - 1, 1022, rumours)
     assert decode(encode(message)) == message
-    assert View(1023, 1024, 1, 1).alive() == {1023}
+    assert MembershipView(1023, 1024, 1, 1).alive() == {1023}
     with pytest.raises(ValueError):
-        View(0, MOST_PROXIES + 1, 1, 1)
+        MembershipView(0, MOST_PROXIES + 1, 1, 1)
 
 
 @pytest.mark.parametrize("version", [0, VERSION - 1, VERSION + 1, 255])
 def test_another_version_is_refused_whatever_its_length(version):
-    ours = encode(Message(Kind.PING, 1, 1, 1))
+    ours = encode(Message(DatagramKind.PING, 1, 1, 1))
     # Version 1 had a head of 13 bytes: one alone is shorter than ours.
     for data in (bytes([version]), bytes([version]) + bytes(12), bytes([version]) + ours[1:]):
         with pytest.raises(WireError, match=r"^version$"):
@@ -53,18 +55,22 @@
 
 
 def test_the_lost_are_called_in_turn_and_few_at_a_time():
-    view = View(0, 100, 1, 1)
+    view = MembershipView(0, 100, 1, 1)
     rounds = [calls_of(view, 1000.0 * second) for second in range(8)]
-    assert all(len(called) == Figures().calls == len(set(called)) for called in rounds)
+    assert all(len(called) == GossipTiming().calls == len(set(called)) for called in rounds)
     first = [number for called in rounds[:6] for number in called]
     assert len(set(first)) == len(first) == 96  # none a second time before each had its turn
     assert set(first) | set(rounds[6]) == set(range(1, 100))
 
 
 def test_a_call_carries_no_news_but_tells_the_dead_that_they_are():
-    view = View(0, 40, 1, 1)
-    rumours = (Rumour(2, 7, State.DEAD), Rumour(3, 7, State.ALIVE), Rumour(4, 7, State.ALIVE))
-    view.receive(0.0, Message(Kind.ACK, 1, 5, 1, rumours=rumours))
+    view = MembershipView(0, 40, 1, 1)
+    rumours = (
+        MembershipUpdate(2, 7, MemberStatus.DEAD),
+        MembershipUpdate(3, 7, MemberStatus.ALIVE),
+        MembershipUpdate(4, 7, MemberStatus.ALIVE),
+    )
+    view.receive(0.0, Message(DatagramKind.ACK, 1, 5, 1, rumours=rumours))
     told = {}
     for second in range(1, 5):
         outs = [out for out in view.tick(1000.0 * second) if out.to not in (1, 3, 4)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 from scenario import EPOCH_MS, Player
 
-from cloverwell.connections.budget import Budget, Side
+from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello
 from cloverwell.handover.successor import ask
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.membership.node_starts import KnownStarts, NodeStart
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
 from lab.processes import PATIENCE_S, Clients, Place
 
@@ -149,7 +149,9 @@
 
 
 def test_a_handover_state_is_read_as_it_was_written():
-    handover_state = HandoverState(1, 200, Listing(7, True, [Member("a", "127.0.0.1:1", up_since_ms=5.0)]))
+    handover_state = HandoverState(
+        1, 200, EndpointList(7, True, [Endpoint("a", "127.0.0.1:1", up_since_ms=5.0)])
+    )
     assert messages.decode(messages.encode(handover_state).rstrip(), HandoverState) == handover_state
     handover_state.table.members[0].host_port = "nowhere"
     with pytest.raises(HandoverError):
@@ -171,12 +173,14 @@
     ]
     listing = {"revision": 42, "complete": False, "members": rows}
     old.play(f"discovery send 200 {json.dumps(listing)}")
-    server_list = old.service.server_list
-    state = HandoverState(messages.VERSION, 200, server_list.listing(), server_list.node_starts())
+    endpoint_discovery = old.service.endpoint_discovery
+    state = HandoverState(
+        messages.VERSION, 200, endpoint_discovery.listing(), endpoint_discovery.node_starts()
+    )
     state = messages.decode(messages.encode(state).rstrip(), HandoverState)
     left = SimpleNamespace(handover_state=state, listening=0, watch=lambda reactor, gone: None)
     epoch_ms = EPOCH_MS + HOUR_MS
-    new = Service(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
+    new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
     new.start(adopt=lambda reactor, descriptor, factory: None)
     cold_ms = {name: new.back._nodes[name].cold_until_ms - old.now() for name in told}
     assert cold_ms["warm"] < 0.0 and cold_ms["cold"] == pytest.approx(900.0, abs=1.0)
@@ -189,7 +193,7 @@
     "asked_ms, received_ms, kept", [(4999, 5001, True), (5001, 5900, False), (0, 4999, False)]
 )
 def test_starts_that_were_written_by_another_clock_are_dropped(asked_ms, received_ms, kept):
-    state = HandoverState(1, 200, Listing(7, True, []), STARTS)
+    state = HandoverState(1, 200, EndpointList(7, True, []), STARTS)
     assert state.keep_starts_of(asked_ms, received_ms) is kept
     assert state.node_starts == (STARTS if kept else None)
 
@@ -208,7 +212,7 @@
             with caller:
                 caller.recv(1000)
                 starts = msgspec.structs.replace(STARTS, clock_ms=monotonic_ms() + offset_ms)
-                state = HandoverState(1, 200, Listing(7, True, []), starts)
+                state = HandoverState(1, 200, EndpointList(7, True, []), starts)
                 socket.send_fds(caller, [messages.encode(state)], [listening.fileno()])
                 caller.recv(1)
 
@@ -228,11 +232,11 @@
 
     version: int
     sockets: int
-    table: Listing
+    table: EndpointList
 
 
 def test_an_older_process_beside_a_newer_one_is_understood_either_way():
-    table = Listing(7, True, [Member("a", "127.0.0.1:1", up_since_ms=5.0)])
+    table = EndpointList(7, True, [Endpoint("a", "127.0.0.1:1", up_since_ms=5.0)])
     written = messages.encode(OlderHandoverState(1, 200, table)).rstrip()
     assert messages.decode(written, HandoverState) == HandoverState(1, 200, table, None)
     written = messages.encode(HandoverState(1, 200, table, STARTS)).rstrip()
@@ -241,13 +245,20 @@
 
 
 def test_a_smaller_budget_takes_no_more_until_enough_is_given_back():
-    budget = Budget(100)
+    budget = DescriptorBudget(100)
     for _ in range(60):
-        budget.take(Side.FRONT)
+        budget.take(DescriptorSide.CLIENTS)
     budget.resize(50)
-    assert budget.over == 10 and not budget.room(Side.FRONT) and not budget.room(Side.BACK)
+    assert (
+        budget.over == 10
+        and not budget.room(DescriptorSide.CLIENTS)
+        and not budget.room(DescriptorSide.NODES)
+    )
     for _ in range(40):
-        budget.give_back(Side.FRONT)
-    assert budget.over == 0 and budget.room(Side.FRONT) == 50 - budget.floors[Side.BACK] - 20
+        budget.give_back(DescriptorSide.CLIENTS)
+    assert (
+        budget.over == 0
+        and budget.room(DescriptorSide.CLIENTS) == 50 - budget.floors[DescriptorSide.NODES] - 20
+    )
     budget.resize(100)
-    assert budget.room(Side.FRONT) == 45
+    assert budget.room(DescriptorSide.CLIENTS) == 45
--- a/tests/test_handover_calls.py
+++ b/tests/test_handover_calls.py
@@ -72,9 +72,9 @@
     monkeypatch.setattr(handover, "clear", clear)
     told = []
     log = SimpleNamespace(warn=lambda where, what: told.append(what))
-    wheel = SimpleNamespace()
+    timer_wheel = SimpleNamespace()
     listener = handover.SuccessorListener(
-        Reactor(), str(tmp_path / "x.sock"), ("127.0.0.1", 1), None, wheel, log
+        Reactor(), str(tmp_path / "x.sock"), ("127.0.0.1", 1), None, timer_wheel, log
     )
     listener.open()
     assert len(told) == 1 and told[0].startswith("no successor can ask")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,14 +12,15 @@
 
 from balancer import balancer as decide
 from balancer.balancer import Balancer
-from cloverwell import dispatcher, facade, service
+from cloverwell import dispatcher, facade
+from cloverwell import proxy as proxy_module
 from cloverwell.back.cache_connection import CacheConnection
-from cloverwell.back.pools import Pools
+from cloverwell.back.pools import NodePools
 from cloverwell.cli.main import cli
-from cloverwell.connections.back import Back
-from cloverwell.flow import Flow
+from cloverwell.connections.node_policy import NodeConnectionPolicy
 from cloverwell.request import Attempt, Request, Served
 from cloverwell.serving import Serving
+from cloverwell.streamed_value import StreamedValue
 from lab.cli import lab
 from lab.judge import RULES
 from lab.play import Play
@@ -186,7 +187,7 @@
         for connection in list(self.side.connections):
             connection.transport.abortConnection()
 
-    patch.setattr(service.Service, "stop", stop)
+    patch.setattr(proxy_module.Proxy, "stop", stop)
 
 
 def tries_without_end(patch):
@@ -203,8 +204,8 @@
         return real(self, now, event)
 
     patch.setattr(Balancer, "handle", handle)
-    patch.setattr(Pools, "leave", lambda self, node: None)
-    patch.setattr(Back, "late", lambda self, node, now: False)
+    patch.setattr(NodePools, "leave", lambda self, node: None)
+    patch.setattr(NodeConnectionPolicy, "late", lambda self, node, now: False)
 
 
 def never_lets_clients_go(patch):
@@ -220,22 +221,22 @@
 
 
 def holds_the_rest_of_long_values(patch):
-    patch.setattr(Flow, "go_on", lambda self: None)
+    patch.setattr(StreamedValue, "go_on", lambda self: None)
 
 
 def cuts_long_values(patch):
-    real = Flow.piece
+    real = StreamedValue.piece
 
     def piece(self, data):
         real(self, data)
         if self.length - self.left > 1024 * 1024:
             self.broken()
 
-    patch.setattr(Flow, "piece", piece)
+    patch.setattr(StreamedValue, "piece", piece)
 
 
 def sends_on_while_its_close_is_on_the_way(patch):
-    patch.setattr(Back, "reach_ms", lambda self, node: 0.0)
+    patch.setattr(NodeConnectionPolicy, "reach_ms", lambda self, node: 0.0)
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
@@ -282,7 +283,7 @@
 def test_no_attempt_leaves_while_one_is_out_at_a_node_that_has_not_answered_yet(monkeypatch):
     # Its handshake had told how far it is; the answers of nodes nearby were taken for its distance.
     assert not broken(zones(2, 1.0, per_s=300.0))
-    monkeypatch.setattr(Back, "reach_ms", lambda self, node: 5.0)
+    monkeypatch.setattr(NodeConnectionPolicy, "reach_ms", lambda self, node: 5.0)
     assert "once" in broken(zones(2, 1.0, per_s=300.0))
 
 
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 from lab import play
 from lab.judge import RULES
 from lab.play import Play
@@ -204,12 +204,12 @@
 def test_a_process_reads_the_stepped_clock_when_it_starts_and_its_monotonic_clock_is_not_stepped(monkeypatch):
     starts = []
 
-    class Recorded(Service):
+    class Recorded(Proxy):
         def __init__(self, reactor, config, log, now, read_epoch_ms, left=None):
             starts.append((config.name, now(), read_epoch_ms()))
             super().__init__(reactor, config, log, now, read_epoch_ms, left)
 
-    monkeypatch.setattr(play, "Service", Recorded)
+    monkeypatch.setattr(play, "Proxy", Recorded)
     faults = [
         Fault("clock_step", 1.0, whom=["proxy-1"], by_s=3600.0),
         Fault("proxy_crash", 1.5, 0.5, 1.0),
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -61,7 +61,7 @@
     # A pool whose connection nobody has answered waits for it; all others have gone.
     pools = player.service.pools
     assert not [name for name in pools.names() if name[0] == "b" and not pools.of(name).opening]
-    assert {member.id for member in player.service.server_list.listing().members} == {"s1", "origin"}
+    assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
     listing = {"revision": 42, "complete": True, "members": [member]}
     player.play(f"discovery send 200 {json.dumps(listing)}")
     assert player.log.getvalue().count("call failed: malformed") == 1
-    assert player.service.server_list.listing().revision == 41
+    assert player.service.endpoint_discovery.listing().revision == 41
     serves(player)
 
 
@@ -86,4 +86,4 @@
     serves(player)
     player.play("wait 400")
     assert "s1" not in player.service.pools.names()
-    assert "s1" not in {member.id for member in player.service.server_list.listing().members}
+    assert "s1" not in {member.id for member in player.service.endpoint_discovery.listing().members}
--- a/tests/test_node_starts.py
+++ b/tests/test_node_starts.py
@@ -9,7 +9,7 @@
 from scenario import EPOCH_MS, Player
 
 from cloverwell.config import ConfigError, parse_config
-from cloverwell.facade import News
+from cloverwell.facade import EndpointUpdate
 from cloverwell.membership.node_starts import (
     LONG_AGO,
     MAX_GONE,
@@ -141,8 +141,8 @@
     row = f'{{"id":"s9","host_port":"127.0.0.9:209","up_since_ms":{number}}}'
     player.play(f'discovery send 200 {{"revision":42,"complete":true,"members":[{row}]}}')
     assert player.log.getvalue().count("call failed: malformed") == 1
-    assert {member.id for member in player.service.server_list.listing().members} == {"s1", "origin"}
-    assert player.service.server_list.node_starts().starts == {}
+    assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
+    assert player.service.endpoint_discovery.node_starts().starts == {}
 
 
 @pytest.mark.parametrize("number", ['"now"', "null", "1e400"])
@@ -156,14 +156,14 @@
 def test_a_list_with_a_bad_row_leaves_no_start_behind():
     """Half a list would be worse than none: the restart in it is news again when it comes sound."""
     fleet = Fleet([("s9", HOUR_MS)])
-    before = fleet.player.service.server_list.node_starts().starts
+    before = fleet.player.service.endpoint_discovery.node_starts().starts
     rows = [
         {"id": "s9", "host_port": "127.0.0.9:201", "flavor": "large", "up_since_ms": fleet.unix(0.0)},
         {"id": "bad", "host_port": "127.0.0.9:201", "phase": "asleep"},
     ]
     listing = {"revision": 50, "complete": False, "members": rows}
     fleet.player.play(f"discovery send 200 {json.dumps(listing)}")
-    assert fleet.player.service.server_list.node_starts().starts == before
+    assert fleet.player.service.endpoint_discovery.node_starts().starts == before
 
 
 def test_a_warm_node_that_was_off_the_list_for_a_while_comes_back_warm():
@@ -290,9 +290,9 @@
 def play(events, epoch_ms, stepped):
     """A fleet's life as one proxy is told of it: the proxy, and its news with their times."""
     player, told = Player(epoch_ms=epoch_ms), []
-    server_list = player.service.server_list
-    tell = server_list.tell
-    server_list.tell = lambda news: (told.append((player.now(), news)), tell(news))
+    endpoint_discovery = player.service.endpoint_discovery
+    tell = endpoint_discovery.tell
+    endpoint_discovery.tell = lambda news: (told.append((player.now(), news)), tell(news))
     wall_ms, rows = -EPOCH_MS, {}
     player.play("wait 100\ndiscovery expect GET *")
     for revision, (what, ticks, node, step_ms) in enumerate(events, 42):
@@ -319,7 +319,7 @@
     return [
         (at, news.revision, news.complete, [(entry.server, entry.state) for entry in news.entries])
         for at, news in told
-        if isinstance(news, News)
+        if isinstance(news, EndpointUpdate)
     ]
 
 
@@ -330,7 +330,9 @@
     player, told_stepped = play(events, EPOCH_MS + at_start_ms, stepped=True)
     assert without_starts(told) == without_starts(told_stepped)
     assert straight.service.pools.names() == player.service.pools.names()
-    assert list(straight.service.server_list._members) == list(player.service.server_list._members)
+    assert list(straight.service.endpoint_discovery._members) == list(
+        player.service.endpoint_discovery._members
+    )
     assert player.log.getvalue() == straight.log.getvalue()
     known, list_before = {}, -math.inf
     for at, news in told_stepped:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -18,7 +18,7 @@
 from cloverwell.codec.ring_buffer import SMALLEST, RingBuffer
 from cloverwell.config import ConfigError, read_config
 from cloverwell.log import PER_SECOND, Log
-from cloverwell.timer_wheel import Wheel
+from cloverwell.timer_wheel import TimerWheel
 
 
 def test_ring_keeps_order_round_its_end_and_takes_no_more_than_its_bound():
@@ -44,20 +44,20 @@
 def wheel_and_clock():
     clock = Clock()
     clock.advance(10.0)
-    wheel = Wheel(clock, 5.0, lambda: clock.seconds() * 1000.0)
-    wheel.start()
-    return wheel, clock
+    timer_wheel = TimerWheel(clock, 5.0, lambda: clock.seconds() * 1000.0)
+    timer_wheel.start()
+    return timer_wheel, clock
 
 
 @pytest.mark.parametrize("delay", [6.0, 12.5, 249.0, 6000.0])
 def test_timer_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
-    wheel, clock = wheel_and_clock()
-    due, fired = wheel.now() + delay, {}
-    wheel.at(due, lambda: fired.update(at=wheel.now()))
-    wheel.not_before(due, lambda: fired.update(not_before=wheel.now()))
+    timer_wheel, clock = wheel_and_clock()
+    due, fired = timer_wheel.now() + delay, {}
+    timer_wheel.at(due, lambda: fired.update(at=timer_wheel.now()))
+    timer_wheel.not_before(due, lambda: fired.update(not_before=timer_wheel.now()))
     while len(fired) < 2:
         clock.advance(0.001)
-        assert wheel.now() < due + 20
+        assert timer_wheel.now() < due + 20
     step = 1.01  # of the fake clock
     assert due - 6 < fired["at"] < due + step
     assert due <= fired["not_before"] + 0.01 < due + 5 + step
@@ -65,14 +65,14 @@
 
 def test_timer_wheel_goes_on_behind_a_timer_that_fails_and_a_stall():
     # Guards every deadline: one fault must not stop the wheel or take the slot's other timers with it.
-    wheel, clock = wheel_and_clock()
+    timer_wheel, clock = wheel_and_clock()
     fired = []
-    wheel.at(wheel.now() + 10, lambda: 1 / 0)
-    wheel.at(wheel.now() + 10, lambda: fired.append("same slot"))
-    wheel.at(wheel.now() + 90, lambda: fired.append("later"))
-    wheel.at(wheel.now() + 50, lambda: fired.append("cancelled")).cancel()
+    timer_wheel.at(timer_wheel.now() + 10, lambda: 1 / 0)
+    timer_wheel.at(timer_wheel.now() + 10, lambda: fired.append("same slot"))
+    timer_wheel.at(timer_wheel.now() + 90, lambda: fired.append("later"))
+    timer_wheel.at(timer_wheel.now() + 50, lambda: fired.append("cancelled")).cancel()
     clock.advance(0.1)
-    assert fired == ["same slot", "later"] and wheel.lag_ms > 90
+    assert fired == ["same slot", "later"] and timer_wheel.last_tick_delay_ms > 90
 
 
 def subject(name="r1", **more):
@@ -84,30 +84,32 @@
     clock = SimpleNamespace(now=1000.0)
     facade = f.Facade(read_settings(SETTINGS), 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("origin", kind=1))
-    facade.report(f.Watch(), f.News(1, True, entries, held=True))
+    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, held=True))
     return facade, clock
 
 
 def test_facade_picks_reports_and_ticks():
     facade, clock = a_facade()
     choice = facade.pick(subject())
-    assert isinstance(choice, f.Send) and (choice.node, choice.number) == ("s1", 0)
-    fetch = facade.report(choice, f.Outcome.MISS)
-    assert isinstance(fetch, f.Send) and (fetch.node, fetch.number) == ("origin", 1)
+    assert isinstance(choice, f.SendAttempt) and (choice.node, choice.number) == ("s1", 0)
+    fetch = facade.report(choice, f.AttemptOutcome.MISS)
+    assert isinstance(fetch, f.SendAttempt) and (fetch.node, fetch.number) == ("origin", 1)
     # Another read of the key waits for that fetch; its choice comes with a tick, not with a report.
-    assert facade.pick(subject("r2")) == f.WAIT
-    assert facade.report(fetch, f.Outcome.SERVED) == f.WAIT
-    assert [type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.Watch)] == [f.Send]
+    assert facade.pick(subject("r2")) == f.UNDECIDED
+    assert facade.report(fetch, f.AttemptOutcome.SERVED) == f.UNDECIDED
+    assert [
+        type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.WatchEndpoints)
+    ] == [f.SendAttempt]
 
 
 def test_facade_wishes_for_discovery_after_its_start_and_after_a_failure():
     facade, clock = a_facade()
     assert facade.tick(clock.now) == []
     clock.now += 100.0
-    assert facade.tick(clock.now) == [f.Watch()]
-    facade.report(f.Watch(), f.NoNews())
+    assert facade.tick(clock.now) == [f.WatchEndpoints()]
+    facade.report(f.WatchEndpoints(), f.EndpointUpdateFailed())
     assert facade.tick(clock.now + 100.0) == []
-    assert facade.tick(clock.now + 700.0) == [f.Watch()]
+    assert facade.tick(clock.now + 700.0) == [f.WatchEndpoints()]
 
 
 def test_log_is_limited_by_kind_and_says_what_it_left_out():
@@ -225,12 +227,12 @@
     settings = read_settings(SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}})
     facade = f.Facade(settings, 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("s2"), ServerEntry("origin", kind=1))
-    facade.report(f.Watch(), f.News(1, True, entries, held=True))
+    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, held=True))
     names = (f"k{n}" for n in range(1000))
     key = next(key for key in names if facade.pick(subject(f"first {key}", key=key)).node == "s1")
-    facade.report(facade.pick(subject("r0", key=key)), f.Outcome.NOT_CONNECTED)
+    facade.report(facade.pick(subject("r0", key=key)), f.AttemptOutcome.NOT_CONNECTED)
     assert "s1 marked missed" in [
-        choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.Note)
+        choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.LogEvent)
     ]
     clock.now += 600.0
     facade.tick(clock.now)
--- a/tests/test_port.py
+++ b/tests/test_port.py
@@ -11,7 +11,7 @@
 from cloverwell.front.port import listen
 
 
-class Desk(Factory):
+class PortOwner(Factory):
     noisy = False
 
     def __init__(self, room):
@@ -36,7 +36,7 @@
     made = SimpleNamespace(clients=[])
 
     def knock(room, number):
-        made.factory = Desk(room)
+        made.factory = PortOwner(room)
         made.port = listen(reactor, "127.0.0.1", 0, made.factory, 50)
         address = ("127.0.0.1", made.port.getHost().port)
         made.clients += [socket.create_connection(address, timeout=2.0) for _ in range(number)]
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from rig import Rig, read
 from scenario import Player
-from test_flow import Slow
+from test_streamed_value import Slow
 from twisted.internet.task import Clock
 
 from balancer import api
@@ -27,17 +27,17 @@
 from cloverwell.control.entry import EntryKind
 from cloverwell.control.messages import AppendAnswer, ProposalOutcome, Propose, VoteAnswer
 from cloverwell.control.storage import StoredState
-from cloverwell.facade import Outcome
-from cloverwell.flow import LONG
-from cloverwell.gossip.view import Figures, View
-from cloverwell.gossip.wire import NOBODY, Kind, Message, Rumour, State
+from cloverwell.facade import AttemptOutcome
+from cloverwell.gossip.view import GossipTiming, MembershipView
+from cloverwell.gossip.wire import NOBODY, DatagramKind, MembershipUpdate, MemberStatus, Message
 from cloverwell.handover import successor
 from cloverwell.log import Log
 from cloverwell.membership.list_retry import ListRetry
-from cloverwell.timer_wheel import Wheel
+from cloverwell.streamed_value import LONG
+from cloverwell.timer_wheel import TimerWheel
 from lab.proxy import SETTINGS as SITE
 
-FIGURES = Figures()
+FIGURES = GossipTiming()
 SETTINGS = Driver().settings
 
 ANSWER = b"VA 5 O1\r\nhello\r\n"
@@ -105,7 +105,7 @@
     player.service.back.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
-    attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
+    attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
     held_up(player, 100.0)
     player.play("wait 30")
     assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 1
@@ -209,9 +209,9 @@
 
 def met():
     """A view of a tier of three, all of them alive, and a ping out."""
-    view = View(0, 3, 1000, 1)
+    view = MembershipView(0, 3, 1000, 1)
     for number in (1, 2):
-        view.receive(0.0, Message(Kind.PING, number, 1000, 1, NOBODY, ()))
+        view.receive(0.0, Message(DatagramKind.PING, number, 1000, 1, NOBODY, ()))
     assert view.tick(0.0) and view.alive() == {0, 1, 2}
     return view
 
@@ -223,12 +223,15 @@
 def test_a_proxy_that_was_stopped_takes_nobody_elses_silence_for_a_death():
     view = met()
     view.tick(50.0)
-    view.receive(50.0, Message(Kind.PING, 1, 1000, 2, NOBODY, (Rumour(2, 1000, State.SUSPECT),)))
+    view.receive(
+        50.0,
+        Message(DatagramKind.PING, 1, 1000, 2, NOBODY, (MembershipUpdate(2, 1000, MemberStatus.SUSPECT),)),
+    )
     view.tick(10_050.0)  # what both have sent meanwhile is not read yet
-    assert states(view) == {1: State.ALIVE, 2: State.SUSPECT}
-    view.receive(10_051.0, Message(Kind.PING, 2, 1001, 9, NOBODY, ()))
+    assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.SUSPECT}
+    view.receive(10_051.0, Message(DatagramKind.PING, 2, 1001, 9, NOBODY, ()))
     view.tick(10_100.0)
-    assert states(view) == {1: State.ALIVE, 2: State.ALIVE}
+    assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.ALIVE}
 
 
 def test_behind_a_stop_a_silent_one_dies_in_its_time():
@@ -236,7 +239,7 @@
     while now < 10_000.0 + 2 * FIGURES.period_ms + 2 * FIGURES.suspect_ms:
         view.tick(now)
         now += FIGURES.period_ms / 4.0
-    assert State.DEAD in states(view).values()
+    assert MemberStatus.DEAD in states(view).values()
 
 
 def leader(now):
@@ -320,10 +323,16 @@
 def pauses_of(turns):
     """When discovery is called again, on the wheel, behind calls that fail after so long."""
     clock = Clock()
-    wheel, retry, calls = Wheel(clock, 5.0, lambda: clock.seconds() * 1000.0), ListRetry(SETTINGS, 7), []
-    wheel.start()
+    timer_wheel, retry, calls = (
+        TimerWheel(clock, 5.0, lambda: clock.seconds() * 1000.0),
+        ListRetry(SETTINGS, 7),
+        [],
+    )
+    timer_wheel.start()
     for _, took_ms, _ in turns:
-        wheel.not_before(wheel.now() + retry.failed(took_ms), lambda: calls.append(wheel.now()))
+        timer_wheel.not_before(
+            timer_wheel.now() + retry.failed(took_ms), lambda: calls.append(timer_wheel.now())
+        )
         clock.pump([0.02] * 350)
     return calls
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,7 @@
 from test_lab import broken, short
 from test_processes import says_mn
 
-from cloverwell.proxy import Service
+from cloverwell.proxy import Proxy
 from lab.judge import RULES
 from lab.play import Play
 from lab.processes import PATIENCE_S, Clients, Place
@@ -80,7 +80,8 @@
 
     def knowing(self):
         return sum(
-            proxy.service.server_list.listing().revision >= self.discovery.revision for proxy in self.proxies
+            proxy.service.endpoint_discovery.listing().revision >= self.discovery.revision
+            for proxy in self.proxies
         )
 
 
@@ -130,12 +131,12 @@
 def test_processes_that_listen_late_are_seen(monkeypatch):
     """What is measured above can fail."""
     play = restarted("up")
-    start = Service.start
+    start = Proxy.start
 
     def start_late(service, **how):
         service._reactor.callLater(READY_S + 1.0, lambda: start(service, **how))
 
-    play.net.callLater(KILLED_S, monkeypatch.setattr, Service, "start", start_late)
+    play.net.callLater(KILLED_S, monkeypatch.setattr, Proxy, "start", start_late)
     play.net.run_for(KILLED_S + DEAD_S + READY_S + 2.0)
     with pytest.raises(AssertionError):
         assert_ready(play)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cloverwell.cli.main import cli
-from cloverwell.membership.listing import Listing, Member
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from lab.cli import lab
 from lab.scale import plan
 from lab.scale.call_queue import CallQueue
@@ -103,7 +103,7 @@
 
 
 def some_list(nodes=6):
-    return MemberList(1, [Member(f"node-{n}", f"127.0.0.1:{1 + n}", flavor="large") for n in range(nodes)])
+    return MemberList(1, [Endpoint(f"node-{n}", f"127.0.0.1:{1 + n}", flavor="large") for n in range(nodes)])
 
 
 def changed_list(changes, seed=1, nodes=6):
@@ -178,4 +178,4 @@
 
 def test_a_listing_is_what_the_proxy_reads():
     listing = changed_list(3).listing(1)
-    assert msgspec.json.decode(msgspec.json.encode(listing), type=Listing) == listing
+    assert msgspec.json.decode(msgspec.json.encode(listing), type=EndpointList) == listing
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cloverwell.membership.listing import Listing, Member
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from lab.net import Net
 from lab.scale import control_clients, messages, plan
 from lab.scale.hollow import HollowProxy, NamedLog
@@ -12,8 +12,8 @@
 from lab.scale.world import load
 
 MEMBERS = [
-    Member("node-0", "127.0.0.1:1", "east-0", "large"),
-    Member("node-1", "127.0.0.1:2", "west-0", "large"),
+    Endpoint("node-0", "127.0.0.1:1", "east-0", "large"),
+    Endpoint("node-1", "127.0.0.1:2", "west-0", "large"),
 ]
 
 
@@ -23,7 +23,7 @@
     place = plan.place_proxies(world, "hollow", 1)[0]
     settings = plan.hollow_settings(world, place)
     spec = messages.HollowSpec(place.name, place.seed, ("127.0.0.1", 9), settings)
-    known = Listing(7, True, MEMBERS)
+    known = EndpointList(7, True, MEMBERS)
     return HollowProxy(Net(), spec, known, log or io.StringIO(), rows.append, incarnation=2)
 
 
@@ -48,8 +48,8 @@
 def test_a_failed_call_is_counted():
     proxy = hollow([])
     proxy.start()
-    proxy.service.server_list.watch()
-    proxy.service.server_list.failed("for the test")
+    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.failed("for the test")
     assert proxy.failed_calls == 1
 
 
@@ -100,9 +100,9 @@
     rows = []
     proxy = hollow(rows)
     proxy.start()
-    proxy.service.server_list.watch()
-    listing = Listing(8, False, [Member("node-2", "127.0.0.1:3", "east-0", "large")])
-    proxy.service.server_list.answered(200, msgspec.json.encode(listing))
+    proxy.service.endpoint_discovery.watch()
+    listing = EndpointList(8, False, [Endpoint("node-2", "127.0.0.1:3", "east-0", "large")])
+    proxy.service.endpoint_discovery.answered(200, msgspec.json.encode(listing))
     assert (rows[-1].revision, rows[-1].lines, rows[-1].held) == (8, 1, False)
     assert rows[-1].cpu_ms > 0.0 and rows[0].cpu_ms == 0.0
     assert proxy.service.pools.names() == {"node-0", "node-1", "node-2"}
--- a/tests/test_scale_measures.py
+++ b/tests/test_scale_measures.py
@@ -10,7 +10,7 @@
 from cloverwell.cli.main import cli
 from lab.cli import lab
 from lab.scale.measure import InForceMeasure, ProcessCost, delays_s, hollow_cost
-from lab.scale.messages import Changed, FinalList, InForce
+from lab.scale.messages import ActivationCount, Changed, FinalList
 from lab.scale.slopes import FitError, fit, miss
 
 cli.add_command(lab)
@@ -21,7 +21,7 @@
 
 
 def row(revision, at_s, lines=1, proxy="p", incarnation=0, complete=False):
-    return InForce(proxy, incarnation, revision, at_s, complete, lines, held=revision == 1)
+    return ActivationCount(proxy, incarnation, revision, at_s, complete, lines, held=revision == 1)
 
 
 CHANGES = [Changed(2, 10.0, []), Changed(3, 11.0, []), Changed(4, 12.0, [])]
@@ -128,5 +128,5 @@
     measure = InForceMeasure()
     assert measure.mean_cpu_ms() is None
     for lines, held, cpu_ms in ((9, True, 50.0), (1, False, 2.0), (0, False, 70.0), (2, False, 4.0)):
-        measure.took(InForce("p", 0, 2, 1.0, False, lines, held, cpu_ms))
+        measure.took(ActivationCount("p", 0, 2, 1.0, False, lines, held, cpu_ms))
     assert measure.mean_cpu_ms() == 3.0
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -8,8 +8,8 @@
 
 from cloverwell.__main__ import collect_garbage
 from cloverwell.codec.ring_buffer import SMALLEST
-from cloverwell.connections.budget import Budget, Side
-from cloverwell.connections.front import RESERVE
+from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
+from cloverwell.connections.client_policy import RESERVE
 from cloverwell.request import Request
 from lab.proxy import SETTINGS
 
@@ -66,7 +66,7 @@
     # At the last descriptors no more connections are taken, until one closes.
     port = player.service.side.port = Transport()
     place = budget + 1
-    while player.service.budget.room(Side.FRONT):
+    while player.service.budget.room(DescriptorSide.CLIENTS):
         place += 1
         player.play(f"client#{place} send ms k 9 Ow{place} Pc=order,t=acme,d=1900|a")
     assert port.producerState == "paused"
@@ -99,8 +99,8 @@
     # Giving up an attempt closes its connection: an order behind a read would be reset, and could not go
     # again.
     player = Player()
-    player.service.pools.budget = Budget(5, 0.4, 0.4)
-    player.service.pools.budget.held[Side.FRONT] = 3
+    player.service.pools.budget = DescriptorBudget(5, 0.4, 0.4)
+    player.service.pools.budget.held[DescriptorSide.CLIENTS] = 3
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg *\ns1 send EN O1")
     player.play("origin expect GET /k1 *\nclient#2 send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
     player.play("client#3 send mg k3 v O3 Pc=page,t=acme,d=900\ns1 expect mg k3 *")
@@ -155,7 +155,7 @@
     player.play("client#1 send mn\nclient#1 expect MN\nclient#2 expect nothing\nclient#3 expect nothing")
     player.connection("client", 1)[1].unread = b"m"
     player.play("wait 500")
-    most, place = budget.most(Side.FRONT) - RESERVE[0], 3
+    most, place = budget.most(DescriptorSide.CLIENTS) - RESERVE[0], 3
     while place < most:
         place += 1
         player.play(f"client#{place} expect nothing")
@@ -164,7 +164,7 @@
     # It is done ahead, so that there is room for the next: first who never asked, then who has.
     assert ended == {0, 2} and port.producerState != "paused"
     # Then all are too fresh; at the last descriptor the port rests, until they have had their time.
-    while budget.room(Side.FRONT):
+    while budget.room(DescriptorSide.CLIENTS):
         place += 1
         player.play(f"client#{place} expect nothing")
     assert port.producerState == "paused"
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -9,7 +9,7 @@
 
 from cloverwell.config import ConfigError, read_config
 from cloverwell.front.operators import CALLERS, MAX_BODY, MAX_HEAD
-from cloverwell.serving import DRAIN, Serving, State, stop_plan
+from cloverwell.serving import DRAIN, Serving, ServingState, stop_plan
 from lab.proxy import SETTINGS
 
 CALLS = st.lists(
@@ -25,23 +25,27 @@
         before = serving.state
         if name == "serve":
             serving.serve()
-            assert before is not State.STARTING or serving.state is State.READY
+            assert before is not ServingState.STARTING or serving.state is ServingState.READY
         elif name == "drain":
-            assert serving.drain(now) == (before in (State.READY, State.DRAINED))
-            drained_ms = now if before is State.READY else drained_ms  # repeated, it does not begin anew
+            assert serving.drain(now) == (before in (ServingState.READY, ServingState.DRAINED))
+            drained_ms = (
+                now if before is ServingState.READY else drained_ms
+            )  # repeated, it does not begin anew
         elif name == "undrain":
-            assert serving.undrain() == (before in (State.READY, State.DRAINED))
+            assert serving.undrain() == (before in (ServingState.READY, ServingState.DRAINED))
         else:
             assert serving.stop(now, 2000.0) == (stopped_ms is None)
             stopped_ms = now if stopped_ms is None else stopped_ms
-        assert (serving.state is State.STOPPING) == (stopped_ms is not None)
-        assert serving.wanted == (serving.state is State.READY) and (serving.ready or not serving.wanted)
-        assert serving.emptying == (serving.state in (State.DRAINED, State.STOPPING))
-        if serving.state is State.STOPPING:
+        assert (serving.state is ServingState.STOPPING) == (stopped_ms is not None)
+        assert serving.wanted == (serving.state is ServingState.READY) and (
+            serving.ready or not serving.wanted
+        )
+        assert serving.emptying == (serving.state in (ServingState.DRAINED, ServingState.STOPPING))
+        if serving.state is ServingState.STOPPING:
             assert serving.accepts(now) == (now - stopped_ms < stop_plan(2000.0, False).accept_ms)
         else:
             assert serving.accepts(now)
-        if serving.state is State.DRAINED:
+        if serving.state is ServingState.DRAINED:
             assert serving.lets_go(now) == (now - drained_ms >= DRAIN.let_go_ms)
             assert serving.cuts(now) <= serving.lets_go(now)
         elif not serving.emptying:
--- a/tests/test_flow.py
+++ b/tests/test_streamed_value.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 from scenario import Player
 
-from cloverwell.back.node_connection import FLOW_READ, Sent
-from cloverwell.facade import Outcome, Send
-from cloverwell.flow import AHEAD, LONG, LONGEST, Flow, ahead
+from cloverwell.back.node_connection import FLOW_READ, SendResult
+from cloverwell.facade import AttemptOutcome, SendAttempt
 from cloverwell.front.client_connection import FLOW_PIECE
 from cloverwell.request import Attempt, Request
+from cloverwell.streamed_value import AHEAD, LONG, LONGEST, StreamedValue, ahead
 
 SIZE = LONG + 1000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"x" * (SIZE % 256)
@@ -204,11 +204,11 @@
     player.service.pools.hold = not copies
     behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
-    choice = Send("O2", "s1", 0, 400.0)
+    choice = SendAttempt("O2", "s1", 0, 400.0)
     attempt = Attempt(choice, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), node._pool, 1e9)
-    assert node.send(attempt) is Sent.OUT
+    assert node.send(attempt) is SendResult.OUT
     node.dataReceived(HEAD + VALUE[:100])
-    assert node.give_up(attempt, Outcome.TIMED_OUT) and ends == [Outcome.TIMED_OUT]
+    assert node.give_up(attempt, AttemptOutcome.TIMED_OUT) and ends == [AttemptOutcome.TIMED_OUT]
     # the value goes on, or breaks off so that the attempt is out no more
     assert transport.aborted is not copies
     assert (behind.clear_ms > 0.0) is not copies
@@ -217,7 +217,7 @@
 @given(st.binary(min_size=1, max_size=60), st.lists(st.integers(1, 20), max_size=8), st.sampled_from("wbd"))
 def test_the_sink_gets_what_came_once_and_its_end_once(value, cuts, how):
     got, ended, stopped = [], [], []
-    flow = Flow(len(value), lambda: None, lambda: None, lambda: stopped.append(1))
+    flow = StreamedValue(len(value), lambda: None, lambda: None, lambda: stopped.append(1))
     flow.open(got.append, ended.append)
     rest = value
     for cut in cuts:
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from cloverwell.back.pool import Pool
-from cloverwell.connections.figures import What
+from cloverwell.connections.metrics import ConnectionEvent
 from cloverwell.connections.schedule import EARLY_MS, Schedule
 from lab.attempts import PATTERNS, Rig
 
@@ -37,13 +37,13 @@
     rig = Rig(nodes, descriptors, idle_close_ms=4000.0)
     SETUPS[pattern](rig)
     done, rng = [], Random(seed)
-    count = rig.figures.add
+    count = rig.metrics.add
 
     def add(what, name="", number=1):
         done.append((rig.now(), what, name))
         count(what, name, number)
 
-    rig.figures.add = add
+    rig.metrics.add = add
     for part in range(4):
         rig.load(rng.choice((3.0, 40.0, 150.0)), rng.uniform(1.0, 6.0), seed=100 * seed + part)
         place = rng.randrange(nodes)
@@ -65,9 +65,9 @@
             expected = day(pattern, seed, descriptors)
         assert day(pattern, seed, descriptors) == expected
         kinds |= {what for _, what, _ in expected[0]}
-    assert {What.OPENED, What.REUSED} <= kinds
-    assert What.RETIRED in kinds or "says so" in pattern  # there the nodes close first
-    assert What.AHEAD in kinds or not pattern.startswith("10 ms away") or descriptors < 512
+    assert {ConnectionEvent.OPENED, ConnectionEvent.REUSED} <= kinds
+    assert ConnectionEvent.RETIRED in kinds or "says so" in pattern  # there the nodes close first
+    assert ConnectionEvent.AHEAD in kinds or not pattern.startswith("10 ms away") or descriptors < 512
 
 
 def visits(monkeypatch, rig, seconds):
@@ -94,7 +94,7 @@
         for place in range(10):
             rig.attempt(place)
         counts.append(len(visits(monkeypatch, rig, 60.0)))
-        assert not rig.pools.idle and rig.figures.total(What.RETIRED) == 10
+        assert not rig.pools.idle and rig.metrics.total(ConnectionEvent.RETIRED) == 10
     assert counts[0] == counts[1] == counts[2] and counts[0] <= 60
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 
 from cloverwell.codec import lines
 from cloverwell.codec.lines import hung_up, readable
-from cloverwell.connections.back import Use
+from cloverwell.connections.node_policy import ConnectionUse
 from lab.proxy import SETTINGS
 
 PASSING = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
@@ -98,7 +98,7 @@
     failing = Calls(number)
     outgoing.at(proxy.discovery.address, **{calls: failing})
     take_watch_back(proxy)
-    proxy.service.server_list.watch()
+    proxy.service.endpoint_discovery.watch()
     discovery = whole(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -266,7 +266,7 @@
 
 @pytest.mark.parametrize("number", BROKEN)
 def test_a_connection_that_breaks_before_the_last_byte_has_not_run_the_request(proxy, outgoing, number):
-    proxy.service.back.use = lambda node, age_ms, dear: Use.SPLIT
+    proxy.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
     proxy.service.back.hold_ms = lambda node: 1500.0
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -16,7 +16,7 @@
 from balancer.state import Server
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.connections.accept_queue import AcceptQueue
-from cloverwell.connections.front import Stage
+from cloverwell.connections.client_policy import ClientStage
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS
 from lab.play import Play
 from lab.proxy import SETTINGS
@@ -76,7 +76,9 @@
     node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1")
     proxy.got(conn, b"HD O1 cr1\r\n")
     play_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
-    assert proxy.service.side.front.stage_of(next(iter(proxy.service.side.connections))) is Stage.CLOSING
+    assert (
+        proxy.service.side.front.stage_of(next(iter(proxy.service.side.connections))) is ClientStage.CLOSING
+    )
     assert proxy.ended(conn) == b"CLIENT_ERROR half a command\r\nEND"
 
 
@@ -235,7 +237,7 @@
 # A hold-up between the clock and the write ---------------------------------------------------------
 
 
-HELD_UP_MS = 150.0  # the page's: between the reading of the clock and the writing
+STALL_MS = 150.0  # the page's: between the reading of the clock and the writing
 WAY_MS = 50.0
 GRACE_MS = 400.0
 
@@ -255,13 +257,13 @@
     put = RingLineReceiver.put_command
 
     def held_up(connection, data):
-        player.reactor.rightNow += HELD_UP_MS / 1000.0
+        player.reactor.rightNow += STALL_MS / 1000.0
         written_s.append(player.reactor.rightNow)
         return put(connection, data)
 
     monkeypatch.setattr(RingLineReceiver, "put_command", held_up)
     player.connection("s1", 0)
-    assert bool(written_s) == (waited_ms < GRACE_MS - HELD_UP_MS - WAY_MS)
+    assert bool(written_s) == (waited_ms < GRACE_MS - STALL_MS - WAY_MS)
     assert all(at - told_s <= (GRACE_MS - WAY_MS) / 1000.0 + 1e-6 for at in written_s)
 
 
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -10,11 +10,11 @@
 
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
-from cloverwell.connections.figures import Figures, What
+from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
 from cloverwell.handover import messages
 from cloverwell.log import Log
-from cloverwell.membership.listing import Listing, Member
-from cloverwell.proxy import Service
+from cloverwell.membership.endpoint_list import Endpoint, EndpointList
+from cloverwell.proxy import Proxy
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 from lab.proxy import SETTINGS
@@ -22,7 +22,7 @@
 
 NODES = 1024
 PROXIES = 1024
-ORIGIN = Member("origin", "127.0.2.1:80", flavor="origin")
+ORIGIN = Endpoint("origin", "127.0.2.1:80", flavor="origin")
 LISTEN = ("127.0.0.1", 11211)
 DISCOVERY = ("127.0.3.1", 8500)
 LONG_NAME = "cache-node-" + "x" * 889  # a list is bounded by its lines, not by what they hold
@@ -35,15 +35,15 @@
 def member(number, name="cache-node"):
     host, port = address(number)
     up_since_ms = 500_000_000 + number  # long ago: it is warm
-    return Member(f"{name}-{number}", f"{host}:{port}", "east", "large", 7, up_since_ms=up_since_ms)
+    return Endpoint(f"{name}-{number}", f"{host}:{port}", "east", "large", 7, up_since_ms=up_since_ms)
 
 
 def service(net, known, settings=SETTINGS):
     """A proxy of a fleet of 1,024, on a site that allows 32 MB and 256 descriptors."""
     told = read_settings(settings | {"peers-total": PROXIES})
     limits = Limits(sockets=256, memory_mb=32.0)
-    config = Config("p", LISTEN, DISCOVERY, 1, limits, Listing(41, True, known), told)
-    made = Service(net, config, Log(net.now_ms, io.StringIO()), net.now_ms, lambda: -1.0e9)
+    config = Config("p", LISTEN, DISCOVERY, 1, limits, EndpointList(41, True, known), told)
+    made = Proxy(net, config, Log(net.now_ms, io.StringIO()), net.now_ms, lambda: -1.0e9)
     made.start()
     return made
 
@@ -95,9 +95,9 @@
     proxy = service(net, [ORIGIN])
     body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
     told(net, body)
-    proxy.server_list.watch()
+    proxy.endpoint_discovery.watch()
     net.run_for(6.0)
-    assert len(proxy.server_list.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
+    assert len(proxy.endpoint_discovery.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
     assert len(proxy.pools.names()) == NODES + 1
 
 
@@ -112,15 +112,15 @@
 
 
 def test_the_figures_of_1024_nodes_are_counted_by_name():
-    figures = Figures()
+    metrics = ConnectionMetrics()
     for number in range(NODES):
-        figures.add(What.OPENED, f"cache-node-{number}")
-    assert len(figures.by(What.OPENED)) == NODES
+        metrics.add(ConnectionEvent.OPENED, f"cache-node-{number}")
+    assert len(metrics.by(ConnectionEvent.OPENED)) == NODES
 
 
 def test_another_process_takes_over_a_list_of_1024_nodes():
     members = [member(number, LONG_NAME) for number in range(NODES)]
-    line = messages.encode(messages.HandoverState(messages.VERSION, 256, Listing(42, True, members)))
+    line = messages.encode(messages.HandoverState(messages.VERSION, 256, EndpointList(42, True, members)))
     assert len(line) < messages.MAX_ESTATE
     assert len(messages.decode(line, messages.HandoverState).table.members) == NODES
 
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cloverwell.timer_wheel import SLOTS, Wheel
+from cloverwell.timer_wheel import SLOTS, TimerWheel
 
 START_MS = (0.0, 0.75, 123_456.789, 4.0e9 + 0.3)
 HOUR_MS = 3_600_000.0
@@ -49,9 +49,9 @@
 
 
 def wheel_on(reactor, granularity_ms):
-    wheel = Wheel(reactor, granularity_ms, reactor.now)
-    wheel.start()
-    return wheel
+    timer_wheel = TimerWheel(reactor, granularity_ms, reactor.now)
+    timer_wheel.start()
+    return timer_wheel
 
 
 class Trial:
@@ -59,7 +59,7 @@
 
     def __init__(self, start_ms, granularity_ms):
         self.reactor = WakeUps(start_ms)
-        self.wheel = wheel_on(self.reactor, granularity_ms)
+        self.timer_wheel = wheel_on(self.reactor, granularity_ms)
         self.granularity_ms = granularity_ms
         self.reached = math.floor(start_ms / granularity_ms)  # the last tick that a wake-up has passed
         self.timers = {}  # name -> the wheel's
@@ -72,7 +72,7 @@
     def put(self, early, delay_ms, cancels=None, follows=None):
         name = len(self.timers)
         when_ms = self.reactor.now_ms + delay_ms
-        where = self.wheel.at if early else self.wheel.not_before
+        where = self.timer_wheel.at if early else self.timer_wheel.not_before
         self.timers[name] = where(when_ms, lambda: self.fire(name))
         self.model.append((self.tick_of(early, when_ms), name))
         self.cancels[name], self.follows[name] = cancels, follows
@@ -82,10 +82,10 @@
         return max(self.reached + 1, rounded(when_ms / self.granularity_ms))
 
     def fire(self, name):
-        self.fired.append((self.wheel._tick, name))
+        self.fired.append((self.timer_wheel._tick, name))
         self.expected.append(min(self.model))
         self.model = [one for one in self.model if one[1] != name]
-        self.reached = self.wheel._tick  # what is put from within counts from here
+        self.reached = self.timer_wheel._tick  # what is put from within counts from here
         if self.cancels[name] is not None:
             self.cancel(self.cancels[name])
         if self.follows[name] is not None:
@@ -148,13 +148,15 @@
 )
 def test_held_up_and_idle_loops_fire_the_same_timers_in_the_same_order(start_ms, puts, jumps, spurious):
     orders = []
-    for held_up in (False, True):
+    for on_stall in (False, True):
         reactor = WakeUps(start_ms)
-        wheel, fired = wheel_on(reactor, 5.0), []
+        timer_wheel, fired = wheel_on(reactor, 5.0), []
         for name, (early, delay_ms) in enumerate(puts):
-            (wheel.at if early else wheel.not_before)(start_ms + delay_ms, partial(fired.append, name))
+            (timer_wheel.at if early else timer_wheel.not_before)(
+                start_ms + delay_ms, partial(fired.append, name)
+            )
         for jump_ms, too_soon in zip(jumps, spurious, strict=False):
-            if not held_up:
+            if not on_stall:
                 reactor.pass_time(jump_ms)
                 continue
             reactor.now_ms += jump_ms
@@ -169,17 +171,17 @@
 @pytest.mark.parametrize("rounds", [0.5, 1.0, 3.5])
 def test_a_timer_further_ahead_than_a_round_waits_for_its_own(start_ms, rounds):
     reactor = WakeUps(start_ms)
-    wheel, fired = wheel_on(reactor, 5.0), []
+    timer_wheel, fired = wheel_on(reactor, 5.0), []
     due_ms = start_ms + rounds * SLOTS * 5.0
-    wheel.at(due_ms, lambda: fired.append(reactor.now_ms))
+    timer_wheel.at(due_ms, lambda: fired.append(reactor.now_ms))
     reactor.pass_time(rounds * SLOTS * 5.0 + 5.0)
     assert len(fired) == 1 and due_ms - 5.1 <= fired[0] <= due_ms
 
 
 def test_what_a_call_puts_a_round_ahead_into_the_slot_in_hand_is_kept():
     reactor = WakeUps(0.0)
-    wheel, fired = wheel_on(reactor, 5.0), []
-    wheel.at(50.0, lambda: wheel.at(50.0 + SLOTS * 5.0, lambda: fired.append(reactor.now_ms)))
+    timer_wheel, fired = wheel_on(reactor, 5.0), []
+    timer_wheel.at(50.0, lambda: timer_wheel.at(50.0 + SLOTS * 5.0, lambda: fired.append(reactor.now_ms)))
     reactor.pass_time(60.0 + SLOTS * 5.0)
     assert fired == [50.0 + SLOTS * 5.0]
 
@@ -197,37 +199,39 @@
 @pytest.mark.parametrize("granularity_ms", [1.0, 5.0])
 def test_the_ticks_of_an_hours_hold_up_are_not_walked_one_by_one(granularity_ms):
     reactor = WakeUps(1e6)
-    wheel, fired = wheel_on(reactor, granularity_ms), []
+    timer_wheel, fired = wheel_on(reactor, granularity_ms), []
     for seconds in (0.1, 0.5, 60.0, 59.0, 3599.0, 3601.0):
-        wheel.at(1e6 + seconds * 1000.0, lambda seconds=seconds: fired.append(seconds))
-    wheel._slots = CountedSlots(wheel._slots)
+        timer_wheel.at(1e6 + seconds * 1000.0, lambda seconds=seconds: fired.append(seconds))
+    timer_wheel._slots = CountedSlots(timer_wheel._slots)
     reactor.now_ms += HOUR_MS
     reactor.wake()
     assert fired == [0.1, 0.5, 59.0, 60.0, 3599.0]
-    assert wheel._slots.looks <= 6 * SLOTS  # 720,000 at 5 ms, and 3,600,000 at 1 ms, where each is looked at
+    assert (
+        timer_wheel._slots.looks <= 6 * SLOTS
+    )  # 720,000 at 5 ms, and 3,600,000 at 1 ms, where each is looked at
     reactor.pass_time(2000.0)
     assert fired[5:] == [3601.0]
 
 
 def test_a_look_that_fails_takes_no_deadline_with_it():
-    # `held_up` looks at clients' sockets: a fault there must not hold up the deadlines.
+    # `on_stall` looks at clients' sockets: a fault there must not hold up the deadlines.
     reactor = WakeUps(0.0)
-    wheel, fired = wheel_on(reactor, 5.0), []
-    wheel.held_up = lambda: 1 / 0
-    wheel.at(50.0, lambda: fired.append("deadline"))
+    timer_wheel, fired = wheel_on(reactor, 5.0), []
+    timer_wheel.on_stall = lambda: 1 / 0
+    timer_wheel.at(50.0, lambda: fired.append("deadline"))
     reactor.now_ms += 1000.0
     reactor.wake()
     assert fired == ["deadline"]
-    wheel.at(reactor.now_ms + 50.0, lambda: fired.append("next"))
+    timer_wheel.at(reactor.now_ms + 50.0, lambda: fired.append("next"))
     reactor.pass_time(60.0)
     assert fired == ["deadline", "next"]
 
 
 def test_a_tick_that_fails_is_not_the_last_one():
     reactor = WakeUps(0.0)
-    wheel, fired = wheel_on(reactor, 5.0), []
-    wheel.each_tick = lambda: 1 / 0
-    wheel.at(50.0, lambda: fired.append("deadline"))
+    timer_wheel, fired = wheel_on(reactor, 5.0), []
+    timer_wheel.each_tick = lambda: 1 / 0
+    timer_wheel.at(50.0, lambda: fired.append("deadline"))
     for _ in range(20):
         reactor.now_ms += 5.0
         with pytest.raises(ZeroDivisionError):  # the reactor logs it
--- a/tests/test_told_change.py
+++ b/tests/test_told_change.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverwell.membership import server_list
+from cloverwell.membership import list_retry
 from lab.list_fleet import CHANGED, ListFleet
 from lab.proxy import SETTINGS
 
@@ -30,7 +30,7 @@
 
 
 def phase_of(proxy):
-    return next(member.phase for member in proxy.server_list.listing().members if member.id == CHANGED)
+    return next(member.phase for member in proxy.endpoint_discovery.listing().members if member.id == CHANGED)
 
 
 @pytest.mark.parametrize("how", ["down", "dead", "hung"])
@@ -85,11 +85,11 @@
 
 def test_a_list_of_1024_nodes_is_known_in_time():
     fleet = settled(2, nodes=1024)
-    assert all(len(proxy.server_list.listing().members) == 1025 for proxy in fleet.proxies)
+    assert all(len(proxy.endpoint_discovery.listing().members) == 1025 for proxy in fleet.proxies)
     fleet.fail("down")
     fleet.run(8.0)
     for proxy in fleet.proxies:  # the whole list is needed, as from another discovery
-        proxy.server_list._revision = None
+        proxy.endpoint_discovery._revision = None
     fleet.restore("down")
     fleet.change()
     all_learn_in_time(fleet)
@@ -126,7 +126,7 @@
 
 def test_the_pause_after_a_failed_call_is_what_keeps_the_time(monkeypatch):
     """What is measured above can fail: with a pause like the facade's longest a change comes too late."""
-    monkeypatch.setattr(server_list.ListRetry, "failed", lambda retry, took_ms: 12_000.0)
+    monkeypatch.setattr(list_retry.ListRetry, "failed", lambda retry, took_ms: 12_000.0)
     fleet = settled(8)
     fleet.fail("down")
     fleet.run(4.0)
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from scenario import Player
 
-from cloverwell.connections.back import Use
-from cloverwell.facade import Outcome
+from cloverwell.connections.node_policy import ConnectionUse
+from cloverwell.facade import AttemptOutcome
 from lab.proxy import SETTINGS
 
 WHOLE = re.compile(rb"mg [^\r]*\r\n|GET .*?\r\n\r\n|PUT .*?\r\n\r\na", re.S)
@@ -66,7 +66,7 @@
     player.service.back.reach_ms = lambda node: 60.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
-    attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
+    attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
     player.play(f"wait {WAITED_MS}")
     told = told_ms(sent(player, "origin", 2))
     assert len(told) == 1 and 0 < told[0] <= 900 - WAITED_MS
@@ -92,7 +92,7 @@
 
 def split(player):
     """An order whose last byte is kept back, on a connection that has stood idle where others broke."""
-    player.service.back.use = lambda node, age_ms, dear: Use.SPLIT if dear else Use.WHOLE
+    player.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT if dear else ConnectionUse.WHOLE
     player.service.back.hold_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a")
     return sent(player, "origin")
@@ -202,7 +202,7 @@
 def test_over_any_order_of_waits_closes_lags_and_writes_nothing_tells_more_than_is_left(steps, kept_back):
     player = Watched()
     if kept_back:
-        player.service.back.use = lambda node, age_ms, dear: Use.SPLIT
+        player.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
     asked = 0
     for step, *more in steps:
         match step, more:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -8,7 +8,7 @@
 import pytest
 from scenario import Player
 
-from cloverwell.facade import Outcome
+from cloverwell.facade import AttemptOutcome
 from lab.proxy import SETTINGS
 
 
@@ -104,7 +104,7 @@
     player.service.back.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
-    attempt.pool.give_up(attempt, Outcome.CALLED_OFF)
+    attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
     player.play("origin expect end\nwait 30")
     assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 1
     if stays:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -15,7 +15,7 @@
 
 def knows(player):
     """s1 is known to drain: nothing is sent there."""
-    return player.service.server_list.listing().members[0].phase == "terminating"
+    return player.service.endpoint_discovery.listing().members[0].phase == "terminating"
 
 
 def asked_within(player, ms, connection):
