--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -11,7 +11,8 @@
 
 MEMORY_SHARE = 0.5  # of the machine's, that a run may take
 MOST_PROCESSES = 300
-# What processes were measured to take (docs/scale.md), rounded up. In MB, but for the two by node.
+# What processes were measured to take (docs/measurements/scale.md), rounded up.
+# In MB, but for the two by node.
 PROCESS_MB = 48.0
 HOLLOW_MB = 0.6
 HOLLOW_NODE_MB = 0.018
--- a/tests/test_clock_sources.py
+++ b/tests/test_clock_sources.py
@@ -2,7 +2,8 @@
 
 A wall clock may be stepped at any moment, by seconds or by an hour. Durations and deadlines are therefore
 reckoned by the monotonic clock, and Twisted's default reactor, which runs its delayed calls by the wall
-clock, is not used. docs/design.md, "Unix time", has what each remaining use is for and what guards it.
+clock, is not used. docs/design/overview.md, "Unix time", has what each remaining use is for and what guards
+it.
 """
 
 from __future__ import annotations
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -15,7 +15,7 @@
 PACKAGES = ("cloverwell", "balancer", "lab")
 
 # From the bottom up. A module may import what stands in its own line or below; the longest prefix counts.
-# A new package is put where it belongs here, see docs/design.md.
+# A new package is put where it belongs here, see docs/design/overview.md.
 LEVELS = (
     ("balancer",),
     ("cloverwell.descriptors", "cloverwell.log_stream", "cloverwell.system_calls"),
