--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -145,7 +145,7 @@
 def _ended_twice(real):
     def ended(self, attempt, outcome, body):
         real(self, attempt, outcome, body)
-        if outcome is facade.Outcome.SERVED and attempt.request.over:
+        if outcome is facade.AttemptOutcome.SERVED and attempt.request.over:
             side = attempt.request.answer.func.__self__
             side.put(f"VA {len(body)} O{attempt.request.id}\r\n".encode() + body + b"\r\n")
 
