--- /dev/null
+++ b/tests/test_golden_control_storage.py
@@ -0,0 +1,99 @@
+"""Files and frames written by revision 777463e: today's code reads them, and writes the same bytes."""
+
+import hashlib
+import json
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from cloverwell.control.net.framing import FrameDecoder, encode_frame
+from cloverwell.control.net.wire import decode_body, encode_body
+from cloverwell.control.server.file_storage import FILE_NAME, FileStorage
+
+DATA = Path(__file__).parent / "data"
+LOGS = json.loads((DATA / "control_log_777463e.json").read_text())
+MESSAGES = json.loads((DATA / "control_wire.json").read_text())
+DIGEST_BYTES = 16
+
+
+def state_digest(state):
+    """A digest over the encoded content, which names of Python classes and attributes are no part of."""
+    content = msgspec.msgpack.Encoder(order="sorted").encode(state)
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
+
+
+def end_of(stored):
+    """The position after the last entry, and the log's state there."""
+    position, log_state = stored.snapshot.position, stored.snapshot.state
+    for entry in stored.entries:
+        position, log_state = position.after(entry), log_state.after(entry)
+    return position, log_state
+
+
+@pytest.fixture(params=LOGS)
+def expected(request, tmp_path):
+    """What revision 777463e read from the file, which lies in `tmp_path` as a node's own."""
+    (tmp_path / FILE_NAME).write_bytes((DATA / request.param).read_bytes())
+    return LOGS[request.param]
+
+
+@pytest.fixture
+def storage(expected, tmp_path):
+    opened = FileStorage(tmp_path)
+    yield opened
+    opened.close()
+
+
+@pytest.fixture
+def stored(storage):
+    return storage.load()
+
+
+def test_the_term_and_the_vote_are_read(expected, stored):
+    assert (stored.term, stored.vote) == (expected["term"], expected["vote"])
+
+
+def test_the_snapshot_is_read_intact(expected, stored):
+    assert stored.snapshot.position.index == expected["snapshot_index"]
+    assert stored.snapshot.intact is expected["snapshot_intact"] is True
+
+
+def test_entries_of_each_kind_are_read(expected, stored):
+    assert [entry.kind for entry in stored.entries] == expected["entry_kinds"]
+
+
+def test_the_log_comes_to_the_same_position(expected, stored):
+    position, _ = end_of(stored)
+    assert position.index == expected["position_index"]
+    assert position.digest.hex() == expected["position_digest"]
+
+
+def test_the_state_has_the_same_digest(expected, stored):
+    assert state_digest(stored) == expected["stored_state_digest"]
+    assert state_digest(end_of(stored)[1]) == expected["log_state_digest"]
+
+
+def test_a_torn_tail_is_dropped_to_the_byte(expected, storage):
+    assert storage.dropped_bytes == expected["dropped_bytes"]
+
+
+def test_the_file_that_the_start_writes_anew_has_the_same_bytes(expected, storage, tmp_path):
+    content = (tmp_path / FILE_NAME).read_bytes()
+    assert len(content) == expected["rewritten_bytes"]
+    assert hashlib.sha256(content).hexdigest() == expected["rewritten_sha256"]
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_body_is_decoded_to_the_same_message_and_encoded_to_the_same_bytes(name):
+    body = bytes.fromhex(MESSAGES[name]["body"])
+    message = decode_body(body)
+    assert json.loads(json.dumps(msgspec.to_builtins(message))) == MESSAGES[name]["fields"]
+    assert encode_body(message) == body
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_frame_is_cut_to_the_same_body_and_made_of_it_again(name):
+    body, frame = (bytes.fromhex(MESSAGES[name][part]) for part in ("body", "frame"))
+    assert list(FrameDecoder().feed(frame)) == [body]
+    assert encode_frame(body) == frame
