--- /dev/null
+++ b/cloverwell/control/server/errors.py
@@ -0,0 +1,37 @@
+"""Errors of a control node's process. Each carries what it is about in fields, and makes its own message."""
+
+from __future__ import annotations
+
+from pathlib import PurePath
+
+from cloverwell.control.storage import StorageError
+
+
+class ControlServerError(Exception):
+    """Base class of the errors that the control node's process adds to those of the control log."""
+
+
+class NodeFileError(ControlServerError):
+    """The control node's file can't be used. `field` is the one at fault, "FILE" for the file as a whole."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field = field
+        self.reason = reason
+
+
+class DamagedRecordError(ControlServerError):
+    """The record that begins at byte `start` is damaged in a way that a crash can't explain."""
+
+    def __init__(self, start: int) -> None:
+        super().__init__(f"the record at byte {start} is damaged")
+        self.start = start
+
+
+class FileStorageError(ControlServerError, StorageError):
+    """The file or folder at `path` can't be read, trusted or written: the node must not run."""
+
+    def __init__(self, path: PurePath, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
--- a/tests/test_control_file_storage.py
+++ b/tests/test_control_file_storage.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverwell.control.server import file_storage
+from cloverwell.control.server import durable_files
 from cloverwell.control.server.file_storage import FILE_NAME, FileStorage
 from cloverwell.control.server.records import HEADER
 from cloverwell.control.storage import StorageError, StoredState, Write
@@ -115,7 +115,7 @@
         raise OSError(5, "crashed here")
 
     storage = FileStorage(tmp_path)
-    monkeypatch.setattr(file_storage.os, "rename", crash)
+    monkeypatch.setattr(durable_files.os, "rename", crash)
     with pytest.raises(StorageError, match="crashed here"):
         storage.write(WRITES[4])
     storage.close()
@@ -131,7 +131,7 @@
         real(file)
         synced.append(os.fstat(file).st_size)
 
-    monkeypatch.setattr(file_storage.os, "fdatasync", sync)
+    monkeypatch.setattr(durable_files.os, "fdatasync", sync)
     storage = FileStorage(tmp_path)
     for write in WRITES[:4]:
         storage.write(write)
@@ -145,7 +145,7 @@
         raise OSError(28, "No space left on device")
 
     storage = FileStorage(tmp_path)
-    monkeypatch.setattr(file_storage.os, "fdatasync", full)
+    monkeypatch.setattr(durable_files.os, "fdatasync", full)
     with pytest.raises(StorageError, match="No space left"):
         storage.write(WRITES[0])
     storage.close()
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -23,7 +23,7 @@
     VoteAnswer,
 )
 from cloverwell.control.net.wire import PeerHello, StatusAnswer, StatusRequest
-from cloverwell.control.server import file_storage
+from cloverwell.control.server import durable_files
 from cloverwell.control.server.file_storage import FileStorage
 from cloverwell.control.server.node_server import NodeServer
 from cloverwell.control.server.settings import NodeSettings
@@ -208,8 +208,8 @@
     monkeypatch, call, effect, number
 ):
     disk, folder = FailingDisk(), PurePosixPath("/data")
-    monkeypatch.setattr(file_storage, "os", disk)
-    monkeypatch.setattr(file_storage, "fcntl", disk)
+    monkeypatch.setattr(durable_files, "os", disk)
+    monkeypatch.setattr(durable_files, "fcntl", disk)
     played = Played(storage=FileStorage(folder))
     played.tell("c", RequestVote(9, "c", 99, 9))
     assert [message.granted for _, message in played.sent(VoteAnswer)] == [True]
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -7,8 +7,9 @@
 from control_rig import entry, snapshot
 from failing_files import Disk, Effect, Fault, Killed
 
-from cloverwell.control.server import file_storage
-from cloverwell.control.server.file_storage import FILE_NAME, NEW_SUFFIX, FileStorage
+from cloverwell.control.server import durable_files
+from cloverwell.control.server.durable_files import NEW_SUFFIX
+from cloverwell.control.server.file_storage import FILE_NAME, FileStorage, encode_write
 from cloverwell.control.server.records import HEADER
 from cloverwell.control.storage import StorageError, StoredState, Write
 
@@ -31,8 +32,8 @@
 @pytest.fixture
 def disk(monkeypatch):
     made = Disk()
-    monkeypatch.setattr(file_storage, "os", made)
-    monkeypatch.setattr(file_storage, "fcntl", made)
+    monkeypatch.setattr(durable_files, "os", made)
+    monkeypatch.setattr(durable_files, "fcntl", made)
     made.mkdir("/machine")
     made.root.sync()
     made.restart()
@@ -253,7 +254,7 @@
     # Its header crosses into a second sector, and its body into a third.
     storage = FileStorage(FOLDER)
     payload = b"y" * 300
-    empty = len(file_storage._record(Write(1, "a", entries=(entry(1, payload=payload),))))
+    empty = len(encode_write(Write(1, "a", entries=(entry(1, payload=payload),))))
     payload += b"y" * (512 - 6 - empty)
     storage.write(Write(1, "a", entries=(entry(1, payload=payload),)))
     before = storage.load()
--- a/tests/test_durability_stateful.py
+++ b/tests/test_durability_stateful.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from cloverwell.control.entry import EMPTY_SNAPSHOT, Entry, LogState, Snapshot
-from cloverwell.control.server import file_storage
+from cloverwell.control.server import durable_files
 from cloverwell.control.server.file_storage import FileStorage
 from cloverwell.control.storage import StorageError, StoredState, Write
 
@@ -25,7 +25,7 @@
     def __init__(self):
         super().__init__()
         self.disk = Disk()
-        self.patches = [patch.object(file_storage, name, self.disk) for name in ("os", "fcntl")]
+        self.patches = [patch.object(durable_files, name, self.disk) for name in ("os", "fcntl")]
         for one in self.patches:
             one.start()
         self.states, self.promised, self.storage = [StoredState()], 0, None
