--- a/benchmarks/control_fleet.py
+++ b/benchmarks/control_fleet.py
@@ -23,8 +23,8 @@
 
 from cloverwell.control.entry import EntryKind
 from cloverwell.control.messages import ProposalOutcome, Propose
-from cloverwell.control.net.ask import NoAnswerError
-from cloverwell.control.net.proposer import propose_to_leader
+from cloverwell.control.net.errors import NoAnswerError
+from cloverwell.control.net.operator_client import propose_to_leader
 from lab.control_follower import ActivationCount, Place, Start
 from lab.control_node_processes import ControlNodeProcess, ControlNodes
 from lab.processes import ROOT
@@ -121,7 +121,7 @@
         empty = Hollow(nodes, [], [])
         leader = nodes.leader()
         nodes.wait_for_status(
-            leader, lambda a: a.in_force is not None and a.in_force.alive == told.proxies, "all proxies"
+            leader, lambda a: a.activation is not None and a.activation.alive == told.proxies, "all proxies"
         )
         report(told, nodes, processes, empty, rows, *run(told, nodes, processes, rows))
         empty.end()
--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -64,8 +64,8 @@
     from cloverwell.control.configuration import check_document, digest
     from cloverwell.control.entry import EntryKind
     from cloverwell.control.messages import ANY_INDEX, ProposalOutcome, Propose
-    from cloverwell.control.net.ask import NoAnswerError
-    from cloverwell.control.net.proposer import propose_to_leader
+    from cloverwell.control.net.errors import NoAnswerError
+    from cloverwell.control.net.operator_client import propose_to_leader
 
     try:
         document = file.read_bytes()
@@ -109,11 +109,11 @@
     """
     import msgspec
 
-    from cloverwell.control.net.ask import NoAnswerError
-    from cloverwell.control.net.proposer import ask_status
+    from cloverwell.control.net.errors import NoAnswerError
+    from cloverwell.control.net.operator_client import request_status
 
     try:
-        answer = ask_status(_address(to), wait_s)
+        answer = request_status(_address(to), wait_s)
     except NoAnswerError as error:
         click.echo(f"cloverwell: {error}", err=True)
         raise SystemExit(NOT_DONE) from None
@@ -122,7 +122,7 @@
 
 def _status_lines(answer: StatusAnswer) -> str:
     """For a person."""
-    status, own, in_force = answer.status, answer.own, answer.in_force
+    status, own, in_force = answer.status, answer.own, answer.activation
     leader = f"{status.leader} at {answer.leader_address}" if status.leader else "none known"
     quorum = "takes proposals" if status.has_quorum else "takes no proposals"
     lines = [
--- a/cloverwell/control/net/connection.py
+++ b/cloverwell/control/net/connection.py
@@ -1,9 +1,11 @@
-"""A connection that carries messages in frames, with a bound on what waits to leave."""
+"""A connection that carries messages in frames, with a bound on the bytes that wait to be sent."""
 
 from __future__ import annotations
 
 import socket
 from collections import deque
+from typing import Protocol as TypingProtocol
+from typing import cast
 
 from twisted.internet.interfaces import IPushProducer
 from twisted.internet.protocol import Protocol, connectionDone
@@ -12,52 +14,85 @@
 
 from cloverwell.codec.steady_socket import steady
 from cloverwell.control.messages import MAX_MESSAGE_BYTES, MessageError
-from cloverwell.control.net.framing import FrameDecoder, FramingError, encode_frame
+from cloverwell.control.net.errors import FramingError
+from cloverwell.control.net.framing import FrameDecoder, encode_frame
 from cloverwell.control.net.wire import WireMessage, decode_body, encode_body
 
-# Bytes that may wait behind what the transport has: two of the largest messages.
+# The bound on what waits beyond the transport's own buffer: two of the largest messages.
 MAX_WAITING_BYTES = 2 * MAX_MESSAGE_BYTES
-# Bytes sent that the other machine doesn't confirm end the connection after so long; the system's own limit
-# is a quarter of an hour, in which a link that is whole again would stay silent.
+# Sent bytes that the other machine doesn't confirm end the connection after this time (TCP_USER_TIMEOUT). The
+# system's own limit is a quarter of an hour, in which a link that works again would stay silent.
 UNCONFIRMED_MS = 5000
 
 
+class FrameTransport(TypingProtocol):
+    """What a connection calls of its transport, as `ITCPTransport` and `IConsumer` of Twisted."""
+
+    def setTcpNoDelay(self, enabled: bool, /) -> None:
+        """Sends small messages at once (TCP_NODELAY)."""
+
+    def registerProducer(self, producer: object, streaming: bool, /) -> None:
+        """Pauses and resumes the producer as the transport's buffer fills and empties."""
+
+    def unregisterProducer(self) -> None:
+        """Ends that."""
+
+    def write(self, data: bytes, /) -> None:
+        """Sends bytes, or buffers them."""
+
+    def loseConnection(self) -> None:
+        """Closes the connection once the buffer has been sent."""
+
+    def abortConnection(self) -> None:
+        """Closes the connection at once."""
+
+
 @implementer(IPushProducer)
 class FrameConnection(Protocol):
-    """Hands on each message with `message_received`; a fault ends the connection after `fault`."""
+    """Hands each received message to `message_received`; a fault ends the connection after `fault`.
+
+    `waiting_bytes` is the size of the frames that the transport has no room for yet. `ended` is set from the
+    moment at which the connection is closed or lost: nothing is sent or handed on after it.
+    """
+
+    _transport: FrameTransport
 
     def __init__(self, max_body_bytes: int, max_waiting_bytes: int = MAX_WAITING_BYTES) -> None:
-        """`max_body_bytes`: of a message that comes; `max_waiting_bytes`: of those that leave."""
+        """Takes the largest body that may be received, and the most bytes that may wait to be sent."""
         self._decoder = FrameDecoder(max_body_bytes)
         self._max_waiting_bytes = max_waiting_bytes
-        self._waiting: deque[bytes] = deque()
-        self._paused = False  # the transport has enough for now
+        self._waiting_frames: deque[bytes] = deque()
+        self._paused = False  # the transport's buffer is full
         self.waiting_bytes = 0
         self.ended = False
 
     # For the subclass
 
     def message_received(self, message: WireMessage) -> None:
-        """One message has come."""
+        """Handles a message that has come."""
         raise NotImplementedError
 
     def fault(self, reason: str) -> None:
-        """The connection ends because of what came, or because too much waits to leave."""
+        """Notes why the connection is about to end: what came is invalid, or too much waits to be sent."""
 
-    # What comes
+    # Receiving
 
     def connectionMade(self) -> None:
-        self.transport.setTcpNoDelay(True)
+        """Twisted: the connection is up."""
+        self._transport = cast(FrameTransport, self.transport)
+        self._transport.setTcpNoDelay(True)
         handle = steady(self.transport)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_MS)
-        self.transport.registerProducer(self, True)
+        self._transport.registerProducer(self, True)
 
-    def allow_bodies(self, max_body_bytes: int) -> None:
-        """From the next frame on, messages may be so long."""
+    def set_max_body_bytes(self, max_body_bytes: int) -> None:
+        """Changes the largest body that may be received, from the next frame on."""
         self._decoder.max_body_bytes = max_body_bytes
 
     def dataReceived(self, data: bytes) -> None:
-        if self.ended:  # closed behind what still leaves; what comes meanwhile counts no more
+        """Twisted: bytes have come."""
+        # A closed connection stays up until all is sent; what comes meanwhile must not be handled.
+        if self.ended:
             return
         try:
             for body in self._decoder.feed(data):
@@ -65,71 +100,71 @@
                 if self.ended:
                     return
         except (FramingError, MessageError) as error:
-            self._break(str(error))
+            self._fail(str(error))
 
-    # What leaves
+    # Sending
 
     def send(self, message: WireMessage) -> bool:
-        """Queues a message; False, and the connection ends, where too much waits already."""
-        return self.send_frame(encode_frame(encode_body(message)))
-
-    def send_frame(self, frame: bytes) -> bool:
-        """The same for a message that has been put into a frame before."""
+        """Sends a message or queues it. Returns False, and ends the connection, where too much waits."""
         if self.ended:
             return False
+        frame = encode_frame(encode_body(message))
         if not self._paused:
-            self.transport.write(frame)
+            self._transport.write(frame)
             return True
         if self.waiting_bytes + len(frame) > self._max_waiting_bytes:
-            self._break(f"{self.waiting_bytes} bytes wait to leave")
+            self._fail(f"{self.waiting_bytes} bytes wait to leave")
             return False
-        self._waiting.append(frame)
+        self._waiting_frames.append(frame)
         self.waiting_bytes += len(frame)
         return True
 
     def pauseProducing(self) -> None:
+        """Twisted: the transport's buffer is full."""
         self._paused = True
 
     def resumeProducing(self) -> None:
+        """Twisted: the transport has room again."""
         self._paused = False
-        while self._waiting and not self._paused:
-            frame = self._waiting.popleft()
+        while self._waiting_frames and not self._paused:
+            frame = self._waiting_frames.popleft()
             self.waiting_bytes -= len(frame)
-            self.transport.write(frame)
+            self._transport.write(frame)
 
     def stopProducing(self) -> None:
-        """The connection is gone; `connectionLost` says so too."""
-
-    # Its end
+        """Twisted: the connection is lost. `connectionLost` handles it."""
 
-    def _break(self, reason: str) -> None:
-        if not self.ended:
-            self.fault(reason)
-            self.abort()
+    # The end
 
     def close(self) -> None:
-        """Ends the connection behind what waits to leave."""
+        """Ends the connection once what waits has been sent."""
         if self.ended:
             return
         self.ended = True
         self._paused = False
-        for frame in self._waiting:
-            self.transport.write(frame)
-        self._drop_waiting()
-        self.transport.unregisterProducer()
-        self.transport.loseConnection()
+        for frame in self._waiting_frames:
+            self._transport.write(frame)
+        self._drop_waiting_frames()
+        self._transport.unregisterProducer()
+        self._transport.loseConnection()
 
     def abort(self) -> None:
         """Ends the connection at once."""
         if not self.ended:
             self.ended = True
-            self._drop_waiting()
-            self.transport.abortConnection()
+            self._drop_waiting_frames()
+            self._transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Twisted: the connection has ended."""
         self.ended = True
-        self._drop_waiting()
+        self._drop_waiting_frames()
+
+    def _fail(self, reason: str) -> None:
+        if not self.ended:
+            self.fault(reason)
+            self.abort()
 
-    def _drop_waiting(self) -> None:
-        self._waiting.clear()
+    def _drop_waiting_frames(self) -> None:
+        self._waiting_frames.clear()
         self.waiting_bytes = 0
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -1,18 +1,17 @@
 """A proxy's connection to the control log: it follows one control node, and the next one when that fails.
 
-`Follower` carries out what `Subscription` decides, and needs no more of a proxy than a function that puts an
-entry in force. So it serves a whole proxy as well as one that has nothing but this.
+`Follower` carries out the effects of a `Subscription`. All that it needs of a proxy is a function that
+applies an entry, so it serves a whole proxy as well as a simulated one that has nothing else.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 from random import Random, SystemRandom
-from typing import Any
 
-from twisted.internet.interfaces import IAddress
-from twisted.internet.protocol import ClientFactory, connectionDone
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from cloverwell.control.effects import (
@@ -25,136 +24,165 @@
 )
 from cloverwell.control.entry import Entry, LogState, Position
 from cloverwell.control.messages import MAX_MESSAGE_BYTES, NodeMessage
+from cloverwell.control.net.address import Address
 from cloverwell.control.net.connection import FrameConnection
+from cloverwell.control.net.connection_factory import ConnectionFactory
+from cloverwell.control.net.deadline_timer import DeadlineTimer
+from cloverwell.control.net.errors import EntryRefusedError
+from cloverwell.control.net.reactor_types import Connector, Reactor
 from cloverwell.control.net.wire import WireMessage
 from cloverwell.control.subscription import Subscription, SubscriptionStatus
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
 from cloverwell.timer_wheel import monotonic_ms
 
-Address = tuple[str, int]
+CONNECT_TIMEOUT_S = 30.0  # of the reactor; the subscription abandons an attempt long before
+RUN_BITS = 53  # every reader of JSON keeps an integer of this size exactly
+MAX_WAITING_BYTES = 64 * 1024  # a proxy sends a few bytes a second
+NO_ATTEMPT = 0
 
-CONNECT_S = 30.0  # of the reactor's own; the subscription gives up long before
-RUN_BITS = 53  # as many as any reader of JSON keeps
-MAX_WAITING_BYTES = 64 * 1024  # what a proxy sends is a few bytes a second
 
+@dataclass(frozen=True, slots=True)
+class ConnectionAttempt:
+    """A numbered attempt to connect to a control node, or the connection that has come of it."""
 
-class EntryRefusedError(Exception):
-    """An entry can't be put in force here; the text says why. What was in force before still is."""
+    number: int
+    connector: Connector
 
 
 class Follower:
-    """Follows the log `log_name` for one proxy, from `start` to `stop`.
-
-    `regions`: the addresses of the control nodes by name, the own region's first. `proxy`: the proxy's name,
-    which no other has. `in_force` is called for each entry in the log's order, and puts it in force or
-    raises `EntryRefusedError`; with a snapshot for what its state holds. `purges_missed` is called before
-    those where purges have been left out that nobody can name any more. `changed` is called after each
-    event.
-    """
+    """Follows the control log for one proxy, from `start` to `stop`."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         regions: Sequence[Mapping[str, Address]],
         log_name: str,
         proxy: str,
-        in_force: Callable[[Entry], None],
+        apply_entry: Callable[[Entry], None],
         log: Log | None = None,
-        purges_missed: Callable[[], None] = lambda: None,
-        changed: Callable[[], None] = lambda: None,
+        on_purges_missed: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
         now: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         timing: SubscriptionTiming | None = None,
     ) -> None:
+        """Connects to nothing yet.
+
+        Args:
+            reactor: makes the connections and the delayed calls.
+            regions: the addresses of the control nodes by name, a mapping for each region, the proxy's own
+                region first.
+            log_name: the control log to follow.
+            proxy: the proxy's name, which no other proxy has.
+            apply_entry: called for each entry in the log's order, and for the entries of a snapshot's state.
+                It applies the entry or raises `EntryRefusedError`.
+            log: where changes of the connection are written, if anywhere.
+            on_purges_missed: called before the entries of a snapshot that no longer lists all purges.
+            on_change: called after each event.
+            now: milliseconds of a monotonic clock.
+            random: the source of jitter.
+            timing: the timeouts of the subscription, where they are not the usual ones.
+        """
         self._reactor = reactor
-        self._addresses = {name: address for group in regions for name, address in group.items()}
-        self._in_force = in_force
-        self._purges_missed = purges_missed
-        self._changed = changed
+        self._addresses = {name: address for nodes in regions for name, address in nodes.items()}
+        self._apply_entry = apply_entry
+        self._on_purges_missed = on_purges_missed
+        self._on_change = on_change
         self._log = log
         self._now = now
-        groups = tuple(tuple(group) for group in regions if group)
-        run = SystemRandom().getrandbits(RUN_BITS)  # never drawn from `random`: two may share its seed
+        # Drawn from the system, because the `random` of two proxies may have the same seed.
+        run = SystemRandom().getrandbits(RUN_BITS)
+        node_names = tuple(tuple(nodes) for nodes in regions if nodes)
         self.subscription = Subscription(
-            proxy, run, log_name, groups, random or SystemRandom(), now(), timing=timing
+            proxy, run, log_name, node_names, random or SystemRandom(), now(), timing=timing
         )
         self._effects: deque[ProxyEffect] = deque()
-        self._connector: Any = None
+        self._attempt: ConnectionAttempt | None = None
         self._connection: FollowerConnection | None = None
-        self._timer: Any = None
+        self._timer = DeadlineTimer(reactor, now, self._tick)
         self._started = False
-        self._told_node = ""  # the node that was logged last, "" for none
-        self._told_failure = ""
+        self._logged_node = ""  # the node that was logged last, "" for none
+        self._logged_failure = ""
 
     @property
     def status(self) -> SubscriptionStatus:
-        """For operators."""
+        """The state of the subscription, for operators."""
         return self.subscription.status(self._now())
 
     def divide_by(self, provisioned: int) -> int:
-        """By what a fleet-wide bound is divided here; `provisioned`: the most proxies that may live."""
+        """Returns the number of proxies by which a fleet-wide bound is divided at this proxy.
+
+        `provisioned` is the largest number of proxies that may live, which stands while the real number is
+        not known.
+        """
         return self.subscription.divide_by(provisioned, self._now())
 
     @property
     def ready(self) -> bool:
-        """Whether a starting proxy need not wait any longer."""
+        """Whether a starting proxy need not wait for the control log any longer."""
         return self.subscription.ready(self._now())
 
     def start(self) -> None:
-        """Connects; `in_force` may be called before this returns, for what was saved."""
+        """Connects. Entries that were saved are applied before this returns."""
         self._started = True
         self._handle(self.subscription.start)
 
     def stop(self) -> None:
-        """Takes leave of the control node, so that this proxy doesn't count as one that may live unseen."""
+        """Says goodbye to the control node, so that this proxy doesn't count as one that may still live."""
         if not self._started:
             return
         self._started = False
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
+        self._timer.cancel()
         self._effects.extend(self.subscription.stop())
         self._carry_out_all()
 
-    # What connections tell
+    # Events of connections
 
-    def opened(self, connection: FollowerConnection) -> None:
-        if connection.attempt != self._attempt():
+    def connection_opened(self, connection: FollowerConnection) -> None:
+        """Handles a connection that is up; one of an earlier attempt is ended."""
+        if connection.attempt != self._attempt_number():
             connection.abort()
             return
         self._connection = connection
         self._handle(self.subscription.connected, connection.attempt)
 
-    def received(self, connection: FollowerConnection, message: NodeMessage) -> None:
+    def message_received(self, connection: FollowerConnection, message: NodeMessage) -> None:
+        """Handles a message of the control node; one of an earlier connection is ignored."""
         if connection is self._connection:
             self._handle(self.subscription.receive, connection.attempt, message)
 
-    def lost(self, attempt: int, reason: str) -> None:
-        """The connection of that attempt has ended, or did not come up."""
-        if attempt != self._attempt():
+    def connection_lost(self, attempt: int, reason: str) -> None:
+        """Handles the end of the connection of an attempt, or the failure of the attempt."""
+        if attempt != self._attempt_number():
             return
-        self._connector = self._connection = None
+        self._attempt = None
+        self._connection = None
         self._warn(reason)
         self._handle(self.subscription.disconnected, attempt)
 
-    def fault(self, reason: str) -> None:
-        """What came makes no sense, or what leaves has waited too long."""
-        self._warn(f"{self._told_node or 'a control node'}: {reason}")
+    def connection_failed(self, reason: str) -> None:
+        """Logs that a connection ends because of what it received, or because too much waits to be sent."""
+        self._warn(f"{self._logged_node or 'a control node'}: {reason}")
 
-    # Events and effects
+    def _attempt_number(self) -> int:
+        """Returns the number of the current attempt, NO_ATTEMPT where there is none."""
+        return NO_ATTEMPT if self._attempt is None else self._attempt.number
 
-    def _attempt(self) -> int:
-        """The attempt that is out; 0 for none."""
-        return 0 if self._connector is None else self._connector.attempt
+    # Events and effects
 
     def _handle(self, event: Callable[..., list[ProxyEffect]], *arguments: object) -> None:
+        """Passes an event to the subscription and carries out the effects."""
         if not self._started:
             return
         self._effects.extend(event(*arguments, self._now()))
         self._carry_out_all()
-        self._tell_node()
-        self._arm()
-        self._changed()
+        self._log_changes()
+        self._timer.set(self.subscription.next_deadline())
+        self._on_change()
+
+    def _tick(self) -> None:
+        self._handle(self.subscription.tick)
 
     def _carry_out_all(self) -> None:
         while self._effects:
@@ -163,127 +191,106 @@
     def _carry_out(self, effect: ProxyEffect) -> None:
         match effect:
             case ConnectToNode(node, attempt):
-                host, port = self._addresses[node]
-                factory = _FollowerFactory(self, attempt)
-                self._connector = _Connector(
-                    attempt, self._reactor.connectTCP(host, port, factory, timeout=CONNECT_S)
-                )
+                self._connect(node, attempt)
             case DisconnectFromNode():
-                self._hang_up()
+                self._disconnect()
             case SendToControlNode(_, message):
                 if self._connection is not None:
                     self._connection.send(message)
             case ApplyEntry(entry):
-                self._load([entry], entry.index)
+                self._apply([entry], entry.index)
             case ApplySnapshot(snapshot, previous):
-                self._load_snapshot(snapshot.state, snapshot.position, previous)
+                self._apply_snapshot(snapshot.state, snapshot.position, previous)
+
+    def _connect(self, node: str, attempt: int) -> None:
+        host, port = self._addresses[node]
+        factory = ConnectionFactory(
+            lambda: FollowerConnection(self, attempt),
+            lambda reason: self.connection_lost(attempt, f"not connected: {reason}"),
+        )
+        connector = self._reactor.connectTCP(host, port, factory, timeout=CONNECT_TIMEOUT_S)
+        self._attempt = ConnectionAttempt(attempt, connector)
 
-    def _hang_up(self) -> None:
-        connector, self._connector = self._connector, None
+    def _disconnect(self) -> None:
+        attempt, self._attempt = self._attempt, None
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
-        elif connector is not None:
-            connector.connector.disconnect()
+        elif attempt is not None:
+            attempt.connector.disconnect()
 
-    def _load_snapshot(self, state: LogState, position: Position, previous: Position) -> None:
+    def _apply_snapshot(self, state: LogState, position: Position, previous: Position) -> None:
+        """Applies the state of a snapshot at `position`, at a proxy that has come as far as `previous`."""
         if previous.index < state.purges_complete_from:
-            self._purges_missed()
-        # What is in force already is put in force once more: another log may stand at the same index.
+            self._on_purges_missed()
+        # Entries that are applied already are applied again: the snapshot may be of another log, in which
+        # other entries have the same indices.
         purges = (entry for entry in state.purges if entry.index > previous.index)
         entries = sorted((*state.latest.values(), *purges), key=lambda entry: entry.index)
-        self._load(entries, position.index)
+        self._apply(entries, position.index)
 
-    def _load(self, entries: list[Entry], index: int) -> None:
-        """Puts entries in force and tells so up to `index`; the last refusal is the one that is told."""
-        refused: tuple[str, str] | None = None
+    def _apply(self, entries: list[Entry], index: int) -> None:
+        """Applies entries and reports the log as applied up to `index`, with the last refusal if any."""
+        refusal: EntryRefusedError | None = None
+        refused_kind = ""
         for entry in entries:
             try:
-                self._in_force(entry)
+                self._apply_entry(entry)
             except EntryRefusedError as error:
-                refused = (str(error), entry.kind)
-        if refused is None:
-            self._effects.extend(self.subscription.loaded(index, self._now()))
+                refusal = error
+                refused_kind = entry.kind
+        if refusal is None:
+            effects = self.subscription.loaded(index, self._now())
         else:
-            reason, kind = refused
-            self._effects.extend(self.subscription.refused(index, reason, self._now(), kind))
-
-    def _arm(self) -> None:
-        """One timer, at the time that the subscription has named last."""
-        delay_s = max(0.0, self.subscription.next_deadline() - self._now()) / 1000.0
-        if self._timer is not None and self._timer.active():
-            self._timer.reset(delay_s)
-        else:
-            self._timer = self._reactor.callLater(delay_s, self._tick)
-
-    def _tick(self) -> None:
-        self._timer = None
-        self._handle(self.subscription.tick)
+            effects = self.subscription.refused(index, refusal.reason, self._now(), refused_kind)
+        self._effects.extend(effects)
 
     # The log
 
-    def _tell_node(self) -> None:
+    def _log_changes(self) -> None:
+        """Logs which node is followed, and why the last one is not, where that has changed."""
         status = self.status
-        if status.last_failure != self._told_failure:
-            self._told_failure = status.last_failure
+        if status.last_failure != self._logged_failure:
+            self._logged_failure = status.last_failure
             self._warn(f"left {status.last_failure}")
-        if status.node != self._told_node:
+        if status.node != self._logged_node:
+            self._logged_node = status.node
             if self._log is not None:
                 node = status.node
                 self._log.info("control", f"follows {node}" if node else "follows no control node")
-            self._told_node = status.node
 
     def _warn(self, text: str) -> None:
         if self._log is not None:
             self._log.warn("control", text)
 
 
-class _Connector:
-    """A try at a connection, or the connection that has come of it."""
-
-    __slots__ = ("attempt", "connector")
-
-    def __init__(self, attempt: int, connector: Any) -> None:
-        self.attempt = attempt
-        self.connector = connector
-
-
 class FollowerConnection(FrameConnection):
-    """A connection to a control node."""
+    """A proxy's connection to a control node. `attempt` is the number of the attempt that it came of."""
 
     def __init__(self, follower: Follower, attempt: int) -> None:
+        """Reports its events to the follower."""
         super().__init__(MAX_MESSAGE_BYTES, MAX_WAITING_BYTES)
         self.attempt = attempt
         self._follower = follower
 
     def connectionMade(self) -> None:
+        """Twisted: the connection is up."""
         super().connectionMade()
-        self._follower.opened(self)
+        self._follower.connection_opened(self)
 
     def message_received(self, message: WireMessage) -> None:
+        """Hands on what a control node sends to proxies; any other message ends the connection."""
         if isinstance(message, NodeMessage):
-            self._follower.received(self, message)
+            self._follower.message_received(self, message)
         else:
             self.fault(f"sent a {type(message).__name__} where none is due")
             self.abort()
 
     def fault(self, reason: str) -> None:
-        self._follower.fault(reason)
+        """Has the follower log the reason."""
+        self._follower.connection_failed(reason)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Twisted: the connection has ended."""
         super().connectionLost(reason)
-        self._follower.lost(self.attempt, f"connection lost: {reason.getErrorMessage()}")
-
-
-class _FollowerFactory(ClientFactory):
-    noisy = False
-
-    def __init__(self, follower: Follower, attempt: int) -> None:
-        self._follower = follower
-        self._attempt = attempt
-
-    def buildProtocol(self, addr: IAddress) -> FollowerConnection:
-        return FollowerConnection(self._follower, self._attempt)
-
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self._follower.lost(self._attempt, f"not connected: {reason.getErrorMessage()}")
+        self._follower.connection_lost(self.attempt, f"connection lost: {reason.getErrorMessage()}")
--- a/cloverwell/control/net/wire.py
+++ b/cloverwell/control/net/wire.py
@@ -1,11 +1,13 @@
-"""All messages that a control node's port takes and gives, as bodies of frames. No I/O.
+"""All messages that a control node's port accepts and sends, as bodies of frames. No I/O.
 
-To the messages of the log itself this adds what belongs to connections alone: who a control node is that has
-connected, and an operator's question about the state of a node.
+To the messages of the log itself this adds those that belong to connections alone: the hello of a control
+node that has connected, and an operator's request for the status of a node.
 """
 
 from __future__ import annotations
 
+from typing import cast
+
 import msgspec
 
 from cloverwell.control.control_node import NodeStatus
@@ -21,21 +23,22 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True, tag=True):
-    """An operator asks for a `StatusAnswer`."""
+    """An operator requests a `StatusAnswer`."""
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, tag=True):
-    """What one control node knows.
+    """The status of one control node.
 
-    `leader_address`: "" where no leader is known. `own`: the proxies at this node. `in_force`: where the last
-    committed entry is in force, None on a node that doesn't lead.
+    `leader_address` is HOST:PORT, "" where no leader is known. `own` counts the proxies that are subscribed
+    to this node. `activation` says at how many proxies of the fleet the last committed entry is applied; it
+    is None on a node that doesn't lead.
     """
 
     node: str
     status: NodeStatus
     leader_address: str
     own: SubscriberReport
-    in_force: ActivationCount | None = None
+    activation: ActivationCount | None = msgspec.field(name="in_force", default=None)
 
 
 WireMessage = Message | PeerHello | StatusRequest | StatusAnswer
@@ -44,12 +47,13 @@
 
 
 def encode_body(message: WireMessage) -> bytes:
-    """The body of a frame with this message."""
-    return encode(message)
+    """Returns the body of a frame with this message."""
+    # `encode` declares the log's own messages, and encodes those of connections in the same way.
+    return encode(cast(Message, message))
 
 
 def decode_body(body: bytes) -> WireMessage:
-    """The message of a frame's body. Raises `MessageError`."""
+    """Returns the message in a frame's body. Raises `MessageError`."""
     if not body:
         raise MessageError("empty")
     if body[0] != VERSION:
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -14,7 +14,8 @@
 from cloverwell.config import Config, ConfigError
 from cloverwell.control.configuration import ConfigurationChange, digest, read_change
 from cloverwell.control.entry import Entry, EntryKind
-from cloverwell.control.net.follower import EntryRefusedError, Follower
+from cloverwell.control.net.errors import EntryRefusedError
+from cloverwell.control.net.follower import Follower
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
--- a/cloverwell/control/server/errors.py
+++ b/cloverwell/control/server/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a control node's process. Each carries what it is about in fields, and makes its own message."""
+"""Errors of a control node's process. Each makes its message from its fields."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
     """The control node's file can't be used. `field` is the one at fault, "FILE" for the file as a whole."""
 
     def __init__(self, field: str, reason: str) -> None:
+        """Takes the name of the field and what is wrong with it."""
         super().__init__(f"{field}: {reason}")
         self.field = field
         self.reason = reason
@@ -24,6 +25,7 @@
     """The record that begins at byte `start` is damaged in a way that a crash can't explain."""
 
     def __init__(self, start: int) -> None:
+        """Takes the offset of the record in the file."""
         super().__init__(f"the record at byte {start} is damaged")
         self.start = start
 
@@ -32,6 +34,7 @@
     """The file or folder at `path` can't be read, trusted or written: the node must not run."""
 
     def __init__(self, path: PurePath, reason: str) -> None:
+        """Takes the path and what is wrong with it."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = reason
--- a/cloverwell/control/server/node_server.py
+++ b/cloverwell/control/server/node_server.py
@@ -1,14 +1,16 @@
-"""One control node in service: its decisions, its storage and its connections put together.
+"""One control node in service: its state machine, its storage and its connections.
 
-Each event of a connection or of the clock goes to `ControlNode`, and its effects are carried out in their
-order: a write is on disk before any message behind it leaves.
+Each event of a connection or of the clock goes to `ControlNode`, and the effects that it returns are carried
+out in their order: a write is durable before any message that follows it is sent (Raft, figure 2: persistent
+state is updated on stable storage before an RPC is answered).
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol
 
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import (
@@ -20,23 +22,37 @@
     SendToSubscriber,
     SnapshotInstalled,
 )
+from cloverwell.control.entry import Entry
 from cloverwell.control.messages import PeerMessage, Propose, ProxyMessage
-from cloverwell.control.net.wire import PeerHello, StatusAnswer
+from cloverwell.control.net.address import format_address
+from cloverwell.control.net.deadline_timer import DeadlineTimer
+from cloverwell.control.net.reactor_types import StoppableReactor
+from cloverwell.control.net.wire import PeerHello, StatusAnswer, WireMessage
 from cloverwell.control.server.peers import PeerLink
 from cloverwell.control.server.port import ControlPort
 from cloverwell.control.server.settings import NodeSettings
 from cloverwell.control.storage import Storage, StorageError, Write
 from cloverwell.control.timing import FanoutTiming, Timing
-from cloverwell.front.port import listen
+from cloverwell.front.port import BoundedPort, listen
 from cloverwell.log import Log
 
-BACKLOG = 512
+BACKLOG = 512  # connections that may wait to be accepted
+SHOWN_CHARS = 60  # of an id or a kind that a log line quotes
 
 
 class ClosableStorage(Storage, Protocol):
-    """Storage that is given back at the end."""
+    """Storage that is released when the node stops."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Releases the storage. What is durable stays so."""
+
+
+@dataclass(frozen=True, slots=True)
+class KnownLeader:
+    """The leader that this node knows and its term; "" and 0 while it knows none."""
+
+    name: str
+    term: int
 
 
 class NodeServer:
@@ -44,7 +60,7 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: StoppableReactor,
         settings: NodeSettings,
         storage: ClosableStorage,
         log: Log,
@@ -53,7 +69,18 @@
         timing: Timing | None = None,
         fanout: FanoutTiming | None = None,
     ) -> None:
-        """`now`: ms, monotonic."""
+        """Connects to nothing yet.
+
+        Args:
+            reactor: makes the connections and the delayed calls; stopping the node stops it.
+            settings: the node's file.
+            storage: what the node starts from, and where it writes.
+            log: where events are written.
+            now: milliseconds of a monotonic clock.
+            random: the source of election timeouts and jitter.
+            timing: the timeouts of the consensus, where they are not the usual ones.
+            fanout: the timeouts towards proxies, where they are not the usual ones.
+        """
         self._reactor = reactor
         self._settings = settings
         self._storage = storage
@@ -68,33 +95,30 @@
             for peer, address in settings.others.items()
         }
         self._port = ControlPort(reactor, self, log)
-        self._listening: Any = None
-        self._timer: Any = None
-        self._told_leader: tuple[str, int] | None = None  # leader and its term, as they were logged last
+        self._listening_port: BoundedPort | None = None
+        self._timer = DeadlineTimer(reactor, now, self._tick)
+        self._logged_leader: KnownLeader | None = None
         self._stopped = False
         self.failed = False
 
     def start(self) -> None:
-        """Raises `CannotListenError`."""
+        """Listens and connects to the other nodes. Raises `CannotListenError`."""
         host, port = self._settings.listen
-        self._listening = listen(self._reactor, host, port, self._port, BACKLOG)
+        self._listening_port = listen(self._reactor, host, port, self._port, BACKLOG)
         for link in self._links.values():
             link.start()
-        self._log.info(
-            "start", f"{self._settings.name} of {len(self._settings.nodes)} serves on {host}:{port}"
-        )
-        self._arm()
+        node_count = len(self._settings.nodes)
+        self._log.info("start", f"{self._settings.name} of {node_count} serves on {host}:{port}")
+        self._set_timer()
 
     def stop(self) -> None:
-        """Ends at once: what was acknowledged is on disk, and what was not may be asked again elsewhere."""
+        """Ends at once: what was acknowledged is durable, and other requests may be repeated elsewhere."""
         if self._stopped:
             return
         self._stopped = True
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        if self._listening is not None:
-            self._listening.stopListening()
+        self._timer.cancel()
+        if self._listening_port is not None:
+            self._listening_port.stopListening()
         for link in self._links.values():
             link.stop()
         self._port.close_all()
@@ -102,41 +126,47 @@
         self._log.info("stop", "stopped")
         self._reactor.stop()
 
-    # What connections tell
+    # Messages of connections, as `ControlRequestHandler`
 
     def is_peer(self, hello: PeerHello) -> bool:
+        """Returns whether the hello is that of another control node of this log."""
         return hello.log == self._settings.log and hello.node in self._links
 
     def peer_message(self, peer: str, message: PeerMessage) -> None:
+        """Handles a message of another control node."""
         self._handle(self.node.receive_peer, peer, message)
 
     def proxy_message(self, connection: int, message: ProxyMessage) -> None:
+        """Handles a message of a proxy."""
         self._handle(self.node.receive_proxy, connection, message)
 
     def proxy_disconnected(self, connection: int) -> None:
+        """Handles the end of a proxy's connection."""
         self._handle(self.node.proxy_disconnected, connection)
 
     def proposal(self, connection: int, message: Propose) -> None:
-        self._log.info(
-            "proposal", f"{message.kind[:60]} {message.proposal[:60]}, {len(message.payload)} bytes"
-        )
+        """Handles an operator's proposal."""
+        kind, proposal = message.kind[:SHOWN_CHARS], message.proposal[:SHOWN_CHARS]
+        self._log.info("proposal", f"{kind} {proposal}, {len(message.payload)} bytes")
         self._handle(self.node.propose, connection, message)
 
     def status(self) -> StatusAnswer:
+        """Returns the answer to an operator's request for the status."""
         now = self._now()
         status = self.node.status(now)
-        host, port = self._settings.nodes.get(status.leader, ("", 0))
+        leader_address = self._settings.nodes.get(status.leader)
         return StatusAnswer(
             node=self._settings.name,
             status=status,
-            leader_address=f"{host}:{port}" if host else "",
+            leader_address="" if leader_address is None else format_address(leader_address),
             own=self.node.subscribers.report(self._settings.name),
-            in_force=self.node.in_force(status.committed.index, now),
+            activation=self.node.in_force(status.committed.index, now),
         )
 
     # Events and effects
 
     def _handle(self, event: Callable[..., list[NodeEffect]], *arguments: object) -> None:
+        """Passes an event to the node and carries out the effects. A storage that fails ends the node."""
         if self._stopped:
             return
         try:
@@ -147,8 +177,8 @@
             self.failed = True
             self.stop()
             return
-        self._tell_leader()
-        self._arm()
+        self._log_leader_change()
+        self._set_timer()
 
     def _carry_out(self, effect: NodeEffect) -> None:
         match effect:
@@ -158,40 +188,49 @@
                 if node in self._links:
                     self._links[node].send(message)
             case SendToSubscriber(connection, message) | AnswerProposal(connection, message):
-                if (target := self._port.connection(connection)) is not None:
-                    target.send(message)
+                self._send(connection, message)
             case CloseSubscriber(connection):
-                if (target := self._port.connection(connection)) is not None:
-                    target.close()
+                self._close(connection)
             case EntriesCommitted(entries):
-                for entry in entries:
-                    self._log.info(
-                        "commit", f"entry {entry.index}: {entry.kind} {entry.proposal[:60]}".rstrip()
-                    )
+                self._log_committed(entries)
             case SnapshotInstalled(snapshot):
                 self._log.info("commit", f"snapshot at {snapshot.position.index} taken from the leader")
 
-    def _arm(self) -> None:
-        """One timer, at the time that the node has named last."""
-        if self._stopped:
-            return
-        delay_s = max(0.0, self.node.next_deadline() - self._now()) / 1000.0
-        if self._timer is not None and self._timer.active():
-            self._timer.reset(delay_s)
-        else:
-            self._timer = self._reactor.callLater(delay_s, self._tick)
+    def _send(self, number: int, message: WireMessage) -> None:
+        """Sends a message to the connection of that number, unless it has ended."""
+        connection = self._port.connection(number)
+        if connection is not None:
+            connection.send(message)
+
+    def _close(self, number: int) -> None:
+        """Closes the connection of that number, unless it has ended."""
+        connection = self._port.connection(number)
+        if connection is not None:
+            connection.close()
+
+    def _set_timer(self) -> None:
+        """Sets the timer to the next deadline of the node."""
+        if not self._stopped:
+            self._timer.set(self.node.next_deadline())
 
     def _tick(self) -> None:
-        self._timer = None
         self._handle(self.node.tick)
 
-    def _tell_leader(self) -> None:
+    # The log
+
+    def _log_committed(self, entries: Sequence[Entry]) -> None:
+        for entry in entries:
+            proposal = entry.proposal[:SHOWN_CHARS]
+            self._log.info("commit", f"entry {entry.index}: {entry.kind} {proposal}".rstrip())
+
+    def _log_leader_change(self) -> None:
+        """Logs the leader where it is not the one that was logged last."""
         consensus = self.node.consensus
-        told = (consensus.leader, consensus.term if consensus.leader else 0)
-        if told == self._told_leader:
+        leader = KnownLeader(consensus.leader, consensus.term if consensus.leader else 0)
+        if leader == self._logged_leader:
             return
-        self._told_leader = told
-        if consensus.leader:
-            self._log.info("leader", f"{consensus.leader} leads, term {consensus.term}")
+        self._logged_leader = leader
+        if leader.name:
+            self._log.info("leader", f"{leader.name} leads, term {leader.term}")
         else:
             self._log.warn("leader", f"none is known, term {consensus.term}")
--- a/cloverwell/control/server/program.py
+++ b/cloverwell/control/server/program.py
@@ -1,4 +1,4 @@
-"""The control node's process: from its file to its end."""
+"""The control node's process, from reading its file to its exit code."""
 
 from __future__ import annotations
 
@@ -6,27 +6,31 @@
 from collections.abc import Callable
 from pathlib import Path
 from random import SystemRandom
-from typing import NoReturn
+from typing import NoReturn, cast
 
 from twisted.internet.error import CannotListenError
-from twisted.logger import globalLogBeginner
+from twisted.logger import ILogObserver, globalLogBeginner
 
+from cloverwell.control.server.errors import NodeFileError
 from cloverwell.control.server.file_storage import FileStorage
 from cloverwell.control.server.node_server import NodeServer
 from cloverwell.control.server.port import MAX_CONNECTIONS
-from cloverwell.control.server.settings import NodeFileError, read_node_file
+from cloverwell.control.server.settings import read_node_file
 from cloverwell.control.storage import StorageError
 from cloverwell.descriptors import raise_descriptors
 from cloverwell.log import Log
 from cloverwell.monotonic_reactor import install_reactor
 from cloverwell.timer_wheel import monotonic_ms
 
-FAILED = 1
+EXIT_FAILED = 1
 SPARE_DESCRIPTORS = 64  # standard streams, the reactor's own, the storage and the links to other nodes
 
 
 def serve(path: Path, refuse: Callable[[str], NoReturn]) -> int:
-    """Runs until SIGTERM or SIGINT; the exit code. `refuse`: ends the program with a line on bad input."""
+    """Serves the control node that the file at `path` describes, until SIGTERM or SIGINT.
+
+    `refuse` is called with one line where the input is bad, and ends the program. Returns the exit code.
+    """
     try:
         settings = read_node_file(path)
         storage = FileStorage(settings.data)
@@ -35,7 +39,8 @@
     except StorageError as error:
         refuse(f"data: {error}")
     log = Log(monotonic_ms)
-    globalLogBeginner.beginLoggingTo([log.fault], redirectStandardIO=False)
+    # Any function of an event is an observer to Twisted; zope's interface can't say so to a type checker.
+    globalLogBeginner.beginLoggingTo([cast(ILogObserver, log.fault)], redirectStandardIO=False)
     raise_descriptors(MAX_CONNECTIONS + SPARE_DESCRIPTORS)
     if storage.dropped_bytes:
         log.warn("storage", f"a torn record of {storage.dropped_bytes} bytes was dropped")
@@ -48,4 +53,4 @@
     except CannotListenError as error:
         refuse(f"listen: {error}")
     reactor.run(installSignalHandlers=False)
-    return FAILED if server.failed else 0
+    return EXIT_FAILED if server.failed else 0
--- a/cloverwell/control/server/settings.py
+++ b/cloverwell/control/server/settings.py
@@ -1,4 +1,4 @@
-"""A control node's file, in TOML: who it is, the control nodes of its log, and where its state lasts."""
+"""A control node's file, in TOML: its name, the control nodes of its log, and where its state is kept."""
 
 from __future__ import annotations
 
@@ -6,20 +6,18 @@
 
 import msgspec
 
+from cloverwell.control.net.address import Address
+from cloverwell.control.server.errors import NodeFileError
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
-Address = tuple[str, int]
-
-MIN_NODES = 1
 DEFAULT_LOG = "fleet"
-
-
-class NodeFileError(Exception):
-    """The file can't be used; the text names the field."""
+WHOLE_FILE = "FILE"  # what an error names where no single field is at fault
+SHOWN_CHARS = 60  # of a value that an error quotes
+REQUIRED_FIELDS = ("name", "log", "data")
 
 
 class NodeEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """One control node, as each other and each proxy reaches it."""
+    """One control node, as each other control node and each proxy reaches it."""
 
     name: str = ""
     address: str = ""
@@ -37,7 +35,11 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """What a control node is told. `nodes`: name and address of all of them, this one's too."""
+    """The settings of one control node.
+
+    `nodes` are the addresses and `regions` the regions of all control nodes by name, this one's too. `data`
+    is the folder of its storage.
+    """
 
     name: str
     log: str
@@ -48,48 +50,58 @@
 
     @property
     def others(self) -> dict[str, Address]:
-        """All nodes but this one."""
+        """The addresses of all nodes but this one."""
         return {name: address for name, address in self.nodes.items() if name != self.name}
 
 
 def read_node_file(path: Path) -> NodeSettings:
-    """Raises `NodeFileError`. A relative `data` is taken from the file's own folder."""
+    """Reads a control node's file. Raises `NodeFileError`.
+
+    A relative `data` is taken from the file's own folder. Without `listen` the node listens at the address
+    that it has among the nodes.
+    """
+    file = _decode(path)
+    for field in REQUIRED_FIELDS:
+        if not getattr(file, field):
+            raise NodeFileError(field, "is missing")
+    nodes = _read_nodes(file.nodes)
+    if file.name not in nodes:
+        raise NodeFileError("name", f"{file.name[:SHOWN_CHARS]!r} is none of nodes")
+    listen = _read_address("listen", file.listen) if file.listen else nodes[file.name]
+    regions = {entry.name: entry.region for entry in file.nodes}
+    return NodeSettings(file.name, file.log, listen, path.parent / file.data, nodes, regions)
+
+
+def _decode(path: Path) -> NodeFile:
     try:
-        raw = msgspec.toml.decode(path.read_bytes(), type=NodeFile)
+        return msgspec.toml.decode(path.read_bytes(), type=NodeFile)
     except OSError as error:
-        raise NodeFileError(f"FILE: {error.strerror}: {path}") from None
+        raise NodeFileError(WHOLE_FILE, f"{error.strerror}: {path}") from None
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise NodeFileError(f"FILE: {error}") from None
-    for field in ("name", "log", "data"):
-        if not getattr(raw, field):
-            raise NodeFileError(f"{field}: is missing")
-    nodes, regions = _nodes(raw.nodes)
-    if raw.name not in nodes:
-        raise NodeFileError(f"name: {raw.name[:60]!r} is none of nodes")
-    listen = _address("listen", raw.listen) if raw.listen else nodes[raw.name]
-    return NodeSettings(raw.name, raw.log, listen, path.parent / raw.data, nodes, regions)
-
-
-def _nodes(entries: list[NodeEntry]) -> tuple[dict[str, Address], dict[str, str]]:
-    if len(entries) < MIN_NODES:
-        raise NodeFileError("nodes: is missing")
+        raise NodeFileError(WHOLE_FILE, str(error)) from None
+
+
+def _read_nodes(entries: list[NodeEntry]) -> dict[str, Address]:
+    """Returns the addresses by name. Raises `NodeFileError` for names or addresses that are not unique."""
+    if not entries:
+        raise NodeFileError("nodes", "is missing")
     nodes: dict[str, Address] = {}
     for entry in entries:
         if not entry.name:
-            raise NodeFileError("nodes.name: is missing")
+            raise NodeFileError("nodes.name", "is missing")
         if entry.name in nodes:
-            raise NodeFileError(f"nodes.name: {entry.name[:60]!r} stands there twice")
-        address = _address("nodes.address", entry.address)
+            raise NodeFileError("nodes.name", f"{entry.name[:SHOWN_CHARS]!r} stands there twice")
+        address = _read_address("nodes.address", entry.address)
         if address in nodes.values():
-            raise NodeFileError(f"nodes.address: {entry.address[:60]!r} stands there twice")
+            raise NodeFileError("nodes.address", f"{entry.address[:SHOWN_CHARS]!r} stands there twice")
         nodes[entry.name] = address
-    return nodes, {entry.name: entry.region for entry in entries}
+    return nodes
 
 
-def _address(field: str, text: str) -> Address:
+def _read_address(field: str, text: str) -> Address:
     if not text:
-        raise NodeFileError(f"{field}: is missing")
+        raise NodeFileError(field, "is missing")
     try:
         return split_address(text)
     except EndpointListError as error:
-        raise NodeFileError(f"{field}: {error}") from None
+        raise NodeFileError(field, str(error)) from None
--- a/lab/control_node_processes.py
+++ b/lab/control_node_processes.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from cloverwell.control.net.ask import NoAnswerError
-from cloverwell.control.net.proposer import ask_status
+from cloverwell.control.net.errors import NoAnswerError
+from cloverwell.control.net.operator_client import request_status
 from cloverwell.control.net.wire import StatusAnswer
 from lab.processes import PATIENCE_S, ROOT, free_port, wait_for
 
@@ -50,7 +50,7 @@
     def status(self, wait_s: float = ANSWER_S) -> StatusAnswer | None:
         """None where it does not answer."""
         try:
-            return ask_status(self.address, wait_s)
+            return request_status(self.address, wait_s)
         except NoAnswerError:
             return None
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -12,7 +12,8 @@
 from cloverwell.cli.control import control
 from cloverwell.config import read_config
 from cloverwell.control.configuration import read_change
-from cloverwell.control.server.settings import NodeFileError, read_node_file
+from cloverwell.control.server.errors import NodeFileError
+from cloverwell.control.server.settings import read_node_file
 from lab.control_node_processes import COMMAND
 from lab.processes import ROOT, free_port
 
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -5,6 +5,7 @@
 
 import pytest
 from control_net_rig import Lines, Reactor, Transport, end, frame
+from twisted.internet.address import IPv4Address
 
 from cloverwell.control.entry import START, Entry
 from cloverwell.control.messages import (
@@ -19,7 +20,7 @@
 from cloverwell.control.net.connection import UNCONFIRMED_MS, FrameConnection
 from cloverwell.control.net.wire import PeerHello, StatusRequest
 from cloverwell.control.server.peers import RETRY_MAX_S, RETRY_S, PeerLink
-from cloverwell.control.server.port import MAX_CONNECTIONS, OPERATOR_S, ControlPort
+from cloverwell.control.server.port import MAX_CONNECTIONS, OPERATOR_TIMEOUT_S, ControlPort
 
 ANSWER = AppendAnswer(1, "b", True, 1, 0.0, 0.0)
 SUBSCRIBE = Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)
@@ -107,25 +108,25 @@
 
 
 class ControlRequestHandler:
-    """A control node's side of the port: keeps what it is told."""
+    """A control node's side of the port: keeps what it receives."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def is_peer(self, hello):
         return hello == PeerHello("b", "fleet")
 
     def peer_message(self, peer, message):
-        self.told.append((peer, message))
+        self.received.append((peer, message))
 
     def proxy_message(self, connection, message):
-        self.told.append((connection, message))
+        self.received.append((connection, message))
 
     def proxy_disconnected(self, connection):
-        self.told.append((connection, "gone"))
+        self.received.append((connection, "gone"))
 
     def proposal(self, connection, message):
-        self.told.append((connection, message))
+        self.received.append((connection, message))
 
     def status(self):
         return ANSWER  # any message will do
@@ -136,10 +137,7 @@
     made = ControlPort(Reactor(), ControlRequestHandler(), Lines())
 
     def connect():
-        class Address:
-            host, port = "127.0.0.1", 9
-
-        connection = made.buildProtocol(Address)
+        connection = made.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
         return connection, Transport(connection)
 
     made.connect = connect
@@ -154,7 +152,7 @@
     operator, transport = port.connect()
     propose = Propose("id", "configuration", b"{}")
     operator.dataReceived(frame(propose) + frame(StatusRequest()))
-    assert port.desk.told == [
+    assert port.handler.received == [
         ("b", ANSWER),
         (proxy.number, SUBSCRIBE),
         (proxy.number, Acknowledge(START, 1.0)),
@@ -179,7 +177,7 @@
     connection, transport = port.connect()
     connection.dataReceived(b"".join(map(frame, messages)))
     assert transport.aborted and len(port.log.lines) == 1
-    assert all(message is not messages[-1] for _, message in port.desk.told)
+    assert all(message is not messages[-1] for _, message in port.handler.received)
 
 
 def test_long_messages_are_taken_from_known_nodes_alone(port):
@@ -189,14 +187,14 @@
     peer, transport = port.connect()
     peer.dataReceived(frame(PeerHello("b", "fleet")))
     peer.dataReceived(frame(entries(3_000_000)))
-    assert not transport.aborted and len(port.desk.told) == 1
+    assert not transport.aborted and len(port.handler.received) == 1
 
 
 def test_a_connection_of_nobody_ends_by_itself_and_those_of_nodes_and_proxies_stay(port):
     nobody, peer, proxy = (port.connect() for _ in range(3))
     peer[0].dataReceived(frame(PeerHello("b", "fleet")))
     proxy[0].dataReceived(frame(SUBSCRIBE))
-    port.reactor.advance(OPERATOR_S + 1)
+    port.reactor.advance(OPERATOR_TIMEOUT_S + 1)
     assert [transport.closed for _, transport in (nobody, peer, proxy)] == [True, False, False]
 
 
@@ -215,7 +213,7 @@
     proxy.dataReceived(frame(SUBSCRIBE) + frame(Goodbye()))
     end(proxy)
     end(operator)
-    assert port.desk.told[2:] == [(proxy.number, "gone")]
+    assert port.handler.received[2:] == [(proxy.number, "gone")]
     assert not port.connections and not port.reactor.getDelayedCalls()
 
 
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -18,7 +18,8 @@
     Snapshotted,
     Subscribe,
 )
-from cloverwell.control.net.follower import EntryRefusedError, Follower
+from cloverwell.control.net.errors import EntryRefusedError
+from cloverwell.control.net.follower import Follower
 from cloverwell.control.timing import SubscriptionTiming
 from lab.control_follower import follower_factory
 
--- a/tests/test_control_framing.py
+++ b/tests/test_control_framing.py
@@ -16,14 +16,8 @@
     Propose,
     encode,
 )
-from cloverwell.control.net.framing import (
-    HEADER,
-    EmptyFrameError,
-    FrameDecoder,
-    FrameTooLongError,
-    FramingError,
-    encode_frame,
-)
+from cloverwell.control.net.errors import EmptyFrameError, FrameTooLongError, FramingError
+from cloverwell.control.net.framing import HEADER, FrameDecoder, encode_frame
 from cloverwell.control.net.wire import PeerHello, StatusRequest, decode_body, encode_body
 
 POSITIONS = st.builds(Position, st.integers(0, 2**40), st.binary(min_size=16, max_size=16))
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -8,6 +8,7 @@
 from control_net_rig import Lines, Reactor, Transport, frame
 from failing_files import Disk as FailingDisk
 from failing_files import Effect, Fault
+from twisted.internet.address import IPv4Address
 
 from cloverwell.control.entry import START
 from cloverwell.control.messages import (
@@ -67,7 +68,7 @@
             transport = self.reactor.tries[-1].succeed()
             transport.written = b""
             transport.write = self._sent(name)
-        self.server._arm()
+        self.server._set_timer()
         self.inbound = {}
         for name in nodes:
             if name != "a":
@@ -84,10 +85,7 @@
         return write
 
     def connect(self):
-        class Address:
-            host, port = "127.0.0.1", 9
-
-        connection = self.server._port.buildProtocol(Address)
+        connection = self.server._port.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
         return connection, Transport(connection)
 
     def tell(self, name, message):
@@ -183,7 +181,7 @@
     played.lead()
     operator.dataReceived(frame(StatusRequest()))
     (status,) = transport.messages()
-    assert status.leader_address == "127.0.0.1:7400" and status.in_force is not None
+    assert status.leader_address == "127.0.0.1:7400" and status.activation is not None
 
 
 def test_proxies_are_told_of_heartbeats_by_the_nodes_own_timer(played):
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -33,9 +33,9 @@
         proxy.process.says("480 proxies")
     assert len({proxy.told()["digest"] for proxy in fleet.proxies}) == 1
     answer = fleet.nodes.wait_for_status(
-        leader, lambda a: a.in_force is not None and a.in_force.applied == 3, "in force at three proxies"
+        leader, lambda a: a.activation is not None and a.activation.applied == 3, "in force at three proxies"
     )
-    assert answer.in_force.refused == 0 and answer.in_force.oldest_index == version
+    assert answer.activation.refused == 0 and answer.activation.oldest_index == version
     # Bounds are divided by those that live, as soon as that is known, and not by the 480 there may be.
     for proxy in fleet.proxies:
         proxy.comes_to(divided_by=3)
@@ -191,10 +191,10 @@
     assert len(lines(other, "settings.granularity: can't be changed at run time")) == 1
     answer = fleet.nodes.wait_for_status(
         leader,
-        lambda a: a.in_force is not None and (a.in_force.refused, a.in_force.applied) == (1, 2),
+        lambda a: a.activation is not None and (a.activation.refused, a.activation.applied) == (1, 2),
         "one refusal, and two in force",
     )
-    assert answer.in_force.refusals[0].reason == "settings.granularity: can't be changed at run time"
+    assert answer.activation.refusals[0].reason == "settings.granularity: can't be changed at run time"
     other.serves()
     third = fleet.commit(leader, discovery())
     for proxy in fleet.proxies:
