--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -1,4 +1,4 @@
-"""`cloverwell control`: a node of the control log, and what operators ask of it.
+"""`cloverwell control`: runs a node of the control log, and sends operators' requests to one.
 
 Exit codes: 0 done; 1 not done, or no answer; 2 bad input; 3 it may have been done, repeat it with its --id.
 """
@@ -15,13 +15,16 @@
 
 from cloverwell.cli.main import refuse
 
+# What serves or sends is imported where it is used: the other commands must not wait for it.
 if TYPE_CHECKING:
+    from cloverwell.control.fleet import ActivationCount
     from cloverwell.control.messages import ProposalAnswer
+    from cloverwell.control.net.address import Address
     from cloverwell.control.net.wire import StatusAnswer
 
-NOT_DONE = 1
-UNKNOWN = 3
-DEFAULT_WAIT_S = 10.0
+EXIT_NOT_DONE = 1
+EXIT_UNKNOWN = 3
+DEFAULT_TIMEOUT_S = 10.0
 
 
 @click.group()
@@ -51,22 +54,45 @@
 @control.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--to", required=True, help="HOST:PORT of any control node.")
-@click.option("--id", "proposal", default="", help="The same for a repeat, which is then done once.")
+@click.option("--id", "proposal_id", default="", help="The same for a repeat, which is then done once.")
 @click.option("--expect", default=None, type=int, help="Index of the configuration that this one replaces.")
-@click.option("--wait", "wait_s", default=DEFAULT_WAIT_S, show_default=True, help="Seconds for an answer.")
-def propose(file: Path, to: str, proposal: str, expect: int | None, wait_s: float) -> None:
+@click.option(
+    "--wait", "timeout_s", default=DEFAULT_TIMEOUT_S, show_default=True, help="Seconds for an answer."
+)
+def propose(file: Path, to: str, proposal_id: str, expect: int | None, timeout_s: float) -> None:
     """Propose the configuration in the JSON FILE for the whole fleet.
 
     \b
     Example: cloverwell control propose change.json --to 127.0.0.1:7401
     """
-    from cloverwell.config import ConfigError
-    from cloverwell.control.configuration import check_document, digest
+    from cloverwell.control.configuration import digest
     from cloverwell.control.entry import EntryKind
     from cloverwell.control.messages import ANY_INDEX, ProposalOutcome, Propose
     from cloverwell.control.net.errors import NoAnswerError
     from cloverwell.control.net.operator_client import propose_to_leader
 
+    document = _read_document(file)
+    proposal_id = proposal_id or uuid.uuid4().hex
+    expected_index = ANY_INDEX if expect is None else expect
+    proposal = Propose(proposal_id, EntryKind.CONFIGURATION, document, expected_index)
+    try:
+        answer = propose_to_leader(_read_address(to), proposal, timeout_s)
+    except NoAnswerError as error:
+        click.echo(f"unknown: {error}; repeat it with --id {proposal_id}", err=True)
+        raise SystemExit(EXIT_UNKNOWN) from None
+    committed = answer.outcome is ProposalOutcome.COMMITTED
+    click.echo(_describe_outcome(answer, digest(document)), err=not committed)
+    if answer.outcome is ProposalOutcome.UNKNOWN:
+        raise SystemExit(EXIT_UNKNOWN)
+    if not committed:
+        raise SystemExit(EXIT_NOT_DONE)
+
+
+def _read_document(file: Path) -> bytes:
+    """Returns the content of a configuration file; ends the program where that can't be proposed."""
+    from cloverwell.config import ConfigError
+    from cloverwell.control.configuration import check_document
+
     try:
         document = file.read_bytes()
         check_document(document)
@@ -74,34 +100,25 @@
         refuse(f"FILE: {error.strerror}: {file}")
     except ConfigError as error:
         refuse(f"{file}: {error}")
-    proposal = proposal or uuid.uuid4().hex
-    expected = ANY_INDEX if expect is None else expect
-    message = Propose(proposal, EntryKind.CONFIGURATION, document, expected)
-    try:
-        answer = propose_to_leader(_address(to), message, wait_s)
-    except NoAnswerError as error:
-        click.echo(f"unknown: {error}; repeat it with --id {proposal}", err=True)
-        raise SystemExit(UNKNOWN) from None
-    click.echo(_told(answer, digest(document)), err=answer.outcome is not ProposalOutcome.COMMITTED)
-    if answer.outcome is ProposalOutcome.UNKNOWN:
-        raise SystemExit(UNKNOWN)
-    if answer.outcome is not ProposalOutcome.COMMITTED:
-        raise SystemExit(NOT_DONE)
+    return document
 
 
-def _told(answer: ProposalAnswer, digest: str) -> str:
+def _describe_outcome(answer: ProposalAnswer, digest: str) -> str:
+    """Returns one line that says what became of a proposal with this digest."""
     if answer.index:
         return f"committed as version {answer.index}, digest {digest}"
     leader = f", the leader is {answer.leader}" if answer.leader else ""
-    again = f"; repeat it with --id {answer.proposal}" if answer.outcome == "unknown" else ""
-    return f"{answer.outcome}{leader}{again}"
+    repeat = f"; repeat it with --id {answer.proposal}" if answer.outcome == "unknown" else ""
+    return f"{answer.outcome}{leader}{repeat}"
 
 
 @control.command()
 @click.option("--to", required=True, help="HOST:PORT of any control node.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
-@click.option("--wait", "wait_s", default=DEFAULT_WAIT_S, show_default=True, help="Seconds for an answer.")
-def status(to: str, as_json: bool, wait_s: float) -> None:
+@click.option(
+    "--wait", "timeout_s", default=DEFAULT_TIMEOUT_S, show_default=True, help="Seconds for an answer."
+)
+def status(to: str, as_json: bool, timeout_s: float) -> None:
     """Who leads, how far the log is committed, and where that is in force.
 
     \b
@@ -113,16 +130,16 @@
     from cloverwell.control.net.operator_client import request_status
 
     try:
-        answer = request_status(_address(to), wait_s)
+        answer = request_status(_read_address(to), timeout_s)
     except NoAnswerError as error:
         click.echo(f"cloverwell: {error}", err=True)
-        raise SystemExit(NOT_DONE) from None
-    click.echo(json.dumps(msgspec.to_builtins(answer)) if as_json else _status_lines(answer))
+        raise SystemExit(EXIT_NOT_DONE) from None
+    click.echo(json.dumps(msgspec.to_builtins(answer)) if as_json else _describe_status(answer))
 
 
-def _status_lines(answer: StatusAnswer) -> str:
-    """For a person."""
-    status, own, in_force = answer.status, answer.own, answer.activation
+def _describe_status(answer: StatusAnswer) -> str:
+    """Returns the status in lines for a person."""
+    status, own = answer.status, answer.own
     leader = f"{status.leader} at {answer.leader_address}" if status.leader else "none known"
     quorum = "takes proposals" if status.has_quorum else "takes no proposals"
     lines = [
@@ -131,18 +148,27 @@
         f"  proxies at this node: {own.alive}, lost {own.lost}",
     ]
     lines += [f"    {count.proxies} at {count.index}" for count in own.positions]
-    if in_force is not None:
-        known = "" if in_force.complete else ", not all control nodes heard of yet"
-        lines.append(f"  fleet: {in_force.alive} alive, {in_force.hidden} hidden{known}")
-        lines.append(f"  in force at {in_force.index}: {in_force.applied}, refused by {in_force.refused}")
-        if in_force.oldest_index is not None:
-            lines.append(f"  oldest: {in_force.oldest_index}")
-    refusals = own.refusals if in_force is None else in_force.refusals
+    if answer.activation is not None:
+        lines += _describe_activation(answer.activation)
+    refusals = own.refusals if answer.activation is None else answer.activation.refusals
     lines += [f"  refused {refusal.index} at {refusal.proxies}: {refusal.reason}" for refusal in refusals]
     return "\n".join(lines)
 
 
-def _address(text: str) -> tuple[str, int]:
+def _describe_activation(activation: ActivationCount) -> list[str]:
+    """Returns the lines that say at how many proxies the last committed entry is active."""
+    incomplete = "" if activation.complete else ", not all control nodes heard of yet"
+    lines = [
+        f"  fleet: {activation.alive} alive, {activation.hidden} hidden{incomplete}",
+        f"  in force at {activation.index}: {activation.applied}, refused by {activation.refused}",
+    ]
+    if activation.oldest_index is not None:
+        lines.append(f"  oldest: {activation.oldest_index}")
+    return lines
+
+
+def _read_address(text: str) -> Address:
+    """Returns the address of the option --to; ends the program where it is none."""
     from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
     try:
--- a/cloverwell/control/net/__init__.py
+++ b/cloverwell/control/net/__init__.py
@@ -1,1 +1,1 @@
-"""The control log's transport: frames, connections between nodes, and the connections of proxies."""
+"""The control log's transport: frames, connections of proxies and control nodes, the operator's client."""
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -91,11 +91,9 @@
         self._on_change = on_change
         self._log = log
         self._now = now
-        # Drawn from the system, because the `random` of two proxies may have the same seed.
-        run = SystemRandom().getrandbits(RUN_BITS)
         node_names = tuple(tuple(nodes) for nodes in regions if nodes)
         self.subscription = Subscription(
-            proxy, run, log_name, node_names, random or SystemRandom(), now(), timing=timing
+            proxy, _new_run(), log_name, node_names, random or SystemRandom(), now(), timing=timing
         )
         self._effects: deque[ProxyEffect] = deque()
         self._attempt: ConnectionAttempt | None = None
@@ -264,6 +262,14 @@
             self._log.warn("control", text)
 
 
+def _new_run() -> int:
+    """Returns the number that distinguishes this process from earlier ones of the same proxy.
+
+    It is drawn from the system, because the `random` of two processes may have the same seed.
+    """
+    return SystemRandom().getrandbits(RUN_BITS)
+
+
 class FollowerConnection(FrameConnection):
     """A proxy's connection to a control node. `attempt` is the number of the attempt that it came of."""
 
--- a/cloverwell/control/proxy/__init__.py
+++ b/cloverwell/control/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The control log in a proxy that serves: what an entry changes in it, and when a start is caught up."""
+"""The control log in a serving proxy: what an entry changes in it, and when a start has caught up."""
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -1,7 +1,7 @@
-"""A serving proxy under the control log: entries are put in force whole or refused, and its start waits.
+"""The control log's part in a serving proxy: entries are applied whole or refused, and the start waits.
 
-Nothing else of a proxy imports `cloverwell.control`, and this is imported only where the configuration has a
-`control` section.
+Nothing else of a proxy imports `cloverwell.control`, and this module is imported only where the configuration
+has a `control` section.
 """
 
 from __future__ import annotations
@@ -9,61 +9,69 @@
 import os
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Protocol
 
 from cloverwell.config import Config, ConfigError
 from cloverwell.control.configuration import ConfigurationChange, digest, read_change
 from cloverwell.control.entry import Entry, EntryKind
+from cloverwell.control.net.address import Address, format_address
 from cloverwell.control.net.errors import EntryRefusedError
 from cloverwell.control.net.follower import Follower
+from cloverwell.control.net.reactor_types import Reactor
 from cloverwell.control.timing import SubscriptionTiming
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
 
-START_LOOK_MS = 50.0  # between two looks whether the start need not wait any longer
-LOOK_MS = 1000.0  # between two looks how many proxies live
+# How often the subscription is checked: until the start has caught up, and after that for the number of
+# proxies that live.
+START_CHECK_INTERVAL_MS = 50.0
+CHECK_INTERVAL_MS = 1000.0
+SHOWN_CHARS = 60  # of a kind that a reason quotes
 
 
 class ConfigurationTarget(Protocol):
     """What a version of the configuration changes in a running proxy."""
 
-    def activate(self, discovery: tuple[str, int], peers_total: int) -> None:
-        """Discovery's address, and by how many proxies fleet-wide bounds are divided."""
+    def activate(self, discovery: Address, peers_total: int) -> None:
+        """Takes discovery's address, and the number of proxies by which fleet-wide bounds are divided."""
 
     def resize(self, peers_total: int) -> None:
-        """The latter alone."""
+        """Takes the number of proxies alone."""
 
 
 @dataclass(slots=True, frozen=True)
 class ActiveVersion:
-    """What is in force: the index of its entry, 0 for the proxy's own file, and its digest."""
+    """The active version of the configuration.
+
+    `index` is that of its entry, 0 for the proxy's own file. `peers_total` is the most proxies that may live.
+    """
 
     index: int
     digest: str
-    peers_total: int  # the most proxies that may live
+    peers_total: int
 
 
 class ProxyControl:
-    """One proxy's part in the control log, from `start` to `stop`."""
+    """Follows the control log for one proxy from `start` to `stop`, and applies the entries."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: Reactor,
         timer_wheel: TimerWheel,
         log: Log,
         config: Config,
         target: ConfigurationTarget,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        """`config.control` is there."""
+        """Connects to nothing yet. `config` must have a `control` section."""
         control = config.control
         assert control is not None
-        self._wheel = timer_wheel
+        self._timer_wheel = timer_wheel
         self._log = log
-        self._own = config.document
+        self._own_document = config.document
         self._target = target
         self._environ = environ
-        self._ready: Callable[[], None] | None = None  # until it has been called
+        self._on_ready: Callable[[], None] | None = None  # until it has been called
         self._timer: Timer | None = None
         self.version = ActiveVersion(0, digest(config.document), config.settings.peers_total)
         self._divided_by = config.settings.peers_total
@@ -72,33 +80,33 @@
             (control.home, control.elsewhere),
             control.log,
             config.name,
-            self.load,
+            self.apply_entry,
             log,
             now=timer_wheel.now,
             timing=SubscriptionTiming(wait_ms=control.wait_ms),
         )
 
-    def start(self, ready: Callable[[], None]) -> None:
-        """`ready` is called once: when the proxy is caught up, or has waited for as long as it may."""
-        self._ready = ready
+    def start(self, on_ready: Callable[[], None]) -> None:
+        """Connects. `on_ready` is called once: when the proxy has caught up, or has waited long enough."""
+        self._on_ready = on_ready
         self.follower.start()
-        self._look()
+        self._check()
 
     def stop(self) -> None:
-        """Takes leave of the control node; what is in force stays."""
+        """Says goodbye to the control node. The active version stays active."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self.follower.stop()
 
     def resume(self) -> None:
-        """Follows the log again after `stop`; without one nothing changes."""
+        """Follows the log again after `stop`; does nothing where it was not stopped."""
         if self._timer is None:
             self.follower.start()
-            self._look()
+            self._check()
 
     def describe(self) -> str:
-        """One line for operators."""
+        """Returns one line for operators."""
         status = self.follower.status
         fields = {
             "version": self.version.index,
@@ -113,50 +121,56 @@
 
     # Entries
 
-    def load(self, entry: Entry) -> None:
-        """Puts an entry in force. Raises `EntryRefusedError`: what was in force before still is."""
+    def apply_entry(self, entry: Entry) -> None:
+        """Makes the configuration in an entry the active one.
+
+        Raises `EntryRefusedError`: the version that was active before still is.
+        """
         if entry.kind != EntryKind.CONFIGURATION:
-            raise EntryRefusedError(f"kind {entry.kind[:60]!r}: not known to this proxy")
-        name = digest(entry.payload)
+            raise EntryRefusedError(f"kind {entry.kind[:SHOWN_CHARS]!r}: not known to this proxy")
+        entry_digest = digest(entry.payload)
         try:
-            change = read_change(self._own, entry.payload, self._environ)
+            change = read_change(self._own_document, entry.payload, self._environ)
         except ConfigError as error:
             reason = str(error).replace("\n", " ")
-            stays = f"version {self.version.index} stays in force"
-            self._log.warn("version", f"{entry.index} refused, digest {name}: {reason}; {stays}")
+            self._log_refusal(entry.index, entry_digest, reason)
             raise EntryRefusedError(reason) from None
-        self._put_in_force(ActiveVersion(entry.index, name, change.peers_total), change)
+        self._activate(ActiveVersion(entry.index, entry_digest, change.peers_total), change)
+
+    def _log_refusal(self, index: int, entry_digest: str, reason: str) -> None:
+        kept = f"version {self.version.index} stays in force"
+        self._log.warn("version", f"{index} refused, digest {entry_digest}: {reason}; {kept}")
 
-    def _put_in_force(self, version: ActiveVersion, change: ConfigurationChange) -> None:
-        """The one point at which a version of the configuration takes effect."""
+    def _activate(self, version: ActiveVersion, change: ConfigurationChange) -> None:
+        """Makes a version active. This is the only place at which one takes effect."""
         self.version = version
         self._divided_by = self.follower.divide_by(version.peers_total)
         self._target.activate(change.discovery, self._divided_by)
-        host, port = change.discovery
-        told = f"discovery is at {host}:{port}, {version.peers_total} proxies"
-        self._log.info("version", f"{version.index} in force, digest {version.digest}: {told}")
+        content = f"discovery is at {format_address(change.discovery)}, {version.peers_total} proxies"
+        self._log.info("version", f"{version.index} in force, digest {version.digest}: {content}")
 
-    # Looks at the subscription
+    # Checks of the subscription
 
-    def _look(self) -> None:
-        if self._ready is not None and self.follower.ready:
+    def _check(self) -> None:
+        """Ends the wait of the start when it may end, follows the number of proxies, and schedules itself."""
+        if self._on_ready is not None and self.follower.ready:
             self._end_wait()
-        self._divide()
-        pause_ms = START_LOOK_MS if self._ready is not None else LOOK_MS
-        self._timer = self._wheel.not_before(self._wheel.now() + pause_ms, self._look)
+        self._update_divisor()
+        interval_ms = START_CHECK_INTERVAL_MS if self._on_ready is not None else CHECK_INTERVAL_MS
+        self._timer = self._timer_wheel.not_before(self._timer_wheel.now() + interval_ms, self._check)
 
     def _end_wait(self) -> None:
-        assert self._ready is not None
-        ready, self._ready = self._ready, None
+        assert self._on_ready is not None
+        on_ready, self._on_ready = self._on_ready, None
         status = self.follower.status
         if status.caught_up:
             self._log.info("control", f"caught up at {status.position.index}")
         else:
             self._log.warn("control", f"serves without being caught up, at {status.position.index}")
-        ready()
+        on_ready()
 
-    def _divide(self) -> None:
-        """Fleet-wide bounds are divided by the proxies that live, as far as that is known."""
+    def _update_divisor(self) -> None:
+        """Divides fleet-wide bounds by the number of proxies that live, as far as that is known."""
         divided_by = self.follower.divide_by(self.version.peers_total)
         if divided_by != self._divided_by:
             self._divided_by = divided_by
--- a/tests/control_fleet_rig.py
+++ b/tests/control_fleet_rig.py
@@ -31,7 +31,7 @@
         self.process = self.place.start()
         return self
 
-    def told(self):
+    def configuration(self):
         """The fields of `GET /configuration`."""
         connection = HTTPConnection(*self.process.operator, timeout=PATIENCE_S)
         try:
@@ -43,12 +43,12 @@
     def comes_to(self, **fields):
         last = [{}]
 
-        def so():
-            last[0] = self.told()
+        def has_fields():
+            last[0] = self.configuration()
             return all(last[0][name] == str(value) for name, value in fields.items())
 
         try:
-            wait_for(so, f"{self.name} at {fields}")
+            wait_for(has_fields, f"{self.name} at {fields}")
         except AssertionError as error:
             raise AssertionError(f"{error}: {last[0]}\n{self.process.log.read_text()}") from None
         return last[0]
@@ -87,15 +87,15 @@
 
     def commit(self, to, change):
         """The version that it became; asked again, with one id, while a held-up machine has no leader."""
-        proposal, told = uuid.uuid4().hex, []
+        proposal, outputs = uuid.uuid4().hex, []
 
         def committed():
             code, text = self.propose(to, change, "--id", proposal)
-            told.append(text)
+            outputs.append(text)
             return code == 0
 
         wait_for(committed, "a commit")
-        return int(told[-1].split("version ")[1].split(",")[0])
+        return int(outputs[-1].split("version ")[1].split(",")[0])
 
     def close(self):
         self.nodes.close()
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -45,14 +45,16 @@
 
 def test_a_node_listens_at_its_own_address_and_keeps_its_data_beside_its_file(tmp_path):
     settings = read(tmp_path, node_file())
-    assert settings.listen == ("127.0.0.1", 7401) and settings.data == tmp_path / "data"
-    assert settings.log == "fleet" and settings.others == {"b": ("127.0.0.1", 7402)}
+    assert settings.listen == ("127.0.0.1", 7401)
+    assert settings.data == tmp_path / "data"
+    assert settings.log == "fleet"
+    assert settings.others == {"b": ("127.0.0.1", 7402)}
     assert read(tmp_path, node_file(listen="0.0.0.0:9")).listen == ("0.0.0.0", 9)
     assert read(tmp_path, node_file(data="/var/lib/x")).data == Path("/var/lib/x")
 
 
 @pytest.mark.parametrize(
-    "text, field",
+    ("text", "field"),
     [
         (node_file(name=None), "name: is missing"),
         (node_file(data=None), "data: is missing"),
@@ -75,7 +77,8 @@
     with pytest.raises(NodeFileError, match=field):
         read(tmp_path, text)
     done = run("serve", tmp_path / "node.toml")
-    assert done.exit_code == 2 and done.output.count("\n") == 1
+    assert done.exit_code == 2
+    assert done.output.count("\n") == 1
 
 
 def test_a_file_that_is_not_there_or_no_text_is_an_error(tmp_path):
@@ -89,21 +92,25 @@
     (tmp_path / "data" / "control.log").write_bytes(bytes(range(1, 60)))
     (tmp_path / "node.toml").write_text(node_file())
     done = run("serve", tmp_path / "node.toml")
-    assert done.exit_code == 2 and "data: " in done.output and "damaged" in done.output
+    assert done.exit_code == 2
+    assert "data: " in done.output
+    assert "damaged" in done.output
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         address = "{}:{}".format(*taken.getsockname())
         (tmp_path / "node.toml").write_text(node_file(data="other", listen=address))
         done = subprocess.run([*COMMAND, "serve", tmp_path / "node.toml"], capture_output=True, text=True)
-    assert done.returncode == 2 and "listen: " in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert "listen: " in done.stderr
+    assert done.stderr.count("\n") == 1
 
 
 # Proposals ------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "text, field",
+    ("text", "field"),
     [
         ("{", "configuration"),
         ("[]", "configuration: must be an object"),
@@ -116,15 +123,19 @@
 def test_a_malformed_change_is_refused_before_it_is_proposed(tmp_path, text, field):
     (tmp_path / "change.json").write_text(text)
     done = run("propose", tmp_path / "change.json", "--to", "127.0.0.1:1")
-    assert done.exit_code == 2 and field in done.output and done.output.count("\n") == 1
+    assert done.exit_code == 2
+    assert field in done.output
+    assert done.output.count("\n") == 1
 
 
 def test_a_file_or_an_address_that_is_none_is_named(tmp_path):
     done = run("propose", tmp_path / "none.json", "--to", "127.0.0.1:1")
-    assert done.exit_code == 2 and "FILE: " in done.output
+    assert done.exit_code == 2
+    assert "FILE: " in done.output
     (tmp_path / "change.json").write_text("{}")
     done = run("propose", tmp_path / "change.json", "--to", "here")
-    assert done.exit_code == 2 and "--to: " in done.output
+    assert done.exit_code == 2
+    assert "--to: " in done.output
     assert run("status", "--to", "here").exit_code == 2
 
 
@@ -132,7 +143,8 @@
     (tmp_path / "change.json").write_text("{}")
     at = f"127.0.0.1:{free_port()}"
     done = run("propose", tmp_path / "change.json", "--to", at, "--id", "mine")
-    assert done.exit_code == 3 and "repeat it with --id mine" in done.output
+    assert done.exit_code == 3
+    assert "repeat it with --id mine" in done.output
     assert run("status", "--to", at).exit_code == 1
 
 
@@ -142,8 +154,10 @@
 def test_the_examples_load_and_fit_each_other():
     node = read_node_file(DEPLOY / "node.toml")
     proxy = read_config({"EDGE_CONFIG": str(DEPLOY / "proxy.json")})
-    assert proxy.control.nodes == node.nodes and proxy.control.log == node.log
-    assert proxy.control.region in node.regions.values() and proxy.control.home
+    assert proxy.control.nodes == node.nodes
+    assert proxy.control.log == node.log
+    assert proxy.control.region in node.regions.values()
+    assert proxy.control.home
     change = (DEPLOY / "change.json").read_bytes()
     assert read_change(proxy.document, change, {}).discovery != proxy.discovery
 
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -60,9 +60,11 @@
     connection.pauseProducing()
     for message in sent[1:]:
         assert connection.send(message)
-    assert transport.messages() == sent[:1] and connection.waiting_bytes > 0
+    assert transport.messages() == sent[:1]
+    assert connection.waiting_bytes > 0
     connection.resumeProducing()
-    assert transport.messages() == sent[1:] and connection.waiting_bytes == 0
+    assert transport.messages() == sent[1:]
+    assert connection.waiting_bytes == 0
 
 
 def test_a_reader_that_stands_still_costs_no_more_than_the_bound():
@@ -73,8 +75,11 @@
     while connection.send(PeerHello("x" * 40, "fleet")):
         sent += 1
         assert connection.waiting_bytes <= 500
-    assert 5 < sent < 12 and transport.aborted and len(connection.faults) == 1
-    assert connection.waiting_bytes == 0 and not connection.send(ANSWER)
+    assert 5 < sent < 12
+    assert transport.aborted
+    assert len(connection.faults) == 1
+    assert connection.waiting_bytes == 0
+    assert not connection.send(ANSWER)
 
 
 def test_a_close_sends_what_waits():
@@ -83,7 +88,9 @@
     connection.pauseProducing()
     connection.send(ANSWER)
     connection.close()
-    assert transport.messages() == [ANSWER] and transport.closed and not transport.aborted
+    assert transport.messages() == [ANSWER]
+    assert transport.closed
+    assert not transport.aborted
 
 
 def test_nothing_counts_that_comes_after_a_close():
@@ -92,7 +99,8 @@
     connection.dataReceived(frame(ANSWER)[:9])
     connection.close()
     connection.dataReceived(frame(ANSWER)[9:] + frame(ANSWER))
-    assert connection.messages == [] and connection.faults == []
+    assert connection.messages == []
+    assert connection.faults == []
 
 
 @pytest.mark.parametrize("garbage", [b"\0\0\0\0", b"GET / HTTP/1.1\r\n", b"\0\0\0\3\1\2\3", b"\0\0\0\1\x09"])
@@ -100,7 +108,9 @@
     connection = Kept()
     transport = Transport(connection)
     connection.dataReceived(frame(ANSWER) + garbage + frame(ANSWER))
-    assert connection.messages == [ANSWER] and transport.aborted and len(connection.faults) == 1
+    assert connection.messages == [ANSWER]
+    assert transport.aborted
+    assert len(connection.faults) == 1
     connection.connectionLost()
 
 
@@ -176,7 +186,8 @@
 def test_whoever_says_what_is_not_due_from_it_is_let_go(port, messages):
     connection, transport = port.connect()
     connection.dataReceived(b"".join(map(frame, messages)))
-    assert transport.aborted and len(port.log.lines) == 1
+    assert transport.aborted
+    assert len(port.log.lines) == 1
     assert all(message is not messages[-1] for _, message in port.handler.received)
 
 
@@ -187,7 +198,8 @@
     peer, transport = port.connect()
     peer.dataReceived(frame(PeerHello("b", "fleet")))
     peer.dataReceived(frame(entries(3_000_000)))
-    assert not transport.aborted and len(port.handler.received) == 1
+    assert not transport.aborted
+    assert len(port.handler.received) == 1
 
 
 def test_a_connection_of_nobody_ends_by_itself_and_those_of_nodes_and_proxies_stay(port):
@@ -203,18 +215,20 @@
     old.dataReceived(frame(PeerHello("b", "fleet")))
     new, new_transport = port.connect()
     new.dataReceived(frame(PeerHello("b", "fleet")))
-    assert old_transport.aborted and not new_transport.aborted
+    assert old_transport.aborted
+    assert not new_transport.aborted
     end(old)
     assert port.peers == {"b": new}
 
 
-def test_an_end_is_told_once_for_who_had_subscribed_and_leaves_nothing_behind(port):
+def test_an_end_is_reported_once_for_a_subscriber_and_leaves_nothing_behind(port):
     proxy, operator = port.connect()[0], port.connect()[0]
     proxy.dataReceived(frame(SUBSCRIBE) + frame(Goodbye()))
     end(proxy)
     end(operator)
     assert port.handler.received[2:] == [(proxy.number, "gone")]
-    assert not port.connections and not port.reactor.getDelayedCalls()
+    assert not port.connections
+    assert not port.reactor.getDelayedCalls()
 
 
 def test_no_more_are_let_in_than_there_is_room_for(port):
@@ -272,11 +286,13 @@
     reactor.tries[0].fail()
     made.stop()
     reactor.advance(60)
-    assert len(reactor.tries) == 1 and not reactor.getDelayedCalls()
+    assert len(reactor.tries) == 1
+    assert not reactor.getDelayedCalls()
 
 
-def test_a_link_that_is_told_something_is_broken_off(link):
+def test_a_link_that_receives_a_message_is_ended(link):
     _, reactor, lines = link
     transport = reactor.tries[0].succeed()
     reactor.tries[0].protocol.dataReceived(frame(ANSWER))
-    assert transport.aborted and any("where nothing is due" in line for line in lines.lines)
+    assert transport.aborted
+    assert any("where nothing is due" in line for line in lines.lines)
--- a/tests/test_control_file_storage.py
+++ b/tests/test_control_file_storage.py
@@ -1,4 +1,4 @@
-"""A control node's storage: what was acknowledged is there again, and what can't be trusted is told."""
+"""A control node's storage: what was acknowledged is there again, and what can't be trusted is refused."""
 
 import os
 
@@ -83,7 +83,8 @@
     with (tmp_path / FILE_NAME).open("ab") as file:
         file.write(bytes(4096))
     storage = FileStorage(tmp_path)
-    assert storage.dropped_bytes == 4096 and storage.load().entries == WRITES[2].entries
+    assert storage.dropped_bytes == 4096
+    assert storage.load().entries == WRITES[2].entries
     storage.close()
 
 
--- a/tests/test_control_framing.py
+++ b/tests/test_control_framing.py
@@ -68,19 +68,25 @@
     assert whole[: len(messages)] == messages
     for cuts in (one, other):
         same, its_error = read(stream, cuts)
-        assert same == whole and type(its_error) is type(error) and str(its_error) == str(error)
+        assert same == whole
+        assert type(its_error) is type(error)
+        assert str(its_error) == str(error)
 
 
 @given(st.binary(min_size=1, max_size=200).filter(lambda body: body[0] != VERSION), CUTS)
 def test_a_body_of_another_version_is_refused(body, cuts):
     messages, error = read(encode_frame(body), cuts)
-    assert not messages and isinstance(error, MessageError) and "version" in str(error)
+    assert not messages
+    assert isinstance(error, MessageError)
+    assert "version" in str(error)
 
 
 @given(st.binary(max_size=200) | st.recursive(st.none(), st.lists).map(msgspec.msgpack.encode), CUTS)
 def test_a_body_that_is_no_message_is_malformed(content, cuts):
     messages, error = read(encode_frame(bytes((VERSION,)) + content), cuts)
-    assert not messages and isinstance(error, MessageError) and "malformed" in str(error)
+    assert not messages
+    assert isinstance(error, MessageError)
+    assert "malformed" in str(error)
 
 
 @pytest.mark.parametrize("length", [1001, 2**31, 2**32 - 1])
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -35,7 +35,7 @@
 
 
 class Disk(MemoryStorage):
-    """Keeps what is written, tells in which order, and fails when it is told to."""
+    """Keeps what is written and in which order, and fails while `full` is set."""
 
     def __init__(self, order):
         super().__init__()
@@ -125,7 +125,9 @@
     played.lead()
     first_vote = next(i for i, item in enumerate(played.order) if item in played.sent(RequestVote)[2:])
     writes = [item for item in played.order[:first_vote] if not isinstance(item, tuple)]
-    assert writes and writes[-1].vote == "a" and writes[-1].term == 1
+    assert writes
+    assert writes[-1].vote == "a"
+    assert writes[-1].term == 1
     played.tell("c", RequestVote(9, "c", 99, 9))
     (answer,) = [message for name, message in played.sent(VoteAnswer) if name == "c"]
     assert answer.granted
@@ -142,12 +144,16 @@
     del played.order[:]
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")))
     sent = [i for i, item in enumerate(played.order) if item in played.sent(AppendEntries)]
-    assert not isinstance(played.order[0], tuple) and played.order[0].entries and sent[0] > 0
-    assert not to_proxy.messages() and not to_operator.messages()
+    assert not isinstance(played.order[0], tuple)
+    assert played.order[0].entries
+    assert sent[0] > 0
+    assert not to_proxy.messages()
+    assert not to_operator.messages()
     played.answer()
     assert [type(message) for message in to_proxy.messages()] == [Entries]
     (answer,) = to_operator.messages()
-    assert isinstance(answer, ProposalAnswer) and answer.outcome is ProposalOutcome.COMMITTED
+    assert isinstance(answer, ProposalAnswer)
+    assert answer.outcome is ProposalOutcome.COMMITTED
     assert any("commit: entry 2: configuration id" in line for line in played.lines.lines)
 
 
@@ -157,8 +163,11 @@
     played.disk.full = True
     operator, transport = played.connect()
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")))
-    assert played.order == [] and not transport.messages()
-    assert played.server.failed and played.reactor.stopped and played.disk.closed
+    assert played.order == []
+    assert not transport.messages()
+    assert played.server.failed
+    assert played.reactor.stopped
+    assert played.disk.closed
     assert any("this node stops: no space left" in line for line in played.lines.lines)
     played.pass_time(5000)
     assert played.order == []
@@ -171,7 +180,8 @@
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")) + frame(StatusRequest()))
     answer, status = transport.messages()
     assert answer.outcome is ProposalOutcome.NO_QUORUM
-    assert isinstance(status, StatusAnswer) and not status.status.has_quorum
+    assert isinstance(status, StatusAnswer)
+    assert not status.status.has_quorum
 
 
 def test_a_status_names_the_leaders_address(played):
@@ -181,10 +191,11 @@
     played.lead()
     operator.dataReceived(frame(StatusRequest()))
     (status,) = transport.messages()
-    assert status.leader_address == "127.0.0.1:7400" and status.activation is not None
+    assert status.leader_address == "127.0.0.1:7400"
+    assert status.activation is not None
 
 
-def test_proxies_are_told_of_heartbeats_by_the_nodes_own_timer(played):
+def test_proxies_get_heartbeats_by_the_nodes_own_timer(played):
     proxy, transport = played.connect()
     proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
     transport.messages()
@@ -215,9 +226,11 @@
     played.tell("b", RequestVote(10, "b", 99, 9))
     assert disk.calls[disk.fault.call] == call
     assert len(played.sent(VoteAnswer)) == 1  # nothing about the term that it could not make durable
-    assert played.server.failed and played.reactor.stopped
+    assert played.server.failed
+    assert played.reactor.stopped
     (line,) = [line for line in played.lines.lines if line.startswith("warn storage")]
-    assert "/data/control.log" in line and "start it again once the disk is sound" in line
+    assert "/data/control.log" in line
+    assert "start it again once the disk is sound" in line
     played.tell("b", RequestVote(11, "b", 99, 9))
     assert len(played.sent(VoteAnswer)) == 1
     disk.restart()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -28,14 +28,15 @@
     follower = fleet.nodes.others(leader)[0]
     version = fleet.commit(follower, discovery() | peers(480))
     for proxy in fleet.proxies:
-        told = proxy.comes_to(version=version, position=version, refused=0, current="yes")
-        proxy.process.says(f"version: {version} in force, digest {told['digest']}")
+        fields = proxy.comes_to(version=version, position=version, refused=0, current="yes")
+        proxy.process.says(f"version: {version} in force, digest {fields['digest']}")
         proxy.process.says("480 proxies")
-    assert len({proxy.told()["digest"] for proxy in fleet.proxies}) == 1
+    assert len({proxy.configuration()["digest"] for proxy in fleet.proxies}) == 1
     answer = fleet.nodes.wait_for_status(
         leader, lambda a: a.activation is not None and a.activation.applied == 3, "in force at three proxies"
     )
-    assert answer.activation.refused == 0 and answer.activation.oldest_index == version
+    assert answer.activation.refused == 0
+    assert answer.activation.oldest_index == version
     # Bounds are divided by those that live, as soon as that is known, and not by the 480 there may be.
     for proxy in fleet.proxies:
         proxy.comes_to(divided_by=3)
@@ -112,11 +113,12 @@
         node.signal(signal.SIGCONT)
     new = fleet.nodes.leader(others)
     # Whether it was committed can't be known from outside: the same id makes it once in either case.
-    code, told = fleet.propose(new, change, "--id", "late")
-    assert code == 0, told
-    version = int(told.split("version ")[1].split(",")[0])
+    code, output = fleet.propose(new, change, "--id", "late")
+    assert code == 0, output
+    version = int(output.split("version ")[1].split(",")[0])
     again = fleet.propose(new, change, "--id", "late")
-    assert again[0] == 0 and f"version {version}," in again[1]
+    assert again[0] == 0
+    assert f"version {version}," in again[1]
     for proxy in fleet.proxies:
         proxy.comes_to(version=version)
         proxy.serves()
@@ -136,7 +138,7 @@
     versions = [fleet.commit(leader, discovery()) for _ in range(3)]
     for each in fleet.proxies:
         each.comes_to(version=versions[-1])
-    assert proxy.told()["node"] not in (paused.name, "none")
+    assert proxy.configuration()["node"] not in (paused.name, "none")
     paused.signal(signal.SIGCONT)
     fleet.nodes.wait_for_status(
         paused, lambda a: a.status.committed.index >= versions[-1], "the paused node is caught up"
@@ -170,7 +172,7 @@
         last = fleet.commit(leader, discovery())
     away.start()
     away.process.ready()
-    assert away.told()["version"] == str(last)
+    assert away.configuration()["version"] == str(last)
     log = away.process.log.read_text()
     assert log.index("caught up") < log.index("serves on")
     away.serves()
@@ -210,8 +212,9 @@
     for node in fleet.nodes.others(leader):
         node.end(signal.SIGKILL)
     fleet.nodes.wait_for_status(leader, lambda a: not a.status.has_quorum, "no quorum")
-    code, told = fleet.propose(leader, discovery())
-    assert code == 1 and "no quorum" in told
+    code, output = fleet.propose(leader, discovery())
+    assert code == 1
+    assert "no quorum" in output
     for proxy in fleet.proxies:
         proxy.comes_to(version=first, current="no", divided_by=OWN["peers-total"])
         proxy.serves()
@@ -271,7 +274,7 @@
     before = replaced.process
     replaced.start()
     replaced.process.ready()
-    assert replaced.told()["version"] == str(first)
+    assert replaced.configuration()["version"] == str(first)
     before.says("the successor serves")
     assert before.end(signal.SIGTERM) == 0
     replaced.process.says("the predecessor has gone")
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy under the control log: one point for a change, the wait of a start, and what operators are told."""
+"""A proxy under the control log: one point for a change, the wait of a start, and what operators see."""
 
 import json
 
@@ -9,7 +9,7 @@
 from cloverwell.control.configuration import digest
 from cloverwell.control.entry import START, Entry
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
-from cloverwell.control.proxy.proxy_control import LOOK_MS, ProxyControl
+from cloverwell.control.proxy.proxy_control import CHECK_INTERVAL_MS, ProxyControl
 from cloverwell.front.operators import Operators
 from cloverwell.timer_wheel import TimerWheel
 from lab.proxy import SETTINGS
@@ -78,12 +78,12 @@
     return Played()
 
 
-def test_a_version_takes_effect_at_one_point_and_is_told(played):
+def test_a_version_takes_effect_at_one_point_and_is_logged(played):
     played.commit(CHANGE)
     assert played.done == [(("127.0.0.1", 9), 50)]
     assert played.acknowledged().refused_index == 0
-    told = f"info version: 1 in force, digest {digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
-    assert told in played.lines.lines
+    line = f"info version: 1 in force, digest {digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
+    assert line in played.lines.lines
     assert f"version=1 digest={digest(CHANGE)} position=1" in played.control.describe()
 
 
@@ -94,25 +94,31 @@
     last = played.acknowledged()
     assert last.refused_index == 2
     assert last.refused_reason == "settings.granularity: can't be changed at run time"
-    told = [line for line in played.lines.lines if "2 refused" in line]
-    assert len(told) == 1 and "version 1 stays in force" in told[0] and digest(BAD) in told[0]
-    assert "version=1" in played.control.describe() and "refused=2" in played.control.describe()
+    refusals = [line for line in played.lines.lines if "2 refused" in line]
+    assert len(refusals) == 1
+    assert "version 1 stays in force" in refusals[0]
+    assert digest(BAD) in refusals[0]
+    assert "version=1" in played.control.describe()
+    assert "refused=2" in played.control.describe()
     played.commit(CHANGE)
-    assert len(played.done) == 2 and "refused=0" in played.control.describe()
+    assert len(played.done) == 2
+    assert "refused=0" in played.control.describe()
 
 
 def test_a_kind_that_this_proxy_does_not_know_is_not_called_in_force(played):
     played.commit(b"key", kind="purge")
     assert played.done == []
     last = played.acknowledged()
-    assert (last.position, last.refused_index) == (played.position, 1) and "purge" in last.refused_reason
+    assert (last.position, last.refused_index) == (played.position, 1)
+    assert "purge" in last.refused_reason
 
 
 def test_bounds_are_divided_by_those_that_live_while_that_is_known(played):
     played.commit(CHANGE)
     played.lives(30)
-    played.pass_time(2 * LOOK_MS)
-    assert played.done[1:] == [30] and "info fleet: bounds are divided by 30" in played.lines.lines
+    played.pass_time(2 * CHECK_INTERVAL_MS)
+    assert played.done[1:] == [30]
+    assert "info fleet: bounds are divided by 30" in played.lines.lines
     played.commit(CHANGE)
     assert played.done[2:] == [(("127.0.0.1", 9), 30)]
     played.pass_time(10_000)  # nothing is heard any more
@@ -125,7 +131,8 @@
     assert not played.ready
     played.lives(1)
     played.pass_time(100)
-    assert played.ready == 1 and "info control: caught up at 1" in played.lines.lines
+    assert played.ready == 1
+    assert "info control: caught up at 1" in played.lines.lines
     played.pass_time(5000)
     assert played.ready == 1
 
@@ -138,20 +145,22 @@
     assert "warn control: serves without being caught up, at 0" in played.lines.lines
 
 
-def test_after_a_stop_nothing_is_looked_at_and_a_resume_goes_on(played):
+def test_after_a_stop_nothing_is_checked_and_a_resume_goes_on(played):
     played.control.stop()
     played.control.stop()
     played.pass_time(5000)
-    assert not played.ready and len(played.reactor.tries) == 1
+    assert not played.ready
+    assert len(played.reactor.tries) == 1
     played.control.resume()
     played.control.resume()
     assert len(played.reactor.tries) == 2
 
 
 @pytest.mark.parametrize(
-    "told, method, status", [("version=1", "GET", 200), ("version=1", "PUT", 405), (None, "GET", 404)]
+    ("described", "method", "status"),
+    [("version=1", "GET", 200), ("version=1", "PUT", 405), (None, "GET", 404)],
 )
-def test_operators_ask_for_the_configuration_where_a_control_log_tells_it(told, method, status):
+def test_operators_ask_for_the_configuration_where_a_control_log_describes_it(described, method, status):
     class ControlRequestHandler:
         def ready(self):
             return True
@@ -159,7 +168,8 @@
         drain = undrain = ready
 
         def configuration(self):
-            return told
+            return described
 
     answer = Operators(ControlRequestHandler(), None, Lines()).answer(method, "/configuration")
-    assert answer[0] == status and (status != 200 or answer[1] == told)
+    assert answer[0] == status
+    assert status != 200 or answer[1] == described
--- a/tests/test_durability_stateful.py
+++ b/tests/test_durability_stateful.py
@@ -29,7 +29,7 @@
         for one in self.patches:
             one.start()
         self.states, self.promised, self.storage = [StoredState()], 0, None
-        self.failed = False  # the storage has told a failure
+        self.failed = False  # the storage has raised an error
 
     def teardown(self):
         for one in self.patches:
@@ -106,7 +106,7 @@
         self.disk.cut_power(lambda: data.draw(st.booleans()))
 
     @invariant()
-    def what_is_told_is_what_was_promised(self):
+    def what_is_loaded_is_what_was_promised(self):
         if self.storage is not None:
             assert self.storage.load() == self.states[self.promised]
 
