--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -117,7 +117,7 @@
 # The port of a node ---------------------------------------------------------------------------------
 
 
-class ControlRequestHandler:
+class RecordingHandler:
     """A control node's side of the port: keeps what it receives."""
 
     def __init__(self):
@@ -144,7 +144,7 @@
 
 @pytest.fixture
 def port():
-    made = ControlPort(Reactor(), ControlRequestHandler(), Lines())
+    made = ControlPort(Reactor(), RecordingHandler(), Lines())
 
     def connect():
         connection = made.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -161,7 +161,7 @@
     [("version=1", "GET", 200), ("version=1", "PUT", 405), (None, "GET", 404)],
 )
 def test_operators_ask_for_the_configuration_where_a_control_log_describes_it(described, method, status):
-    class ControlRequestHandler:
+    class OperatorService:
         def ready(self):
             return True
 
@@ -170,6 +170,6 @@
         def configuration(self):
             return described
 
-    answer = Operators(ControlRequestHandler(), None, Lines()).answer(method, "/configuration")
+    answer = Operators(OperatorService(), None, Lines()).answer(method, "/configuration")
     assert answer[0] == status
     assert status != 200 or answer[1] == described
