--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -1,7 +1,7 @@
 """A proxy's connection to the control log: it follows one control node, and the next one when that fails.
 
 `Follower` carries out the effects of a `Subscription`. All that it needs of a proxy is a function that
-applies an entry, so it serves a whole proxy as well as a simulated one that has nothing else.
+applies an entry, so it serves a real proxy as well as a simulated one that has nothing else.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
     def divide_by(self, provisioned: int) -> int:
         """Returns the number of proxies by which a fleet-wide bound is divided at this proxy.
 
-        `provisioned` is the largest number of proxies that may live, which stands while the real number is
+        `provisioned` is the largest number of proxies that may live, which counts while the real number is
         not known.
         """
         return self.subscription.divide_by(provisioned, self._now())
--- a/cloverwell/control/server/file_storage.py
+++ b/cloverwell/control/server/file_storage.py
@@ -136,7 +136,7 @@
 
 
 def encode_write(write: Write) -> bytes:
-    """Returns the record of a write, as it stands in the file."""
+    """Returns the record of a write, as it is in the file."""
     return encode_record(_encoder.encode(write))
 
 
