--- a/tests/test_durability_stateful.py
+++ b/tests/test_durability_stateful.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from cloverwell.control.entry import EMPTY_SNAPSHOT, Entry, LogState, Snapshot
-from cloverwell.control.server import file_storage
+from cloverwell.control.server import durable_files
 from cloverwell.control.server.file_storage import FileStorage
 from cloverwell.control.storage import StorageError, StoredState, Write
 
@@ -25,11 +25,11 @@
     def __init__(self):
         super().__init__()
         self.disk = Disk()
-        self.patches = [patch.object(file_storage, name, self.disk) for name in ("os", "fcntl")]
+        self.patches = [patch.object(durable_files, name, self.disk) for name in ("os", "fcntl")]
         for one in self.patches:
             one.start()
         self.states, self.promised, self.storage = [StoredState()], 0, None
-        self.failed = False  # the storage has told a failure
+        self.failed = False  # the storage has raised an error
 
     def teardown(self):
         for one in self.patches:
@@ -106,7 +106,7 @@
         self.disk.cut_power(lambda: data.draw(st.booleans()))
 
     @invariant()
-    def what_is_told_is_what_was_promised(self):
+    def what_is_loaded_is_what_was_promised(self):
         if self.storage is not None:
             assert self.storage.load() == self.states[self.promised]
 
