--- a/cloverwell/membership/endpoint_discovery.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -22,8 +22,8 @@
     EndpointListError,
     split_address,
 )
-from cloverwell.membership.list_retry import ANSWER_MS as RETRY_ANSWER_MS
-from cloverwell.membership.list_retry import ListRetry
+from cloverwell.membership.poll_backoff import ANSWER_MS as RETRY_ANSWER_MS
+from cloverwell.membership.poll_backoff import ListRetry
 from cloverwell.membership.node_starts import KnownStarts, NodeStarts
 from cloverwell.system_calls import connect_fault
 from cloverwell.timer_wheel import Timer, TimerWheel
--- a/tests/test_list_retry.py
+++ b/tests/test_poll_backoff.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from balancer.settings import read_settings
-from cloverwell.membership.list_retry import (
+from cloverwell.membership.poll_backoff import (
     ANSWER_MS,
     BEHIND_MS,
     LONGEST_MS,
--- a/tests/test_told_change.py
+++ b/tests/test_told_change.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverwell.membership import list_retry
+from cloverwell.membership import poll_backoff
 from lab.list_fleet import CHANGED, ListFleet
 from lab.proxy import SETTINGS
 
@@ -126,7 +126,7 @@
 
 def test_the_pause_after_a_failed_call_is_what_keeps_the_time(monkeypatch):
     """What is measured above can fail: with a pause like the facade's longest a change comes too late."""
-    monkeypatch.setattr(list_retry.ListRetry, "failed", lambda retry, took_ms: 12_000.0)
+    monkeypatch.setattr(poll_backoff.ListRetry, "failed", lambda retry, took_ms: 12_000.0)
     fleet = settled(8)
     fleet.fail("down")
     fleet.run(4.0)
