--- a/cloverwell/descriptors.py
+++ b/cloverwell/descriptors.py
@@ -1,10 +1,10 @@
-"""How many descriptors this process may hold."""
+"""The limit on the file descriptors of this process."""
 
 import resource
 
 
 def raise_descriptors(wanted: int) -> int:
-    """Raises the process's own limit as far as it is wanted and allowed; tells what it is then."""
+    """Raise the soft limit to `wanted`, or as far as the hard limit allows, and return it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
         soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
--- a/cloverwell/log.py
+++ b/cloverwell/log.py
@@ -1,53 +1,71 @@
-"""The proxy's log on standard error: one line an event, and not too many of a kind."""
+"""The log on standard error: one line for each event, with a limit on the lines of one kind."""
+
+from __future__ import annotations
 
 import contextlib
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import TextIO
 
 from twisted.logger import LogEvent, LogLevel, formatEvent
 
-from cloverwell.log_stream import standard_error
+from cloverwell.log_stream import standard_error_stream
 
-PER_SECOND = 5  # lines of one kind: an outage repeats itself thousands of times a second
+# Lines of one kind in a second. In an outage the same event may occur thousands of times a second.
+PER_SECOND = 5
+WINDOW_MS = 1000.0
 
 
 class Log:
+    """Writes lines of the form `TIME LEVEL KIND: TEXT`, where the time is the clock's in milliseconds."""
+
     def __init__(self, now: Callable[[], float], stream: TextIO | None = None) -> None:
-        """`stream`: in place of standard error."""
+        """Write to standard error, or to `stream` if there is one. `now` returns milliseconds."""
         self._now = now
         self._stream = stream
-        self._standard_error = standard_error() if stream is None else None
-        self._kinds: dict[str, tuple[float, int]] = {}  # kind -> second's start, lines since
+        self._standard_error = standard_error_stream() if stream is None else None
+        self._windows: dict[str, _Window] = {}
 
     def info(self, kind: str, text: str) -> None:
+        """Log an event of normal operation."""
         self._write("info", kind, text)
 
     def warn(self, kind: str, text: str) -> None:
+        """Log an event that an operator may have to act on."""
         self._write("warn", kind, text)
 
     def fault(self, event: LogEvent) -> None:
-        """Twisted's observer: exceptions that nothing expected, each in one line."""
+        """Log an exception that nothing handled, in one line. This is an observer for Twisted's logger."""
         if event["log_level"] >= LogLevel.error:
             failure = event.get("log_failure")
             text = failure.getTraceback() if failure else formatEvent(event)
             self._write("warn", "fault", " | ".join(text.split("\n")))
 
     def _write(self, level: str, kind: str, text: str) -> None:
-        now = self._now()
-        since, lines = self._kinds.get(kind, (now, 0))
-        if now - since >= 1000.0:
-            if lines > PER_SECOND:
-                self._line(level, kind, f"{lines - PER_SECOND} more lines of this kind were left out")
-            since, lines = now, 0
-        self._kinds[kind] = (since, lines + 1)
-        if lines < PER_SECOND:
-            self._line(level, kind, text)
-
-    def _line(self, level: str, kind: str, text: str) -> None:
-        # Whoever reads the log may go away or stand still, or its disk be full: the proxy goes on without it.
+        now_ms = self._now()
+        window = self._windows.setdefault(kind, _Window(now_ms))
+        if now_ms - window.start_ms >= WINDOW_MS:
+            if window.lines > PER_SECOND:
+                left_out = window.lines - PER_SECOND
+                self._write_line(level, kind, f"{left_out} more lines of this kind were left out")
+            window = self._windows[kind] = _Window(now_ms)
+        window.lines += 1
+        if window.lines <= PER_SECOND:
+            self._write_line(level, kind, text)
+
+    def _write_line(self, level: str, kind: str, text: str) -> None:
+        # The reader of the log may end or stop reading, or the disk may be full: the program must go on.
         line = f"{self._now():.0f} {level} {kind}: {text}"
         if self._standard_error is not None:
             self._standard_error.write_line(line)
         elif self._stream is not None:
             with contextlib.suppress(OSError, ValueError):
                 print(line, file=self._stream, flush=True)
+
+
+@dataclass(slots=True)
+class _Window:
+    """The lines of one kind since the start of the current second."""
+
+    start_ms: float
+    lines: int = 0
--- a/cloverwell/monotonic_reactor.py
+++ b/cloverwell/monotonic_reactor.py
@@ -2,10 +2,10 @@
 
 Twisted takes the time of its delayed calls from `ReactorBase.seconds`, which is `time.time`: the wall clock.
 After a step back of that clock no delayed call runs until it has caught up, and after a step forward all run
-at once. Every deadline of the program hangs on delayed calls, so the reactor must not see such steps.
+at once. Every deadline of the program depends on delayed calls, so the reactor must not see such steps.
 
-This is the only module that imports or installs a reactor. Whoever needs one calls `install_reactor`, before
-anything imports `twisted.internet.reactor`.
+This is the only module that imports or installs a reactor. A program calls `install_reactor` before anything
+imports `twisted.internet.reactor`.
 """
 
 from __future__ import annotations
@@ -17,16 +17,21 @@
 
 
 class MonotonicReactor(EPollReactor):
-    """Delayed calls are due by real time that has passed, whatever becomes of the time of day."""
+    """An epoll reactor whose delayed calls are due by elapsed time, independent of the wall clock."""
 
     def seconds(self) -> float:
-        """Seconds of the monotonic clock; only their differences mean anything."""
+        """Return the monotonic clock in seconds. Only differences of its readings mean anything."""
         return time.monotonic()
 
 
 def install_reactor() -> MonotonicReactor:
-    """Makes this process's reactor, and Twisted's default one. Raises `ReactorAlreadyInstalledError` where
-    there is one already: what has been scheduled on that would follow another clock."""
-    reactor = MonotonicReactor()
+    """Make this process's reactor, install it as Twisted's default, and return it.
+
+    Raises:
+        ReactorAlreadyInstalledError: there is one already. Calls delayed on that one would follow another
+        clock.
+
+    """
+    reactor = MonotonicReactor()  # type: ignore[no-untyped-call]
     installReactor(reactor)
     return reactor
--- a/cloverwell/system_calls.py
+++ b/cloverwell/system_calls.py
@@ -1,4 +1,4 @@
-"""What the error number of a failed system call says: whose fault it is, and whether it passes. No I/O."""
+"""Classifies the error numbers of failed system calls: who is at fault, and whether it is transient."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 from twisted.internet.error import ConnectError
 
-# Of a read or a write: the machine is short of memory for a moment, or a signal came; nothing has happened.
+# Of `read` and `write`: a momentary shortage of memory, or a signal. Nothing has been transferred.
 MOMENTARY = frozenset({errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
-# Of `accept`: the connection that was next has ended, or a signal came. The one behind it may be sound.
+# Of `accept`: the next connection in the queue has ended, or a signal arrived. The one after it may be
+# usable.
 NEXT_CONNECTION = frozenset(
     {
         errno.ECONNABORTED,
@@ -28,7 +29,7 @@
     }
 )
 
-# Of `socket` and `connect`: no connection to any server can be begun now.
+# Of `socket` and `connect`: this machine cannot begin a connection to any server now.
 SHORTAGE = frozenset(
     {
         errno.EADDRINUSE,
@@ -42,24 +43,27 @@
     }
 )
 
-# Of `connect`: this machine knows no way there, or forbids it; other servers may be reached.
-NO_WAY = frozenset({errno.EACCES, errno.ENETDOWN, errno.ENETUNREACH, errno.EPERM})
+# Of `connect`: this machine has no route to the server, or forbids the connection. Others may be reachable.
+UNREACHABLE = frozenset({errno.EACCES, errno.ENETDOWN, errno.ENETUNREACH, errno.EPERM})
 
 
 class LocalFault(Enum):
-    """Why this machine could not begin a connection. The server has not been asked, and is not to blame."""
+    """Why this machine could not begin a connection. Nothing was sent, so the server is not at fault."""
 
     SHORTAGE = auto()  # of descriptors, ports, buffers or memory
-    NO_WAY = auto()
+    UNREACHABLE = auto()  # no route, or not permitted
 
 
 def connect_fault(error: BaseException | None) -> LocalFault | None:
-    """This machine's own fault in a connection that did not come up; None where the server is to blame."""
+    """Return this machine's fault in a connection that failed to open, or None if the server is at fault.
+
+    The error is an `OSError`, or one of Twisted's connection errors, which keep the number as `osError`.
+    """
     number = getattr(error, "osError", None) or getattr(error, "errno", None)
     if number is None:
-        # Twisted takes EAGAIN for a connection on its way; the socket then ends without an error number.
-        # A time-out and a call that was given up have types of their own.
+        # Twisted treats EAGAIN as a connection in progress; the socket then fails without an error number.
+        # A timeout and a cancelled attempt have types of their own.
         return LocalFault.SHORTAGE if type(error) is ConnectError else None
     if number in SHORTAGE:
         return LocalFault.SHORTAGE
-    return LocalFault.NO_WAY if number in NO_WAY else None
+    return LocalFault.UNREACHABLE if number in UNREACHABLE else None
--- a/cloverwell/unix_time.py
+++ b/cloverwell/unix_time.py
@@ -1,4 +1,4 @@
-"""The only reading of the wall clock. It may be stepped at any moment: no duration is reckoned by it."""
+"""The only reading of the wall clock. It may be stepped at any moment, so no duration is computed from it."""
 
 import time
 
@@ -6,7 +6,8 @@
 
 
 def read_epoch_ms() -> float:
-    """What the monotonic clock showed when Unix time was 0, as the wall clock has it now.
+    """Return the reading of the monotonic clock at Unix time 0, in milliseconds, by the wall clock now.
 
-    For the starts of cache nodes, which discovery tells in Unix time: see `membership.node_starts`."""
+    It converts the starts of cache nodes, which discovery gives in Unix time: see `membership.node_starts`.
+    """
     return monotonic_ms() - time.time() * 1000.0
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -1,4 +1,4 @@
-"""The log's descriptor is full, closed or stands still: the program goes on, and ends as it would have."""
+"""The log's descriptor is full, closed or not read: the program goes on, and ends as it would have."""
 
 import os
 import subprocess
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cloverwell.log_stream import LineStream, standard_error
+from cloverwell.log_stream import LineStream, standard_error_stream
 
 FULL = "/dev/full"  # each write is ENOSPC
 PATIENCE_S = 30
@@ -29,7 +29,7 @@
         assert run(["-c", code], stderr=full) == 0
 
 
-def test_a_log_whose_reader_stands_still_holds_nobody_up():
+def test_a_log_that_nobody_reads_does_not_block_the_program():
     # More lines than a pipe holds, and nobody reads: the program must end all the same.
     code = (
         "from cloverwell.log import Log\n"
@@ -55,11 +55,11 @@
     while piece := _read(reader):
         first += piece
     stream.write_line("after")
-    told = _read(reader).decode()
-    whole = first.count(b"\n")
-    assert 0 < whole < 40
-    assert told.lstrip("\n") == f"log: {40 - whole} lines were lost before this one\nafter\n"
-    assert told.startswith("\n") == (not first.endswith(b"\n"))
+    written = _read(reader).decode()
+    complete_lines = first.count(b"\n")
+    assert 0 < complete_lines < 40
+    assert written.lstrip("\n") == f"log: {40 - complete_lines} lines were lost before this one\nafter\n"
+    assert written.startswith("\n") == (not first.endswith(b"\n"))
     os.close(reader)
     stream.write_line("nobody reads")  # EPIPE
     os.close(writer)
@@ -75,4 +75,4 @@
 @pytest.mark.parametrize("broken", [None, object()])
 def test_without_a_standard_error_nothing_is_written(monkeypatch, broken):
     monkeypatch.setattr(sys, "stderr", broken)
-    assert standard_error() is None
+    assert standard_error_stream() is None
--- a/tests/test_monotonic_reactor.py
+++ b/tests/test_monotonic_reactor.py
@@ -22,9 +22,9 @@
 
 @pytest.fixture
 def reactor():
-    made = Reactor()
-    yield made
-    made._poller.close()
+    instance = Reactor()
+    yield instance
+    instance._poller.close()
 
 
 @pytest.mark.parametrize("by_s", [-HOUR_S, -5.0, 5.0, HOUR_S])
@@ -44,7 +44,8 @@
         reactor.runUntilCurrent()
         assert reactor.timeout() <= late_s
     assert called[0] >= before_s + soon_s
-    assert late.active() and len(called) == 1
+    assert late.active()
+    assert len(called) == 1
 
 
 def test_a_step_between_the_making_of_a_call_and_its_time_moves_nothing(reactor, monkeypatch):
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel: agrees with a sorted list of its timers, whatever its clock and its wake-ups do."""
+"""The timer wheel agrees with a sorted list of its timers, for any times of its wake-ups."""
 
 import math
 from functools import partial
@@ -54,8 +54,8 @@
     return timer_wheel
 
 
-class Trial:
-    """A wheel beside its model: a list of (tick, name), where names count up in the order of putting."""
+class ModelCheck:
+    """A wheel and its model: a list of (tick, name), where names count up in the order of adding."""
 
     def __init__(self, start_ms, granularity_ms):
         self.reactor = WakeUps(start_ms)
@@ -65,11 +65,11 @@
         self.timers = {}  # name -> the wheel's
         self.model = []
         self.cancels = {}  # name -> the name that its call cancels
-        self.follows = {}  # name -> the delay of the timer that its call puts
+        self.follows = {}  # name -> the delay of the timer that its call adds
         self.fired = []
         self.expected = []
 
-    def put(self, early, delay_ms, cancels=None, follows=None):
+    def add(self, early, delay_ms, cancels=None, follows=None):
         name = len(self.timers)
         when_ms = self.reactor.now_ms + delay_ms
         where = self.timer_wheel.at if early else self.timer_wheel.not_before
@@ -85,11 +85,11 @@
         self.fired.append((self.timer_wheel._tick, name))
         self.expected.append(min(self.model))
         self.model = [one for one in self.model if one[1] != name]
-        self.reached = self.timer_wheel._tick  # what is put from within counts from here
+        self.reached = self.timer_wheel._tick  # what the call adds counts from here
         if self.cancels[name] is not None:
             self.cancel(self.cancels[name])
         if self.follows[name] is not None:
-            self.put(True, self.follows[name])
+            self.add(True, self.follows[name])
 
     def cancel(self, name):
         if name in self.timers:
@@ -111,33 +111,33 @@
     st.floats(-50.0, 400.0), st.floats(0.0, 20_000.0), st.sampled_from([0.0, 5.0, SLOTS * 5.0, 1e6])
 )
 MAYBE = st.one_of(st.none(), st.integers(0, 30))
-PUT = st.tuples(st.just("put"), st.booleans(), DELAYS, MAYBE, st.one_of(st.none(), DELAYS))
+ADD = st.tuples(st.just("add"), st.booleans(), DELAYS, MAYBE, st.one_of(st.none(), DELAYS))
 CANCEL = st.tuples(st.just("cancel"), st.integers(0, 30))
 PASS = st.tuples(st.just("pass"), st.one_of(st.floats(0.0, 60.0), st.floats(0.0, 30_000.0), st.just(HOUR_MS)))
 WAKE = st.tuples(st.just("wake"))
 WALL = st.tuples(st.just("wall"), st.floats(-1e8, 1e8))
-STEPS = st.lists(st.one_of(PUT, CANCEL, PASS, WAKE, WALL), max_size=30)
+STEPS = st.lists(st.one_of(ADD, CANCEL, PASS, WAKE, WALL), max_size=30)
 
 
 @given(st.sampled_from(START_MS), st.sampled_from([1.0, 5.0, 7.5, 250.0]), STEPS)
-@example(0.75, 5.0, [("put", True, 30.0, 1, 0.0), ("put", True, 30.0, None, None), ("pass", 1e5), ("wake",)])
-@example(0.0, 1.0, [("put", True, SLOTS + 9.0, None, SLOTS - 1.0), ("pass", HOUR_MS), ("wake",), ("wake",)])
-def test_any_puts_cancels_and_wake_ups_agree_with_a_sorted_list(start_ms, granularity_ms, steps):
-    trial = Trial(start_ms, granularity_ms)
+@example(0.75, 5.0, [("add", True, 30.0, 1, 0.0), ("add", True, 30.0, None, None), ("pass", 1e5), ("wake",)])
+@example(0.0, 1.0, [("add", True, SLOTS + 9.0, None, SLOTS - 1.0), ("pass", HOUR_MS), ("wake",), ("wake",)])
+def test_any_additions_cancels_and_wake_ups_agree_with_a_sorted_list(start_ms, granularity_ms, steps):
+    check = ModelCheck(start_ms, granularity_ms)
     for what, *values in steps:
         match what:
-            case "put":
-                trial.put(*values)
+            case "add":
+                check.add(*values)
             case "cancel":
-                trial.cancel(*values)
+                check.cancel(*values)
             case "pass":
-                trial.reactor.now_ms += values[0]
+                check.reactor.now_ms += values[0]
             case "wake":
-                trial.wake()
+                check.wake()
             case "wall":
-                trial.reactor.wall_ms += values[0]
-    trial.reactor.now_ms += 4 * HOUR_MS
-    trial.wake()
+                check.reactor.wall_ms += values[0]
+    check.reactor.now_ms += 4 * HOUR_MS
+    check.wake()
 
 
 @given(
@@ -146,17 +146,17 @@
     st.lists(st.floats(0.0, 500.0), max_size=10),
     st.lists(st.booleans(), min_size=10, max_size=10),
 )
-def test_held_up_and_idle_loops_fire_the_same_timers_in_the_same_order(start_ms, puts, jumps, spurious):
+def test_stalled_and_idle_loops_fire_the_same_timers_in_the_same_order(start_ms, timers, jumps, spurious):
     orders = []
-    for on_stall in (False, True):
+    for stalled in (False, True):
         reactor = WakeUps(start_ms)
         timer_wheel, fired = wheel_on(reactor, 5.0), []
-        for name, (early, delay_ms) in enumerate(puts):
+        for name, (early, delay_ms) in enumerate(timers):
             (timer_wheel.at if early else timer_wheel.not_before)(
                 start_ms + delay_ms, partial(fired.append, name)
             )
         for jump_ms, too_soon in zip(jumps, spurious, strict=False):
-            if not on_stall:
+            if not stalled:
                 reactor.pass_time(jump_ms)
                 continue
             reactor.now_ms += jump_ms
@@ -164,7 +164,8 @@
                 reactor.wake()
         reactor.pass_time(7_000.0)
         orders.append(fired)
-    assert orders[0] == orders[1] and sorted(orders[0]) == list(range(len(puts)))
+    assert orders[0] == orders[1]
+    assert sorted(orders[0]) == list(range(len(timers)))
 
 
 @pytest.mark.parametrize("start_ms", START_MS)
@@ -175,10 +176,11 @@
     due_ms = start_ms + rounds * SLOTS * 5.0
     timer_wheel.at(due_ms, lambda: fired.append(reactor.now_ms))
     reactor.pass_time(rounds * SLOTS * 5.0 + 5.0)
-    assert len(fired) == 1 and due_ms - 5.1 <= fired[0] <= due_ms
+    assert len(fired) == 1
+    assert due_ms - 5.1 <= fired[0] <= due_ms
 
 
-def test_what_a_call_puts_a_round_ahead_into_the_slot_in_hand_is_kept():
+def test_a_timer_that_a_call_adds_to_its_own_slot_a_round_ahead_is_kept():
     reactor = WakeUps(0.0)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
     timer_wheel.at(50.0, lambda: timer_wheel.at(50.0 + SLOTS * 5.0, lambda: fired.append(reactor.now_ms)))
@@ -187,17 +189,17 @@
 
 
 class CountedSlots(list):
-    """The wheel's slots, with how often one was looked up."""
+    """The wheel's slots, with the number of accesses."""
 
-    looks = 0
+    accesses = 0
 
-    def __getitem__(self, place):
-        self.looks += 1
-        return super().__getitem__(place)
+    def __getitem__(self, index):
+        self.accesses += 1
+        return super().__getitem__(index)
 
 
 @pytest.mark.parametrize("granularity_ms", [1.0, 5.0])
-def test_the_ticks_of_an_hours_hold_up_are_not_walked_one_by_one(granularity_ms):
+def test_the_ticks_of_a_stall_of_an_hour_are_not_processed_one_by_one(granularity_ms):
     reactor = WakeUps(1e6)
     timer_wheel, fired = wheel_on(reactor, granularity_ms), []
     for seconds in (0.1, 0.5, 60.0, 59.0, 3599.0, 3601.0):
@@ -206,15 +208,14 @@
     reactor.now_ms += HOUR_MS
     reactor.wake()
     assert fired == [0.1, 0.5, 59.0, 60.0, 3599.0]
-    assert (
-        timer_wheel._slots.looks <= 6 * SLOTS
-    )  # 720,000 at 5 ms, and 3,600,000 at 1 ms, where each is looked at
+    # One access for each tick would be 720,000 at 5 ms, and 3,600,000 at 1 ms.
+    assert timer_wheel._slots.accesses <= 6 * SLOTS
     reactor.pass_time(2000.0)
     assert fired[5:] == [3601.0]
 
 
-def test_a_look_that_fails_takes_no_deadline_with_it():
-    # `on_stall` looks at clients' sockets: a fault there must not hold up the deadlines.
+def test_a_check_after_a_stall_that_fails_prevents_no_deadline():
+    # `on_stall` checks the clients' sockets, and a fault there must not delay the deadlines.
     reactor = WakeUps(0.0)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
     timer_wheel.on_stall = lambda: 1 / 0
