--- a/cloverwell/membership/endpoint_discovery.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -98,7 +98,7 @@
         """
         if inherited is not None:
             self._table.inherit_starts(inherited)
-        self._apply(known, held=True)
+        self.apply(known, held=True)
         if not known.members:
             # Asked for changes since an empty list, discovery might wait for one.
             self._revision = None
@@ -145,7 +145,13 @@
         """Return the time since discovery's last answer, or since the start."""
         return self._timer_wheel.now() - self._last_answer_ms
 
-    def _apply(self, endpoint_list: EndpointList, held: bool = False) -> None:
+    def apply(self, endpoint_list: EndpointList, held: bool = False) -> None:
+        """Apply a list and report it to the balancer. `held`: it was known before this process began.
+
+        Raises:
+            EndpointListError: the list is unusable. Nothing of it has been applied then.
+
+        """
         update = self._table.apply(endpoint_list, held)
         # Set before `tell`, which may begin a poll for what is newer.
         self._revision = endpoint_list.revision
@@ -239,7 +245,7 @@
             return
         try:
             endpoint_list = msgspec.json.decode(body, type=EndpointList)
-            self._apply(endpoint_list)
+            self.apply(endpoint_list)
         except (msgspec.MsgspecError, EndpointListError, UnicodeDecodeError) as error:
             self.failed(f"malformed: {error}")
             return
