--- a/tests/test_change_propagation.py
+++ b/tests/test_change_propagation.py
@@ -1,7 +1,8 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever calls failed before.
+"""Proxies know of a change within 6 s after discovery has it and can be reached, whichever polls failed
+before.
 
-Many whole proxies are played in virtual time before one discovery. Each keeps the phase of its calls, so that
-with thirty of them discovery comes back at any point of a pause or of a call that hangs.
+Many whole proxies poll one discovery in virtual time. Their polls are out of step with each other, so with
+thirty of them discovery comes back at any point of a backoff or of an unanswered poll.
 """
 
 import pytest
@@ -10,22 +11,22 @@
 from lab.list_fleet import CHANGED, ListFleet
 from lab.proxy import SETTINGS
 
-TOLD_S = 6.0  # the page's
-MARGIN_S = 0.4  # less is too near: a proxy's loop may be held up
-SETTLE_S = 12.0  # all watches are open, and out of step with the start
-STEADY_S = 4.0  # a watch waits so long: 0.4 of `ask-within`
+MAX_CHANGE_DELAY_S = 6.0  # required
+MARGIN_S = 0.4  # for a stall of a proxy's event loop
+SETTLE_S = 12.0  # after which all watches are open, and out of step with each other
+WATCH_WAIT_S = 4.0  # how long a poll waits for a change: 0.4 of `ask-within`
 
 
-def settled(number, **kw):
+def settled_fleet(number, **kw):
     fleet = ListFleet(number, **kw)
     fleet.run(SETTLE_S)
     return fleet
 
 
-def all_learn_in_time(fleet):
-    times = fleet.learning_times(TOLD_S + 2.0)
+def assert_all_learn_in_time(fleet):
+    times = fleet.learning_times(MAX_CHANGE_DELAY_S + 2.0)
     assert len(times) == len(fleet.proxies), f"{len(fleet.proxies) - len(times)} never learnt it"
-    assert times[-1] <= TOLD_S - MARGIN_S, times[-3:]
+    assert times[-1] <= MAX_CHANGE_DELAY_S - MARGIN_S, times[-3:]
     assert all(phase_of(proxy) == "terminating" for proxy in fleet.proxies)
 
 
@@ -36,19 +37,19 @@
 @pytest.mark.parametrize("how", ["down", "dead", "hung"])
 @pytest.mark.parametrize("outage_s", [2.0, 8.0, 20.0])
 def test_a_change_is_known_in_time_however_long_discovery_could_not_be_reached(how, outage_s):
-    fleet = settled(30)
+    fleet = settled_fleet(30)
     fleet.fail(how)
     fleet.run(outage_s)
     fleet.restore(how)
     fleet.change()
-    all_learn_in_time(fleet)
+    assert_all_learn_in_time(fleet)
 
 
 @pytest.mark.parametrize("ask_within_s", [2.0, 10.0, 60.0])
 def test_calls_after_a_failure_that_hang_are_made_again_in_time_whatever_a_watch_may_wait(ask_within_s):
-    # Refused first: what follows is no watch that fell silent, whose longer time would hold.
+    # Connections are refused first, so that what follows is no silent watch, to which a longer time applies.
     rules = SETTINGS["guarantees"] | {"ask-within": 1000.0 * ask_within_s}
-    fleet = settled(30, changes={"guarantees": rules})
+    fleet = settled_fleet(30, changes={"guarantees": rules})
     fleet.fail("down")
     fleet.run(5.0)
     fleet.restore("down")
@@ -56,81 +57,83 @@
     fleet.run(2.0)
     fleet.restore("hung")
     fleet.change()
-    all_learn_in_time(fleet)
+    assert_all_learn_in_time(fleet)
 
 
 @pytest.mark.parametrize("connect_timeout_s", [0.25, 1.5, 30.0])
 def test_a_connection_that_never_comes_up_is_given_up_in_time(connect_timeout_s):
     limits = SETTINGS["limits"] | {"connect-timeout": 1000.0 * connect_timeout_s}
-    fleet = settled(30, changes={"limits": limits})
+    fleet = settled_fleet(30, changes={"limits": limits})
     fleet.fail("dead")
     fleet.run(9.0)
     fleet.restore("dead")
     fleet.change()
-    all_learn_in_time(fleet)
+    assert_all_learn_in_time(fleet)
 
 
 def test_a_large_fleet_learns_in_time_from_a_discovery_that_refuses_whom_it_has_no_time_for():
-    # Twice what the watches of all need: the news of all and the watches behind them are four seconds' work.
+    # The capacity is twice what all watches need: to report the change to all, and to take their next polls,
+    # is four seconds' work.
     number = 200
-    fleet = settled(number, calls_per_s=2.0 * number / STEADY_S, wait_s=1.0, granularity_ms=200.0)
+    fleet = settled_fleet(number, calls_per_s=2.0 * number / WATCH_WAIT_S, wait_s=1.0, granularity_ms=200.0)
     fleet.fail("down")
     fleet.run(8.0)
     fleet.restore("down")
     fleet.change()
     refused = fleet.discovery.failed
-    all_learn_in_time(fleet)
-    assert fleet.discovery.failed > refused  # some were
+    assert_all_learn_in_time(fleet)
+    assert fleet.discovery.failed > refused, "no poll was refused, so the test shows nothing"
 
 
 def test_a_list_of_1024_nodes_is_known_in_time():
-    fleet = settled(2, nodes=1024)
+    fleet = settled_fleet(2, nodes=1024)
     assert all(len(proxy.endpoint_discovery.listing().members) == 1025 for proxy in fleet.proxies)
     fleet.fail("down")
     fleet.run(8.0)
-    for proxy in fleet.proxies:  # the whole list is needed, as from another discovery
+    for proxy in fleet.proxies:  # each polls for the complete list, as it does from another discovery
         proxy.endpoint_discovery._revision = None
     fleet.restore("down")
     fleet.change()
-    all_learn_in_time(fleet)
+    assert_all_learn_in_time(fleet)
 
 
 @pytest.mark.parametrize("number", [200, 480])
-def test_the_calls_of_a_large_fleet_in_an_outage_are_priced(number):
-    """By the second, over all proxies, against what their watches cost on a calm day."""
-    fleet = settled(number, granularity_ms=200.0)
+def test_the_polls_of_a_large_fleet_in_an_outage_are_limited(number):
+    """The attempts of all proxies in a second are compared with what their watches need without faults."""
+    fleet = settled_fleet(number, granularity_ms=200.0)
     begun = int(fleet.net.seconds())
     fleet.fail("down")
     fleet.run(12.0)
     seconds = [
         sum(fleet.attempts[10 * second + tenth] for tenth in range(10)) for second in range(begun, begun + 12)
     ]
-    # The first second has one attempt more of each: a watch that ends is asked anew at once.
+    # The first second has one attempt more of each proxy: a watch that ends is opened again at once.
     assert seconds[0] <= 2 * number
-    assert max(seconds[1:]) <= number, seconds  # nobody pauses for under a second
-    assert sum(seconds[1:]) / 11 <= 3.0 * number / STEADY_S, seconds
+    assert max(seconds[1:]) <= number, seconds  # no backoff is shorter than a second
+    assert sum(seconds[1:]) / 11 <= 3.0 * number / WATCH_WAIT_S, seconds
 
 
-@pytest.mark.parametrize("mode, shortest_s", [("pushed", 0.2), ("on_request", 1.0)])
-def test_calls_do_not_multiply_while_discovery_stays_down(mode, shortest_s):
-    # Seen in virtual time: where lists are pushed, each failure made two further calls, one after the table's
-    # pause and one after the facade's, and they rose from 5 a second to one in each tick of the timers.
-    fleet = settled(4, changes={"membership-mode": mode})
+@pytest.mark.parametrize(("mode", "min_backoff_s"), [("pushed", 0.2), ("on_request", 1.0)])
+def test_calls_do_not_multiply_while_discovery_stays_down(mode, min_backoff_s):
+    # Seen in virtual time where lists are pushed: each failure caused two further polls, one after the
+    # backoff of discovery and one after the balancer's, and they rose from 5 a second to one in each tick of
+    # the timers.
+    fleet = settled_fleet(4, changes={"membership-mode": mode})
     fleet.fail("down")
     fleet.run(20.0)
     begun = int(10 * fleet.net.seconds())
     fleet.run(20.0)
     attempts = sum(fleet.attempts[begun + tenth] for tenth in range(200))
-    assert 0 < attempts <= 4 * 20.0 / shortest_s
+    assert 0 < attempts <= 4 * 20.0 / min_backoff_s
 
 
-def test_the_pause_after_a_failed_call_is_what_keeps_the_time(monkeypatch):
-    """What is measured above can fail: with a pause like the facade's longest a change comes too late."""
-    monkeypatch.setattr(poll_backoff.PollBackoff, "failed", lambda retry, took_ms: 12_000.0)
-    fleet = settled(8)
+def test_a_longer_backoff_would_let_a_change_arrive_too_late(monkeypatch):
+    """The measurement above can fail: a backoff like the balancer's longest makes a change too late."""
+    monkeypatch.setattr(poll_backoff.PollBackoff, "failed", lambda backoff, took_ms: 12_000.0)
+    fleet = settled_fleet(8)
     fleet.fail("down")
     fleet.run(4.0)
     fleet.restore("down")
     fleet.change()
     with pytest.raises(AssertionError):
-        all_learn_in_time(fleet)
+        assert_all_learn_in_time(fleet)
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -39,9 +39,9 @@
         "wait 5000",
     ):
         player.step(line)
-    told = next(line for line in player.log.getvalue().splitlines() if " counts: " in line)
+    counts_line = next(line for line in player.log.getvalue().splitlines() if " counts: " in line)
     for word in ("taken=1", "cache.miss=1", "origin.ok=1", "connections.opened=2", "list.age_ms<0"):
-        assert word in told.split()
+        assert word in counts_line.split()
 
 
 def test_the_sum_over_a_fleet(tmp_path):
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Whatever discovery lists, the proxy serves on: unknown zones and kinds, odd sizes, many changes at once."""
+"""The proxy serves with any list: unknown zones and machine types, odd weights, many changes at once."""
 
 import json
 import math
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from scenario import Player
 
-PHASES = ["in_service", "terminating", "terminated"]
+PHASE_NAMES = ["in_service", "terminating", "terminated"]
 MEMBERS = st.fixed_dictionaries(
     {
         "id": st.text("abc-9", min_size=1, max_size=6),
@@ -16,20 +16,20 @@
         "locality": st.sampled_from(["east", "west", "", "\u00e9"]),
         "flavor": st.sampled_from(["large", "origin", "unknown", ""]),
         "cell": st.integers(-5, 2**40),
-        "phase": st.sampled_from(PHASES),
+        "phase": st.sampled_from(PHASE_NAMES),
         "size": st.one_of(st.sampled_from([0.0, -1.0, 1e-300, 1e300]), st.floats(0.01, 100.0)),
         "up_since_ms": st.one_of(st.just(0.0), st.floats(-1e15, 1e15)),
     }
 )
 
 
-def told(player, revision, members, complete=False):
+def send_list(player, revision, members, complete=False):
     listing = {"revision": revision, "complete": complete, "members": members}
     player.play(f"discovery send 200 {json.dumps(listing)}\ndiscovery expect GET *")
 
 
-def serves(player):
-    """A write needs no node, and a read is answered or refused in time."""
+def assert_serves(player):
+    """A read is answered or rejected in time, and nothing raised an unexpected exception."""
     assert "fault" not in player.log.getvalue(), player.log.getvalue()
     number = len(player.opened.get("client", ())) + 1
     player.play(f"client#{number} send mg k{number} v O{number} Pc=page,t=acme,d=600\nwait 620")
@@ -39,13 +39,13 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.lists(MEMBERS, max_size=8), min_size=1, max_size=4), st.booleans())
-def test_any_list_is_lived_with(lists, complete):
+def test_the_proxy_serves_with_any_list(lists, complete):
     player = Player()
     player.ports |= {"s2": 202, "s3": 203}
     player.play("wait 100\ndiscovery expect GET *")
     for revision, members in enumerate(lists, 42):
-        told(player, revision, members, complete)
-        serves(player)
+        send_list(player, revision, members, complete)
+        assert_serves(player)
 
 
 def test_two_hundred_changes_at_once_and_back():
@@ -53,12 +53,12 @@
     player.play("wait 100\ndiscovery expect GET *")
     fresh = [{"id": f"b{n}", "host_port": f"127.0.0.9:{300 + n}", "flavor": "large"} for n in range(200)]
     player.ports |= {f"b{n}": 300 + n for n in range(200)}
-    told(player, 42, fresh)
-    serves(player)
-    told(player, 43, [{**member, "phase": "terminated"} for member in fresh])
-    serves(player)
+    send_list(player, 42, fresh)
+    assert_serves(player)
+    send_list(player, 43, [{**member, "phase": "terminated"} for member in fresh])
+    assert_serves(player)
     player.play("wait 400")
-    # A pool whose connection nobody has answered waits for it; all others have gone.
+    # A pool whose connection attempt is unanswered waits for it; all others have been removed.
     pools = player.service.pools
     assert not [name for name in pools.names() if name[0] == "b" and not pools.of(name).opening]
     assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "bad", [{"size": "big"}, {"phase": "asleep"}, {"host_port": "x"}, {"size": math.nan}]
 )
-def test_one_bad_entry_costs_one_line_and_the_list_stays(bad):
+def test_one_malformed_endpoint_costs_one_log_line_and_the_list_stays(bad):
     player = Player()
     player.play("wait 100\ndiscovery expect GET *")
     member = {"id": "s9", "host_port": "127.0.0.9:209", "flavor": "large"} | bad
@@ -75,15 +75,15 @@
     player.play(f"discovery send 200 {json.dumps(listing)}")
     assert player.log.getvalue().count("call failed: malformed") == 1
     assert player.service.endpoint_discovery.listing().revision == 41
-    serves(player)
+    assert_serves(player)
 
 
-def test_a_node_that_one_change_both_keeps_and_ends_is_ended_everywhere():
+def test_a_node_that_one_change_both_keeps_and_removes_is_removed_everywhere():
     player = Player()
     player.play("wait 100\ndiscovery expect GET *")
     member = {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large"}
-    told(player, 42, [member, {**member, "phase": "terminated"}, {**member, "phase": "terminated"}])
-    serves(player)
+    send_list(player, 42, [member, {**member, "phase": "terminated"}, {**member, "phase": "terminated"}])
+    assert_serves(player)
     player.play("wait 400")
     assert "s1" not in player.service.pools.names()
     assert "s1" not in {member.id for member in player.service.endpoint_discovery.listing().members}
--- a/tests/test_node_starts.py
+++ b/tests/test_node_starts.py
@@ -1,4 +1,4 @@
-"""Starts of cache nodes told in Unix time, whatever the wall clocks of the machines have been through."""
+"""Starts of cache nodes, which discovery gives in Unix time, with steps of the machines' wall clocks."""
 
 import json
 import math
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """A proxy whose lists are those of the test. `stepped_ms`: of its wall clock, before the first one."""
+    """A proxy with the lists of the test. `stepped_ms`: step of its wall clock before the first one."""
 
     def __init__(self, known=(), stepped_ms=0.0):
         self.player = Player()
@@ -57,7 +57,7 @@
         self.player.play(f"wait {ms}")
 
     def cold_ms(self, node):
-        """How long the node still counts as cold, to the connections and to the decisions."""
+        """Return how long the node still warms up, to the connections and to the balancer."""
         service = self.player.service
         cold_ms = service.back._nodes[node].cold_until_ms - self.now
         server = service.facade._balancer._servers[node]
@@ -154,7 +154,7 @@
 
 
 def test_a_list_with_a_bad_row_leaves_no_start_behind():
-    """Half a list would be worse than none: the restart in it is news again when it comes sound."""
+    """The restart in it has to be noticed when the list arrives without the malformed row."""
     fleet = Fleet([("s9", HOUR_MS)])
     before = fleet.player.service.endpoint_discovery.node_starts().starts
     rows = [
@@ -169,16 +169,16 @@
 def test_a_warm_node_that_was_off_the_list_for_a_while_comes_back_warm():
     """A zone that was cut off and is listed again must not be a zone full of cold nodes."""
     fleet = Fleet([("s9", HOUR_MS), ("s8", HOUR_MS)])
-    told = fleet.unix(HOUR_MS)
+    up_since_ms = fleet.unix(HOUR_MS)
     fleet.wait(10)
     fleet.take([("s8", HOUR_MS + 10)], complete=True)
     assert "s9" not in fleet.player.service.facade._balancer._servers
     fleet.wait(2000)
-    fleet.take([("s9", fleet.unix(0.0) - told)])
+    fleet.take([("s9", fleet.unix(0.0) - up_since_ms)])
     assert fleet.cold_ms("s9") == 0.0
 
 
-# The decision by itself ----------------------------------------------------------------------------
+# The decision without a proxy ----------------------------------------------------------------------------
 
 
 def starts_at(now, listed=True):
@@ -190,8 +190,8 @@
 
 def test_at_the_start_of_a_process_the_wall_clock_decides_within_its_bound():
     starts = NodeStarts(-100.0, WARM_UP_MS)
-    told = {"old": 50.0, "fresh": 1000.0, "ahead": 9000.0, "ages": 0.0}
-    assert starts.take(told, 1000.0, -100.0, held=True) == {
+    up_since_ms = {"old": 50.0, "fresh": 1000.0, "ahead": 9000.0, "ages": 0.0}
+    assert starts.take(up_since_ms, 1000.0, -100.0, held=True) == {
         "old": -50.0,
         "fresh": 900.0,
         "ahead": 1000.0,
@@ -202,8 +202,9 @@
 def test_of_a_long_warm_up_no_more_than_a_second_is_believed_from_before_the_last_list():
     starts = NodeStarts(0.0, 20_000.0)
     starts.take({}, 1e9, 0.0, held=False)
-    told = {"soon": 1e9 - 1000.0, "late": 1e9 - 1001.0}
-    assert starts.take(told, 1e9 + 500.0, 0.0, held=False) == {"soon": 1e9 - 1000.0, "late": 1e9 + 500.0}
+    up_since_ms = {"soon": 1e9 - 1000.0, "late": 1e9 - 1001.0}
+    started_ms = starts.take(up_since_ms, 1e9 + 500.0, 0.0, held=False)
+    assert started_ms == {"soon": 1e9 - 1000.0, "late": 1e9 + 500.0}
 
 
 def test_a_held_list_has_no_date():
@@ -217,10 +218,10 @@
     starts = starts_at(1e9)
     starts.take({}, 1e9 + 1000.0, 0.0, held=False)
     assert starts.take({"s1": 1e9 + 1500.0}, 1e9 + 2000.0, 0.0, held=False) == {"s1": 1e9 + 1500.0}
-    # Told some time after it, as nodes are that register late, and told by a clock that is ahead.
+    # One node has registered some time after its start; the clock of the other one was ahead.
     late_ms = REGISTRATION_DELAY_SHARE * WARM_UP_MS
-    told = {"s2": 1e9 + 2000.0 - late_ms, "s3": 1e9 + 1999.0 - late_ms}
-    assert starts.take(told, 1e9 + 3000.0, 0.0, held=False) == told | {"s3": 1e9 + 3000.0}
+    up_since_ms = {"s2": 1e9 + 2000.0 - late_ms, "s3": 1e9 + 1999.0 - late_ms}
+    assert starts.take(up_since_ms, 1e9 + 3000.0, 0.0, held=False) == up_since_ms | {"s3": 1e9 + 3000.0}
 
 
 def test_long_ago_is_no_restart():
@@ -232,7 +233,8 @@
 
 def test_a_start_at_exactly_0_is_not_taken_for_long_ago():
     started_ms = NodeStarts(0.0, WARM_UP_MS).take({"s1": 5.0}, 0.0, 0.0, held=False)["s1"]
-    assert started_ms and started_ms == pytest.approx(0.0)
+    assert started_ms != 0.0
+    assert started_ms == pytest.approx(0.0)
 
 
 def test_the_starts_of_nodes_that_are_gone_are_kept_to_a_bound():
@@ -253,13 +255,13 @@
     old.take({"new": 1e9 - 500.0}, 1e9, 0.0, held=False)
     new = NodeStarts(HOUR_MS * 3, WARM_UP_MS)
     new.inherit(old.snapshot(1e9), 1e9 + 20.0)
-    told = {"old": 1e9 - 2 * HOUR_MS, "new": 1e9 - 500.0}
-    assert new.take(told, 1e9 + 20.0, 3 * HOUR_MS, held=True) == told
+    up_since_ms = {"old": 1e9 - 2 * HOUR_MS, "new": 1e9 - 500.0}
+    assert new.take(up_since_ms, 1e9 + 20.0, 3 * HOUR_MS, held=True) == up_since_ms
     # Its first list from discovery stands behind the predecessor's last one.
     assert new.take({"next": 5.0}, 1e9 + 100.0, 3 * HOUR_MS, held=False) == {"next": 1e9 + 100.0}
 
 
-def test_a_held_list_that_is_older_than_the_inherited_starts_is_no_news():
+def test_a_held_list_that_is_older_than_the_inherited_starts_changes_none():
     new = NodeStarts(0.0, WARM_UP_MS)
     new.inherit(KnownStarts(1e6, 1e6, {"s1": NodeStart(500.0, 9e5)}), 1e6)
     assert new.take({"s1": 400.0}, 1e6, 0.0, held=True) == {"s1": 9e5}
@@ -288,11 +290,11 @@
 
 
 def play(events, epoch_ms, stepped):
-    """A fleet's life as one proxy is told of it: the proxy, and its news with their times."""
-    player, told = Player(epoch_ms=epoch_ms), []
+    """Play the events in the lists for one proxy; return the proxy, and its updates with their times."""
+    player, updates = Player(epoch_ms=epoch_ms), []
     endpoint_discovery = player.service.endpoint_discovery
     tell = endpoint_discovery.tell
-    endpoint_discovery.tell = lambda news: (told.append((player.now(), news)), tell(news))
+    endpoint_discovery.tell = lambda update: (updates.append((player.now(), update)), tell(update))
     wall_ms, rows = -EPOCH_MS, {}
     player.play("wait 100\ndiscovery expect GET *")
     for revision, (what, ticks, node, step_ms) in enumerate(events, 42):
@@ -311,41 +313,41 @@
         changed = list(rows.values()) if whole else [row for row in rows.values() if row["id"] == node]
         listing = {"revision": revision, "complete": whole, "members": changed}
         player.play(f"discovery send 200 {json.dumps(listing)}\ndiscovery expect GET *")
-    return player, told
+    return player, updates
 
 
 def listed_nodes(player):
     return [member.id for member in player.service.endpoint_discovery.listing().members]
 
 
-def without_starts(told):
-    """The membership's decisions but for the slow start: which nodes, in which phases and order, and when."""
+def without_starts(updates):
+    """Reduce updates to all but the starts: which nodes, in which states and order, and when."""
     return [
-        (at, news.revision, news.complete, [(entry.server, entry.state) for entry in news.entries])
-        for at, news in told
-        if isinstance(news, EndpointUpdate)
+        (at, update.revision, update.complete, [(entry.server, entry.state) for entry in update.entries])
+        for at, update in updates
+        if isinstance(update, EndpointUpdate)
     ]
 
 
 @settings(max_examples=60)
 @given(EVENTS, STEPS)
 def test_steps_of_the_wall_clock_change_no_decision_but_the_slow_start_within_its_bounds(events, at_start_ms):
-    straight, told = play(events, EPOCH_MS, stepped=False)
-    player, told_stepped = play(events, EPOCH_MS + at_start_ms, stepped=True)
-    assert without_starts(told) == without_starts(told_stepped)
+    straight, updates = play(events, EPOCH_MS, stepped=False)
+    player, updates_stepped = play(events, EPOCH_MS + at_start_ms, stepped=True)
+    assert without_starts(updates) == without_starts(updates_stepped)
     assert straight.service.pools.names() == player.service.pools.names()
     assert listed_nodes(straight) == listed_nodes(player)
     assert player.log.getvalue() == straight.log.getvalue()
     known, list_before = {}, -math.inf
-    for at, news in told_stepped:
-        for entry in news.entries:
+    for at, update in updates_stepped:
+        for entry in update.entries:
             if entry.started_ms in (0.0, LONG_AGO) or known.get(entry.server) == entry.started_ms:
                 continue
-            # Cold for one warm-up from now on at the latest, and for no less than one from the list before
-            # this one, but for the time that a node may take to register.
+            # The node warms up until one warm-up from now at the latest, and at the earliest until one after
+            # the list before this one, except for the time that a node may take to register.
             earliest_ms = list_before - REGISTRATION_DELAY_SHARE * WARM_UP_MS
             assert earliest_ms - SLACK_MS <= entry.started_ms <= at + SLACK_MS
-            # What is known already does not change but by a restart, which is a later start.
+            # A known start is replaced only by a later one.
             assert entry.started_ms > known.get(entry.server, LONG_AGO)
             known[entry.server] = entry.started_ms
         list_before = at
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -65,7 +65,8 @@
 
 
 @pytest.mark.parametrize(
-    "grace_ms, expected_ms", [(10.0, MIN_PUSHED_BACKOFF_MS), (100.0, 50.0), (1000.0, MAX_PUSHED_BACKOFF_MS)]
+    ("grace_ms", "expected_ms"),
+    [(10.0, MIN_PUSHED_BACKOFF_MS), (100.0, 50.0), (1000.0, MAX_PUSHED_BACKOFF_MS)],
 )
 def test_where_lists_are_pushed_the_backoff_is_within_the_drain_time_after_any_failures(
     grace_ms, expected_ms
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,7 +1,7 @@
 """Nine in ten restarted processes are ready within 10 s, whatever discovery does, and then serve.
 
-A proxy listens with the list that it had (`known`), before discovery is asked. One that has no list yet
-refuses at once, and serves as soon as it has one.
+A proxy listens with the list that it had (`known`) before it polls discovery. One that has no list yet
+rejects requests at once, and serves as soon as it has one.
 """
 
 import json
@@ -20,11 +20,11 @@
 from lab.web import serving
 from lab.world import Discovery
 
-READY_S = 10.0  # the page's, for nine in ten
+READY_S = 10.0  # required of nine in ten
 READY_SHARE = 0.9
 PROXIES = 30
 KILLED_S, DEAD_S, BACK_S = 1.0, 0.5, 5.0  # when all are killed, for how long, and discovery is back
-TOLD_S = 6.0
+MAX_CHANGE_DELAY_S = 6.0
 DISCOVERIES = {
     "up": Discovery(),
     "down": Discovery(),
@@ -34,7 +34,7 @@
 
 
 class Restarts(Play):
-    """All proxies are killed at once; what they then start with can be chosen."""
+    """A simulation that kills all proxies at once, and chooses the list with which they start again."""
 
     known_rows = None  # None: the list as it is
     _starting = False
@@ -49,14 +49,14 @@
         self._starting = False
         self.started_s[proxy.name] = self.net.seconds()
         self.ready_s.pop(proxy.name, None)
-        heard = proxy.watch.heard
+        on_answer = proxy.watch.heard
 
-        def first_heard(yes):
-            if yes and proxy.service is not None:
+        def on_first_answer(ready):
+            if ready and proxy.service is not None:
                 self.ready_s.setdefault(proxy.name, self.net.seconds())
-            heard(yes)
+            on_answer(ready)
 
-        proxy.watch.heard = first_heard
+        proxy.watch.heard = on_first_answer
 
     def members(self):
         if self._starting and self.known_rows is not None:
@@ -72,7 +72,7 @@
             self.start(proxy)
 
     def took_s(self):
-        """From each process's start to its first yes."""
+        """From each process's start to its first answer that it is ready."""
         return [self.ready_s[name] - at for name, at in self.started_s.items() if name in self.ready_s]
 
     def settings(self, number):
@@ -110,13 +110,13 @@
 @pytest.mark.parametrize("discovery", DISCOVERIES)
 def test_thirty_that_never_had_a_list_are_ready_in_time_refuse_and_then_serve(discovery):
     play = restarted(discovery, known_rows=[])
-    for people in play.people:
-        people.start()
-    # However slow discovery is, it answers each call in its turn: so long after all the calls it has come.
+    for population in play.people:
+        population.start()
+    # A slow discovery answers the polls one after the other; by this time it has answered all of them.
     from_s = {"down": BACK_S, "slow": KILLED_S + DEAD_S + PROXIES / 5.0}.get(discovery, KILLED_S + DEAD_S)
-    play.net.run_for(from_s + TOLD_S - 0.4)
+    play.net.run_for(from_s + MAX_CHANGE_DELAY_S - 0.4)
     assert_ready(play)
-    if discovery != "overbooked":  # there some calls are refused again and again
+    if discovery != "overbooked":  # there some polls are refused each time
         assert play.knowing() == PROXIES
     play.net.run_for(5.0)
     assert not any(play.judge.counts[rule] for rule in RULES), play.judge.breaches
@@ -129,7 +129,7 @@
 
 
 def test_processes_that_listen_late_are_seen(monkeypatch):
-    """What is measured above can fail."""
+    """The measurement above can fail."""
     play = restarted("up")
     start = Proxy.start
 
@@ -149,23 +149,23 @@
 
 @pytest.fixture
 def places(tmp_path):
-    made = []
+    instances = []
     for number in range(FEW):
         folder = tmp_path / str(number)
         folder.mkdir()
-        made.append(Place(folder))
-    yield made
-    for place in made:
+        instances.append(Place(folder))
+    yield instances
+    for place in instances:
         place.close()
 
 
-@pytest.mark.parametrize("known, delay_s", [("known", 0.0), ("known", 2.5), ("none", 2.5)])
+@pytest.mark.parametrize(("known", "delay_s"), [("known", 0.0), ("known", 2.5), ("none", 2.5)])
 def test_real_processes_killed_at_once_are_ready_and_serve(places, known, delay_s):
-    told = [json.loads(place.config.read_text()) for place in places]
+    configurations = [json.loads(place.config.read_text()) for place in places]
     # One node for all: discovery tells the same to each.
-    members = told[0]["known"]["members"]
+    members = configurations[0]["known"]["members"]
     with serving(("127.0.0.1", 0), members, delay_s) as discovery:
-        for place, config in zip(places, told, strict=True):
+        for place, config in zip(places, configurations, strict=True):
             config["discovery"] = f"127.0.0.1:{discovery.server_address[1]}"
             if known == "none":
                 config["known"] = {"revision": 0, "complete": True, "members": []}
@@ -184,7 +184,7 @@
             clients = Clients(place.listen, 1)
             clients.more(5)
             clients.stop()
-        if known == "none":  # answers until the list came were refusals; after it they are the node's
+        if known == "none":  # requests were rejected until the list arrived; after that nodes answer
             for place in places:
                 place.processes[-1].says("serves on")
                 assert eventually_served(place)
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 nodes and settings of 1,024 proxies: nothing is cut off, and memory goes by need."""
+"""Lists of 1,024 nodes and settings of 1,024 proxies: nothing is truncated, memory grows with the list."""
 
 import io
 import json
@@ -40,16 +40,16 @@
 
 def service(net, known, settings=SETTINGS):
     """A proxy of a fleet of 1,024, on a site that allows 32 MB and 256 descriptors."""
-    told = read_settings(settings | {"peers-total": PROXIES})
+    fleet_settings = read_settings(settings | {"peers-total": PROXIES})
     limits = Limits(sockets=256, memory_mb=32.0)
-    config = Config("p", LISTEN, DISCOVERY, 1, limits, EndpointList(41, True, known), told)
-    made = Proxy(net, config, Log(net.now_ms, io.StringIO()), net.now_ms, lambda: -1.0e9)
-    made.start()
-    return made
+    config = Config("p", LISTEN, DISCOVERY, 1, limits, EndpointList(41, True, known), fleet_settings)
+    proxy = Proxy(net, config, Log(net.now_ms, io.StringIO()), net.now_ms, lambda: -1.0e9)
+    proxy.start()
+    return proxy
 
 
 class Discovery(Protocol):
-    """Answers the first call with that body, and no other."""
+    """Answers the first poll with the body, and no other."""
 
     body = b""
 
@@ -60,7 +60,7 @@
             Discovery.body = b""
 
 
-def told(net, body):
+def listen_as_discovery(net, body):
     Discovery.body = body
     net.listenTCP(DISCOVERY[1], Factory.forProtocol(Discovery), interface=DISCOVERY[0])
 
@@ -94,7 +94,7 @@
     net = Net()
     proxy = service(net, [ORIGIN])
     body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
-    told(net, body)
+    listen_as_discovery(net, body)
     proxy.endpoint_discovery.watch()
     net.run_for(6.0)
     assert len(proxy.endpoint_discovery.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
@@ -107,7 +107,8 @@
     proxy = service(net, [*map(member, range(NODES)), ORIGIN])
     balancer = proxy.dispatcher._facade._balancer
     owners = {next(balancer._walk(net.now_ms(), place << 47, 1)).entry.server for place in range(1 << 17)}
-    assert len(nodes) == NODES and len(owners) == NODES
+    assert len(nodes) == NODES
+    assert len(owners) == NODES
     assert all(ask(net, number).startswith(b"VA ") for number in range(40))
 
 
@@ -131,7 +132,7 @@
 
 
 def memory_of(nodes):
-    """Bytes that a proxy with so many nodes holds once the list is read."""
+    """Return the bytes that a proxy with so many nodes holds after applying its list."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     net = Net()
@@ -146,13 +147,14 @@
 def test_memory_goes_by_the_list_and_leaves_room_where_32_mb_are_allowed():
     few, many = memory_of(200), memory_of(NODES)
     each = (many - few) / (NODES - 200)
-    assert each < 20_000 and many < 16 * 1024 * 1024, (few, many)
+    assert each < 20_000, (few, many)
+    assert many < 16 * 1024 * 1024, (few, many)
 
 
 def test_what_no_request_uses_costs_no_sweep(monkeypatch):
     net = Net()
     proxy = service(net, [*map(member, range(NODES)), ORIGIN])
-    net.run_for(0.5)  # each has been looked at once, behind the list that named it
+    net.run_for(0.5)  # each pool is swept once after the list that names it
     swept = []
     monkeypatch.setattr(type(proxy.pools.of("origin")), "sweep", lambda pool, now: swept.append(pool.node))
     net.run_for(60.0)
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -1,4 +1,4 @@
-"""Real proxies that started on machines whose wall clock was stepped: a new cache node is cold to each."""
+"""Real proxies that started on machines whose wall clock was stepped: each lets a new cache node warm up."""
 
 import asyncio
 import time
@@ -12,9 +12,9 @@
 STEPS = [-HOUR_S, -5.0, 5.0, HOUR_S]
 WARM_UP_MS = 20_000.0
 START_CAPACITY = 0.14
-COUNTED_S = 3.0  # behind the news of the node: it has 0.27 of its capacity at the end of it
-MOST_SHARE = 0.5  # of what a warm node gets
-LEAST_COUNTED = 40  # attempts to warm nodes, for each proxy, or there is nothing to compare with
+COUNTED_S = 3.0  # after the update with the node, which has 0.27 of its capacity at the end of it
+MAX_SHARE = 0.5  # of what a warm node gets
+MIN_COUNTED = 40  # attempts to warm nodes, for each proxy, or there is nothing to compare with
 COLD_SETTINGS = SETTINGS | {
     "guarantees": SETTINGS["guarantees"] | {"cold": WARM_UP_MS, "start-capacity": START_CAPACITY}
 }
@@ -50,6 +50,6 @@
     for number, step_s in enumerate(STEPS):
         proxy = f"p{number}"
         warm = arrived[proxy, False]
-        assert warm >= LEAST_COUNTED, arrived
+        assert warm >= MIN_COUNTED, arrived
         share = arrived[proxy, True] / (warm / 3)
-        assert share < MOST_SHARE, f"started {step_s:+g} s: {share:.2f} of a warm node's part; {arrived}"
+        assert share < MAX_SHARE, f"started {step_s:+g} s: {share:.2f} of a warm node's part; {arrived}"
