--- a/cloverwell/log.py
+++ b/cloverwell/log.py
@@ -16,6 +16,14 @@
 WINDOW_MS = 1000.0
 
 
+@dataclass(slots=True)
+class _Window:
+    """The lines of one kind since the start of the current second."""
+
+    start_ms: float
+    lines: int = 0
+
+
 class Log:
     """Writes lines of the form `TIME LEVEL KIND: TEXT`, where the time is the clock's in milliseconds."""
 
@@ -61,11 +69,3 @@
         elif self._stream is not None:
             with contextlib.suppress(OSError, ValueError):
                 print(line, file=self._stream, flush=True)
-
-
-@dataclass(slots=True)
-class _Window:
-    """The lines of one kind since the start of the current second."""
-
-    start_ms: float
-    lines: int = 0
--- a/tests/test_change_propagation.py
+++ b/tests/test_change_propagation.py
@@ -23,6 +23,13 @@
     return fleet
 
 
+def fail_for(fleet, how, outage_s):
+    """Discovery cannot be reached for that time: it is `down`, `dead` or `hung`, see `ListFleet.fail`."""
+    fleet.fail(how)
+    fleet.run(outage_s)
+    fleet.restore(how)
+
+
 def assert_all_learn_in_time(fleet):
     times = fleet.learning_times(MAX_CHANGE_DELAY_S + 2.0)
     assert len(times) == len(fleet.proxies), f"{len(fleet.proxies) - len(times)} never learnt it"
@@ -38,9 +45,7 @@
 @pytest.mark.parametrize("outage_s", [2.0, 8.0, 20.0])
 def test_a_change_is_known_in_time_however_long_discovery_could_not_be_reached(how, outage_s):
     fleet = settled_fleet(30)
-    fleet.fail(how)
-    fleet.run(outage_s)
-    fleet.restore(how)
+    fail_for(fleet, how, outage_s)
     fleet.change()
     assert_all_learn_in_time(fleet)
 
@@ -50,12 +55,8 @@
     # Connections are refused first, so that what follows is no silent watch, to which a longer time applies.
     rules = SETTINGS["guarantees"] | {"ask-within": 1000.0 * ask_within_s}
     fleet = settled_fleet(30, changes={"guarantees": rules})
-    fleet.fail("down")
-    fleet.run(5.0)
-    fleet.restore("down")
-    fleet.fail("hung")
-    fleet.run(2.0)
-    fleet.restore("hung")
+    fail_for(fleet, "down", 5.0)
+    fail_for(fleet, "hung", 2.0)
     fleet.change()
     assert_all_learn_in_time(fleet)
 
@@ -64,9 +65,7 @@
 def test_a_connection_that_never_comes_up_is_given_up_in_time(connect_timeout_s):
     limits = SETTINGS["limits"] | {"connect-timeout": 1000.0 * connect_timeout_s}
     fleet = settled_fleet(30, changes={"limits": limits})
-    fleet.fail("dead")
-    fleet.run(9.0)
-    fleet.restore("dead")
+    fail_for(fleet, "dead", 9.0)
     fleet.change()
     assert_all_learn_in_time(fleet)
 
@@ -76,9 +75,7 @@
     # is four seconds' work.
     number = 200
     fleet = settled_fleet(number, calls_per_s=2.0 * number / WATCH_WAIT_S, wait_s=1.0, granularity_ms=200.0)
-    fleet.fail("down")
-    fleet.run(8.0)
-    fleet.restore("down")
+    fail_for(fleet, "down", 8.0)
     fleet.change()
     refused = fleet.discovery.failed
     assert_all_learn_in_time(fleet)
@@ -131,9 +128,7 @@
     """The measurement above can fail: a backoff like the balancer's longest makes a change too late."""
     monkeypatch.setattr(poll_backoff.PollBackoff, "failed", lambda backoff, took_ms: 12_000.0)
     fleet = settled_fleet(8)
-    fleet.fail("down")
-    fleet.run(4.0)
-    fleet.restore("down")
+    fail_for(fleet, "down", 4.0)
     fleet.change()
     with pytest.raises(AssertionError):
         assert_all_learn_in_time(fleet)
