--- a/cloverwell/connections/accept_queue.py
+++ b/cloverwell/connections/accept_queue.py
@@ -1,9 +1,9 @@
-"""Since when a connection that is accepted may have waited in the machine's queue: decisions without I/O.
+"""Since when an accepted connection may have waited in the kernel's accept queue: decisions without I/O.
 
-The machine completes handshakes while the port is not read, for want of descriptors or until the process is
-ready, and keeps them in a queue of bounded length, first come first served. Neither it nor the connection
-tells how long that was; but one that is accepted after more others than the queue holds came after the first
-of them was accepted.
+The kernel completes handshakes while the listening port is not read (descriptors are used up, or the process
+is not ready) and keeps the connections in a queue of bounded length, in the order in which they came. Neither
+the kernel nor the connection tells how long one has waited. But one that is accepted after more others than
+the queue holds must have come after the first of those was accepted.
 """
 
 from __future__ import annotations
@@ -13,44 +13,46 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
-    """So many connections had been accepted at that moment."""
+class QueueObservation:
+    """How many connections had been accepted at a time when others may have been waiting."""
 
     accepted: int
     at_ms: float
 
 
 class AcceptQueue:
-    """Of one port; all times in ms on the caller's clock."""
+    """The accept queue of one listening port; all times in ms on the caller's clock."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: connections that the machine lets wait."""
-        self._most = most
+    def __init__(self, max_length: int) -> None:
+        """Start with an empty queue; `max_length`: connections that the kernel lets wait."""
+        self._max_length = max_length
         self._accepted = 0
-        self._marks: deque[Mark] = deque()  # since the port was read no more; none while nothing can wait
+        # Since the port's reading was paused; empty while no connection can wait.
+        self._observations: deque[QueueObservation] = deque()
 
     @property
-    def may_stand(self) -> bool:
-        """There may be connections in it that came a while ago."""
-        return bool(self._marks)
+    def may_hold_connections(self) -> bool:
+        """Whether connections that came a while ago may be waiting."""
+        return bool(self._observations)
 
     def not_read(self, now: float) -> None:
-        """The port is not read from now on."""
-        if not self._marks:
-            self._marks.append(Mark(self._accepted, now))
+        """Record that the port is not read from now on."""
+        if not self._observations:
+            self._observations.append(QueueObservation(self._accepted, now))
 
     def looked_at(self, now: float) -> None:
-        """Connections wait in it now."""
-        if self._marks:
-            self._marks.append(Mark(self._accepted, now))
+        """Record that connections are waiting now."""
+        if self._observations:
+            self._observations.append(QueueObservation(self._accepted, now))
 
     def empty(self) -> None:
-        """None does, and the port is read."""
-        self._marks.clear()
+        """Record that no connection is waiting, and that the port is read."""
+        self._observations.clear()
 
     def accepted(self) -> float | None:
-        """One more: since when it may have waited, None if it has not."""
+        """Count one accepted connection; return since when it may have waited, or None if it has not."""
         self._accepted += 1
-        while len(self._marks) > 1 and self._marks[1].accepted + self._most < self._accepted:
-            self._marks.popleft()
-        return self._marks[0].at_ms if self._marks else None
+        observations = self._observations
+        while len(observations) > 1 and observations[1].accepted + self._max_length < self._accepted:
+            observations.popleft()
+        return observations[0].at_ms if observations else None
--- a/cloverwell/connections/arrival.py
+++ b/cloverwell/connections/arrival.py
@@ -1,76 +1,90 @@
-"""Since when the bytes of a client's connection may have been there: decisions without I/O.
+"""Since when the bytes of a client's command may have been in the socket's buffer: decisions without I/O.
 
-A client counts its time from the first byte that it sends. The proxy reads that byte later: behind a time in
-which it did not read the connection, or had not accepted it, and as the first of a command that comes slowly.
+A client counts its deadline from the first byte that it sends. The proxy may read that byte later: the
+connection was not read or not accepted for a while, or the command comes slowly, in several reads.
 """
 
 from __future__ import annotations
 
-# Left to a request whose connection waited to be accepted, however long that may have been. A node may be
-# told 0.15 s too much, and a client whose time is over has closed its new connection, which is seen first.
-LEAST_LEFT_MS = 100.0
+# What a request keeps of its time at the least if its connection waited to be accepted, however long that
+# may have been. A node may be told 0.15 s too much; a client whose time is over has closed its new
+# connection, and that close is seen first.
+MIN_REMAINING_MS = 100.0
 
 
-class Arrival:
-    """Of one connection; all times in ms on the caller's clock."""
+class CommandArrival:
+    """When the current command of one connection came; all times in ms on the caller's clock."""
 
     __slots__ = (
-        "_command_ms",
+        "_bytes_queued",
+        "_bytes_since_ms",
         "_command_queued",
-        "_looked_ms",
-        "_queued",
+        "_command_since_ms",
         "_read_ms",
-        "_read_queued",
+        "_unread_queued",
         "_unread_since_ms",
-        "seen_ms",
+        "begun_ms",
     )
 
     def __init__(self) -> None:
-        self._looked_ms = 0.0  # when bytes were read last, however long they had been there
-        self.seen_ms = 0.0  # when the first byte of the command in hand was
-        self._command_ms = 0.0  # the first byte of the command in hand
-        self._read_ms = 0.0  # the bytes that were read last
-        self._unread_since_ms: float | None = None  # nobody has looked since
-        # Whether that is since it waited to be accepted; the same of the bytes read last, and of the command.
-        self._queued = self._read_queued = self._command_queued = False
+        """Start with nothing read, and nothing unread."""
+        self._read_ms = 0.0  # when bytes were read last
+        self.begun_ms = 0.0  # when the first byte of the current command was read
+        # Since when these may have been in the socket's buffer:
+        self._command_since_ms = 0.0  # the first byte of the current command,
+        self._bytes_since_ms = 0.0  # the bytes that were read last,
+        self._unread_since_ms: float | None = None  # and what is read next, if reading was paused.
+        # Whether that time includes waiting to be accepted.
+        self._command_queued = False
+        self._bytes_queued = False
+        self._unread_queued = False
 
     @property
-    def behind(self) -> bool:
-        """What is read next may have lain unread."""
+    def may_have_waited(self) -> bool:
+        """Whether what is read next may have been in the buffer before."""
         return self._unread_since_ms is not None
 
     def accepted(self, since_ms: float) -> None:
-        """It has waited to be accepted, since then at the earliest."""
-        self._unread_since_ms, self._queued = since_ms, True
+        """Record that the connection waited to be accepted, since then at the earliest."""
+        self._unread_since_ms = since_ms
+        self._unread_queued = True
 
     def not_read(self, now: float) -> None:
-        """The connection is not read from now on."""
+        """Record that the connection is not read from now on."""
         if self._unread_since_ms is None:
             self._unread_since_ms = now
 
-    def nothing_there(self) -> None:
-        """A look has shown that no byte waits: what comes from now on comes when it is read."""
-        self._unread_since_ms, self._queued = None, False
+    def buffer_empty(self) -> None:
+        """Record that no byte is unread: what comes from now on is read when it comes."""
+        self._unread_since_ms = None
+        self._unread_queued = False
 
-    def read(self, now: float, begins: bool, unread_delay_ms: float = 0.0) -> None:
-        """Bytes have been read; `begins`: they begin a command, no part of one was in hand.
+    def read(self, now: float, begins_command: bool, unread_delay_ms: float = 0.0) -> None:
+        """Record that bytes have been read.
 
-        `unread_delay_ms`: the loop was stalled for so long, and they may have been there as long."""
-        self._looked_ms = now
+        Args:
+            now: the time in ms.
+            begins_command: no part of a command came before them.
+            unread_delay_ms: the event loop was stalled for so long, and they may have been there as long.
+        """
+        self._read_ms = now
         since_ms = now - unread_delay_ms
         if self._unread_since_ms is not None:
             since_ms = min(since_ms, self._unread_since_ms)
-        self._read_ms = since_ms
-        self._read_queued = self._queued
-        if begins:
-            self.ended()
+        self._bytes_since_ms = since_ms
+        self._bytes_queued = self._unread_queued
+        if begins_command:
+            self.command_complete()
 
-    def ended(self) -> None:
-        """The command in hand is whole: what stands behind it came with the last bytes."""
-        self._command_ms, self._command_queued = self._read_ms, self._read_queued
-        self.seen_ms = self._looked_ms
+    def command_complete(self) -> None:
+        """Record that the current command is complete: the next one came with the last bytes."""
+        self._command_since_ms = self._bytes_since_ms
+        self._command_queued = self._bytes_queued
+        self.begun_ms = self._read_ms
 
-    def left_ms(self, now: float, wait_ms: float) -> float:
-        """What is left at the least of the time for which the client of the command in hand waits."""
-        left_ms = wait_ms - max(0.0, now - self._command_ms)
-        return max(left_ms, min(wait_ms, LEAST_LEFT_MS)) if self._command_queued else left_ms
+    def remaining_ms(self, now: float, timeout_ms: float) -> float:
+        """Return what is left at the least of the client's timeout for the current command."""
+        remaining_ms = timeout_ms - max(0.0, now - self._command_since_ms)
+        if not self._command_queued:
+            return remaining_ms
+        return max(remaining_ms, min(timeout_ms, MIN_REMAINING_MS))
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -1,80 +1,121 @@
-"""One budget of descriptors over the clients' side and the nodes' side.
+"""One budget of descriptors, shared by the clients' side and the nodes' side.
 
-Each side has a floor, which the other can never take; all between the floors goes to whoever asks first. A
-side that finds no room closes what is idle: its own, or what the other holds beyond its floor (`lender`).
-The invariant, checked at every change: what is held never passes the total (but for a while after a smaller
-one has been set), and each side can reach its floor whatever the other does.
+Each side has a floor that the other can never take; what is between the floors goes to whoever asks first. A
+side that finds no room closes an idle connection of its own, or asks the other to close one that it holds
+beyond its floor (`lender`). The invariant, kept at every change: what is held never exceeds the total (except
+for a while after a smaller total has been set), and each side can reach its floor whatever the other does.
 """
 
 from enum import Enum
 
-BACK_FLOOR = 0.35  # of the descriptors: attempts queue and share connections when there are fewer
-FRONT_FLOOR = 0.5
-WORK_SHARE = 0.45  # clients with requests in hand beyond that are refused: there is room left to do it in
+NODES_FLOOR = 0.35  # of the descriptors: attempts queue and share connections when there are fewer
+CLIENTS_FLOOR = 0.5
+# Requests of more clients than that are rejected; descriptors to serve the others are left.
+ACTIVE_CLIENTS_SHARE = 0.45
 
 
 class DescriptorSide(Enum):
+    """One of the two sides that hold descriptors."""
+
     CLIENTS = "front"
     NODES = "back"
 
 
 def other(side: DescriptorSide) -> DescriptorSide:
+    """Return the side that is not `side`."""
     return DescriptorSide.NODES if side is DescriptorSide.CLIENTS else DescriptorSide.CLIENTS
 
 
 class BudgetError(Exception):
-    """More was taken than there is, or given back than was held: a fault of the caller."""
+    """A change that breaks the invariant: a fault of the caller."""
+
+    def __init__(self, side: DescriptorSide, reason: str) -> None:
+        """Name the side that was to change, and the reason why it can't."""
+        super().__init__(f"{side.value}: {reason}")
+        self.side = side
+
+
+class NoRoomError(BudgetError):
+    """A descriptor was taken where there was no room."""
+
+    def __init__(self, side: DescriptorSide) -> None:
+        """Name the side that has no room."""
+        super().__init__(side, "no room")
+
+
+class NothingHeldError(BudgetError):
+    """A descriptor was given back by a side that holds none."""
+
+    def __init__(self, side: DescriptorSide) -> None:
+        """Name the side that holds nothing."""
+        super().__init__(side, "nothing is held")
 
 
 class DescriptorBudget:
-    def __init__(self, total: int, front_floor: float = FRONT_FLOOR, back_floor: float = BACK_FLOOR) -> None:
-        """`total`: descriptors for both sides; the floors are shares of it and may not pass 1 together."""
-        if total < 2 or front_floor + back_floor > 1.0 or min(front_floor, back_floor) <= 0.0:
+    """How many descriptors each side holds, and how many more it may."""
+
+    def __init__(
+        self, total: int, clients_floor: float = CLIENTS_FLOOR, nodes_floor: float = NODES_FLOOR
+    ) -> None:
+        """Start with nothing held.
+
+        Args:
+            total: descriptors for both sides, two at least.
+            clients_floor: the share of the total that the nodes' side can't take, over 0.
+            nodes_floor: the share that the clients' side can't take, over 0; together at most 1.
+
+        Raises:
+            ValueError: these limits don't hold.
+        """
+        if total < 2 or clients_floor + nodes_floor > 1.0 or min(clients_floor, nodes_floor) <= 0.0:
             raise ValueError("a budget needs two descriptors, and floors over 0 that do not pass 1")
-        self._shares = (front_floor, back_floor)
+        self._shares = (clients_floor, nodes_floor)
         self.total = total
         self.floors = {
-            DescriptorSide.CLIENTS: max(1, int(front_floor * total)),
-            DescriptorSide.NODES: max(1, int(back_floor * total)),
+            DescriptorSide.CLIENTS: max(1, int(clients_floor * total)),
+            DescriptorSide.NODES: max(1, int(nodes_floor * total)),
         }
         self.held = {DescriptorSide.CLIENTS: 0, DescriptorSide.NODES: 0}
 
     def resize(self, total: int) -> None:
-        """Another total, with the same shares; what is held beyond it is given back by and by (`over`)."""
-        fresh = DescriptorBudget(max(2, total), *self._shares)
-        self.total, self.floors = fresh.total, fresh.floors
+        """Set another total with the same shares; what is held beyond it is given back later (`over`)."""
+        resized = DescriptorBudget(max(2, total), *self._shares)
+        self.total = resized.total
+        self.floors = resized.floors
 
     @property
     def over(self) -> int:
-        """So many more are held than there are to hold."""
+        """How many more descriptors are held than the total."""
         return max(0, sum(self.held.values()) - self.total)
 
     @property
     def work_cap(self) -> int:
-        """So many clients may have requests in hand."""
-        return max(1, int(WORK_SHARE * self.total))
+        """How many clients may have open requests."""
+        return max(1, int(ACTIVE_CLIENTS_SHARE * self.total))
 
     def room(self, side: DescriptorSide) -> int:
-        """How many more `side` may hold now."""
-        theirs = other(side)
-        kept = max(self.held[theirs], self.floors[theirs])
-        return max(0, self.total - self.held[side] - kept)
+        """Return how many more descriptors `side` may hold now."""
+        other_side = other(side)
+        reserved = max(self.held[other_side], self.floors[other_side])
+        return max(0, self.total - self.held[side] - reserved)
 
     def most(self, side: DescriptorSide) -> int:
-        """What `side` could hold at the best."""
+        """Return how many descriptors `side` could hold at the best."""
         return self.total - self.floors[other(side)]
 
     def take(self, side: DescriptorSide) -> None:
+        """Take a descriptor for `side`; raises `NoRoomError`."""
         if not self.room(side):
-            raise BudgetError(f"{side.value}: no room")
+            raise NoRoomError(side)
         self.held[side] += 1
 
     def give_back(self, side: DescriptorSide) -> None:
+        """Give back a descriptor of `side`; raises `NothingHeldError`."""
         if not self.held[side]:
-            raise BudgetError(f"{side.value}: nothing is held")
+            raise NothingHeldError(side)
         self.held[side] -= 1
 
     def lender(self, side: DescriptorSide) -> bool:
-        """Whether the other side holds more than its floor: one closed there makes room here."""
-        theirs = other(side)
-        return self.held[theirs] > self.floors[theirs]
+        """Return whether the other side holds more than its floor: a close there makes room for `side`."""
+        other_side = other(side)
+        return self.held[other_side] > self.floors[other_side]
--- a/cloverwell/connections/client_policy.py
+++ b/cloverwell/connections/client_policy.py
@@ -1,342 +1,290 @@
-"""Which clients' connections are kept, and which are closed for room. State in, choice out: no I/O.
+"""Which clients' connections are kept, and which are closed to make room. State in, choice out: no I/O.
 
-A connection is a *guest* here, any hashable thing; the caller tells what happens to it and carries out what
-`overdue` and `for_room` list. It may find that a guest can't be closed (a request stands unread in the
-machine's buffer) and then says `spare`. Times are milliseconds of one clock that never goes back.
+The caller reports what happens to each connection and closes those that `expired`, `to_make_room` and
+`to_admit_requests` return. It may find that one can't be closed (a request is unread in the socket's buffer)
+and then calls `close_failed`. Times are milliseconds of one clock that never goes back.
 
-Closing between requests loses nothing (the client sends again what crossed it), but costs it a handshake;
-so the question is always who is least likely to ask soon. That is learnt from the clients there are:
+A close between requests loses nothing (the client sends again what crossed it) but costs the client a
+handshake, so the question is always which client is least likely to send a request soon. That is estimated
+from the clients themselves:
 
-- how long after its connection a client sends its first request (`_asks_after`): one that is silent far
-  beyond that is of a crowd that never asks, whatever it is there for;
-- how often a client that has asked once, or a few times, or often, asks again (`IdleStatistics`).
+- how long after its connection a client sends its first request: one that is silent far beyond that time
+  probably never sends any;
+- how often a client that has sent one request, or a few, or many, sends another (`IdleStatistics`).
 """
 
 from __future__ import annotations
 
 import math
-from collections import Counter, OrderedDict
-from collections.abc import Hashable
 from dataclasses import dataclass
 from enum import Enum
+from typing import Generic, NamedTuple
 
-QUIET_MS = 1900.0  # never asked: closed by then, whatever room there is (the platform's 2 s)
-HALF_MS = 2400.0  # half a command: a client may take 2 s for it, and is owed an error within 3 s
-KEEP_MS = 10_000.0  # has asked, and is quiet
-LINGER_MS = 1000.0  # what a client may take to close its side once ours is closed,
-PRESSED_LINGER_MS = 100.0  # and where descriptors are wanted
-GRACE_MS = (40.0, 400.0)  # a new one is never closed for room sooner than the first; no need to wait longer
-GRACE_TIMES = 3.0  # that much of the time that nearly all take to their first request
-FIRST_GRACE_MS = 150.0  # while nothing is known
-# Half a command under pressure: so long silent, or so old where clients have no more places.
-HALF_GRACE_MS = 500.0
-SETTLE_MS = 20.0  # an answer's way to its client: nobody is closed for room sooner after one
-SILENT_SHARE = 0.5  # of the clients' part, for those that have not asked yet
-RESERVE_MS = 150.0  # room is kept for the arrivals of so long
-RESERVE = (4, 0.25)  # at least so many, and at most this share of the clients' part
-RATE_MS = 300.0  # over which arrivals are averaged; a rise counts at once
-TURN = 32  # accepted in one turn of the loop, at most: the others' requests wait meanwhile
-
-
-class ClientStage(Enum):
-    NEW = 0  # has asked nothing
-    HALF = 1  # stands in the middle of a command
-    BUSY = 2  # has a request open
-    QUIET = 3  # has asked, and has nothing open
-    CLOSING = 4  # our side is closed
-
-
-class Reason(Enum):
-    SILENT = "silent"  # never asked
-    HALF = "half"  # half a command
-    IDLE = "idle"  # asked, and quiet too long
-    LINGER = "linger"  # did not close its side after ours
-    ROOM = "room"  # asked and quiet, closed for another
+from cloverwell.connections.client_states import ClientStage, ClientStates, ClientT, idle_group
+from cloverwell.connections.idle_statistics import ArrivalRate, IdleStatistics, PeakEstimate
 
+__all__ = ["ClientConnectionPolicy", "ClientStage", "CloseClient", "CloseReason"]
 
-@dataclass(slots=True, frozen=True)
-class CloseClient:
-    """`cut`: its descriptor is wanted now, without waiting for the client's close."""
-
-    guest: Hashable
-    reason: Reason
-    cut: bool = False
+# Timeouts that hold whatever room there is.
+FIRST_REQUEST_TIMEOUT_MS = 1900.0  # The platform's limit for a silent connection is 2 s.
+PARTIAL_COMMAND_TIMEOUT_MS = 2400.0  # A client may take 2 s for a command, and is owed an error within 3 s.
+IDLE_TIMEOUT_MS = 10_000.0
+CLOSE_TIMEOUT_MS = 1000.0  # What a client may take to close its side once ours is closed,
+CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # and where descriptors are wanted.
 
+# Ages below which a connection is never closed to make room.
+MIN_FIRST_REQUEST_GRACE_MS = 40.0
+MAX_FIRST_REQUEST_GRACE_MS = 400.0
+INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # while nothing has been observed
+GRACE_FACTOR = 3.0  # The grace is that many times what nearly all clients take to their first request.
+PARTIAL_COMMAND_GRACE_MS = 500.0
+RESPONSE_DELIVERY_MS = 20.0  # A response may still be on its way to its client.
 
-@dataclass(slots=True)
-class ClientState:
-    source: str
-    stage: ClientStage
-    since_ms: float  # in this stage
-    heard_ms: float = 0.0  # when bytes came last, of half a command
-    asked: int = 0  # requests so far
-    waits_ms: float = 0.0  # spared: not named again before then
+MAX_SILENT_SHARE = 0.5  # of the clients' descriptors, for connections without a request so far
+RESERVE_WINDOW_MS = 150.0  # Descriptors are reserved for the arrivals of so long.
+ARRIVAL_RATE_WINDOW_MS = 300.0
+MAX_ACCEPTS_PER_ITERATION = 32  # of the event loop: requests of the others wait meanwhile
 
 
-class IdleStatistics:
-    """How often those that have asked so many times ask again: a share that forgets."""
+class ReserveLimits(NamedTuple):
+    """How many descriptors are kept free for clients that will connect."""
 
-    WEIGHT = 0.02
+    least: int
+    max_share: float  # of the clients' descriptors
 
-    def __init__(self, share: float) -> None:
-        self.share = share
 
-    def learn(self, came_back: bool) -> None:
-        self.share += self.WEIGHT * ((1.0 if came_back else 0.0) - self.share)
+RESERVE = ReserveLimits(least=4, max_share=0.25)
 
 
-def group_of(asked: int) -> int:
-    """Clients that have asked once, a few times, often."""
-    return 0 if asked <= 1 else 1 if asked < 4 else 2
+class CloseReason(Enum):
+    """Why a client's connection is closed; the values name counters."""
 
+    SILENT = "silent"  # It has never sent a request.
+    PARTIAL_COMMAND = "half"
+    IDLE = "idle"  # It has been idle too long.
+    CLOSE_TIMEOUT = "linger"  # It has not closed its side after ours.
+    MAKE_ROOM = "room"  # It is idle, and another client needs the descriptor.
 
-class PeakEstimate:
-    """A value that about 19 of 20 samples stay under: it rises fast and sinks slowly, in constant memory."""
 
-    SHARE = 0.95
+@dataclass(slots=True, frozen=True)
+class CloseClient(Generic[ClientT]):
+    """A connection to close; `abort`: free its descriptor now, without waiting for the client's close."""
 
-    def __init__(self, first: float) -> None:
-        self.value = first
+    client: ClientT
+    reason: CloseReason
+    abort: bool = False
 
-    def learn(self, sample: float) -> None:
-        # Stochastic approximation of the quantile, in steps relative to its size.
-        step = 0.1 * max(self.value, 1.0)
-        self.value = max(0.1, self.value + step * (self.SHARE if sample > self.value else self.SHARE - 1.0))
 
+class ClientConnectionPolicy(Generic[ClientT]):
+    """Decides which clients' connections to close."""
 
-class ClientConnectionPolicy:
-    """The guests by stage, longest in it first, and what is known of their habits."""
+    def __init__(self, most: int, max_requesting: int, now: float) -> None:
+        """Start without connections.
 
-    def __init__(self, most: int, asking: int, now: float) -> None:
-        """`most`: connections that clients may hold at the best; `asking`: that they open for requests. Where
-        so many have asked and stand, a client with a request can't open another, whatever room there is."""
+        Args:
+            most: connections that clients may hold at the best.
+            max_requesting: connections that clients open to send requests. Where so many have sent requests
+                and stay open, a client with a request can't open another, whatever room there is.
+            now: the time in ms.
+        """
         self.most = most
-        self.asking = asking
-        self._guests: dict[Hashable, ClientState] = {}
-        # BUSY ones need no order: they are never named. QUIET ones stand by group.
-        self._new: OrderedDict[Hashable, None] = OrderedDict()
-        self._half: OrderedDict[Hashable, None] = OrderedDict()
-        self._quiet: list[OrderedDict[Hashable, None]] = [OrderedDict() for _ in range(3)]
-        self._closing: OrderedDict[Hashable, None] = OrderedDict()
-        self._busy = 0
-        self._sources: Counter[str] = Counter()  # of those that have not asked
-        self._habits = [IdleStatistics(0.3), IdleStatistics(0.7), IdleStatistics(0.9)]
-        self._asks_after = PeakEstimate(FIRST_GRACE_MS / GRACE_TIMES)
-        self._rate = 0.0  # arrivals a millisecond
-        self._heard_ms = now
-
-    # What happens -------------------------------------------------------------------------------
-
-    def opened(self, guest: Hashable, now: float, source: str = "") -> None:
-        self._guests[guest] = ClientState(source, ClientStage.NEW, now)
-        self._new[guest] = None
-        self._sources[source] += 1
-        self._decay(now)
-        self._rate += 1.0 / RATE_MS
-
-    def asked(self, guest: Hashable, now: float) -> None:
-        """A request of it has begun to be served."""
-        entry = self._guests.get(guest)
-        if entry is None or entry.stage is ClientStage.CLOSING:
+        self.max_requesting = max_requesting
+        self.states: ClientStates[ClientT] = ClientStates()
+        self._idle_statistics = [IdleStatistics(0.3), IdleStatistics(0.7), IdleStatistics(0.9)]
+        self._first_request_ms = PeakEstimate(INITIAL_FIRST_REQUEST_GRACE_MS / GRACE_FACTOR)
+        self._arrivals = ArrivalRate(ARRIVAL_RATE_WINDOW_MS, now)
+
+    # Events -------------------------------------------------------------------------------------
+
+    def opened(self, client: ClientT, now: float, source: str = "") -> None:
+        """Record that a connection has been accepted; `source` is the client's host."""
+        self.states.add(client, source, now)
+        self._arrivals.count(now)
+
+    def request_started(self, client: ClientT, now: float) -> None:
+        """Record that the client has sent a request."""
+        state = self.states.by_client.get(client)
+        if state is None or state.stage is ClientStage.CLOSING:
             return
-        if not entry.asked:
-            self._asks_after.learn(now - entry.since_ms)
-        elif entry.stage is ClientStage.QUIET:
-            self._habits[group_of(entry.asked)].learn(True)
-        self._move(guest, entry, ClientStage.BUSY, now)
-        entry.asked += 1  # only now: it decides in which line a quiet one stands
-
-    def quiet(self, guest: Hashable, now: float, half: bool, begun_ms: float = math.inf) -> None:
-        """It has no open request; `half`: but a part of one, which may have begun behind the last one."""
-        entry = self._guests.get(guest)
-        if entry is None or entry.stage is ClientStage.CLOSING:
+        if not state.request_count:
+            self._first_request_ms.learn(now - state.since_ms)
+        elif state.stage is ClientStage.IDLE:
+            self._idle_statistics[idle_group(state.request_count)].learn(True)
+        self.states.move(client, state, ClientStage.ACTIVE, now)
+        state.request_count += 1  # After the move: the count gives the group from which an idle one is taken.
+
+    def no_open_request(
+        self, client: ClientT, now: float, partial_command: bool, begun_ms: float = math.inf
+    ) -> None:
+        """Record that no request of the client is open.
+
+        Args:
+            client: the connection.
+            now: the time in ms.
+            partial_command: a part of a command has come.
+            begun_ms: when that part began, which may be before the last response.
+        """
+        state = self.states.by_client.get(client)
+        if state is None or state.stage is ClientStage.CLOSING:
             return
-        stage = ClientStage.HALF if half else ClientStage.QUIET if entry.asked else ClientStage.NEW
-        if stage is entry.stage:
-            return  # its time runs from its connection, its first byte or its answer on: an error wins none
-        self._move(guest, entry, stage, now)
-        if half and begun_ms < now:
-            self._put_in_order(entry, begun_ms)
-
-    def _put_in_order(self, entry: ClientState, begun_ms: float) -> None:
-        """The part of a request that it has sent is that old: those that are younger stand behind it."""
-        entry.since_ms = begun_ms
-        for other in [one for one in self._half if self._guests[one].since_ms > begun_ms]:
-            self._half.move_to_end(other)
-
-    def more(self, guest: Hashable, now: float) -> None:
-        """More bytes of half a command have come."""
-        if (entry := self._guests.get(guest)) is not None:
-            entry.heard_ms = now
-
-    def closing(self, guest: Hashable, now: float) -> None:
-        """Our side is closed."""
-        entry = self._guests.get(guest)
-        if entry is not None and entry.stage is not ClientStage.CLOSING:
-            if entry.stage is ClientStage.QUIET:
-                self._habits[group_of(entry.asked)].learn(False)
-            self._move(guest, entry, ClientStage.CLOSING, now)
-
-    def closed(self, guest: Hashable) -> None:
-        entry = self._guests.pop(guest, None)
-        if entry is not None:
-            self._leave(guest, entry)
-
-    def spare(self, guest: Hashable, now: float) -> None:
-        """It could not be closed: a request stands unread, or an answer. Not named again for a while."""
-        if (entry := self._guests.get(guest)) is not None:
-            entry.waits_ms = now + SETTLE_MS
-
-    def _move(self, guest: Hashable, entry: ClientState, stage: ClientStage, now: float) -> None:
-        self._leave(guest, entry)
-        entry.stage, entry.since_ms, entry.waits_ms, entry.heard_ms = stage, now, 0.0, now
-        match stage:
-            case ClientStage.BUSY:
-                self._busy += 1
-            case ClientStage.NEW:
-                self._new[guest] = None
-                self._sources[entry.source] += 1
-            case _:
-                self._line(entry)[guest] = None
-
-    def _leave(self, guest: Hashable, entry: ClientState) -> None:
-        if entry.stage is ClientStage.BUSY:
-            self._busy -= 1
+        if partial_command:
+            stage = ClientStage.PARTIAL_COMMAND
+        else:
+            stage = ClientStage.IDLE if state.request_count else ClientStage.NEW
+        if stage is state.stage:
+            # Its time goes on from its connection, first byte or response: a malformed command wins none.
             return
-        if entry.stage is ClientStage.NEW:
-            self._sources[entry.source] -= 1
-            if not self._sources[entry.source]:
-                del self._sources[entry.source]
-        self._line(entry).pop(guest, None)
-
-    def _line(self, entry: ClientState) -> OrderedDict[Hashable, None]:
-        match entry.stage:
-            case ClientStage.NEW:
-                return self._new
-            case ClientStage.HALF:
-                return self._half
-            case ClientStage.QUIET:
-                return self._quiet[group_of(entry.asked)]
-        return self._closing
-
-    # What is known ------------------------------------------------------------------------------
+        self.states.move(client, state, stage, now)
+        if partial_command and begun_ms < now:
+            self.states.backdate_partial_command(state, begun_ms)
+
+    def partial_command_grew(self, client: ClientT, now: float) -> None:
+        """Record that more bytes of a partial command have come."""
+        if (state := self.states.by_client.get(client)) is not None:
+            state.last_bytes_ms = now
+
+    def closing(self, client: ClientT, now: float) -> None:
+        """Record that our side of the connection is closed."""
+        state = self.states.by_client.get(client)
+        if state is None or state.stage is ClientStage.CLOSING:
+            return
+        if state.stage is ClientStage.IDLE:
+            self._idle_statistics[idle_group(state.request_count)].learn(False)
+        self.states.move(client, state, ClientStage.CLOSING, now)
+
+    def closed(self, client: ClientT) -> None:
+        """Record that the connection is closed on both sides."""
+        self.states.remove(client)
+
+    def close_failed(self, client: ClientT, now: float) -> None:
+        """Record that a request or a response is still unread; the client is not selected for a while."""
+        if (state := self.states.by_client.get(client)) is not None:
+            state.keep_until_ms = now + RESPONSE_DELIVERY_MS
+
+    # Estimates ----------------------------------------------------------------------------------
 
     def __len__(self) -> int:
-        return len(self._guests)
+        """Return the number of connections."""
+        return len(self.states.by_client)
 
     @property
-    def busy(self) -> int:
-        return self._busy
+    def active_count(self) -> int:
+        """The number of connections with an open request."""
+        return self.states.active_count
 
-    def stage_of(self, guest: Hashable) -> ClientStage | None:
-        entry = self._guests.get(guest)
-        return None if entry is None else entry.stage
+    def stage_of(self, client: ClientT) -> ClientStage | None:
+        """Return the connection's stage, or None if it is not known."""
+        state = self.states.by_client.get(client)
+        return None if state is None else state.stage
 
-    def grace_ms(self) -> float:
-        """How long a new one is waited for where others want its place."""
-        return min(max(GRACE_MS[0], GRACE_TIMES * self._asks_after.value), GRACE_MS[1])
+    def first_request_grace_ms(self) -> float:
+        """Return how long a new connection is kept without a request where others need its descriptor."""
+        usual_ms = GRACE_FACTOR * self._first_request_ms.value
+        return min(max(MIN_FIRST_REQUEST_GRACE_MS, usual_ms), MAX_FIRST_REQUEST_GRACE_MS)
 
     def reserve(self, now: float) -> int:
-        """Room to be kept for those that will connect before the next look."""
-        self._decay(now)
-        wanted = math.ceil(self._rate * RESERVE_MS)
-        return int(min(max(RESERVE[0], wanted), max(1.0, RESERVE[1] * self.most)))
-
-    def crowd(self) -> bool:
-        """So many have not asked that it is no rush: those who come to be served ask at once."""
-        return len(self._new) > SILENT_SHARE * self.most
-
-    def _decay(self, now: float) -> None:
-        self._rate *= math.exp((self._heard_ms - now) / RATE_MS)
-        self._heard_ms = now
-
-    # Who goes -----------------------------------------------------------------------------------
-
-    def overdue(self, now: float) -> list[CloseClient]:
-        """Those whose time is over, however much room there is."""
-        found: list[CloseClient] = []
-        lines = ((self._new, QUIET_MS, Reason.SILENT), (self._half, HALF_MS, Reason.HALF))
-        lines += tuple((line, KEEP_MS, Reason.IDLE) for line in self._quiet)
-        for line, most_ms, reason in lines:
-            found += [CloseClient(guest, reason) for guest in self._older(line, now, most_ms)]
-        found += [
-            CloseClient(guest, Reason.LINGER, True) for guest in self._older(self._closing, now, LINGER_MS)
+        """Return how many descriptors to keep free for clients that connect before the next check."""
+        wanted = math.ceil(self._arrivals.per_ms(now) * RESERVE_WINDOW_MS)
+        return int(min(max(RESERVE.least, wanted), max(1.0, RESERVE.max_share * self.most)))
+
+    def mostly_silent(self) -> bool:
+        """Return whether too many have sent no request to be clients that want to be served."""
+        return len(self.states.new) > MAX_SILENT_SHARE * self.most
+
+    # Choices ------------------------------------------------------------------------------------
+
+    def expired(self, now: float) -> list[CloseClient[ClientT]]:
+        """Return the connections whose timeout is over, however much room there is."""
+        states = self.states
+        limits = [
+            (states.new, FIRST_REQUEST_TIMEOUT_MS, CloseReason.SILENT),
+            (states.partial, PARTIAL_COMMAND_TIMEOUT_MS, CloseReason.PARTIAL_COMMAND),
+            *((clients, IDLE_TIMEOUT_MS, CloseReason.IDLE) for clients in states.idle),
         ]
-        return found
+        found: list[CloseClient[ClientT]] = []
+        for clients, timeout_ms, reason in limits:
+            found += [CloseClient(client, reason) for client in states.older_than(clients, now, timeout_ms)]
+        return found + self._not_closed_by_client(now, CLOSE_TIMEOUT_MS)
 
-    def for_room(self, now: float, wanted: int, room: int) -> list[CloseClient]:
-        """Up to twice `wanted` guests whose closing makes room, those first who are least likely to ask.
+    def to_make_room(self, now: float, wanted: int, room: int) -> list[CloseClient[ClientT]]:
+        """Return up to twice `wanted` connections to close, those least likely to send a request first.
 
-        `room`: what there is without. Those that are closing come free by themselves within moments, so
-        they count as room; they are cut off only where there is none at all.
+        `room`: free descriptors. Connections that are closing become free by themselves within moments, so
+        they count as room; they are aborted only where there is none at all.
         """
-        found: list[CloseClient] = []
-        if room <= 0:
-            found += [
-                CloseClient(guest, Reason.LINGER, True)
-                for guest in self._older(self._closing, now, PRESSED_LINGER_MS, wanted)
-            ]
+        found: list[CloseClient[ClientT]] = []
+        abort = room <= 0
+        if abort:
+            found += self._not_closed_by_client(now, CLOSE_TIMEOUT_UNDER_PRESSURE_MS, wanted)
         else:
-            wanted -= len(self._closing)
-        most = 2 * wanted
-        cut = room <= 0
-        for candidates in (self._silent, self._halves, self._quiet_ones):
-            if len(found) >= most:
-                break
-            found += candidates(now, most - len(found), cut)
-        return found[: max(0, most)]
-
-    def for_asking(self, now: float) -> list[CloseClient]:
-        """Those to close so that clients can open as many as will be wanted for requests."""
-        # Clients that write slowly ask too; who has sent one piece and no more does not look like one.
-        slow = [guest for guest in self._half if (entry := self._guests[guest]).heard_ms > entry.since_ms]
-        held = self._busy + sum(len(line) for line in self._quiet) + len(slow)
-        wanted = min(self.reserve(now), self.asking // 2) - (self.asking - held)
-        found = self._quiet_ones(now, max(0, wanted), False)
-        # The last places: each that is held by half a command would serve many others meanwhile.
-        wanted = RESERVE[0] - (self.asking - held) - len(found)
-        old = [guest for guest in slow if now - self._guests[guest].since_ms >= HALF_GRACE_MS]
-        return found + [CloseClient(guest, Reason.HALF) for guest in old[: max(0, wanted)]]
-
-    def _older(
-        self, line: OrderedDict[Hashable, None], now: float, age_ms: float, most: int = 1 << 30
-    ) -> list[Hashable]:
-        found = []
-        for guest in line:
-            entry = self._guests[guest]
-            if now - entry.since_ms < age_ms or len(found) >= most:
-                break
-            if entry.waits_ms <= now:
-                found.append(guest)
-        return found
-
-    def _silent(self, now: float, most: int, cut: bool) -> list[CloseClient]:
-        # Where they are a crowd, their first moments must do: others wait behind them to be let in.
-        age = GRACE_MS[0] if self.crowd() else self.grace_ms()
-        old = self._older(self._new, now, age)
-        if len(self._sources) > 1:
-            # Fair between sources: the one that holds most without asking gives first. Sorting is stable.
-            count = self._sources
-            old.sort(key=lambda guest: -count[self._guests[guest].source])
-        return [CloseClient(guest, Reason.SILENT, cut) for guest in old[:most]]
-
-    def _halves(self, now: float, most: int, cut: bool) -> list[CloseClient]:
-        # A client that writes slowly goes on writing; by age alone it would go before it is done.
-        old = self._older(self._half, now, HALF_GRACE_MS)
-        silent = [guest for guest in old if now - self._guests[guest].heard_ms >= HALF_GRACE_MS]
-        silent.sort(key=lambda guest: self._guests[guest].heard_ms)
-        return [CloseClient(guest, Reason.HALF, False) for guest in silent[:most]]
-
-    def _quiet_ones(self, now: float, most: int, cut: bool) -> list[CloseClient]:
-        """Longest quiet first, where a group that seldom asks again counts as quiet for longer."""
-        found: list[tuple[float, int, Hashable]] = []
-        for number, line in enumerate(self._quiet):
-            weight = 1.05 - self._habits[number].share
-            for guest in self._older(line, now, SETTLE_MS, most):
-                found.append((-(now - self._guests[guest].since_ms) * weight, len(found), guest))
-        found.sort()
-        # A cut throws away what the client has not read yet: only where its answer has long been there.
+            wanted -= len(self.states.closing)
+        limit = 2 * wanted
+        if len(found) < limit:
+            found += self._silent(now, limit - len(found), abort)
+        if len(found) < limit:
+            found += self._stalled_partial_commands(now, limit - len(found))
+        if len(found) < limit:
+            found += self._idle(now, limit - len(found), abort)
+        return found[: max(0, limit)]
+
+    def to_admit_requests(self, now: float) -> list[CloseClient[ClientT]]:
+        """Return the connections to close so that clients can open as many as they need for requests."""
+        slow_writers = [client for client in self.states.partial if self._writes_slowly(client)]
+        idle_count = sum(len(clients) for clients in self.states.idle)
+        free = self.max_requesting - (self.active_count + idle_count + len(slow_writers))
+        wanted = min(self.reserve(now), self.max_requesting // 2) - free
+        found = self._idle(now, max(0, wanted), abort=False)
+        # Each of the last places that a partial command holds would serve many other clients meanwhile.
+        wanted = RESERVE.least - free - len(found)
+        old = [client for client in slow_writers if self._age_ms(client, now) >= PARTIAL_COMMAND_GRACE_MS]
+        return found + [CloseClient(client, CloseReason.PARTIAL_COMMAND) for client in old[: max(0, wanted)]]
+
+    def _age_ms(self, client: ClientT, now: float) -> float:
+        """Return how long the client has been in its stage."""
+        return now - self.states.by_client[client].since_ms
+
+    def _writes_slowly(self, client: ClientT) -> bool:
+        """Return whether more than one piece of a partial command has come: such a client sends requests."""
+        state = self.states.by_client[client]
+        return state.last_bytes_ms > state.since_ms
+
+    def _not_closed_by_client(
+        self, now: float, timeout_ms: float, limit: float = math.inf
+    ) -> list[CloseClient[ClientT]]:
+        late = self.states.older_than(self.states.closing, now, timeout_ms, limit)
+        return [CloseClient(client, CloseReason.CLOSE_TIMEOUT, abort=True) for client in late]
+
+    def _silent(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
+        # Where silent connections are many, others wait behind them to be accepted: the least grace must do.
+        grace_ms = MIN_FIRST_REQUEST_GRACE_MS if self.mostly_silent() else self.first_request_grace_ms()
+        old = self.states.older_than(self.states.new, now, grace_ms)
+        count = self.states.new_by_source
+        if len(count) > 1:
+            # The source with most silent connections loses some first. Sorting is stable.
+            old.sort(key=lambda client: -count[self.states.by_client[client].source])
+        return [CloseClient(client, CloseReason.SILENT, abort) for client in old[:limit]]
+
+    def _stalled_partial_commands(self, now: float, limit: int) -> list[CloseClient[ClientT]]:
+        # Not by age alone: a client that writes slowly would be closed before its command is complete.
+        old = self.states.older_than(self.states.partial, now, PARTIAL_COMMAND_GRACE_MS)
+        last_bytes_ms = {client: self.states.by_client[client].last_bytes_ms for client in old}
+        stalled = [client for client in old if now - last_bytes_ms[client] >= PARTIAL_COMMAND_GRACE_MS]
+        stalled.sort(key=last_bytes_ms.__getitem__)
+        return [CloseClient(client, CloseReason.PARTIAL_COMMAND) for client in stalled[:limit]]
+
+    def _idle(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
+        """Return the longest idle first; a group that seldom sends again counts as idle for longer."""
+        ranked: list[tuple[float, int, ClientT]] = []
+        for clients, statistics in zip(self.states.idle, self._idle_statistics, strict=True):
+            weight = 1.05 - statistics.share
+            for client in self.states.older_than(clients, now, RESPONSE_DELIVERY_MS, limit):
+                ranked.append((-self._age_ms(client, now) * weight, len(ranked), client))
+        ranked.sort()
         return [
-            CloseClient(guest, Reason.ROOM, cut and now - self._guests[guest].since_ms >= PRESSED_LINGER_MS)
-            for _, _, guest in found[:most]
+            CloseClient(client, CloseReason.MAKE_ROOM, abort and self._has_read_response(client, now))
+            for _, _, client in ranked[:limit]
         ]
+
+    def _has_read_response(self, client: ClientT, now: float) -> bool:
+        """Return whether the last response was sent long ago: an abort throws away what is unread."""
+        return self._age_ms(client, now) >= CLOSE_TIMEOUT_UNDER_PRESSURE_MS
--- /dev/null
+++ b/cloverwell/connections/client_states.py
@@ -0,0 +1,125 @@
+"""The state of each client's connection, and the connections of each stage in order of age. No I/O."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter, OrderedDict
+from collections.abc import Hashable
+from dataclasses import dataclass
+from enum import Enum
+from typing import Generic, TypeVar
+
+ClientT = TypeVar("ClientT", bound=Hashable)
+
+IDLE_GROUPS = 3  # see `idle_group`
+
+
+class ClientStage(Enum):
+    """What a client's connection is doing."""
+
+    NEW = 0  # It has sent no request yet.
+    PARTIAL_COMMAND = 1  # It has sent a part of a command, and has no open request.
+    ACTIVE = 2  # It has an open request.
+    IDLE = 3  # It has sent requests, and none is open.
+    CLOSING = 4  # Our side of the connection is closed.
+
+
+@dataclass(slots=True)
+class ClientState:
+    """What is known of one client's connection; times in ms."""
+
+    source: str  # the client's host
+    stage: ClientStage
+    since_ms: float  # when it entered this stage
+    last_bytes_ms: float = 0.0  # when bytes of a partial command came last
+    request_count: int = 0
+    keep_until_ms: float = 0.0  # a close failed: it is not selected again before then
+
+
+def idle_group(request_count: int) -> int:
+    """Return the group of a client that has sent one request (0), a few (1) or many (2)."""
+    if request_count <= 1:
+        return 0
+    return 1 if request_count < 4 else 2
+
+
+class ClientStates(Generic[ClientT]):
+    """The state table of the clients' connections.
+
+    Each stage but ACTIVE has an ordered dict of its clients, the one that entered it first in front; IDLE has
+    one for each idle group. The dicts are read by the policy and changed only here.
+    """
+
+    def __init__(self) -> None:
+        """Start with no clients."""
+        self.by_client: dict[ClientT, ClientState] = {}
+        self.new: OrderedDict[ClientT, None] = OrderedDict()
+        self.partial: OrderedDict[ClientT, None] = OrderedDict()
+        self.idle: list[OrderedDict[ClientT, None]] = [OrderedDict() for _ in range(IDLE_GROUPS)]
+        self.closing: OrderedDict[ClientT, None] = OrderedDict()
+        self.active_count = 0
+        self.new_by_source: Counter[str] = Counter()
+
+    def add(self, client: ClientT, source: str, now: float) -> None:
+        """Add a connection that has just been accepted."""
+        self.by_client[client] = ClientState(source, ClientStage.NEW, now)
+        self.new[client] = None
+        self.new_by_source[source] += 1
+
+    def remove(self, client: ClientT) -> None:
+        """Remove a connection that is closed; one that is not in the table is ignored."""
+        state = self.by_client.pop(client, None)
+        if state is not None:
+            self._leave_stage(client, state)
+
+    def move(self, client: ClientT, state: ClientState, stage: ClientStage, now: float) -> None:
+        """Put the client, which has this state, behind all others of another stage."""
+        self._leave_stage(client, state)
+        state.stage = stage
+        state.since_ms = state.last_bytes_ms = now
+        state.keep_until_ms = 0.0
+        if stage is ClientStage.ACTIVE:
+            self.active_count += 1
+            return
+        if stage is ClientStage.NEW:
+            self.new_by_source[state.source] += 1
+        self._clients_in_stage_of(state)[client] = None
+
+    def backdate_partial_command(self, state: ClientState, begun_ms: float) -> None:
+        """Set when a partial command began, and move the clients whose command began later behind it."""
+        state.since_ms = begun_ms
+        for other in [client for client in self.partial if self.by_client[client].since_ms > begun_ms]:
+            self.partial.move_to_end(other)
+
+    def older_than(
+        self, clients: OrderedDict[ClientT, None], now: float, age_ms: float, limit: float = math.inf
+    ) -> list[ClientT]:
+        """Return up to `limit` of one stage's clients that have been in it for `age_ms`, oldest first."""
+        found: list[ClientT] = []
+        for client in clients:
+            state = self.by_client[client]
+            if now - state.since_ms < age_ms or len(found) >= limit:
+                break
+            if state.keep_until_ms <= now:
+                found.append(client)
+        return found
+
+    def _leave_stage(self, client: ClientT, state: ClientState) -> None:
+        if state.stage is ClientStage.ACTIVE:
+            self.active_count -= 1
+            return
+        if state.stage is ClientStage.NEW:
+            self.new_by_source[state.source] -= 1
+            if not self.new_by_source[state.source]:
+                del self.new_by_source[state.source]
+        self._clients_in_stage_of(state).pop(client, None)
+
+    def _clients_in_stage_of(self, state: ClientState) -> OrderedDict[ClientT, None]:
+        match state.stage:
+            case ClientStage.NEW:
+                return self.new
+            case ClientStage.PARTIAL_COMMAND:
+                return self.partial
+            case ClientStage.IDLE:
+                return self.idle[idle_group(state.request_count)]
+        return self.closing
--- a/cloverwell/connections/metrics.py
+++ b/cloverwell/connections/metrics.py
@@ -1,63 +1,64 @@
-"""What the connections' decisions count, for the log and for later metrics."""
+"""Counters of what connections did, for the log."""
 
 from collections import Counter
-from collections.abc import Iterator
 from enum import Enum
 
 OTHERS = "others"
-MAX_NAMES = 1100  # nodes counted by name; successors have new names, and a long day would gather them
+# Nodes that are counted by name. Replacements of nodes have new names, which would add up over a long run.
+MAX_NAMES = 1100
 
 
 class ConnectionEvent(Enum):
-    """Each is counted by the node it was for, or by the reason behind it."""
-
-    OPENED = "opened"  # back: a connection came up
-    CONNECT_REFUSED = "connect_refused"  # back: none came up
-    NOT_OPENED = "not_opened"  # back: this machine could not begin one, whatever the node
-    AHEAD = "opened_ahead"  # back: asked for before an attempt needed it
-    REUSED = "reused"  # back: an attempt was written to one that had served before
-    RETIRED = "retired"  # back: closed by us while idle
-    CLOSED = "closed_by_node"  # back: the node ended an idle one
-    STALE = "stale"  # back: an attempt was lost at once on one that had stood idle
-    CAUGHT = "caught"  # back: the same, but its last byte had not been written: the attempt went elsewhere
-    RESET = "reset"  # back: an attempt was lost on a fresh or busy one
-    ADMITTED = "admitted"  # front: a client's connection was accepted
-    CLOSED_FRONT = "closed_front"  # front: closed by us, by reason
-    SPARED = "spared"  # front: was to be closed, but a request stood unread in it
-    REQUEST_REFUSED = "request_refused"  # front: a request was refused for want of descriptors
-    PAUSED = "paused"  # front: nothing was accepted for a while
+    """What is counted, by the node's name or by the reason; the values are words of the log."""
+
+    # Connections to nodes.
+    OPENED = "opened"  # A connection was established.
+    CONNECT_REFUSED = "connect_refused"  # None was.
+    NOT_OPENED = "not_opened"  # This machine could not begin one, whatever the node.
+    AHEAD = "opened_ahead"  # One was opened before an attempt needed it.
+    REUSED = "reused"  # An attempt was written to a connection that had served before.
+    RETIRED = "retired"  # The proxy closed an idle one.
+    CLOSED = "closed_by_node"  # The node closed an idle one.
+    STALE = "stale"  # An attempt was lost at once on one that had been idle.
+    CAUGHT = "caught"  # The same before the attempt's last byte was written: it was sent elsewhere.
+    RESET = "reset"  # An attempt was lost on a new or busy one.
+    # Connections of clients.
+    ADMITTED = "admitted"  # A connection was accepted.
+    CLOSED_FRONT = "closed_front"  # The proxy closed one.
+    CLOSE_SKIPPED = "spared"  # One was to be closed, but a request or response was unread.
+    REQUEST_REFUSED = "request_refused"  # A request was rejected for want of descriptors.
+    PAUSED = "paused"  # No connection was accepted for a while.
 
 
 class ConnectionMetrics:
-    """Counters by kind and name; what a forgotten name counted stays in the total."""
+    """Counters by event and name; what was counted for a name that is forgotten stays in the total."""
 
     def __init__(self) -> None:
-        self._by: dict[ConnectionEvent, Counter[str]] = {what: Counter() for what in ConnectionEvent}
+        """Start with all counters at 0."""
+        self._counters: dict[ConnectionEvent, Counter[str]] = {event: Counter() for event in ConnectionEvent}
 
-    def add(self, what: ConnectionEvent, name: str = "", number: int = 1) -> None:
-        counter = self._by[what]
+    def add(self, event: ConnectionEvent, name: str = "", number: int = 1) -> None:
+        """Count the event `number` times for `name`, a node or a reason."""
+        counter = self._counters[event]
         if name not in counter and len(counter) >= MAX_NAMES:
             name = OTHERS
         counter[name] += number
 
     def forget(self, name: str) -> None:
-        """The node is gone: its figures go to those of all others."""
-        for counter in self._by.values():
+        """Add the counts of a node that is gone to those of all others."""
+        for counter in self._counters.values():
             if name in counter:
                 counter[OTHERS] += counter.pop(name)
 
-    def total(self, what: ConnectionEvent) -> int:
-        return sum(self._by[what].values())
-
-    def by(self, what: ConnectionEvent) -> dict[str, int]:
-        return dict(self._by[what])
+    def total(self, event: ConnectionEvent) -> int:
+        """Return how often the event was counted, for all names."""
+        return sum(self._counters[event].values())
 
-    def rows(self) -> Iterator[tuple[str, str, int]]:
-        """(kind, name, count) of all that is not zero, in a fixed order."""
-        for what, counter in self._by.items():
-            for name in sorted(counter):
-                yield what.value, name, counter[name]
+    def by(self, event: ConnectionEvent) -> dict[str, int]:
+        """Return how often the event was counted for each name."""
+        return dict(self._counters[event])
 
-    def line(self, *whats: ConnectionEvent) -> str:
-        """`kind number` of each that has happened, for a log line."""
-        return ", ".join(f"{what.value} {total}" for what in whats if (total := self.total(what)))
+    def line(self, *events: ConnectionEvent) -> str:
+        """Return `event count` of each of the events that has happened, for a log line."""
+        totals = ((event, self.total(event)) for event in events)
+        return ", ".join(f"{event.value} {total}" for event, total in totals if total)
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -4,203 +4,208 @@
 
 import contextlib
 import socket
-from collections import deque
 from functools import partial
+from typing import Any
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from cloverwell.codec.lines import MAX_LINE, MAX_WRITE, PEEK, RingLineReceiver, hung_up
-from cloverwell.codec.meta import CommandError, read_fields
+from cloverwell.codec.meta import CommandError, CommandFields
 from cloverwell.codec.steady_socket import TryAgainError
-from cloverwell.connections.arrival import Arrival
+from cloverwell.connections.arrival import CommandArrival
 from cloverwell.front.connection_owner import ConnectionOwner
-from cloverwell.front.meta_answers import BUSY, DRAINING, FAILED, SERVING, encode_answer
+from cloverwell.front.meta_answers import BUSY, DRAINING, SERVING, encode_answer, encode_error
+from cloverwell.front.meta_commands import LostFramingError, parse_get, parse_set, parse_value_length
 from cloverwell.front.pending_response import PendingResponse
+from cloverwell.front.response_queue import ResponseQueue
 from cloverwell.request import FinalAnswer, Rejected, Request, Served
-from cloverwell.streamed_value import StreamedValue, StreamStage
+from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import STALL_MS
 
-AHEAD = 64  # commands of one connection in hand at once: a client that pipelines more is not read for a while
-MAX_PASSED = 1024 * 1024  # a longer value is not passed over: its client is told, and the connection closed
-FREE_ERRORS, MAX_ERRORS = 8, 24  # malformed commands in a row that cost no pause, and that close a connection
-ERROR_PAUSE_MS = 50.0  # what each of the others costs: the connection is not read for so long
-FIRST_REQUEST_MS = 250.0  # what a new connection's first request may take to come, when this process empties
-PASS_PAUSE_MS = 5.0  # nor behind each piece of what is thrown away once framing is lost
-FLOW_PIECE = 32 * 1024  # of what goes out: the transport holds so much while its client does not read
+AHEAD = 64  # pipelining limit: with so many responses pending, the connection is not read
+# Malformed commands in a row: so many cost no pause of reading, and so many close the connection.
+FREE_ERRORS = 8
+MAX_MALFORMED_COMMANDS = 24
+MALFORMED_COMMAND_PAUSE_MS = 50.0
+DISCARD_PAUSE_MS = 5.0  # between two reads of what is discarded once framing is lost
+FIRST_REQUEST_WAIT_MS = 250.0  # what a new connection's first request may take to come while draining
+FLOW_PIECE = 32 * 1024  # bytes that the transport holds while its client does not read
 
 
 class ClientConnection(RingLineReceiver):
-    """One client's connection: commands become requests, answers leave in the order of the commands."""
+    """One client's connection: commands become requests, and responses leave in the order of the commands."""
 
     in_bytes = MAX_WRITE + 2 * MAX_LINE
     piece_bytes = FLOW_PIECE
+    transport: Any  # Twisted's TCP transport, which is also a producer of bytes
 
-    def __init__(self, side: ConnectionOwner) -> None:
+    def __init__(self, owner: ConnectionOwner[ClientConnection]) -> None:
+        """Create the connection of a client that has just been accepted."""
         super().__init__()
-        self._side = side
-        self._turns: deque[PendingResponse] = deque()
-        self._write: PendingResponse | None = None  # its request waits for the value
-        self._skip = 0  # bytes to pass over, of a value that is not wanted
-        self._error = ""  # what is wrong with the command whose value is passed over
-        self._errors = 0  # malformed commands in a row
-        self._paused = False  # for a while, behind an error
-        self._first = True  # nothing has been read yet
-        self._begun = False  # a command has begun and is not whole
-        self._flow: StreamedValue | None = None  # the long value that is on its way out
-        self._arrival = Arrival()
-        self._made_ms = self.shut_ms = side.timer_wheel.now()  # when our side was closed
-
-    def waited(self, since_ms: float) -> None:
-        """It waited to be accepted: what it has sent may have come since then."""
+        self._owner = owner
+        self._responses = ResponseQueue(self, owner)
+        self._pending_write: PendingResponse | None = None  # Its request's value has not come yet.
+        self._bytes_to_discard = 0  # of the value of a malformed command
+        self._discard_reason = ""  # what is wrong with that command
+        self._malformed_count = 0  # malformed commands in a row
+        self._throttled = False  # Reading is paused because of malformed commands.
+        self._nothing_read = True
+        self._partial_command_reported = False
+        self._arrival = CommandArrival()
+        self._created_ms = self.write_closed_ms = owner.timer_wheel.now()  # when our side was closed
+
+    # Reading ------------------------------------------------------------------------------------
+
+    def waited_in_accept_queue(self, since_ms: float) -> None:
+        """Record that what is read first may have been sent since then, before the accept."""
         self._arrival.accepted(since_ms)
 
     def connectionMade(self) -> None:
+        """Start reading."""
         super().connectionMade()
-        self._look_behind()
+        self._check_buffer_empty()
 
     def dataReceived(self, data: bytes) -> None:
+        """Handle bytes from the client."""
         if self.ended or self._lost:
-            # Read on, so that the client reads its answer rather than a reset; but at no cost to the others.
-            self._pause(PASS_PAUSE_MS)
+            # Reading goes on, so that the client gets its response rather than a reset; but at little cost.
+            self._throttle(DISCARD_PAUSE_MS)
             return
-        # It may have waited to be let in, or for a loop that was held up, and its client have left since: the
-        # close stands behind what is read now.
-        unread_delay_ms = self._side.timer_wheel.unread_delay_ms
-        old, self._first = self._first or unread_delay_ms > STALL_MS, False
-        if old and hung_up([self._socket]):
-            self._side.have_left([self])
+        unread_delay_ms = self._owner.timer_wheel.unread_delay_ms
+        # After a wait to be accepted or an event-loop stall, the client's close may be behind these bytes.
+        may_be_old = self._nothing_read or unread_delay_ms > STALL_MS
+        self._nothing_read = False
+        if may_be_old and hung_up([self._socket]):
+            self._owner.clients_disconnected([self])
             return
-        if not self._held:  # else it stands behind what came before
-            self._arrival.read(
-                self._side.timer_wheel.now(), not (len(self._in) or self._wanted), unread_delay_ms
-            )
-            self._look_behind()
+        if not self._held:  # else these bytes follow others that are not handled yet
+            begins_command = not (len(self._in) or self._wanted)
+            self._arrival.read(self._owner.timer_wheel.now(), begins_command, unread_delay_ms)
+            self._check_buffer_empty()
         super().dataReceived(data)
-        begun, self._begun = self._begun, self.halfway
-        if self._begun and not begun:
-            self._side.quiet(self)  # its time runs from the first byte on: a byte now and then wins nothing
-        elif begun:
-            self._side.more(self)
+        self._report_partial_command()
+
+    def _report_partial_command(self) -> None:
+        reported = self._partial_command_reported
+        self._partial_command_reported = self.halfway
+        if reported:
+            self._owner.partial_command_grew(self)
+        elif self._partial_command_reported:
+            # Its timeout runs from the first byte: sending a byte now and then does not prolong it.
+            self._owner.no_open_request(self)
 
     def hold(self) -> None:
+        """Read no more until `release`."""
         super().hold()
-        self._side.not_read[self] = None
-        self._arrival.not_read(self._side.timer_wheel.now())
+        self._owner.not_read[self] = None
+        self._arrival.not_read(self._owner.timer_wheel.now())
 
     def release(self) -> None:
-        self._side.not_read.pop(self, None)
+        """Read on."""
+        self._owner.not_read.pop(self, None)
         if self._held:
-            self._look_behind()
+            self._check_buffer_empty()
         super().release()
 
-    def _look_behind(self) -> None:
-        if self._arrival.behind and not self._unread():
-            self._arrival.nothing_there()
-
-    @property
-    def waits(self) -> bool:
-        """A request of it is open."""
-        return any(turn.request is not None for turn in self._turns)
+    def _check_buffer_empty(self) -> None:
+        if self._arrival.may_have_waited and not self._has_unread_bytes():
+            self._arrival.buffer_empty()
 
-    def leave(self) -> list[Request]:
-        """Its client has gone, and all that waits here is nobody's: hands over what is open, for its end."""
-        self.end(abort=True)
-        turns, self._turns = self._turns, deque()
-        if self._flow is not None:
-            self._end_flow()
-        for turn in turns:
-            if turn.flow is not None:
-                turn.flow.drop()
-        return [turn.request for turn in turns if turn.request is not None]
-
-    @property
-    def begun_ms(self) -> float:
-        """When the first byte of the command in hand was read."""
-        return self._arrival.seen_ms
-
-    def _pause(self, wait_ms: float) -> None:
-        if not self._paused:
-            self._paused = True
+    def _throttle(self, pause_ms: float) -> None:
+        """Pause reading for a while."""
+        if not self._throttled:
+            self._throttled = True
             self.transport.pauseProducing()
-            timer_wheel = self._side.timer_wheel
-            timer_wheel.not_before(timer_wheel.now() + wait_ms, self._go_on)
+            timer_wheel = self._owner.timer_wheel
+            timer_wheel.not_before(timer_wheel.now() + pause_ms, self._end_throttle)
 
-    def _go_on(self) -> None:
-        self._paused = False
+    def _end_throttle(self) -> None:
+        self._throttled = False
         if self.ended or self._lost:
             self.transport.resumeProducing()
         else:
-            self._flush()
+            self.send_responses()
 
-    # Commands ----------------------------------------------------------------------------------
+    # Commands -----------------------------------------------------------------------------------
 
     def lineReceived(self, line: bytes) -> None:
+        """Handle a command, or its first line if a value follows."""
         if not line.isascii():
-            return self._reject("not ASCII")
+            self._reject_command("not ASCII")
+            return
         words = line.decode().split(" ")
         match words[0]:
             case "mn" if len(words) == 1:
-                self._errors = 0
-                self._side.busy(self)
-                self._say(SERVING if self._side.serving.wanted else DRAINING)
+                self._malformed_count = 0
+                self._owner.request_started(self)
+                self._send_line(SERVING if self._owner.serving.wanted else DRAINING)
             case "mg":
-                self._read(words)
+                self._handle_get(words)
             case "ms":
-                self._store(words)
+                self._handle_set(words)
             case _:
-                self._reject("unknown command")
-        return None if self._wanted else self._arrival.ended()
+                self._reject_command("unknown command")
+        if not self._wanted:
+            self._arrival.command_complete()
 
-    def _read(self, words: list[str]) -> None:
+    def _handle_get(self, words: list[str]) -> None:
         try:
-            if len(words) < 3 or words[2] != "v":
-                raise CommandError("mg needs a key and v")
-            turn = self._parse_request(words[1], words[3:], write=False)
+            fields = parse_get(words, self._owner.classes, self._owner.tenants)
         except CommandError as error:
-            return self._reject(str(error))
-        return self._take(turn)
-
-    def _store(self, words: list[str]) -> None:
-        length = words[2] if len(words) > 2 else ""
-        if not length.isdigit() or len(length) > 9:
-            return self._lose("ms needs a key and a length")
-        number = int(length)
-        if number > MAX_PASSED:
-            return self._lose("value too large")
+            self._reject_command(str(error))
+            return
+        self._start_request(self._new_response(fields, write=False))
+
+    def _handle_set(self, words: list[str]) -> None:
+        try:
+            length_bytes = parse_value_length(words)
+        except LostFramingError as error:
+            self._reject_and_close(str(error))
+            return
+        value_bytes = length_bytes + 2  # with its line end
         try:
-            if number > MAX_WRITE:
-                raise CommandError("value too large")
-            self._write = self._parse_request(words[1], words[3:], write=True)
+            fields = parse_set(words, length_bytes, self._owner.classes, self._owner.tenants)
         except CommandError as error:
-            # The length is known: the value is passed over, and the connection stays in step.
-            self._error, self._skip = str(error), number + 2
-            return self._pass_over()
-        return self.expect_value(number + 2)
+            # The length is known: the value is discarded, and the next command is found behind it.
+            self._discard_reason = str(error)
+            self._bytes_to_discard = value_bytes
+            self._discard_value()
+            return
+        self._pending_write = self._new_response(fields, write=True)
+        self.expect_value(value_bytes)
 
-    def _pass_over(self) -> None:
-        piece = min(self._skip, MAX_WRITE)
-        self._skip -= piece
-        self.expect_value(piece)
+    def _discard_value(self) -> None:
+        piece_bytes = min(self._bytes_to_discard, MAX_WRITE)
+        self._bytes_to_discard -= piece_bytes
+        self.expect_value(piece_bytes)
 
     def valueReceived(self, data: bytes) -> None:
-        if self._error:
-            if self._skip:
-                return self._pass_over()
-            error, self._error = self._error, ""
-            return self._reject(error)
-        turn, self._write = self._write, None
+        """Handle the value of a command, or a piece of one that is discarded."""
+        if self._discard_reason:
+            self._handle_discarded_piece()
+            return
+        response, self._pending_write = self._pending_write, None
+        assert response is not None
+        assert response.request is not None
         if not data.endswith(b"\r\n"):
-            return self._lose("bad data chunk")
-        turn.request.value = data[:-2]
-        self._take(turn)
-        self._arrival.ended()
-        return None
-
-    def _parse_request(self, key: str, flags: list[str], write: bool) -> PendingResponse:
-        fields = read_fields(key, flags, self._side.classes, self._side.tenants)
-        turn = PendingResponse()
-        turn.request = Request(
+            self._reject_and_close("bad data chunk")
+            return
+        response.request.value = data[:-2]
+        self._start_request(response)
+        self._arrival.command_complete()
+
+    def _handle_discarded_piece(self) -> None:
+        if self._bytes_to_discard:
+            self._discard_value()
+            return
+        reason, self._discard_reason = self._discard_reason, ""
+        self._reject_command(reason)
+
+    def _new_response(self, fields: CommandFields, write: bool) -> PendingResponse:
+        """Return the pending response to a new request."""
+        response = PendingResponse()
+        response.request = Request(
             id=fields.id,
             class_number=fields.class_number,
             tenant=fields.tenant,
@@ -209,187 +214,185 @@
             left_ms=fields.wait_ms,
             value=b"",
             info=fields.info,
-            answer=partial(self._give, turn),
+            answer=partial(self._respond, response),
         )
-        return turn
-
-    def _give(self, turn: PendingResponse, request: Request, answer: FinalAnswer) -> None:
-        turn.request = None  # each knows the other: a cycle for every request is work for the collector
-        turn.data = encode_answer(request, answer)
-        if isinstance(answer, Served) and isinstance(answer.body, StreamedValue):
-            turn.flow = answer.body
-            turn.flow.wanted = True
-        self._flush()
-
-    def _take(self, turn: PendingResponse) -> None:
-        self._errors = 0
-        # `d` counts from its first byte, which may have lain unread, or come long before a slow last one.
-        turn.request.left_ms = self._arrival.left_ms(self._side.timer_wheel.now(), turn.request.left_ms)
-        self._turns.append(turn)
-        self._side.busy(self)
-        if len(self._turns) >= AHEAD:
+        return response
+
+    def _start_request(self, response: PendingResponse) -> None:
+        request = response.request
+        assert request is not None
+        self._malformed_count = 0
+        # The client's timeout counts from the first byte, which may have been unread for a while, or have
+        # come long before the last one.
+        request.left_ms = self._arrival.remaining_ms(self._owner.timer_wheel.now(), request.left_ms)
+        self._responses.pending.append(response)
+        self._owner.request_started(self)
+        if len(self._responses.pending) >= AHEAD:
             self.hold()
-        if self._side.crowded():
-            turn.request.finish(Rejected(self._side.busy_ms))
+        if self._owner.crowded():
+            request.finish(Rejected(self._owner.retry_after_ms))
         else:
-            self._side.dispatcher.take(turn.request)
-
-    def _reject(self, reason: str) -> None:
-        self._errors += 1
-        if self._errors >= MAX_ERRORS:
-            return self._lose(reason)
-        if self._errors > FREE_ERRORS:
-            # One that sends the like again as soon as it is turned away must not take the others' time.
+            self._owner.dispatcher.take(request)
+
+    def _reject_command(self, reason: str) -> None:
+        self._malformed_count += 1
+        if self._malformed_count >= MAX_MALFORMED_COMMANDS:
+            self._reject_and_close(reason)
+            return
+        if self._malformed_count > FREE_ERRORS:
+            # A client that repeats malformed commands at once must not take the others' time.
             self.hold()
-            self._pause(ERROR_PAUSE_MS)
-        return self._say(f"CLIENT_ERROR {reason}\r\n".encode())
+            self._throttle(MALFORMED_COMMAND_PAUSE_MS)
+        self._send_line(encode_error(reason))
+
+    def _reject_and_close(self, reason: str) -> None:
+        """Reject a command behind which no other can be found; responses that are pending leave before."""
+        self._send_last_line(encode_error(reason))
+
+    def framingLost(self, reason: str) -> None:
+        """Handle a line or value that is too long."""
+        self._reject_and_close(reason)
+
+    # Responses ----------------------------------------------------------------------------------
+
+    def _respond(self, response: PendingResponse, request: Request, answer: FinalAnswer) -> None:
+        """Take a request's final answer."""
+        response.request = None  # Request and response refer to each other: a cycle would need the collector.
+        response.data = encode_answer(request, answer)
+        if isinstance(answer, Served) and isinstance(answer.body, StreamedValue):
+            response.stream = answer.body
+            response.stream.wanted = True
+        self.send_responses()
 
-    def _lose(self, reason: str) -> None:
-        """Framing is lost: the answers that are owed still leave, and this one is the last."""
-        self._say_last(f"CLIENT_ERROR {reason}\r\n".encode())
+    def _send_line(self, data: bytes) -> None:
+        self._responses.pending.append(PendingResponse(data))
+        self.send_responses()
 
-    def _say_last(self, words: bytes) -> None:
+    def _send_last_line(self, data: bytes) -> None:
         self._lost = True
         self._in.clear()
         self.hold()
-        self._say(words)
-
-    def framingLost(self, reason: str) -> None:
-        self._lose(reason)
-
-    # Answers -----------------------------------------------------------------------------------
-
-    def _say(self, data: bytes) -> None:
-        self._turns.append(PendingResponse(data))
-        self._flush()
-
-    def _flush(self) -> None:
-        """Sends the answers whose turn it is, as far as there is room."""
-        while self._turns and self._turns[0].data is not None:
-            turn = self._turns[0]
-            if (
-                turn.flow is not None and turn.flow.stage is StreamStage.ENDED
-            ):  # it broke before its turn came
-                turn.data, turn.flow = FAILED, None
-            if not self.put(turn.data):
-                break
-            if turn.flow is not None:
-                turn.data = None
-                self._begin(turn.flow)
-            else:
-                self._turns.popleft()
-        if not self._turns:
-            self._side.quiet(self)
+        self._send_line(data)
+
+    def send_responses(self) -> None:
+        """Send the responses that are known; then close the connection if it is time, or read on."""
+        pending = self._responses.pending
+        self._responses.send()
+        if not pending:
+            self._owner.no_open_request(self)
             if self._lost:
-                return self._close_behind()
-            # Who asks again at once would never be seen idle. More may have been read than is handed on yet.
-            if not (self._parsing or self.awaits_first) and self._side.lets_go():
+                self._close_after_responses()
+                return
+            # A client that always sends its next request at once is never seen idle by the periodic check.
+            if not (self._parsing or self.awaits_first_request) and self._owner.closes_between_requests():
                 self.let_go()
-        if len(self._turns) >= AHEAD:
+        if len(pending) >= AHEAD:
             self.hold()
-        elif not self._lost and not self._paused:
+        elif not self._lost and not self._throttled:
             self.release()
-        return None
 
     def roomMade(self) -> None:
-        if self._flow is not None and len(self._out) <= self._side.ahead() // 2:
-            self._flow.go_on()
-        self._flush()
-
-    def _begin(self, flow: StreamedValue) -> None:
-        self._flow = flow
-        self._side.flows += 1
-        flow.open(self._pass_on, self._passed)
-
-    def _pass_on(self, data: bytes) -> None:
-        if not self.put(data):
-            self._end_flow().drop()
-            self.end(abort=True)
-        elif len(self._out) > self._side.ahead():
-            self._flow.hold()
-
-    def _passed(self, whole: bool) -> None:
-        self._end_flow()
-        self._turns.popleft()
-        if whole:
-            self.put(b"\r\n")  # there is room: the ring is larger than what flows are ahead by
-            self._flush()
-        else:
-            self.end()  # behind a part of the value: its client can tell
+        """Send more: the transport has sent what it had."""
+        self._responses.resume_stream()
+        self.send_responses()
 
-    def _end_flow(self) -> StreamedValue:
-        flow, self._flow = self._flow, None
-        self._side.flows -= 1
-        return flow
+    @property
+    def unsent_bytes(self) -> int:
+        """Bytes that wait in the outgoing buffer."""
+        return len(self._out)
 
-    # The end -----------------------------------------------------------------------------------
+    # The end ------------------------------------------------------------------------------------
 
     @property
-    def between_requests(self) -> bool:
-        return not self._turns and not len(self._in) and not self._wanted
+    def waits(self) -> bool:
+        """Whether a request is open."""
+        return self._responses.has_open_request
 
-    def _close_behind(self) -> None:
-        """Closes our side behind the last answer. To close both with bytes unread would be a reset, and the
-        client might never read that answer."""
-        if not self.ended:
-            self.end(only_ours=True)
-            self.transport.resumeProducing()
-            self._side.closing(self)
+    @property
+    def between_requests(self) -> bool:
+        """Whether no response is pending, and no part of a command has come."""
+        return not self._responses.pending and not len(self._in) and not self._wanted
 
     @property
     def halfway(self) -> bool:
-        return not self._turns and not self.between_requests
+        """Whether no response is pending, and a part of a command has come."""
+        return not self._responses.pending and not self.between_requests
 
     @property
     def unread(self) -> bool:
-        """Its client has not read all of its answers."""
+        """Whether the client has not read all of its responses."""
         return self._writing
 
     @property
-    def awaits_first(self) -> bool:
-        """Its first request may be on the way: closed now, it would be read and get no answer."""
-        return self._first and self._side.timer_wheel.now() - self._made_ms < FIRST_REQUEST_MS
+    def command_begun_ms(self) -> float:
+        """When the first byte of the current command was read."""
+        return self._arrival.begun_ms
+
+    @property
+    def awaits_first_request(self) -> bool:
+        """Whether the first request may be on its way: after a close it would be read and not answered."""
+        if not self._nothing_read:
+            return False
+        return self._owner.timer_wheel.now() - self._created_ms < FIRST_REQUEST_WAIT_MS
+
+    def abandon(self) -> list[Request]:
+        """Abort the connection of a client that has disconnected; return its open requests, to be ended."""
+        self.end(abort=True)
+        return self._responses.abandon()
 
     def time_out(self) -> bool:
-        """It has had no open request for long enough: tells of half a command, and closes."""
+        """Close a connection that has had no open request for too long; return whether it could be closed."""
         if not self.halfway:
             return self.let_go()
-        if self.ended or self._lost or self._paused or self._unread():
+        if self.ended or self._lost or self._throttled or self._has_unread_bytes():
             return False
-        self._lose("half a command")
+        self._reject_and_close("half a command")
         return True
 
     def let_go(self, cut: bool = False) -> bool:
-        """Closes between requests, if this is such a moment; `cut`: a part of a request is none.
+        """Close between requests, if no request can be lost by it; return whether it was closed.
 
-        What stands behind malformed commands, until the pause for them is over, may be whole requests."""
-        if self.ended or self._turns or self._writing or self._paused:
+        `cut`: close also behind a partial command. While malformed commands pause the reading, complete
+        requests may be unread behind them.
+        """
+        if self.ended or self._responses.pending or self._writing or self._throttled:
             return False
-        if (not cut and not self.between_requests) or self._unread():
+        if (not cut and not self.between_requests) or self._has_unread_bytes():
             return False
         if self.halfway:
-            # What comes of it yet would be a request that was taken, and is owed a line.
-            self._say_last(BUSY)
+            # The rest of the command would complete a request, which must get a response.
+            self._send_last_line(BUSY)
             return True
         self.ended = True
-        self._side.closing(self)
-        # At once, not with the reactor's next turn: a request that comes before it would be lost. The client
-        # sees the end, closes, and sends what crossed it elsewhere.
+        self._owner.closing(self)
+        # At once, not in the reactor's next iteration: a request that comes before that would be lost. The
+        # client sees the end, closes its side, and sends elsewhere what crossed it.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
         return True
 
-    def _unread(self) -> bool:
-        """A request may stand in the machine's buffer: that one is taken, and a close would lose it."""
+    def _close_after_responses(self) -> None:
+        """Close our side only, behind the last response.
+
+        A close of both sides with bytes unread would be a reset, and the client might not read the response.
+        """
+        if not self.ended:
+            self.end(only_ours=True)
+            self.transport.resumeProducing()
+            self._owner.closing(self)
+
+    def _has_unread_bytes(self) -> bool:
+        """Return whether a request may be in the socket's buffer, which a close would lose."""
         try:
             return bool(self._socket.recv(1, PEEK))
         except TryAgainError:
-            return True  # nobody knows
+            return True  # It could not be checked.
         except OSError:
             return False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Handle the end of the connection."""
         super().connectionLost(reason)
-        if self._turns:
-            self._side.have_left([self])
-        self._side.closed(self)
+        if self._responses.pending:
+            self._owner.clients_disconnected([self])
+        self._owner.closed(self)
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -1,49 +1,62 @@
-"""What a client's connection needs of the owner of them all."""
+"""What a client's connection needs of the owner of all clients' connections."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol, TypeVar
 
-from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.serving import Serving
 from cloverwell.timer_wheel import TimerWheel
 
+ConnectionT = TypeVar("ConnectionT")
 
-class ConnectionOwner(Protocol):
-    """Of clients' connections; each tells it what it does, and asks it what it may do."""
+
+class ConnectionOwner(Protocol[ConnectionT]):
+    """The owner of clients' connections: each reports what it does, and asks what it may do.
+
+    Attributes:
+        dispatcher: carries out requests.
+        serving: whether this process is ready, or draining.
+        timer_wheel: the clock and the timers.
+        classes: the place of each request class by its name.
+        tenants: the place of each tenant by its name.
+        not_read: connections whose reading is paused.
+        retry_after_ms: for clients whose requests are rejected; 0 to send none.
+        flows: streamed values that are being sent.
+    """
 
     dispatcher: Dispatcher
     serving: Serving
     timer_wheel: TimerWheel
-    classes: dict[str, int]  # place by name
+    classes: dict[str, int]
     tenants: dict[str, int]
-    not_read: dict[RingLineReceiver, None]
-    busy_ms: float
+    not_read: dict[ConnectionT, None]
+    retry_after_ms: float
     flows: int
 
-    def busy(self, connection: RingLineReceiver) -> None:
-        """It has an open request."""
+    def request_started(self, connection: ConnectionT) -> None:
+        """Record that the connection has an open request."""
 
-    def quiet(self, connection: RingLineReceiver) -> None:
-        """It has none, from now on; perhaps a part of one."""
+    def no_open_request(self, connection: ConnectionT) -> None:
+        """Record that the connection has no open request, and perhaps a partial command."""
 
-    def more(self, connection: RingLineReceiver) -> None:
-        """More of half a command has come."""
+    def partial_command_grew(self, connection: ConnectionT) -> None:
+        """Record that more bytes of a partial command have come."""
 
-    def closing(self, connection: RingLineReceiver) -> None:
-        """Our side is closed."""
+    def closing(self, connection: ConnectionT) -> None:
+        """Record that our side of the connection is closed."""
 
-    def closed(self, connection: RingLineReceiver) -> None: ...
+    def closed(self, connection: ConnectionT) -> None:
+        """Record that the connection is closed on both sides."""
 
-    def have_left(self, connections: list[Any]) -> None:
-        """Their clients have closed: what is open there ends as one."""
+    def clients_disconnected(self, connections: list[ConnectionT]) -> None:
+        """End all that is open for clients that have closed their connections, at once."""
 
     def crowded(self) -> bool:
-        """So many have requests open that new work is refused."""
+        """Return whether new requests are rejected because too many clients have open ones."""
 
-    def lets_go(self) -> bool:
-        """A connection without a request goes."""
+    def closes_between_requests(self) -> bool:
+        """Return whether a connection without an open request is to be closed."""
 
-    def ahead(self) -> int:
-        """Bytes that a long value may be ahead of its reader."""
+    def stream_buffer_bytes(self) -> int:
+        """Return how many bytes of a streamed value may wait for a client that reads slowly."""
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -1,147 +1,202 @@
 """The operators' port: HTTP/1.1, one call to a connection.
 
-It has no state of its own and asks `OperatorService`.
+It has no state of its own and asks an `OperatorService`.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import dataclass
 from http import HTTPStatus
-from typing import Protocol
+from typing import Any, NamedTuple, Protocol
 
 import h11
-from twisted.internet.address import IPv4Address
-from twisted.internet.protocol import Factory, connectionDone
-from twisted.internet.protocol import Protocol as Connection
+from twisted.internet import protocol
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from cloverwell.codec.steady_socket import steady
+from cloverwell.front.port import BoundedFactory
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
 
-CALLERS = 8  # at once; one more, and the one that has stood longest is closed
-CALL_MS = 5000.0  # what a caller may take
-MAX_HEAD = 4096
-MAX_BODY = 4096  # no call has one; what comes all the same is thrown away
+CALLERS = 8  # connections at once; for one more, the oldest is closed
+CALL_TIMEOUT_MS = 5000.0
+MAX_HEAD = 4096  # bytes
+MAX_BODY = 4096  # bytes; no call has a body, and one that comes all the same is discarded
 
 
 class OperatorService(Protocol):
-    """What may be asked: each call answers yes or no, but for `configuration`."""
+    """What operators may call; a call that is done at once returns whether the state is now as wanted."""
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Return whether this process can serve."""
 
-    def drain(self) -> bool: ...
+    def drain(self) -> bool:
+        """Start to drain this process."""
 
-    def undrain(self) -> bool: ...
+    def undrain(self) -> bool:
+        """End the drain."""
 
     def configuration(self) -> str | None:
-        """One line on what is in force; None where no control log tells it."""
+        """Return one line on the active configuration; None where no control log has one."""
 
 
-class Operators(Factory):
-    noisy = False
+@dataclass(slots=True, frozen=True)
+class OperatorCall:
+    """A call without arguments, by its HTTP method."""
 
-    def __init__(self, desk: OperatorService, timer_wheel: TimerWheel, log: Log) -> None:
+    method: str
+    run: Callable[[], bool]
+
+
+class OperatorResponse(NamedTuple):
+    """The response to a call."""
+
+    status: HTTPStatus
+    text: str
+    headers: list[tuple[str, str]]  # beside those that each response has
+
+
+class Operators(BoundedFactory):
+    """Accepts operators' connections, and answers their calls."""
+
+    def __init__(self, service: OperatorService, timer_wheel: TimerWheel, log: Log) -> None:
+        """Answer calls by what `service` returns, and log those that change something."""
+        self._service = service
         self._log = log
         self.timer_wheel = timer_wheel
-        self.callers: dict[OperatorConnection, None] = {}  # the first has stood longest
-        self._calls = {"/ready": ("GET", desk.ready), "/drain": ("PUT", desk.drain)}
-        self._calls["/undrain"] = ("PUT", desk.undrain)
-        self._desk = desk
+        self.callers: dict[OperatorConnection, None] = {}  # the oldest first
+        self._calls = {
+            "/ready": OperatorCall("GET", service.ready),
+            "/drain": OperatorCall("PUT", service.drain),
+            "/undrain": OperatorCall("PUT", service.undrain),
+        }
 
-    # As the port has it -------------------------------------------------------------------------
+    # Accepting ----------------------------------------------------------------------------------
 
     def may_accept(self) -> int:
+        """Return the most connections there may be: older ones make room for new ones."""
         return CALLERS
 
     def accept_failed(self, reason: str) -> None:
+        """Log that this machine can't accept for a moment."""
         self._log.warn("operator", f"no caller could be let in for a moment: {reason}")
 
-    def accepts_no_more(self) -> None:
-        """How long a caller waits to be let in does not count."""
-
-    def buildProtocol(self, addr: IPv4Address) -> OperatorConnection:
+    def buildProtocol(self, _addr: IAddress | None) -> OperatorConnection:
+        """Make a connection, and close the oldest where there are too many."""
         while len(self.callers) >= CALLERS:
             next(iter(self.callers)).close()
-        caller = OperatorConnection(self)
-        self.callers[caller] = None
-        return caller
+        connection = OperatorConnection(self)
+        self.callers[connection] = None
+        return connection
 
     # Calls --------------------------------------------------------------------------------------
 
-    def answer(self, method: str, path: str) -> tuple[int, str, list[tuple[str, str]]]:
-        """Status, body and further headers."""
-        if path == "/configuration" and (told := self._desk.configuration()) is not None:
-            return (200, told, []) if method == "GET" else (405, f"{path} wants GET", [("Allow", "GET")])
-        if path not in self._calls:
-            return 404, "there are /ready, /drain and /undrain", []
-        wanted, call = self._calls[path]
-        if method != wanted:
-            return 405, f"{path} wants {wanted}", [("Allow", wanted)]
-        yes = call()
+    def answer(self, method: str, path: str) -> OperatorResponse:
+        """Carry out a call and return its response."""
+        if path == "/configuration" and (line := self._service.configuration()) is not None:
+            return (
+                OperatorResponse(HTTPStatus.OK, line, []) if method == "GET" else _wrong_method(path, "GET")
+            )
+        call = self._calls.get(path)
+        if call is None:
+            return OperatorResponse(HTTPStatus.NOT_FOUND, "there are /ready, /drain and /undrain", [])
+        if method != call.method:
+            return _wrong_method(path, call.method)
+        done = call.run()
+        text = "yes" if done else "no"
         if method == "PUT":
-            self._log.info("operator", f"{method} {path}: {'yes' if yes else 'no'}")
-        return (200, "yes", []) if yes else (503, "no", [])
+            self._log.info("operator", f"{method} {path}: {text}")
+        return OperatorResponse(HTTPStatus.OK if done else HTTPStatus.SERVICE_UNAVAILABLE, text, [])
+
+
+def _wrong_method(path: str, method: str) -> OperatorResponse:
+    return OperatorResponse(HTTPStatus.METHOD_NOT_ALLOWED, f"{path} wants {method}", [("Allow", method)])
 
 
-class OperatorConnection(Connection):
-    """One caller's connection: a call comes, its answer leaves, and that was all."""
+class OperatorConnection(protocol.Protocol):
+    """One operator's connection: a call comes, its response leaves, and the connection is closed."""
 
-    def __init__(self, side: Operators) -> None:
-        self._side = side
+    transport: Any  # Twisted's TCP transport
+
+    def __init__(self, owner: Operators) -> None:
+        """Create the connection of an operator that has just been accepted."""
+        self._owner = owner
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD)
-        self._call: h11.Request | None = None
-        self._body = 0
+        self._request: h11.Request | None = None
+        self._body_bytes = 0
         self._answered = False
         self._timer: Timer | None = None
 
     def connectionMade(self) -> None:
+        """Start the call's timeout."""
         steady(self.transport)
-        timer_wheel = self._side.timer_wheel
-        self._timer = timer_wheel.at(timer_wheel.now() + CALL_MS, self.close)
+        timer_wheel = self._owner.timer_wheel
+        self._timer = timer_wheel.at(timer_wheel.now() + CALL_TIMEOUT_MS, self.close)
 
     def dataReceived(self, data: bytes) -> None:
+        """Handle bytes from the operator; what comes after the call is discarded."""
         if self._answered:
-            return None  # whatever else it says
+            return
         try:
             self._http.receive_data(data)
-            while True:
-                match event := self._http.next_event():
-                    case h11.Request():
-                        self._call = event
-                        if self._http.they_are_waiting_for_100_continue:
-                            go_on = h11.InformationalResponse(status_code=100, headers=[])
-                            self.transport.write(self._http.send(go_on))
-                    case h11.Data():
-                        self._body += len(event.data)
-                        if self._body > MAX_BODY:
-                            return self._answer(413, "no call has a body", [])
-                    case h11.EndOfMessage():
-                        path = self._call.target.decode("latin-1").partition("?")[0]
-                        return self._answer(*self._side.answer(self._call.method.decode("latin-1"), path))
-                    case _:  # more is needed, or it closed
-                        return None
+            response = self._handle_events()
         except h11.RemoteProtocolError as error:
-            self._answer(error.error_status_hint or 400, str(error), [])
-        return None
-
-    def _answer(self, status: int, text: str, headers: list[tuple[str, str]]) -> None:
+            response = OperatorResponse(HTTPStatus(error.error_status_hint or 400), str(error), [])
+        if response is not None:
+            self._send(response)
+
+    def _handle_events(self) -> OperatorResponse | None:
+        """Return the response once the call is complete; raises `h11.RemoteProtocolError`."""
+        while True:
+            match event := self._http.next_event():
+                case h11.Request():
+                    self._request = event
+                    self._send_continue()
+                case h11.Data():
+                    self._body_bytes += len(event.data)
+                    if self._body_bytes > MAX_BODY:
+                        return OperatorResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "no call has a body", [])
+                case h11.EndOfMessage():
+                    assert self._request is not None
+                    path = self._request.target.decode("latin-1").partition("?")[0]
+                    return self._owner.answer(self._request.method.decode("latin-1"), path)
+                case _:  # More bytes are needed, or the operator has closed the connection.
+                    return None
+
+    def _send_continue(self) -> None:
+        if self._http.they_are_waiting_for_100_continue:
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            self.transport.write(self._http.send(response))
+
+    def _send(self, response: OperatorResponse) -> None:
         self._answered = True
-        body = f"{text}\n".encode()
-        headers += [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))]
-        headers.append(("Connection", "close"))
-        head = h11.Response(status_code=status, headers=headers, reason=HTTPStatus(status).phrase)
-        out = self._http.send(head)
-        if self._call is None or self._call.method != b"HEAD":
-            out += self._http.send(h11.Data(data=body))
-        self.transport.write(out)
-        # To close both sides with bytes unread would be a reset, and the caller might not read the answer.
+        body = f"{response.text}\n".encode()
+        headers = [
+            *response.headers,
+            ("Content-Type", "text/plain"),
+            ("Content-Length", str(len(body))),
+            ("Connection", "close"),
+        ]
+        status = response.status
+        head = h11.Response(status_code=status.value, headers=headers, reason=status.phrase)
+        data = self._http.send(head) or b""
+        if self._request is None or self._request.method != b"HEAD":
+            data += self._http.send(h11.Data(data=body)) or b""
+        self.transport.write(data)
+        # A close of both sides with bytes unread would be a reset, and the response might not be read.
         self.transport.loseWriteConnection()
 
     def close(self) -> None:
-        self._side.callers.pop(self, None)
+        """Abort the connection."""
+        self._owner.callers.pop(self, None)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._side.callers.pop(self, None)
+        """Handle the end of the connection."""
+        super().connectionLost(reason)
+        self._owner.callers.pop(self, None)
         if self._timer is not None:
             self._timer.cancel()
--- a/cloverwell/front/port.py
+++ b/cloverwell/front/port.py
@@ -1,4 +1,7 @@
-"""A listening port that accepts no more in one turn of the loop than its factory has room for."""
+"""A listening port that accepts no more connections at once than its factory has room for.
+
+Twisted's port has no type annotations; calls of its methods are exempt from the type check.
+"""
 
 from __future__ import annotations
 
@@ -7,60 +10,78 @@
 import socket
 import time
 from collections.abc import Callable
-from typing import Any, Protocol, TypeVar
+from typing import Any, TypeVar
 
 from twisted.internet import tcp
+from twisted.internet.base import DelayedCall
+from twisted.internet.defer import Deferred
 from twisted.internet.error import CannotListenError
+from twisted.internet.interfaces import IReactorTCP
+from twisted.internet.protocol import Factory
 
 from cloverwell.codec.lines import readable
 from cloverwell.system_calls import NEXT_CONNECTION, SHORTAGE
 
-MOST_TURNS = 32  # at the end, each as many as the factory lets in at once: the machine's queue is shorter
-MOST_FAILED = 16  # connections in a row that have ended before they were accepted; then the port rests
-REST_S = 0.02  # after an accept that failed; reading on, the loop would turn without a pause
-TELL_S = 1.0  # between two words to the factory that accepts fail
-START_TRIES, START_PAUSE_S = 25, 0.02  # of the first socket, while the machine is short of something
-# Of those an address that is in use, or is none of ours, is told at once.
-PASSES = SHORTAGE - {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
+# Rounds of accepts before a port closes, each of as many connections as the factory accepts at once; the
+# kernel's queue is shorter than all of them together.
+MOST_TURNS = 32
+MAX_FAILED_ACCEPTS = 16  # connections in a row that ended before they were accepted; then the port backs off
+REST_S = 0.02  # after an accept that failed: trying again at once would keep the event loop busy
+TELL_S = 1.0  # between two reports to the factory that accepts fail
+START_ATTEMPTS = 25  # to open the first socket, while the machine is short of something
+START_RETRY_S = 0.02
+# An address that is in use, or not this machine's, is an error that a retry does not help.
+START_RETRIED_ERRORS = SHORTAGE - {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
 
 T = TypeVar("T")
 
 
-class Bounded(Protocol):
+class BoundedFactory(Factory):
+    """A factory for a `BoundedPort`: it says how many connections may be accepted."""
+
+    noisy = False
+
     def may_accept(self) -> int:
-        """So many connections may be accepted now."""
+        """Return how many connections may be accepted now."""
+        raise NotImplementedError
 
     def accept_failed(self, reason: str) -> None:
-        """This machine could not accept for a moment; it is tried again, and told once a second at most."""
+        """Handle a failed accept; it is tried again, and reported once a second at most."""
+        raise NotImplementedError
 
     def accepts_no_more(self) -> None:
-        """The port begins a rest: it is not read meanwhile, and who connects waits. Each rest is told."""
+        """Handle the begin of a backoff, during which new connections wait in the kernel's queue.
 
+        By default the time that a connection waits to be accepted does not matter.
+        """
 
-class _Guarded:
-    """The listening socket. Twisted closes all that wait when an accept fails for want of a descriptor, and
-    with them the requests in them; here they go on waiting."""
 
-    def __init__(self, listening: socket.socket, rest: Callable[[OSError], None]) -> None:
+class _GuardedSocket:
+    """A listening socket whose failed accepts read as an empty queue.
+
+    When an accept fails for want of a descriptor, Twisted closes all connections that wait, and with them the
+    requests that they have sent. Here they go on waiting.
+    """
+
+    def __init__(self, listening: socket.socket, back_off: Callable[[OSError], None]) -> None:
         self._listening = listening
-        self._rest = rest
-        self.empty = False  # nothing waited at the last look
+        self._back_off = back_off
+        self.empty = False  # No connection waited at the last accept.
 
     def accept(self) -> tuple[socket.socket, Any]:
+        """Accept a connection; raises `BlockingIOError` if there is none, or none can be accepted now."""
+        self.empty = False
         try:
-            accepted = self._accept()
+            return self._accept()
         except BlockingIOError:
             self.empty = True
             raise
         except OSError as error:
-            self.empty = False
-            self._rest(error)
+            self._back_off(error)
             raise BlockingIOError(errno.EAGAIN, "none for now") from None
-        self.empty = False
-        return accepted
 
     def _accept(self) -> tuple[socket.socket, Any]:
-        for _ in range(MOST_FAILED - 1):
+        for _ in range(MAX_FAILED_ACCEPTS - 1):
             try:
                 return self._listening.accept()
             except OSError as error:
@@ -68,139 +89,171 @@
                     raise
         return self._listening.accept()
 
-    def __getattr__(self, name: str) -> Any:
+    def __getattr__(self, name: str) -> object:
         return getattr(self._listening, name)
 
 
 class RestingPort(tcp.Port):
-    """A port that an accept that fails neither ends nor has turn in a circle: it rests, and tries again.
+    """A port that backs off after a failed accept and then tries again.
 
-    Whoever holds the port may pause it meanwhile; it goes on only when neither the rest nor the pause
-    lasts."""
+    Whoever holds the port may pause it as well; it is read only while it neither backs off nor is paused.
+    """
 
-    factory: Bounded
-    _resting: Any = None  # the delayed call that ends the rest
+    factory: BoundedFactory
+    _backoff: DelayedCall | None = None  # the call that ends the backoff
     _paused = False
-    _told_s: float | None = None
+    _last_report_s: float | None = None
+    _guarded: _GuardedSocket
 
     @property
     def accepting(self) -> bool:
-        """The port is read: it neither rests nor is paused."""
-        return self._resting is None and not self._paused
+        """Whether the port is read: it neither backs off nor is paused."""
+        return self._backoff is None and not self._paused
 
     def guard(self) -> None:
-        """Listens already."""
-        self.socket = _Guarded(self.socket, self._rest)
+        """Guard the socket, once the port listens."""
+        self._guarded = self.socket = _GuardedSocket(self.socket, self._back_off)
 
-    def _rest(self, error: OSError) -> None:
-        if self._resting is None and not self.disconnecting:
-            self.stopReading()
-            self._resting = self.reactor.callLater(REST_S, self._go_on)
+    def _back_off(self, error: OSError) -> None:
+        if self._backoff is None and not self.disconnecting:
+            self.stopReading()  # type: ignore[no-untyped-call]
+            self._backoff = self.reactor.callLater(REST_S, self._end_backoff)
             self.factory.accepts_no_more()
         now_s = self.reactor.seconds()
-        if self._told_s is None or now_s - self._told_s >= TELL_S:
-            self._told_s = now_s
+        if self._last_report_s is None or now_s - self._last_report_s >= TELL_S:
+            self._last_report_s = now_s
             self.factory.accept_failed(str(error))
 
-    def _go_on(self) -> None:
-        self._resting = None
+    def _end_backoff(self) -> None:
+        self._backoff = None
         if not self._paused:
             self.resumeProducing()
 
     def startReading(self) -> None:
-        if self._resting is None:
-            super().startReading()
+        """Read the port, unless it backs off."""
+        if self._backoff is None:
+            super().startReading()  # type: ignore[no-untyped-call]
 
     def pauseProducing(self) -> None:
+        """Accept no connections until `resumeProducing`."""
         self._paused = True
-        super().pauseProducing()
+        super().pauseProducing()  # type: ignore[no-untyped-call]
 
     def resumeProducing(self) -> None:
+        """End the pause; a backoff goes on."""
         self._paused = False
-        super().resumeProducing()
+        super().resumeProducing()  # type: ignore[no-untyped-call]
 
-    def stopListening(self) -> Any:
-        if self._resting is not None:
-            self._resting.cancel()
-            self._resting = None
-        return super().stopListening()
+    def stopListening(self) -> Deferred[None] | None:  # type: ignore[override]
+        """Close the port."""
+        if self._backoff is not None:
+            self._backoff.cancel()
+            self._backoff = None
+        stopped: Deferred[None] | None = super().stopListening()  # type: ignore[no-untyped-call]
+        return stopped
 
 
 class BoundedPort(RestingPort):
-    """Twisted's port accepts up to a number that it adapts by itself, and hands all over to the factory; what
-    that turns away is reset, with the request in it. What is not accepted waits in the machine's queue."""
+    """A port that asks its factory how many connections to accept.
+
+    Twisted's port accepts up to a number that it adapts by itself; a connection that the factory then refuses
+    is reset, with the request that it has sent. Here it waits in the kernel's queue instead.
+    """
 
-    shared = False  # another process may listen at the same address
+    shared = False  # Another process may listen at the same address.
+
+    @classmethod
+    def from_descriptor(cls, reactor: IReactorTCP, descriptor: int, factory: BoundedFactory) -> BoundedPort:
+        """Make a port of a duplicate of a descriptor that listens already; raises `OSError`."""
+        # The reactor's public `adoptStreamPort` makes a plain port.
+        port: BoundedPort = cls._fromListeningDescriptor(reactor, descriptor, socket.AF_INET, factory)  # type: ignore[no-untyped-call]
+        return port
 
     def createInternetSocket(self) -> socket.socket:
-        made = super().createInternetSocket()
+        """Create the socket, for several processes if the port is shared."""
+        created: socket.socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
         if self.shared:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        return made
+            created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        return created
 
     def waits(self) -> bool:
-        """A connection waits in the machine's queue."""
-        return readable(self.fileno())
+        """Return whether a connection waits in the kernel's queue."""
+        return readable(self.fileno())  # type: ignore[no-untyped-call]
 
     def share(self) -> int:
-        """The descriptor, for another process; what waits in the queue waits for both from now on."""
-        self._shouldShutdown = False  # ours is closed at the end, but the socket itself must go on listening
-        return self.fileno()
-
-    def stopListening(self) -> Any:
-        # What waits in the queue would be reset where no other process holds the socket.
-        self.disconnecting = True  # an accept that fails is tried again at once, and starts no rest
+        """Return the descriptor for another process, which from now on accepts from the same queue."""
+        self._shouldShutdown = False  # This process closes its descriptor; the socket must go on listening.
+        descriptor: int = self.fileno()  # type: ignore[no-untyped-call]
+        return descriptor
+
+    def stopListening(self) -> Deferred[None] | None:  # type: ignore[override]
+        """Accept what waits, which would be reset where no other process has the socket, and close."""
+        self.disconnecting = True  # From now on a failed accept is tried again at once, without a backoff.
         for _ in range(MOST_TURNS):
             if self._shouldShutdown:
-                self.doRead()
-                if self.socket.empty:
+                self.doRead()  # type: ignore[no-untyped-call]
+                if self._guarded.empty:
                     break
         return super().stopListening()
 
     @property
     def numberAccepts(self) -> int:
+        """How many connections Twisted accepts in one iteration of the event loop."""
         return self.factory.may_accept()
 
     @numberAccepts.setter
-    def numberAccepts(self, _adapted: int) -> None:
-        pass
+    def numberAccepts(self, adapted: int) -> None:
+        """Ignore the number that Twisted adapts."""
 
 
 def listen(
-    reactor: Any, host: str, port: int, factory: Any, backlog: int, shared: bool = False
+    reactor: IReactorTCP, host: str, port: int, factory: BoundedFactory, backlog: int, shared: bool = False
 ) -> BoundedPort:
-    """Raises `CannotListenError`."""
-    bounded = BoundedPort(port, factory, backlog, host, reactor)
+    """Listen at an address.
+
+    Args:
+        reactor: Twisted's reactor.
+        host: the interface's address.
+        port: its port; 0 for any free one.
+        factory: makes the protocols of the connections.
+        backlog: connections that the kernel lets wait.
+        shared: another process may listen at the same address.
+
+    Raises:
+        CannotListenError: the address can't be had.
+    """
+    # Twisted's types know its factories as implementations of an interface only with a plugin of mypy.
+    bounded = BoundedPort(port, factory, backlog, host, reactor)  # type: ignore[arg-type]
     bounded.shared = shared
     return _start(bounded)
 
 
-def adopt(reactor: Any, descriptor: int, factory: Any) -> BoundedPort:
-    """Listens on the socket of another process; the descriptor is taken."""
-    bounded = _patiently(
-        lambda: BoundedPort._fromListeningDescriptor(reactor, descriptor, socket.AF_INET, factory)
-    )
-    os.close(descriptor)  # Twisted has made its own
+def adopt(reactor: IReactorTCP, descriptor: int, factory: BoundedFactory) -> BoundedPort:
+    """Listen on another process's socket, and take its descriptor; raises `OSError`."""
+    bounded = _retry_while_short(lambda: BoundedPort.from_descriptor(reactor, descriptor, factory))
+    os.close(descriptor)  # Twisted has made its own.
     return _start(bounded)
 
 
 def _start(bounded: BoundedPort) -> BoundedPort:
-    _patiently(bounded.startListening)
+    _retry_while_short(bounded.startListening)
     bounded.guard()
     return bounded
 
 
-def _patiently(call: Callable[[], T]) -> T:
-    """Calls again while this machine is short of something: nothing is served yet, and half a second is less
-    than a new start of the program takes."""
-    for _ in range(START_TRIES - 1):
+def _retry_while_short(call: Callable[[], T]) -> T:
+    """Call again while this machine is short of something.
+
+    This blocks for half a second at most: nothing is served yet, and a restart of the program takes longer.
+    """
+    for _ in range(START_ATTEMPTS - 1):
         try:
             return call()
         except CannotListenError as error:
-            if error.socketError.errno not in PASSES:
+            if error.socketError.errno not in START_RETRIED_ERRORS:
                 raise
         except OSError as error:
-            if error.errno not in PASSES:
+            if error.errno not in START_RETRIED_ERRORS:
                 raise
-        time.sleep(START_PAUSE_S)
+        time.sleep(START_RETRY_S)
     return call()
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -273,7 +273,7 @@
 
 
 def end_rest(proxy):
-    proxy.service._port._resting.reset(0)
+    proxy.service._port._backoff.reset(0)
 
 
 def told_ms_after_waiting(proxy):
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -13,8 +13,8 @@
 from cloverwell.codec import lines
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import AttemptOutcome
-from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
-from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
+from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_MALFORMED_COMMANDS
+from cloverwell.front.client_connections import DISCONNECT_CHECK_INTERVAL_MS, ClientConnections
 from cloverwell.timer_wheel import STALL_MS
 from lab.play import Play
 from lab.proxy import SETTINGS
@@ -45,7 +45,7 @@
 
 def test_the_bounds_on_the_way_to_knowing_of_a_close_leave_half_the_time():
     # A look at those that are not read, as late as a loop may be that is not yet held up.
-    assert CLIENT_LOOK_MS + STALL_MS <= GONE_MS / 2
+    assert DISCONNECT_CHECK_INTERVAL_MS + STALL_MS <= GONE_MS / 2
 
 
 # Connections that are not read --------------------------------------------------------------------
@@ -55,7 +55,7 @@
 def test_what_stands_behind_malformed_commands_is_not_sent_for_a_client_that_left(rig, begun, leave):
     # Each error pauses the reading for 50 ms, and with nothing in hand the close was not looked for.
     proxy = rig()
-    errors = MAX_ERRORS - 2
+    errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
     proxy.skip(20)
     assert errors > FREE_ERRORS + 4 and not begun
@@ -97,7 +97,7 @@
     for conn in conns[:20]:
         conn.close()
     monkeypatch.setattr(lines.select, "poll", Counted)
-    side.look_at_held()
+    side.check_not_read()
     assert len(calls) == 1 and len(side.not_read) == 40
 
 
@@ -188,8 +188,8 @@
     proxy = rig()
     conn = proxy.client()
     proxy.turn()
-    (guest,) = proxy.service.side.connections
-    guest.dataReceived(write(1))  # taken: its connection to the origin is on the way
+    (connection,) = proxy.service.side.connections
+    connection.dataReceived(write(1))  # taken: its connection to the origin is on the way
     proxy.reactor.runUntilCurrent()
     opening = [one for one in proxy.reactor._selectables.values() if isinstance(one, tcp.BaseClient)]
     (connector,) = [one for one in opening if one.addr == proxy.origin.address]
@@ -268,12 +268,12 @@
 
 
 def knows_late(patch, ms):
-    real = ClientConnections.have_left
+    real = ClientConnections.clients_disconnected
 
-    def have_left(self, connections):
+    def clients_disconnected(self, connections):
         self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: real(self, connections))
 
-    patch.setattr(ClientConnections, "have_left", have_left)
+    patch.setattr(ClientConnections, "clients_disconnected", clients_disconnected)
 
 
 @pytest.mark.parametrize("late_ms, breaks", [(None, True), (150.0, True), (60.0, False)])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Who of the clients' connections is kept: the decision by itself, and the whole proxy under crowds."""
+"""Which clients' connections are kept: the policy by itself, and a whole proxy with many clients."""
 
 from collections import Counter
 
@@ -8,67 +8,69 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from cloverwell.connections.client_policy import (
-    GRACE_MS,
-    KEEP_MS,
-    LINGER_MS,
-    QUIET_MS,
-    SETTLE_MS,
+    CLOSE_TIMEOUT_MS,
+    FIRST_REQUEST_TIMEOUT_MS,
+    IDLE_TIMEOUT_MS,
+    MAX_FIRST_REQUEST_GRACE_MS,
+    MIN_FIRST_REQUEST_GRACE_MS,
+    PARTIAL_COMMAND_TIMEOUT_MS,
+    RESPONSE_DELIVERY_MS,
     ClientConnectionPolicy,
     ClientStage,
-    Reason,
+    CloseReason,
 )
 from cloverwell.connections.metrics import ConnectionEvent
 from lab.clients import Clients, Silent
 from lab.proxy import World
 
 
-class Guests(RuleBasedStateMachine):
-    """Any order of events: what is kept is exactly who is there, and nobody with a request is ever named."""
+class ConnectionPolicyMachine(RuleBasedStateMachine):
+    """Any order of events: the table has exactly the open connections, and none with a request is closed."""
 
-    @initialize(most=st.integers(4, 40), asking=st.integers(2, 20))
-    def start(self, most, asking):
+    @initialize(most=st.integers(4, 40), max_requesting=st.integers(2, 20))
+    def start(self, most, max_requesting):
         self.now = 1000.0
-        self.front = ClientConnectionPolicy(most, asking, self.now)
+        self.policy = ClientConnectionPolicy(most, max_requesting, self.now)
         self.model: dict[int, ClientStage] = {}
         self.since: dict[int, float] = {}
         self.count = 0
 
     def pick(self, data, *stages):
-        return data.draw(st.sampled_from([guest for guest, stage in self.model.items() if stage in stages]))
+        return data.draw(st.sampled_from([client for client, stage in self.model.items() if stage in stages]))
 
-    def put(self, guest, stage):
-        self.model[guest], self.since[guest] = stage, self.now
+    def put(self, client, stage):
+        self.model[client], self.since[client] = stage, self.now
 
     @rule(source=st.sampled_from("abc"))
     def opens(self, source):
         self.count += 1
-        self.front.opened(self.count, self.now, source)
+        self.policy.opened(self.count, self.now, source)
         self.put(self.count, ClientStage.NEW)
 
     @precondition(
         lambda self: any(
-            s in (ClientStage.NEW, ClientStage.HALF, ClientStage.QUIET) for s in self.model.values()
+            s in (ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE) for s in self.model.values()
         )
     )
     @rule(data=st.data())
     def asks(self, data):
-        guest = self.pick(data, ClientStage.NEW, ClientStage.HALF, ClientStage.QUIET)
-        self.front.asked(guest, self.now)
-        self.put(guest, ClientStage.BUSY)
+        client = self.pick(data, ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE)
+        self.policy.request_started(client, self.now)
+        self.put(client, ClientStage.ACTIVE)
 
-    @precondition(lambda self: ClientStage.BUSY in self.model.values())
-    @rule(data=st.data(), half=st.booleans())
-    def is_answered(self, data, half):
-        guest = self.pick(data, ClientStage.BUSY)
-        self.front.quiet(guest, self.now, half)
-        self.put(guest, ClientStage.HALF if half else ClientStage.QUIET)
+    @precondition(lambda self: ClientStage.ACTIVE in self.model.values())
+    @rule(data=st.data(), partial=st.booleans())
+    def is_answered(self, data, partial):
+        client = self.pick(data, ClientStage.ACTIVE)
+        self.policy.no_open_request(client, self.now, partial)
+        self.put(client, ClientStage.PARTIAL_COMMAND if partial else ClientStage.IDLE)
 
     @precondition(lambda self: self.model)
     @rule(data=st.data())
     def goes(self, data):
-        guest = self.pick(data, *ClientStage)
-        self.front.closed(guest)
-        del self.model[guest]
+        client = self.pick(data, *ClientStage)
+        self.policy.closed(client)
+        del self.model[client]
 
     @rule(ms=st.sampled_from([1.0, 30.0, 150.0, 700.0, 2500.0, 11_000.0]))
     def time_passes(self, ms):
@@ -76,105 +78,108 @@
 
     def carry_out(self, closes, data):
         for close in closes:
-            stage = self.model[close.guest]
-            assert stage is not ClientStage.BUSY, "named with a request in it"
-            assert (close.reason is Reason.LINGER) == (stage is ClientStage.CLOSING)
-            if close.reason is Reason.LINGER:
-                self.front.closed(close.guest)
-                del self.model[close.guest]
+            stage = self.model[close.client]
+            assert stage is not ClientStage.ACTIVE, "named with a request in it"
+            assert (close.reason is CloseReason.CLOSE_TIMEOUT) == (stage is ClientStage.CLOSING)
+            if close.reason is CloseReason.CLOSE_TIMEOUT:
+                self.policy.closed(close.client)
+                del self.model[close.client]
             elif data.draw(st.booleans()):
-                self.front.closing(close.guest, self.now)
-                self.put(close.guest, ClientStage.CLOSING)
+                self.policy.closing(close.client, self.now)
+                self.put(close.client, ClientStage.CLOSING)
             else:
-                self.front.spare(close.guest, self.now)  # a request stands unread
-        assert len({close.guest for close in closes}) == len(closes)
+                self.policy.close_failed(close.client, self.now)  # a request stands unread
+        assert len({close.client for close in closes}) == len(closes)
 
     @rule(data=st.data())
     def sweep(self, data):
-        closes = self.front.overdue(self.now)
+        closes = self.policy.expired(self.now)
         for close in closes:
             limit = {
-                ClientStage.NEW: QUIET_MS,
-                ClientStage.HALF: QUIET_MS,
-                ClientStage.QUIET: KEEP_MS,
-                ClientStage.CLOSING: LINGER_MS,
+                ClientStage.NEW: FIRST_REQUEST_TIMEOUT_MS,
+                ClientStage.PARTIAL_COMMAND: PARTIAL_COMMAND_TIMEOUT_MS,
+                ClientStage.IDLE: IDLE_TIMEOUT_MS,
+                ClientStage.CLOSING: CLOSE_TIMEOUT_MS,
             }
-            assert self.now - self.since[close.guest] >= limit[self.model[close.guest]]
+            assert self.now - self.since[close.client] >= limit[self.model[close.client]]
         self.carry_out(closes, data)
 
     @rule(data=st.data(), wanted=st.integers(1, 10), room=st.integers(-1, 3))
     def make_room(self, data, wanted, room):
-        closes = self.front.for_room(self.now, wanted, room)
+        closes = self.policy.to_make_room(self.now, wanted, room)
         assert len(closes) <= 2 * wanted
         for close in closes:
-            least = {ClientStage.NEW: GRACE_MS[0], ClientStage.QUIET: SETTLE_MS}.get(
-                self.model[close.guest], 0.0
+            least = {ClientStage.NEW: MIN_FIRST_REQUEST_GRACE_MS, ClientStage.IDLE: RESPONSE_DELIVERY_MS}.get(
+                self.model[close.client], 0.0
             )
-            assert self.now - self.since[close.guest] >= least, "named before its time"
+            assert self.now - self.since[close.client] >= least, "named before its time"
         self.carry_out(closes, data)
 
     @rule(data=st.data())
     def let_ask(self, data):
-        closes = self.front.for_asking(self.now)
-        assert all(self.model[close.guest] is ClientStage.QUIET and not close.cut for close in closes)
+        closes = self.policy.to_admit_requests(self.now)
+        assert all(self.model[close.client] is ClientStage.IDLE and not close.abort for close in closes)
         self.carry_out(closes, data)
 
     @invariant()
     def keeps_those_who_are_there(self):
-        if not hasattr(self, "front"):
+        if not hasattr(self, "policy"):
             return
-        front = self.front
-        assert len(front) == len(self.model)
-        assert {guest: front.stage_of(guest) for guest in self.model} == self.model
-        assert front.busy == list(self.model.values()).count(ClientStage.BUSY)
-        lines = [front._new, front._half, front._closing, *front._quiet]
-        assert sum(map(len, lines)) + front.busy == len(self.model)
-        assert sum(front._sources.values()) == list(self.model.values()).count(ClientStage.NEW)
-        assert 1 <= front.reserve(self.now) <= max(4, front.most)
-
-
-Guests.TestCase.settings = settings(max_examples=60, stateful_step_count=40, derandomize=True, deadline=None)
-TestGuests = Guests.TestCase
+        policy = self.policy
+        assert len(policy) == len(self.model)
+        assert {client: policy.stage_of(client) for client in self.model} == self.model
+        assert policy.active_count == list(self.model.values()).count(ClientStage.ACTIVE)
+        states = policy.states
+        lines = [states.new, states.partial, states.closing, *states.idle]
+        assert sum(map(len, lines)) + policy.active_count == len(self.model)
+        assert sum(states.new_by_source.values()) == list(self.model.values()).count(ClientStage.NEW)
+        assert 1 <= policy.reserve(self.now) <= max(4, policy.most)
+
+
+ConnectionPolicyMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=40, derandomize=True, deadline=None
+)
+TestConnectionPolicy = ConnectionPolicyMachine.TestCase
 
 
 def test_the_source_that_holds_most_without_asking_gives_first():
-    front = ClientConnectionPolicy(40, 20, 0.0)
+    policy = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(3):
-        front.opened(f"a{number}", float(number), "a")
+        policy.opened(f"a{number}", float(number), "a")
     for number in range(9):
-        front.opened(f"b{number}", 10.0 + number, "b")
-    named = [close.guest[0] for close in front.for_room(900.0, 4, 1)]
+        policy.opened(f"b{number}", 10.0 + number, "b")
+    named = [close.client[0] for close in policy.to_make_room(900.0, 4, 1)]
     assert named == ["b"] * 8
 
 
 def test_who_asks_once_and_stays_goes_before_who_asks_often():
-    front = ClientConnectionPolicy(40, 20, 0.0)
+    policy = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(200):  # those that ask once never come back here; the others always do
-        front.opened(number, float(number), "")
-        front.asked(number, float(number))
-        front.quiet(number, float(number), False)
-        front.closing(number, float(number))
-        front.closed(number)
-    front.opened("often", 300.0, "")
+        policy.opened(number, float(number), "")
+        policy.request_started(number, float(number))
+        policy.no_open_request(number, float(number), False)
+        policy.closing(number, float(number))
+        policy.closed(number)
+    policy.opened("often", 300.0, "")
     for _ in range(50):
-        front.asked("often", 300.0)
-        front.quiet("often", 300.0, False)
-    front.opened("once", 390.0, "")
-    front.asked("once", 390.0)
-    front.quiet("once", 390.0, False)
-    assert next(close.guest for close in front.for_room(500.0, 1, 1)) == "once"
+        policy.request_started("often", 300.0)
+        policy.no_open_request("often", 300.0, False)
+    policy.opened("once", 390.0, "")
+    policy.request_started("once", 390.0)
+    policy.no_open_request("once", 390.0, False)
+    assert next(close.client for close in policy.to_make_room(500.0, 1, 1)) == "once"
 
 
 def test_a_client_has_about_as_long_to_its_first_request_as_clients_need():
-    front = ClientConnectionPolicy(400, 100, 0.0)
+    policy = ClientConnectionPolicy(400, 100, 0.0)
     for number in range(300):
-        front.opened(number, 1000.0 * number, "")
-        front.asked(number, 1000.0 * number + 5.0)
-    assert front.grace_ms() == GRACE_MS[0]
+        policy.opened(number, 1000.0 * number, "")
+        policy.request_started(number, 1000.0 * number + 5.0)
+    assert policy.first_request_grace_ms() == MIN_FIRST_REQUEST_GRACE_MS
     for number in range(300, 900):
-        front.opened(number, 1000.0 * number, "")
-        front.asked(number, 1000.0 * number + 80.0)
-    assert 80.0 < front.grace_ms() <= GRACE_MS[1]
+        policy.opened(number, 1000.0 * number, "")
+        policy.request_started(number, 1000.0 * number + 80.0)
+    assert 80.0 < policy.first_request_grace_ms() <= MAX_FIRST_REQUEST_GRACE_MS
 
 
 def played(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
@@ -243,16 +248,16 @@
 def test_a_slow_writer_goes_only_where_clients_have_no_place_left():
     # Seen on a crowd day: 341 of 449 clients that wrote slowly were cut off at half a second, and silent ones
     # stood beside them.
-    front = ClientConnectionPolicy(100, 30, 0.0)
-    for guest in ("slow", "silent"):
-        front.opened(guest, 0.0)
-        front.quiet(guest, 0.0, True)
+    policy = ClientConnectionPolicy(100, 30, 0.0)
+    for client in ("slow", "silent"):
+        policy.opened(client, 0.0)
+        policy.no_open_request(client, 0.0, True)
     for now in range(100, 1500, 100):
-        front.more("slow", float(now))
-    assert [close.guest for close in front.for_room(1500.0, 5, 1)] == ["silent"]
-    assert front.for_asking(1500.0) == []
+        policy.partial_command_grew("slow", float(now))
+    assert [close.client for close in policy.to_make_room(1500.0, 5, 1)] == ["silent"]
+    assert policy.to_admit_requests(1500.0) == []
     for number in range(28):
-        front.opened(number, 1500.0)
-        front.asked(number, 1500.0)
-    assert [close.guest for close in front.for_asking(1500.0)] == ["slow"]
-    assert [close.guest for close in front.overdue(2400.0)] == ["slow", "silent"]
+        policy.opened(number, 1500.0)
+        policy.request_started(number, 1500.0)
+    assert [close.client for close in policy.to_admit_requests(1500.0)] == ["slow"]
+    assert [close.client for close in policy.expired(2400.0)] == ["slow", "silent"]
