--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -2,8 +2,8 @@
 
 Each side has a floor that the other can never take; what is between the floors goes to whoever asks first. A
 side that finds no room closes an idle connection of its own, or asks the other to close one that it holds
-beyond its floor (`lender`). The invariant, kept at every change: what is held never exceeds the total (except
-for a while after a smaller total has been set), and each side can reach its floor whatever the other does.
+beyond its floor. The invariant, kept at every change: what is held never exceeds the total (except for a
+while after a smaller total has been set), and each side can reach its floor whatever the other does.
 """
 
 from enum import Enum
--- a/cloverwell/connections/metrics.py
+++ b/cloverwell/connections/metrics.py
@@ -24,7 +24,7 @@
     RESET = "reset"  # An attempt was lost on a new or busy one.
     # Connections of clients.
     ADMITTED = "admitted"  # A connection was accepted.
-    CLOSED_FRONT = "closed_front"  # The proxy closed one.
+    CLIENT_CLOSED = "closed_front"  # The proxy closed one.
     CLOSE_SKIPPED = "spared"  # One was to be closed, but a request or response was unread.
     REQUEST_REFUSED = "request_refused"  # A request was rejected for want of descriptors.
     PAUSED = "paused"  # No connection was accepted for a while.
--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -35,7 +35,7 @@
                 return
             if self._close(choice):
                 wanted -= 1
-                self._metrics.add(ConnectionEvent.CLOSED_FRONT, choice.reason.value)
+                self._metrics.add(ConnectionEvent.CLIENT_CLOSED, choice.reason.value)
             else:
                 self._metrics.add(ConnectionEvent.CLOSE_SKIPPED)
                 self._policy.close_failed(choice.client, self._timer_wheel.now())
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -98,7 +98,8 @@
         self._metrics = metrics
         self._full = False
         self._queue = AcceptQueue(BACKLOG + 1)  # Linux lets one more connection wait than the backlog.
-        self.borrow: Callable[[], object] = lambda: None  # asks the nodes' side to release a descriptor
+        # Asks the nodes' side to release a descriptor.
+        self.borrow: Callable[[], object] = lambda: None
         timer_wheel.on_stall = self._check_after_stall
         self._check_policy()
         self._check_disconnected_periodically()
