--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -88,7 +88,7 @@
 
     def _report_partial_command(self) -> None:
         reported = self._partial_command_reported
-        self._partial_command_reported = self.halfway
+        self._partial_command_reported = self.has_partial_command
         if reported:
             self._owner.partial_command_grew(self)
         elif self._partial_command_reported:
@@ -314,7 +314,7 @@
         return not self._responses.pending and not len(self._in) and not self._wanted
 
     @property
-    def halfway(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether no response is pending, and a part of a command has come."""
         return not self._responses.pending and not self.between_requests
 
@@ -342,7 +342,7 @@
 
     def time_out(self) -> bool:
         """Close a connection that has had no open request for too long; return whether it could be closed."""
-        if not self.halfway:
+        if not self.has_partial_command:
             return self.let_go()
         if self.ended or self._lost or self._throttled or self._has_unread_bytes():
             return False
@@ -359,7 +359,7 @@
             return False
         if (not cut and not self.between_requests) or self._has_unread_bytes():
             return False
-        if self.halfway:
+        if self.has_partial_command:
             # The rest of the command would complete a request, which must get a response.
             self._send_last_line(BUSY)
             return True
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -83,8 +83,8 @@
         self.dispatcher = dispatcher
         self.serving = serving
         self.timer_wheel = timer_wheel
-        self.classes = {request_class.name: place for place, request_class in enumerate(settings.classes)}
-        self.tenants = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
+        self.classes = {request_class.name: number for number, request_class in enumerate(settings.classes)}
+        self.tenants = {tenant.name: number for number, tenant in enumerate(settings.tenants)}
         self.retry_after_ms = min(RETRY_AFTER_MS, settings.max_retry_after_ms)
         self.connections: dict[ClientConnection, None] = {}  # in the order in which they were accepted
         self._detector = DisconnectDetector(self.connections, timer_wheel)
@@ -172,7 +172,7 @@
     def no_open_request(self, connection: ClientConnection) -> None:
         """Record that the connection has no open request, and perhaps a partial command."""
         self.front.no_open_request(
-            connection, self.timer_wheel.now(), connection.halfway, connection.command_begun_ms
+            connection, self.timer_wheel.now(), connection.has_partial_command, connection.command_begun_ms
         )
 
     def partial_command_grew(self, connection: ClientConnection) -> None:
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -18,8 +18,8 @@
         dispatcher: carries out requests.
         serving: whether this process is ready, or draining.
         timer_wheel: the clock and the timers.
-        classes: the place of each request class by its name.
-        tenants: the place of each tenant by its name.
+        classes: the number of each request class by its name.
+        tenants: the number of each tenant by its name.
         not_read: connections whose reading is paused.
         retry_after_ms: for clients whose requests are rejected; 0 to send none.
         flows: streamed values that are being sent.
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,7 +1,7 @@
-"""A client that closes has gone: no attempt, first or further, begins for it more than 0.1 s later.
+"""Disconnected clients: no attempt, first or retry, begins for one more than 0.1 s after its close.
 
-On real sockets. The crossing is forced: `lag` holds the loop up with the close unread, and what the proxy's
-reactor would read first is handed to it by the test.
+On real sockets. The crossing is forced: `lag` stalls the event loop with the close unread, and the test hands
+the proxy what its reactor would read first.
 """
 
 import socket
@@ -20,7 +20,7 @@
 from lab.proxy import SETTINGS
 from lab.world import load
 
-GONE_MS = 100.0  # the page's: an attempt that begins later than that behind the close is a break
+DISCONNECT_LIMIT_MS = 100.0  # an attempt that begins later than that after the close breaks the rule
 LEAVE = pytest.mark.parametrize("leave", [socket.socket.close, reset])
 LAG_MS = 300.0
 
@@ -32,20 +32,20 @@
 
 
 def half_close(conn):
-    """Its end looks the same, and it is taken to have gone."""
+    """Close the client's side only: that counts as a disconnect."""
     conn.shutdown(socket.SHUT_WR)
 
 
 def nothing_begins(proxy, begun, before):
-    """Nothing is open, and no attempt has left for a node since there were so many."""
+    """Return whether nothing is open, and no attempt was sent to a node since there were so many."""
     proxy.skip(600)
     left = [attempt for attempt in begun[before:] if attempt.written_ms is not None]
     return not left and not proxy.service.dispatcher.open_count
 
 
 def test_the_bounds_on_the_way_to_knowing_of_a_close_leave_half_the_time():
-    # A look at those that are not read, as late as a loop may be that is not yet held up.
-    assert DISCONNECT_CHECK_INTERVAL_MS + STALL_MS <= GONE_MS / 2
+    # A check of the connections that are not read, in a loop that is as late as one may be without a stall.
+    assert DISCONNECT_CHECK_INTERVAL_MS + STALL_MS <= DISCONNECT_LIMIT_MS / 2
 
 
 # Connections that are not read --------------------------------------------------------------------
@@ -53,15 +53,17 @@
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset, half_close])
 def test_what_stands_behind_malformed_commands_is_not_sent_for_a_client_that_left(rig, begun, leave):
-    # Each error pauses the reading for 50 ms, and with nothing in hand the close was not looked for.
+    # Each error pauses reading for 50 ms; without an open request the close was once not checked for.
     proxy = rig()
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
     proxy.skip(20)
-    assert errors > FREE_ERRORS + 4 and not begun
+    assert errors > FREE_ERRORS + 4
+    assert not begun
     leave(conn)
     proxy.skip(50 * errors)
-    assert not begun and not proxy.service.side.connections
+    assert not begun
+    assert not proxy.service.side.connections
 
 
 @LEAVE
@@ -71,11 +73,12 @@
     conn = proxy.client(b"".join(read(number) for number in range(3 * AHEAD)) + b"mg half a comm")
     proxy.until(lambda: proxy.service.dispatcher.open_count == AHEAD)
     leave(conn)
-    proxy.skip(GONE_MS / 2 - 10)
-    assert not proxy.service.dispatcher.open_count and not proxy.service.side.connections
+    proxy.skip(DISCONNECT_LIMIT_MS / 2 - 10)
+    assert not proxy.service.dispatcher.open_count
+    assert not proxy.service.side.connections
 
 
-def test_all_that_are_not_read_are_looked_at_in_one_call(rig, monkeypatch):
+def test_all_connections_that_are_not_read_are_checked_in_one_call(rig, monkeypatch):
     proxy = rig(sockets=512)
     conns = [proxy.client() for _ in range(60)]
     side = proxy.service.side
@@ -98,7 +101,8 @@
         conn.close()
     monkeypatch.setattr(lines.select, "poll", Counted)
     side.check_not_read()
-    assert len(calls) == 1 and len(side.not_read) == 40
+    assert len(calls) == 1
+    assert len(side.not_read) == 40
 
 
 # Connections that wait to be accepted -------------------------------------------------------------
@@ -106,7 +110,7 @@
 
 @LEAVE
 @pytest.mark.parametrize("data", [read(1), write(1), read(1) + write(2) + b"ms k3 5 O3 Pc=or"])
-def test_a_client_that_left_while_it_waited_to_be_let_in_has_nothing_sent(rig, begun, leave, data):
+def test_a_client_that_left_while_it_waited_to_be_accepted_has_nothing_sent(rig, begun, leave, data):
     proxy = rig()
     proxy.service._port.pauseProducing()  # as when the descriptors are used up
     conn = proxy.client(data)
@@ -115,14 +119,15 @@
     proxy.until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
     proxy.service._port.resumeProducing()
     proxy.skip(400)
-    assert not begun and not proxy.service.dispatcher.open_count
+    assert not begun
+    assert not proxy.service.dispatcher.open_count
 
 
-# After a loop that was held up --------------------------------------------------------------------
+# After an event-loop stall ------------------------------------------------------------------------
 
 
 def taken(proxy, begun, data, number=1):
-    """A client whose requests are out, or in line."""
+    """A client whose requests are sent to a node, or queued."""
     conn = proxy.client(data)
     proxy.until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
     return conn
@@ -131,14 +136,15 @@
 @LEAVE
 @pytest.mark.parametrize("answer", [b"EN O1\r\n", b"SERVER_ERROR busy\r\n", b"SERVER_ERROR failed\r\n"])
 def test_an_answer_read_before_its_clients_old_close_brings_no_further_attempt(rig, begun, leave, answer):
-    # Both stand in their buffers behind a lag, and the reactor reads the node's first.
+    # Both are in their buffers after a stall, and the reactor reads the node's first.
     proxy = rig(nodes=2)
     conn = taken(proxy, begun, read(1))
     (node,) = begun[0].pool.connections
     leave(conn)
     proxy.offset += LAG_MS
     node.dataReceived(answer)
-    assert all(attempt.over for attempt in begun) and nothing_begins(proxy, begun, 1)
+    assert all(attempt.over for attempt in begun)
+    assert nothing_begins(proxy, begun, 1)
 
 
 @LEAVE
@@ -153,7 +159,8 @@
         leave(conn)
     proxy.offset += LAG_MS
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
-    assert nothing_begins(proxy, begun, before) and len(begun) <= before + 1
+    assert nothing_begins(proxy, begun, before)
+    assert len(begun) <= before + 1
     assert all(attempt.over for attempt in begun)
 
 
@@ -166,7 +173,8 @@
     leave(conn)
     proxy.lag(1000.0)  # the attempt's time, half of the request's
     proxy.turn(1)
-    assert len(begun) == 1 and nothing_begins(proxy, begun, 1)
+    assert len(begun) == 1
+    assert nothing_begins(proxy, begun, 1)
 
 
 @LEAVE
@@ -176,11 +184,13 @@
     proxy.service.back.reach_ms = lambda node: 40.0
     conn = taken(proxy, begun, read(1))
     begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
-    assert proxy.service.dispatcher.open_count == 1 and len(begun) == 1
+    assert proxy.service.dispatcher.open_count == 1
+    assert len(begun) == 1
     leave(conn)
     proxy.lag(LAG_MS)
     proxy.turn(1)
-    assert len(begun) == 1 and nothing_begins(proxy, begun, 1)
+    assert len(begun) == 1
+    assert nothing_begins(proxy, begun, 1)
 
 
 @LEAVE
@@ -205,7 +215,7 @@
 @LEAVE
 @pytest.mark.parametrize("number", [60, 300])
 def test_of_a_burst_that_leaves_none_is_given_the_place_of_another(rig, begun, leave, number):
-    # Each close called off a read that was out, and its place at the origin went to the next who had left.
+    # Each close once cancelled an open read; its place at the origin went to the next disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
     proxy.until(lambda: len(proxy.service.side.connections) == number)
@@ -215,7 +225,8 @@
     for conn in conns:
         leave(conn)
     proxy.turn(5)
-    assert len(begun) == before and not proxy.service.dispatcher.open_count
+    assert len(begun) == before
+    assert not proxy.service.dispatcher.open_count
 
 
 def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, begun):
@@ -226,7 +237,8 @@
     assert 1 < before < AHEAD - 1
     conn.close()
     proxy.turn(5)
-    assert len(begun) == before and not proxy.service.dispatcher.open_count
+    assert len(begun) == before
+    assert not proxy.service.dispatcher.open_count
 
 
 # A long value under way ---------------------------------------------------------------------------
@@ -244,12 +256,14 @@
     conn.sendall(b"".join(read(number) for number in range(2, 2 + 2 * AHEAD)) + b"ms k9 70 O9")
     proxy.until(lambda: proxy.service.side.not_read)
     leave(conn)
-    proxy.skip(GONE_MS / 2 - 10)
-    assert not proxy.service.dispatcher.open_count and not proxy.service.side.connections
-    assert not proxy.service.side.flows and nothing_begins(proxy, begun, 1)
+    proxy.skip(DISCONNECT_LIMIT_MS / 2 - 10)
+    assert not proxy.service.dispatcher.open_count
+    assert not proxy.service.side.connections
+    assert not proxy.service.side.flows
+    assert nothing_begins(proxy, begun, 1)
 
 
-# In the lab: a judge outside, over whole days -----------------------------------------------------
+# In the simulation: an invariant checker, over whole runs -----------------------------------------
 
 
 def left(summary):
@@ -260,14 +274,15 @@
 def test_clients_that_leave_alone_and_by_hundreds_have_nothing_sent_later(seed):
     summary = Play(load("leave"), seed).run()
     assert not any(summary["rules"].values()), summary["breaches"]
-    assert summary["ends"]["left"] > 150 and summary["service"] > 0.8, summary["ends"]
+    assert summary["ends"]["left"] > 150, summary["ends"]
+    assert summary["service"] > 0.8, summary["ends"]
 
 
-def forgets_nobody(patch):
+def ignore_disconnects(patch):
     patch.setattr(Dispatcher, "gone", lambda self, requests: None)
 
 
-def knows_late(patch, ms):
+def detect_late(patch, ms):
     real = ClientConnections.clients_disconnected
 
     def clients_disconnected(self, connections):
@@ -276,7 +291,7 @@
     patch.setattr(ClientConnections, "clients_disconnected", clients_disconnected)
 
 
-@pytest.mark.parametrize("late_ms, breaks", [(None, True), (150.0, True), (60.0, False)])
-def test_the_judge_holds_clients_that_left_to_a_tenth_of_a_second(monkeypatch, late_ms, breaks):
-    forgets_nobody(monkeypatch) if late_ms is None else knows_late(monkeypatch, late_ms)
+@pytest.mark.parametrize(("late_ms", "breaks"), [(None, True), (150.0, True), (60.0, False)])
+def test_the_checker_allows_a_tenth_of_a_second_after_a_client_left(monkeypatch, late_ms, breaks):
+    ignore_disconnects(monkeypatch) if late_ms is None else detect_late(monkeypatch, late_ms)
     assert bool(left(Play(load("leave"), 1).run())) == breaks
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: what else the proxy does keeps what it needs."""
+"""Idle clients take all descriptors while discovery is down: the rest of the proxy keeps what it needs."""
 
 import contextlib
 import json
@@ -12,19 +12,21 @@
 from lab.processes import PATIENCE_S, CacheNode, Place, Server, wait_for
 from lab.web import serving
 
-FEWEST = 64  # descriptors that a day may allow
-NEEDED = 12  # of them: for the watch, an operator's call, and ten for cache nodes and the origin
-FULL = "fill their part"  # the log's, as the clients' part is full
-# What an idle client sends before it is silent: nothing, half a command, a question that was answered.
-IDLE_HABITS = {"silent": [b""], "mixed": [b"", b"mg k v O1 P", b"mn\r\n"]}
+DESCRIPTORS = 64  # the fewest that a site may allow
+RESERVED = 12  # of them: for the watch, an operator's call, and ten for cache nodes and the origin
+FULL = "fill their part"  # the log's word once clients hold all descriptors that they may
+READ = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
+WRITE = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
+# What idle clients send before they are silent: nothing, a partial command, a question that is answered.
+FIRST_BYTES = {"silent": [b""], "mixed": [b"", b"mg k v O1 P", b"mn\r\n"]}
 
 
-class Crowd:
+class IdleClients:
     """Twice as many idle connections as the proxy has descriptors; each that is closed is opened again."""
 
-    def __init__(self, address, number, habit):
+    def __init__(self, address, number, first_bytes):
         self.address = address
-        self.first_bytes = IDLE_HABITS[habit]
+        self.first_bytes = first_bytes
         self.number = number
         self.going = True
         self.thread = threading.Thread(target=self._stay)
@@ -86,70 +88,86 @@
 
 @pytest.fixture
 def place(tmp_path):
-    made = Place(tmp_path, sockets=FEWEST)
+    made = Place(tmp_path, sockets=DESCRIPTORS)
     yield made
     made.close()
 
 
-@pytest.mark.parametrize("habit", IDLE_HABITS)
-def test_the_watch_reopens_and_requests_are_served_while_idle_clients_hold_all_places(place, habit):
-    told = json.loads(place.config.read_text())
-    host, port = told["discovery"].split(":")
-    process = place.start().ready()
-    most = []
-    crowd = Crowd(place.listen, 2 * FEWEST, habit)
-    second = Server(("127.0.0.1", 0), CacheNode)
-    second.value = b"of-the-second"
-    threading.Thread(target=second.serve_forever, daemon=True).start()
-
-    def failed_calls():
-        most.append(descriptors(process))
-        return process.log.read_text().count("call failed")
-
-    try:
-        # Full, and calls for lists made and failed while it is.
-        process.says(FULL)
-        before = failed_calls()
-        wait_for(lambda: failed_calls() >= before + 2, "two more failed calls")
-        assert max(most) <= FEWEST - NEEDED, "idle clients have what the others need"
-        assert process.call("GET", "/ready") == 200
-        with (
-            serving(("127.0.0.1", 0)) as origin,
-            serving(
-                (host, int(port)),
-                [
-                    {
-                        "id": "s1",
-                        "host_port": told["known"]["members"][0]["host_port"],
-                        "phase": "terminating",
-                    },
-                    {"id": "s2", "host_port": address(second), "flavor": "large"},
-                    {
-                        "id": "origin",
-                        "host_port": address(origin),
-                        "flavor": "origin",
-                    },
-                ],
-            ) as discovery,
-        ):
-            # The second call is the watch that goes on behind the first one's answer.
-            wait_for(lambda: discovery.calls >= 2, "a watch")
-            read = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
-            write = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
-            answers = []
-
-            def served(text, wanted):
-                most.append(descriptors(process))
-                answers.append(ask(place.listen, text % len(answers)))
-                return wanted in answers[-1]
-
-            wait_for(lambda: served(read, b"of-the-second"), "a read at the node that discovery told")
-            wait_for(lambda: served(write, b"creceipt"), "a write at the origin")
-            assert origin.calls >= 1
-            assert process.call("GET", "/ready") == 200
-    finally:
-        crowd.stop()
-        second.shutdown()
-        second.server_close()
-    assert max(most) <= FEWEST
-    assert "no descriptor could be had" not in process.log.read_text()
+@pytest.fixture
+def second_node():
+    """A cache node that only the restarted discovery lists."""
+    node = Server(("127.0.0.1", 0), CacheNode)
+    node.value = b"of-the-second"
+    threading.Thread(target=node.serve_forever, daemon=True).start()
+    yield node
+    node.shutdown()
+    node.server_close()
+
+
+class BusyProxy:
+    """A proxy whose descriptors are taken by idle clients."""
+
+    def __init__(self, place, first_bytes):
+        self.config = json.loads(place.config.read_text())
+        self.listen = place.listen
+        self.process = place.start().ready()
+        self.descriptor_counts = []
+        self.clients = IdleClients(place.listen, 2 * DESCRIPTORS, first_bytes)
+        self._requests = 0
+
+    def count_descriptors(self):
+        self.descriptor_counts.append(descriptors(self.process))
+
+    def failed_calls(self):
+        """The calls to discovery that have failed so far."""
+        self.count_descriptors()
+        return self.process.log.read_text().count("call failed")
+
+    def served(self, request, expected):
+        """Whether a request on a new connection gets the expected response."""
+        self.count_descriptors()
+        self._requests += 1
+        return expected in ask(self.listen, request % self._requests)
+
+
+@pytest.fixture(params=FIRST_BYTES)
+def proxy(request, place):
+    made = BusyProxy(place, FIRST_BYTES[request.param])
+    yield made
+    made.clients.stop()
+
+
+def restarted_discovery(config, node, origin):
+    """Discovery at its configured address; the node listed before is terminating."""
+    host, port = config["discovery"].split(":")
+    first_address = config["known"]["members"][0]["host_port"]
+    return serving(
+        (host, int(port)),
+        [
+            {"id": "s1", "host_port": first_address, "phase": "terminating"},
+            {"id": "s2", "host_port": address(node), "flavor": "large"},
+            {"id": "origin", "host_port": address(origin), "flavor": "origin"},
+        ],
+    )
+
+
+def test_the_watch_reopens_and_requests_are_served_while_idle_clients_hold_all_places(proxy, second_node):
+    # Full, and calls to discovery made and failed while it is.
+    proxy.process.says(FULL)
+    before = proxy.failed_calls()
+    wait_for(lambda: proxy.failed_calls() >= before + 2, "two more failed calls")
+    assert max(proxy.descriptor_counts) <= DESCRIPTORS - RESERVED, "idle clients have what the others need"
+    assert proxy.process.call("GET", "/ready") == 200
+    with (
+        serving(("127.0.0.1", 0)) as origin,
+        restarted_discovery(proxy.config, second_node, origin) as discovery,
+    ):
+        # The second call is the watch that follows the first one's answer.
+        wait_for(lambda: discovery.calls >= 2, "a watch")
+        wait_for(lambda: proxy.served(READ, b"of-the-second"), "a read at the node that discovery lists")
+        wait_for(lambda: proxy.served(WRITE, b"creceipt"), "a write at the origin")
+        assert origin.calls >= 1
+        assert proxy.process.call("GET", "/ready") == 200
+    proxy.clients.stop()
+    assert max(proxy.descriptor_counts) <= DESCRIPTORS
+    assert "no descriptor could be had" not in proxy.process.log.read_text()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Ends and beginnings on real sockets, at the instant in which something is still owed."""
+"""Connections on real sockets that open or close while a response is still owed."""
 
 import socket
 
@@ -16,12 +16,12 @@
     return rig.got(conn, value + b"\r\n")
 
 
-# Clients that leave -------------------------------------------------------------------------------
+# Clients that disconnect --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 def test_a_close_is_seen_while_its_connection_is_held_and_nothing_that_waits_is_sent(rig, leave):
-    # Before: 64 commands in hand stop the reading, and with it the news that the client has left.
+    # With 64 pending commands the connection is not read, and so its close is not reported.
     proxy = rig(backlog=0)
     proxy.nodes[0].jam()
     conn = proxy.client(b"".join(read(number) for number in range(3 * AHEAD)))
@@ -29,7 +29,8 @@
     assert proxy.service.side.not_read
     leave(conn)
     proxy.skip(100)
-    assert proxy.service.dispatcher.open_count == 0 and not proxy.service.side.connections
+    assert proxy.service.dispatcher.open_count == 0
+    assert not proxy.service.side.connections
 
 
 @pytest.mark.parametrize("number", [1, 40, 3 * AHEAD])
@@ -42,13 +43,14 @@
     while (node := proxy.origin._accept()) is not None:
         sent += node in proxy.origin.taken
     proxy.skip(300)
-    assert proxy.service.dispatcher.open_count <= sent and not proxy.service.side.connections
+    assert proxy.service.dispatcher.open_count <= sent
+    assert not proxy.service.side.connections
     assert proxy.origin._accept() is None
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset])
 def test_what_was_read_long_after_its_client_left_is_not_sent_on(rig, leave):
-    # The loop was held up, and the close stands behind the request: read first, that went out for nobody.
+    # After a stall the close is behind the request, which would be read first and sent for nobody.
     proxy = rig()
     conn = proxy.client(b"mn\r\n")
     proxy.got(conn, b"MN")
@@ -56,11 +58,13 @@
     leave(conn)
     proxy.lag(350.0)
     proxy.turn()
-    assert not proxy.service.dispatcher.open_count and not proxy.service.side.connections
-    assert proxy.origin._accept() is None and proxy.nodes[0]._accept() is None
+    assert not proxy.service.dispatcher.open_count
+    assert not proxy.service.side.connections
+    assert proxy.origin._accept() is None
+    assert proxy.nodes[0]._accept() is None
 
 
-# The close of a resting connection ----------------------------------------------------------------
+# The close of an idle connection ------------------------------------------------------------------
 
 
 def test_a_request_that_comes_between_the_decision_to_close_and_the_close_is_never_sent_on(rig, monkeypatch):
@@ -70,11 +74,11 @@
     proxy.got(node, b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
     proxy.until(lambda: not proxy.service.dispatcher.open_count)
-    looked = ClientConnection._has_unread_bytes
+    check = ClientConnection._has_unread_bytes
 
     def crossing(client_connection):
-        there = looked(client_connection)
-        conn.sendall(read(2))  # after the look, before the close
+        there = check(client_connection)
+        conn.sendall(read(2))  # after the check, before the close
         return there
 
     monkeypatch.setattr(ClientConnection, "_has_unread_bytes", crossing)
@@ -82,7 +86,8 @@
     # The answer before is whole, its end an end and no reset, and the client sends the other one elsewhere.
     assert proxy.ended(conn) == b"VA 1 O1\r\nx\r\nEND"
     proxy.skip(300)
-    assert not proxy.service.dispatcher.open_count and b"k2" not in proxy.ended(node)
+    assert not proxy.service.dispatcher.open_count
+    assert b"k2" not in proxy.ended(node)
 
 
 def test_a_request_that_stands_unread_keeps_its_connection_open(rig):
@@ -90,7 +95,7 @@
     conn = proxy.client(read(1))
     node = proxy.nodes[0].take()
     served(proxy, conn, node, 1)
-    # It is in the machine's buffer when the sweep looks, and has time left: what the loop was held up counts.
+    # It is in the socket's buffer at the policy's check, and has time left: a stall counts against it.
     conn.sendall(read(2, 30_000))
     proxy.lag(10_050.0)
     served(proxy, conn, proxy.nodes[0].take(), 2)
@@ -103,8 +108,8 @@
     proxy = rig(nodes=3)
     flights = [proxy.client(b"".join(read(10 * place + n, 900) for n in range(5))) for place in range(6)]
     half = proxy.client(write(99, value=b"hello")[:-4])
-    resting = proxy.client(b"mn\r\n")
-    proxy.got(resting, b"MN")
+    idle = proxy.client(b"mn\r\n")
+    proxy.got(idle, b"MN")
     proxy.service.stop()
     late = proxy.client(read(70, 900))  # it connects after the signal
 
@@ -123,23 +128,25 @@
                     elif words[:1] == [b"GET"]:
                         conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 
-    told = b""
+    rejection = b""
     until_ms = proxy.now() + 1150.0  # past the cut, and before all that is left is closed
     while proxy.now() < until_ms:
         play()
         proxy.skip(5)
-        if not told and proxy.now() > until_ms - 350.0:
-            # Half a command: what comes of it yet would be a request that was taken. It is told, not reset.
+        if not rejection and proxy.now() > until_ms - 350.0:
+            # The rest of a partial command would complete a request: it is rejected, not reset.
             half.sendall(write(99, value=b"hello")[-4:])
-            told = proxy.ended(half)
-    assert told == b"SERVER_ERROR busy\r\nEND"
+            rejection = proxy.ended(half)
+    assert rejection == b"SERVER_ERROR busy\r\nEND"
     for conn in flights:
         answers = proxy.ended(conn)
-        assert answers.count(b"VA 1 ") + answers.count(b"SERVER_ERROR") == 5 and answers.endswith(b"END")
-    assert proxy.ended(resting) == b"END"
+        assert answers.count(b"VA 1 ") + answers.count(b"SERVER_ERROR") == 5
+        assert answers.endswith(b"END")
+    assert proxy.ended(idle) == b"END"
     assert proxy.ended(late).count(b"\r\n") in (1, 2)
     proxy.skip(1500)
-    assert proxy.reactor.stopped and not proxy.service.dispatcher.open_count
+    assert proxy.reactor.stopped
+    assert not proxy.service.dispatcher.open_count
 
 
 def test_what_comes_on_an_old_connection_up_to_the_end_is_answered(rig):
@@ -152,13 +159,13 @@
         conn.sendall(read(number))
         served(proxy, conn, node, number)
     conn.sendall(read(8))
-    proxy.lag(900.0)  # resting connections are let go from now on, and this one has an unread request
+    proxy.lag(900.0)  # idle connections are closed from now on, and this one has an unread request
     proxy.got(node, b"mg k8 ")
     node.sendall(b"VA 1 O8\r\nx\r\n")
     assert proxy.ended(conn) == b"VA 1 O8\r\nx\r\nEND"
 
 
-def test_all_that_wait_to_be_accepted_are_let_in_before_the_port_closes(rig):
+def test_all_that_wait_to_be_accepted_are_accepted_before_the_port_closes(rig):
     proxy = rig()
     waiting = [socket.create_connection(proxy.address) for _ in range(100)]
     proxy.socks += waiting
@@ -239,7 +246,7 @@
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 @pytest.mark.parametrize("after_ms", [0, 600])
-@pytest.mark.parametrize("cls, again", [("order", False), ("adjust", True)])
+@pytest.mark.parametrize(("cls", "again"), [("order", False), ("adjust", True)])
 def test_a_connection_that_ends_under_a_whole_request_may_have_run_it(rig, end, after_ms, cls, again):
     proxy = rig()
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
@@ -293,7 +300,8 @@
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     conn.close()
     proxy.until(lambda: proxy.service.budget.held == held, "its descriptor was kept")
-    assert not proxy.service.pools.of("s1").opening and not proxy.service.pools.of("s1")._waiting
+    assert not proxy.service.pools.of("s1").opening
+    assert not proxy.service.pools.of("s1")._waiting
 
 
 def test_a_connection_that_comes_up_late_is_the_next_requests_and_not_the_dead_ones(rig):
