--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from random import Random
 
-from cloverwell.gossip.view import GossipTiming, MemberChange, MembershipView, OutgoingDatagram
+from cloverwell.gossip.membership_view import GossipTiming, MemberChange, MembershipView, OutgoingDatagram
 from cloverwell.gossip.wire import MemberStatus, decode, encode
 
 TICK_S = 0.02
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwell.gossip import view as peers
-from cloverwell.gossip.view import GossipTiming, MembershipView
+from cloverwell.gossip import membership_view as peers
+from cloverwell.gossip.membership_view import GossipTiming, MembershipView
 from cloverwell.gossip.wire import (
     MOST_BYTES,
     DatagramKind,
--- a/tests/test_gossip_large.py
+++ b/tests/test_gossip_large.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cloverwell.gossip.view import GossipTiming, MembershipView
+from cloverwell.gossip.membership_view import GossipTiming, MembershipView
 from cloverwell.gossip.wire import (
     HEAD,
     MOST_BYTES,
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -28,7 +28,7 @@
 from cloverwell.control.messages import AppendAnswer, ProposalOutcome, Propose, VoteAnswer
 from cloverwell.control.storage import StoredState
 from cloverwell.facade import AttemptOutcome
-from cloverwell.gossip.view import GossipTiming, MembershipView
+from cloverwell.gossip.membership_view import GossipTiming, MembershipView
 from cloverwell.gossip.wire import NOBODY, DatagramKind, MembershipUpdate, MemberStatus, Message
 from cloverwell.handover import successor
 from cloverwell.log import Log
