--- a/benchmarks/gossip_view.py
+++ b/benchmarks/gossip_view.py
@@ -1,39 +1,48 @@
-"""How soon a tier knows a death, and what its datagrams cost: views in virtual time, over tiers and losses.
+"""Measures how soon a tier detects a death, and what its gossip costs, in virtual time over tiers and losses.
 
     python benchmarks/gossip_view.py [--tiers 2 16 64 256 480] [--losses 0 0.1] [--seeds 3] [--json]
 
-Each tier starts at once; how long it takes to meet, and the most that a proxy sends in half a second of that,
-stand apart. Then it is quiet, one proxy dies, and ten more seconds are played. Bytes are those of the
-datagrams; their heads below (28 bytes each with IPv4 and UDP) come on top. CPU is this machine's, of all the
-proxies of a tier together, divided by their number.
+All proxies of a tier start at once. How long they take to agree on who is alive is reported by itself,
+together with the greatest load of a proxy in half a second of that time. After a quiet time one proxy dies,
+and ten more seconds are run. Bytes are those of the datagrams; IPv4 and UDP add headers of 28 bytes to each.
+CPU time is that of all proxies of a tier together on this machine, divided by their number.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import math
 import sys
 import time
-from dataclasses import asdict, dataclass
+from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from lab.datagrams import Datagrams
-from lab.fit import fit
+from lab.datagrams import DatagramNetwork
+from lab.fit import Line, fit
 
-MEET_S, STEP_S = 60.0, 0.5  # the longest that a tier may take to meet; a look at it
-SETTLE_S = 90.0  # in which the news of the start have gone round
-QUIET_S, DEATH_S = 10.0, 10.0
+MAX_START_S = 60.0  # The longest time that a tier may take to agree after its start.
+STEP_S = 0.5  # How often agreement is checked.
+SETTLE_S = 90.0  # By then the updates of the start have been disseminated.
+QUIET_S = 10.0
+DEATH_S = 10.0
+DEAD_PROXY = 0
+MIN_TIERS_TO_FIT = 3
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
-    """Of one tier and loss: all a proxy; seconds, datagrams, bytes and ms a second."""
+class TierMeasurement:
+    """The result for one tier and loss: loads are by proxy and second, times in seconds.
+
+    `met_s`, `start_bytes_per_s` and `death_all_s` are those of the worst seed.
+    """
 
     proxies: int
     loss: float
     seeds: int
-    met_s: float  # the slowest of the seeds, as the two that follow
+    met_s: float
     start_bytes_per_s: float
     death_all_s: float
     death_p50_s: float
@@ -47,94 +56,195 @@
     death_cpu_ms_per_s: float
 
 
-class Meter:
-    """What a tier sends and costs since the last look, a proxy and second."""
+@dataclass(slots=True, frozen=True)
+class Load:
+    """What the proxies of a tier send and cost; as a total, or by proxy and second."""
+
+    datagrams: float = 0.0
+    sent_bytes: float = 0.0
+    cpu_ms: float = 0.0
+
+    def __add__(self, other: Load) -> Load:
+        """Return the sum of both."""
+        return Load(
+            self.datagrams + other.datagrams,
+            self.sent_bytes + other.sent_bytes,
+            self.cpu_ms + other.cpu_ms,
+        )
 
-    def __init__(self, net: Datagrams) -> None:
-        self.net = net
-        self._looked_s, self._before = net.now_s, self._sums()
+    def since(self, earlier: Load, divisor: float) -> Load:
+        """Return the difference to an earlier total, divided by `divisor`."""
+        return Load(
+            (self.datagrams - earlier.datagrams) / divisor,
+            (self.sent_bytes - earlier.sent_bytes) / divisor,
+            (self.cpu_ms - earlier.cpu_ms) / divisor,
+        )
 
-    def _sums(self) -> tuple[float, float, float]:
-        return sum(self.net.sent.values()), sum(self.net.bytes.values()), 1000.0 * time.process_time()
 
-    def look(self) -> tuple[float, float, float]:
-        """Datagrams, bytes and ms of CPU."""
-        sums = self._sums()
-        share = (self.net.now_s - self._looked_s) * len(self.net.hosts)
-        rates = tuple((after - before) / share for after, before in zip(sums, self._before, strict=True))
-        self._looked_s, self._before = self.net.now_s, sums
-        return rates
+class LoadMeter:
+    """Measures the load of a tier between two readings."""
 
+    def __init__(self, network: DatagramNetwork) -> None:
+        """Start to measure at the network's present time."""
+        self._network = network
+        self._last_s = network.now_s
+        self._last_total = self._total()
 
-def at(values: list[float], part: float) -> float:
-    ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else math.inf
+    def _total(self) -> Load:
+        sent = sum(self._network.sent.values())
+        sent_bytes = sum(self._network.sent_bytes.values())
+        return Load(sent, sent_bytes, 1000.0 * time.process_time())
 
+    def read(self) -> Load:
+        """Return the load since the last reading, by proxy and second."""
+        total = self._total()
+        proxy_seconds = (self._network.now_s - self._last_s) * len(self._network.processes)
+        load = total.since(self._last_total, proxy_seconds)
+        self._last_s = self._network.now_s
+        self._last_total = total
+        return load
 
-def play(total: int, loss: float, seeds: int) -> Row:
-    known, all_by, met, start, false = [], [], [], [], 0
-    quiet, death = [0.0, 0.0, 0.0], [0.0, 0.0, 0.0]
-    for seed in range(seeds):
-        net = Datagrams(total, seed, loss)
-        meter, most = Meter(net), 0.0
-        while not net.agree(set(range(total))) and net.now_s < MEET_S:
-            net.run(STEP_S)
-            most = max(most, meter.look()[1])
-        met.append(net.now_s)
-        start.append(most)
-        net.run(SETTLE_S - net.now_s)
-        meter.look()
-        net.run(QUIET_S)
-        quiet = [sum(pair) for pair in zip(quiet, meter.look(), strict=True)]
-        died_s = net.now_s
-        net.crash(0)
-        net.run(DEATH_S)
-        death = [sum(pair) for pair in zip(death, meter.look(), strict=True)]
-        times = [when - died_s for when, _, whom in net.deaths() if whom == 0]
-        false += sum(whom != 0 for _, _, whom in net.deaths())
-        known += times
-        all_by.append(max(times) if len(times) == total - 1 else math.inf)
-    return Row(
-        total, loss, seeds, max(met), max(start), max(all_by), at(known, 0.5), at(known, 0.99), false,
-        *(value / seeds for value in quiet), *(value / seeds for value in death),
-    )  # fmt: skip
 
+@dataclass(slots=True)
+class SeedResults:
+    """What was measured of one tier and loss, over all seeds so far."""
 
-def main() -> None:
-    parser = argparse.ArgumentParser(
-        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    met_s: list[float] = field(default_factory=list)
+    start_bytes_per_s: list[float] = field(default_factory=list)
+    death_all_s: list[float] = field(default_factory=list)
+    death_s: list[float] = field(default_factory=list)  # Of each proxy that has detected the death.
+    false_deaths: int = 0
+    quiet: Load = field(default_factory=Load)
+    death: Load = field(default_factory=Load)
+
+
+def percentile(values: list[float], share: float) -> float:
+    """Return the value below which this share of the values lies; infinity if there are none."""
+    if not values:
+        return math.inf
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+
+
+def run_start(network: DatagramNetwork, meter: LoadMeter, results: SeedResults) -> None:
+    """Run until all proxies hold each other for alive."""
+    everybody = set(range(len(network.processes)))
+    max_bytes_per_s = 0.0
+    while not network.agree(everybody) and network.now_s < MAX_START_S:
+        network.run(STEP_S)
+        max_bytes_per_s = max(max_bytes_per_s, meter.read().sent_bytes)
+    results.met_s.append(network.now_s)
+    results.start_bytes_per_s.append(max_bytes_per_s)
+
+
+def run_quiet(network: DatagramNetwork, meter: LoadMeter, results: SeedResults) -> None:
+    """Run on until the start's updates have been disseminated, and measure the time after that."""
+    network.run(SETTLE_S - network.now_s)
+    meter.read()
+    network.run(QUIET_S)
+    results.quiet += meter.read()
+
+
+def run_death(network: DatagramNetwork, meter: LoadMeter, results: SeedResults) -> None:
+    """Let one proxy die, and measure when the others detect it."""
+    died_s = network.now_s
+    network.crash(DEAD_PROXY)
+    network.run(DEATH_S)
+    results.death += meter.read()
+    deaths = network.deaths()
+    detected_s = [death.at_s - died_s for death in deaths if death.dead == DEAD_PROXY]
+    results.false_deaths += len(deaths) - len(detected_s)
+    results.death_s += detected_s
+    detected_by_all = len(detected_s) == len(network.processes) - 1
+    results.death_all_s.append(max(detected_s) if detected_by_all else math.inf)
+
+
+def measure_tier(total: int, loss: float, seeds: int) -> TierMeasurement:
+    """Run a tier of `total` proxies with so many seeds."""
+    results = SeedResults()
+    for seed in range(seeds):
+        network = DatagramNetwork(total, seed, loss)
+        meter = LoadMeter(network)
+        run_start(network, meter, results)
+        run_quiet(network, meter, results)
+        run_death(network, meter, results)
+    return TierMeasurement(
+        proxies=total,
+        loss=loss,
+        seeds=seeds,
+        met_s=max(results.met_s),
+        start_bytes_per_s=max(results.start_bytes_per_s),
+        death_all_s=max(results.death_all_s),
+        death_p50_s=percentile(results.death_s, 0.5),
+        death_p99_s=percentile(results.death_s, 0.99),
+        false_deaths=results.false_deaths,
+        quiet_datagrams_per_s=results.quiet.datagrams / seeds,
+        quiet_bytes_per_s=results.quiet.sent_bytes / seeds,
+        quiet_cpu_ms_per_s=results.quiet.cpu_ms / seeds,
+        death_datagrams_per_s=results.death.datagrams / seeds,
+        death_bytes_per_s=results.death.sent_bytes / seeds,
+        death_cpu_ms_per_s=results.death.cpu_ms / seeds,
     )
-    parser.add_argument("--tiers", type=int, nargs="+", default=[2, 3, 4, 8, 16, 32, 64, 128, 256, 480])
-    parser.add_argument("--losses", type=float, nargs="+", default=[0.0, 0.1])
-    parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--json", action="store_true")
-    args = parser.parse_args()
-    rows = [play(total, loss, args.seeds) for total in args.tiers for loss in args.losses]
-    lines = {}
-    for loss in args.losses if len(set(args.tiers)) >= 3 else ():
-        some = [row for row in rows if row.loss == loss]
-        lines[loss] = fit([row.proxies for row in some], [row.quiet_bytes_per_s for row in some])
-    if args.json:
-        fits = {loss: line.as_dict() for loss, line in lines.items()}
-        told = {"rows": [asdict(row) for row in rows], "quiet_bytes_per_s_by_proxies": fits}
-        print(json.dumps(told, indent=1))
-        return
-    print(f"{args.seeds} seeds each; by proxy and second, but for times (s) and false deaths")
+
+
+def fit_quiet_bytes(measurements: list[TierMeasurement], loss: float) -> Line:
+    """Return the line of quiet bytes a second over the tier's size, at one loss."""
+    chosen = [row for row in measurements if row.loss == loss]
+    return fit([row.proxies for row in chosen], [row.quiet_bytes_per_s for row in chosen])
+
+
+def print_table(measurements: list[TierMeasurement], fits: dict[float, Line], seeds: int) -> None:
+    """Print a line for each tier and loss, and the fitted lines."""
+    print(f"{seeds} seeds each; by proxy and second, but for times (s) and false deaths")
     print(
         "proxies loss   met start B  p50   p99   all  false  quiet: sent   B  CPU ms  death: sent   B  CPU ms"
     )
-    for row in rows:
+    for row in measurements:
         print(
             f"{row.proxies:7d} {row.loss:4.2f} {row.met_s:5.1f} {row.start_bytes_per_s:7.0f}"
             f" {row.death_p50_s:5.2f} {row.death_p99_s:5.2f} {row.death_all_s:5.2f} {row.false_deaths:6d}"
             f" {row.quiet_datagrams_per_s:12.1f} {row.quiet_bytes_per_s:5.0f} {row.quiet_cpu_ms_per_s:6.2f}"
             f" {row.death_datagrams_per_s:12.1f} {row.death_bytes_per_s:5.0f} {row.death_cpu_ms_per_s:6.2f}"
         )
-    for loss, line in lines.items():
+    for loss, line in fits.items():
         print(
             f"loss {loss}: {line.at_zero:.0f} + {line.slope:.3g} (+- {line.slope_error:.2g}) bytes/s a proxy"
         )
 
 
+def print_json(measurements: list[TierMeasurement], fits: dict[float, Line]) -> None:
+    """Print the measurements and the fitted lines as JSON."""
+    lines = {loss: line.as_dict() for loss, line in fits.items()}
+    rows = [asdict(row) for row in measurements]
+    print(json.dumps({"rows": rows, "quiet_bytes_per_s_by_proxies": lines}, indent=1))
+
+
+def parse_arguments() -> argparse.Namespace:
+    """Read the command line."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--tiers", type=int, nargs="+", default=[2, 3, 4, 8, 16, 32, 64, 128, 256, 480])
+    parser.add_argument("--losses", type=float, nargs="+", default=[0.0, 0.1])
+    parser.add_argument("--seeds", type=int, default=3)
+    parser.add_argument("--json", action="store_true")
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Measure each tier with each loss, and print the results."""
+    arguments = parse_arguments()
+    measurements = [
+        measure_tier(total, loss, arguments.seeds) for total in arguments.tiers for loss in arguments.losses
+    ]
+    fits = {}
+    if len(set(arguments.tiers)) >= MIN_TIERS_TO_FIT:
+        fits = {loss: fit_quiet_bytes(measurements, loss) for loss in arguments.losses}
+    if arguments.json:
+        print_json(measurements, fits)
+    else:
+        print_table(measurements, fits, arguments.seeds)
+
+
 if __name__ == "__main__":
     main()
--- a/cloverwell/gossip/__init__.py
+++ b/cloverwell/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What proxies of one tier know of each other, by short datagrams that may be lost. No I/O here."""
+"""Membership of the proxies in one tier by SWIM, over datagrams that may be lost or late; without I/O."""
--- /dev/null
+++ b/cloverwell/gossip/dissemination.py
@@ -0,0 +1,41 @@
+"""Infection-style dissemination: membership updates are piggybacked on pings and acks (SWIM, section 4.1)."""
+
+from __future__ import annotations
+
+import heapq
+import math
+
+# Each update is piggybacked this many times log2 of the tier's size (the lambda of section 4.1), which leaves
+# hardly any chance that a member misses it.
+TRANSMISSIONS_FACTOR = 3
+
+
+class UpdateQueue:
+    """The members whose status is still to be disseminated, each with the transmissions that are left.
+
+    Only the member's number is queued: what is sent is its status at that moment, so a newer status replaces
+    an older one by itself. The queue holds at most one entry a member.
+    """
+
+    def __init__(self, total: int) -> None:
+        """`total` is the number of proxies in the tier."""
+        self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(total + 1))
+        self._remaining: dict[int, int] = {}
+
+    def __len__(self) -> int:
+        """Return the number of members in the queue."""
+        return len(self._remaining)
+
+    def enqueue(self, member: int) -> None:
+        """Disseminate the member's status anew, with the full number of transmissions."""
+        self._remaining[member] = self._transmissions
+
+    def take(self, limit: int) -> list[int]:
+        """Return up to `limit` members, the least often sent first, and count one transmission for each."""
+        remaining = self._remaining
+        members = heapq.nsmallest(limit, remaining, key=lambda member: (-remaining[member], member))
+        for member in members:
+            remaining[member] -= 1
+            if remaining[member] == 0:
+                del remaining[member]
+        return members
--- a/cloverwell/gossip/wire.py
+++ b/cloverwell/gossip/wire.py
@@ -1,43 +1,64 @@
-"""The datagrams between proxies: bytes to messages and back, without I/O.
+"""The binary form of the datagrams between proxies, encoded and decoded without I/O.
 
-A head of 15 bytes, then rumours of 9 each; all numbers big-endian.
+A header of 15 bytes is followed by membership updates of 9 bytes each. All numbers are big-endian; the
+figures are lengths in bytes.
 
-    version 1 | kind 1 | sender 2 | sender's incarnation 6 | sequence 2 | whom 2 | rumours 1
-    rumour: proxy 2 | incarnation 6 | state 1
+    header: version 1 | kind 1 | sender 2 | sender's incarnation 6 | sequence 2 | subject 2 | updates 1
+    update: proxy 2 | incarnation 6 | status 1
 
-The platform takes 256 bytes at the most, so a datagram carries up to 26 rumours. Version 1 had one byte for a
-proxy's number, and is refused like any other that is not this one.
+The platform carries at most 256 bytes in a datagram, which is room for 26 updates. Version 1 had one byte for
+a proxy's number; it is rejected like any other version that is not the current one.
 """
 
 from __future__ import annotations
 
 import struct
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import Enum, IntEnum
 
 VERSION = 2
-MOST_BYTES = 256
-_HEAD = struct.Struct(">BBH6sHHB")
-_RUMOUR = struct.Struct(">H6sB")
-HEAD, RUMOUR = _HEAD.size, _RUMOUR.size
-MOST_RUMOURS = (MOST_BYTES - HEAD) // RUMOUR
-NOBODY = 2**16 - 1
-MOST_PROXIES = NOBODY  # a number has two bytes, and the last one names nobody
-MOST_INCARNATION = 2**48 - 1
+MAX_DATAGRAM_BYTES = 256
+INCARNATION_BYTES = 6
+_HEADER = struct.Struct(f">BBH{INCARNATION_BYTES}sHHB")
+_UPDATE = struct.Struct(f">H{INCARNATION_BYTES}sB")
+HEADER_BYTES = _HEADER.size
+UPDATE_BYTES = _UPDATE.size
+MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER_BYTES) // UPDATE_BYTES
+NO_PROXY = 2**16 - 1
+MAX_PROXIES = NO_PROXY  # A proxy's number has two bytes, and the last value is reserved for "no proxy".
+MAX_INCARNATION = 2 ** (8 * INCARNATION_BYTES) - 1
 
 
-class WireError(Exception):
-    """A datagram that is no message of ours; the text is one of few words, for the counts."""
+class DatagramFault(Enum):
+    """Why a datagram is rejected. The values are the labels under which such datagrams are counted."""
+
+    TOO_LONG = "long"
+    TRUNCATED = "short"
+    UNKNOWN_VERSION = "version"
+    UNKNOWN_KIND = "kind"
+    UNKNOWN_STATUS = "state"
+    WRONG_LENGTH = "length"
+
+
+class DatagramError(Exception):
+    """The received bytes are not a datagram of this protocol; `fault` says why."""
+
+    def __init__(self, fault: DatagramFault) -> None:
+        """The error's text is the value of `fault`."""
+        super().__init__(fault.value)
+        self.fault = fault
 
 
 class DatagramKind(IntEnum):
-    PING = 0  # answer me
-    ACK = 1  # the answer, to whom the ping came from
-    ASK = 2  # ping `whom` for me, and tell me if it answers
+    """The message types of SWIM (section 3.1), by their number on the wire."""
+
+    PING = 0  # Asks the receiver for an ack.
+    ACK = 1  # Answers a ping; a relayed ack answers the ping-req that caused the ping.
+    PING_REQ = 2  # Asks the receiver to ping `subject` and to relay its ack.
 
 
 class MemberStatus(IntEnum):
-    """At one incarnation the higher one stands."""
+    """The state of a member. Of two updates with the same incarnation the one with the higher status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -46,59 +67,78 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
+    """The status of one proxy at one incarnation, as one proxy reports it to another."""
+
     proxy: int
     incarnation: int
-    state: MemberStatus
+    status: MemberStatus
 
 
 @dataclass(slots=True, frozen=True)
-class Message:
-    """`sequence` is the asker's; `whom`: the proxy that an ASK is about, or whose life an ACK tells."""
+class Datagram:
+    """One message between two proxies, with the membership updates that are piggybacked on it.
+
+    `incarnation` is the sender's. `sequence` is chosen by the proxy that started the probe and repeated in
+    the ack. `subject` is the proxy that a ping-req is about, or whose liveness an ack reports.
+    """
 
     kind: DatagramKind
     sender: int
     incarnation: int
     sequence: int
-    whom: int = NOBODY
-    rumours: tuple[MembershipUpdate, ...] = ()
+    subject: int = NO_PROXY
+    updates: tuple[MembershipUpdate, ...] = ()
 
 
-def encode(message: Message) -> bytes:
-    rumours = message.rumours[:MOST_RUMOURS]
-    incarnation = message.incarnation.to_bytes(6, "big")
-    head = _HEAD.pack(
+def encode(datagram: Datagram) -> bytes:
+    """Return the datagram's bytes, with as many of its membership updates as there is room for."""
+    updates = datagram.updates[:MAX_UPDATES]
+    header = _HEADER.pack(
         VERSION,
-        message.kind,
-        message.sender,
-        incarnation,
-        message.sequence,
-        message.whom,
-        len(rumours),
+        datagram.kind,
+        datagram.sender,
+        datagram.incarnation.to_bytes(INCARNATION_BYTES, "big"),
+        datagram.sequence,
+        datagram.subject,
+        len(updates),
     )
-    told = (_RUMOUR.pack(r.proxy, r.incarnation.to_bytes(6, "big"), r.state) for r in rumours)
-    return head + b"".join(told)
+    return header + b"".join(_encode_update(update) for update in updates)
+
+
+def decode(data: bytes) -> Datagram:
+    """Return the datagram that `data` holds; raise `DatagramError` if it is malformed."""
+    _check_header(data)
+    _, kind, sender, incarnation, sequence, subject, update_count = _HEADER.unpack_from(data)
+    try:
+        known_kind = DatagramKind(kind)
+    except ValueError:
+        raise DatagramError(DatagramFault.UNKNOWN_KIND) from None
+    if len(data) != HEADER_BYTES + UPDATE_BYTES * update_count:
+        raise DatagramError(DatagramFault.WRONG_LENGTH)
+    updates = tuple(_decode_update(*fields) for fields in _UPDATE.iter_unpack(data[HEADER_BYTES:]))
+    return Datagram(known_kind, sender, int.from_bytes(incarnation, "big"), sequence, subject, updates)
+
+
+def _check_header(data: bytes) -> None:
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramError(DatagramFault.TOO_LONG)
+    if not data:
+        raise DatagramError(DatagramFault.TRUNCATED)
+    # The version is checked before the length, since the header of another version may be shorter.
+    if data[0] != VERSION:
+        raise DatagramError(DatagramFault.UNKNOWN_VERSION)
+    if len(data) < HEADER_BYTES:
+        raise DatagramError(DatagramFault.TRUNCATED)
 
 
-def decode(data: bytes) -> Message:
-    """Raises `WireError`: `long`, `short`, `version`, `kind`, `state` or `length`."""
-    if len(data) > MOST_BYTES:
-        raise WireError("long")
-    if not data:
-        raise WireError("short")
-    if data[0] != VERSION:  # its head may have another length
-        raise WireError("version")
-    if len(data) < HEAD:
-        raise WireError("short")
-    _, kind, sender, incarnation, sequence, whom, number = _HEAD.unpack_from(data)
-    if kind not in iter(DatagramKind):
-        raise WireError("kind")
-    if len(data) != HEAD + RUMOUR * number:
-        raise WireError("length")
-    rumours = []
-    for proxy, life, state in _RUMOUR.iter_unpack(data[HEAD:]):
-        if state not in iter(MemberStatus):
-            raise WireError("state")
-        rumours.append(MembershipUpdate(proxy, int.from_bytes(life, "big"), MemberStatus(state)))
-    return Message(
-        DatagramKind(kind), sender, int.from_bytes(incarnation, "big"), sequence, whom, tuple(rumours)
-    )
+def _encode_update(update: MembershipUpdate) -> bytes:
+    incarnation = update.incarnation.to_bytes(INCARNATION_BYTES, "big")
+    return _UPDATE.pack(update.proxy, incarnation, update.status)
+
+
+def _decode_update(proxy: int, incarnation: bytes, status: int) -> MembershipUpdate:
+    try:
+        known_status = MemberStatus(status)
+    except ValueError:
+        raise DatagramError(DatagramFault.UNKNOWN_STATUS) from None
+    return MembershipUpdate(proxy, int.from_bytes(incarnation, "big"), known_status)
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -1,6 +1,8 @@
-"""Proxies' views over datagrams in virtual time: late, lost, cut links, deaths, stops, restarts, by a seed.
+"""The membership views of a tier on a simulated datagram network, in virtual time.
 
-What crosses is bytes, so the codec is played too. Times are seconds of the virtual clock.
+Datagrams are late or lost, and links are cut; proxies crash, restart, stop and go on. A run is deterministic
+by its seed. What the views exchange is encoded and decoded, so the codec is run as well. Times are seconds of
+the virtual clock.
 """
 
 from __future__ import annotations
@@ -8,119 +10,174 @@
 import heapq
 import itertools
 from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
 from random import Random
+from typing import NamedTuple
 
-from cloverwell.gossip.membership_view import GossipTiming, MemberChange, MembershipView, OutgoingDatagram
+from cloverwell.gossip.composer import OutgoingDatagram
+from cloverwell.gossip.member_table import MemberChange
+from cloverwell.gossip.membership_view import MembershipView
+from cloverwell.gossip.timing import GossipTiming
 from cloverwell.gossip.wire import MemberStatus, decode, encode
 
 TICK_S = 0.02
-EPOCH_MS = 1_700_000_000_000  # Unix time when the virtual clock shows 0
-HELD = 64  # datagrams that the machine of a stopped process keeps for it
+EPOCH_MS = 1_700_000_000_000  # Unix time at which the virtual clock shows 0.
+RECEIVE_BUFFER_DATAGRAMS = 64  # How many datagrams the kernel keeps for a process that is stopped.
 
 
-class Host:
-    """One proxy's process, as far as its peers see it."""
+@dataclass(slots=True)
+class ProxyProcess:
+    """One proxy's process as its peers see it: `up` until it crashes, and `stopped` as by SIGSTOP."""
 
-    def __init__(self, view: MembershipView) -> None:
-        self.view = view
-        self.up, self.stopped = True, False
-        self.held: list[tuple[int, bytes]] = []
+    view: MembershipView
+    up: bool = True
+    stopped: bool = False
+    unread: list[tuple[int, bytes]] = field(default_factory=list)  # Pairs of sender and datagram.
 
 
-class Datagrams:
+@dataclass(slots=True, frozen=True)
+class ObservedChange:
+    """A change of a member's status, as the proxy `observer` held it from `at_s` on."""
+
+    at_s: float
+    observer: int
+    change: MemberChange
+
+
+@dataclass(slots=True, frozen=True)
+class ObservedDeath:
+    """The moment from which the proxy `observer` held the proxy `dead` for dead."""
+
+    at_s: float
+    observer: int
+    dead: int
+
+
+class _Event(NamedTuple):
+    """A call that is due. `order` is unique, and keeps events of one moment in the order of scheduling."""
+
+    at_s: float
+    order: int
+    call: Callable[[], None]
+
+
+class DatagramNetwork:
+    """A tier of proxies and the links between them, all up from time 0 on."""
+
     def __init__(
         self,
         total: int,
         seed: int,
         loss: float = 0.0,
         delay_s: tuple[float, float] = (0.001, 0.017),
-        figures: GossipTiming | None = None,
+        timing: GossipTiming | None = None,
     ) -> None:
+        """`loss` is the share of lost datagrams; `delay_s` the least and the greatest delay one way."""
         self.now_s = 0.0
-        self.figures = figures or GossipTiming()
+        self.timing = timing or GossipTiming()
         self.rng = Random(f"datagrams {seed}")
-        self.loss, self.delay_s = loss, delay_s
-        self.cut: set[tuple[int, int]] = set()  # from, to
-        self.changes: list[tuple[float, int, MemberChange]] = []  # when, who noticed, what
-        self.sent, self.bytes = Counter(), Counter()
-        self.received = Counter()  # datagrams sent to each, whether they reach it or not
-        self._events: list = []
+        self.loss = loss
+        self.delay_s = delay_s
+        self.cut_links: set[tuple[int, int]] = set()  # Pairs of sender and receiver.
+        self.changes: list[ObservedChange] = []
+        self.sent: Counter[int] = Counter()  # Datagrams by sender.
+        self.sent_bytes: Counter[int] = Counter()
+        self.addressed: Counter[int] = Counter()  # Datagrams by receiver, whether they reach it or not.
+        self._events: list[_Event] = []
         self._order = itertools.count()
-        self.hosts = [self._process(number, total) for number in range(total)]
+        self.processes = [self._start_process(number, total) for number in range(total)]
         for number in range(total):
-            self._later(self.rng.uniform(0.0, TICK_S), self._tick, number)
+            self._schedule(self.rng.uniform(0.0, TICK_S), partial(self._tick, number))
 
-    def _process(self, number: int, total: int) -> Host:
-        born = EPOCH_MS + int(1000 * self.now_s)
-        return Host(MembershipView(number, total, born, self.rng.getrandbits(32), self.figures))
+    def _start_process(self, number: int, total: int) -> ProxyProcess:
+        incarnation = EPOCH_MS + int(1000 * self.now_s)
+        seed = self.rng.getrandbits(32)
+        return ProxyProcess(MembershipView(number, total, incarnation, seed, self.timing))
 
-    # What befalls them --------------------------------------------------------------------------
+    # Faults -------------------------------------------------------------------------------------
 
     def crash(self, number: int) -> None:
-        self.hosts[number].up = False
+        """End the proxy's process; what is sent to it from now on is lost."""
+        self.processes[number].up = False
 
     def restart(self, number: int) -> None:
-        self.hosts[number] = self._process(number, len(self.hosts))
+        """Start a new process in place of the proxy's old one."""
+        self.processes[number] = self._start_process(number, len(self.processes))
 
     def stop(self, number: int) -> None:
-        self.hosts[number].stopped = True
-
-    def go_on(self, number: int) -> None:
-        host = self.hosts[number]
-        host.stopped = False
-        held, host.held = host.held, []
-        for sender, data in held:
+        """Stop the proxy's process, as SIGSTOP does; its datagrams wait for it, up to a number."""
+        self.processes[number].stopped = True
+
+    def resume(self, number: int) -> None:
+        """Let a stopped process go on, as SIGCONT does; it reads first what has waited for it."""
+        process = self.processes[number]
+        process.stopped = False
+        unread, process.unread = process.unread, []
+        for sender, data in unread:
             self._deliver(sender, number, data)
 
-    def sever(self, here: int, there: int, both: bool = True) -> None:
-        self.cut |= {(here, there), (there, here)} if both else {(here, there)}
+    def cut_link(self, sender: int, receiver: int, both: bool = True) -> None:
+        """Lose every datagram from `sender` to `receiver`; with `both`, also in the other direction."""
+        self.cut_links.add((sender, receiver))
+        if both:
+            self.cut_links.add((receiver, sender))
 
     # Time ---------------------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        end = self.now_s + seconds
-        while self._events and self._events[0][0] <= end:
-            self.now_s, _, what, args = heapq.heappop(self._events)
-            what(*args)
-        self.now_s = end
+        """Let so much virtual time pass."""
+        end_s = self.now_s + seconds
+        while self._events and self._events[0].at_s <= end_s:
+            event = heapq.heappop(self._events)
+            self.now_s = event.at_s
+            event.call()
+        self.now_s = end_s
 
-    def _later(self, after_s: float, what, *args) -> None:
-        heapq.heappush(self._events, (self.now_s + after_s, next(self._order), what, args))
+    def _schedule(self, delay_s: float, call: Callable[[], None]) -> None:
+        heapq.heappush(self._events, _Event(self.now_s + delay_s, next(self._order), call))
 
     def _tick(self, number: int) -> None:
-        self._later(TICK_S, self._tick, number)
-        host = self.hosts[number]
-        if host.up and not host.stopped:
-            self._carry_out(number, host.view.tick(1000.0 * self.now_s))
-
-    def _carry_out(self, number: int, outs: list[OutgoingDatagram]) -> None:
-        view = self.hosts[number].view
-        self.changes += [(self.now_s, number, change) for change in view.take_changes()]
-        for out in outs:
-            data = encode(out.message)
-            self.sent[number] += 1
-            self.bytes[number] += len(data)
-            self.received[out.to] += 1
-            if (number, out.to) not in self.cut and self.rng.random() >= self.loss:
-                self._later(self.rng.uniform(*self.delay_s), self._deliver, number, out.to, data)
-
-    def _deliver(self, sender: int, to: int, data: bytes) -> None:
-        host = self.hosts[to]
-        if host.up and host.stopped:
-            host.held = [*host.held, (sender, data)][:HELD]
-        elif host.up:
-            self._carry_out(to, host.view.receive(1000.0 * self.now_s, decode(data)))
-
-    # What they hold -----------------------------------------------------------------------------
-
-    def deaths(self, since_s: float = 0.0) -> list[tuple[float, int, int]]:
-        """When, who noticed, and whom."""
+        self._schedule(TICK_S, partial(self._tick, number))
+        process = self.processes[number]
+        if process.up and not process.stopped:
+            self._send_all(number, process.view.tick(1000.0 * self.now_s))
+
+    def _send_all(self, sender: int, datagrams: list[OutgoingDatagram]) -> None:
+        changes = self.processes[sender].view.take_changes()
+        self.changes += [ObservedChange(self.now_s, sender, change) for change in changes]
+        for outgoing in datagrams:
+            self._send(sender, outgoing.to, encode(outgoing.datagram))
+
+    def _send(self, sender: int, receiver: int, data: bytes) -> None:
+        self.sent[sender] += 1
+        self.sent_bytes[sender] += len(data)
+        self.addressed[receiver] += 1
+        if (sender, receiver) not in self.cut_links and self.rng.random() >= self.loss:
+            delay_s = self.rng.uniform(*self.delay_s)
+            self._schedule(delay_s, partial(self._deliver, sender, receiver, data))
+
+    def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        process = self.processes[receiver]
+        if not process.up:
+            return
+        if process.stopped:
+            if len(process.unread) < RECEIVE_BUFFER_DATAGRAMS:
+                process.unread.append((sender, data))
+            return
+        self._send_all(receiver, process.view.receive(1000.0 * self.now_s, decode(data)))
+
+    # Observations -------------------------------------------------------------------------------
+
+    def deaths(self, since_s: float = 0.0) -> list[ObservedDeath]:
+        """Return each change to dead that a proxy has observed since then."""
         return [
-            (at, who, c.proxy)
-            for at, who, c in self.changes
-            if c.state is MemberStatus.DEAD and at >= since_s
+            ObservedDeath(observed.at_s, observed.observer, observed.change.proxy)
+            for observed in self.changes
+            if observed.change.status is MemberStatus.DEAD and observed.at_s >= since_s
         ]
 
-    def agree(self, living: set[int]) -> bool:
-        """Whether each of these holds just these for alive."""
-        return all(self.hosts[number].view.alive() == living for number in living)
+    def agree(self, alive: set[int]) -> bool:
+        """Whether each of these proxies holds exactly these for alive."""
+        return all(self.processes[number].view.alive() == alive for number in alive)
--- a/tests/test_golden_gossip.py
+++ b/tests/test_golden_gossip.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from cloverwell.gossip.wire import DatagramKind, MembershipUpdate, MemberStatus, Message, decode, encode
+from cloverwell.gossip.wire import Datagram, DatagramKind, MembershipUpdate, MemberStatus, decode, encode
 
 GOLDEN = json.loads((Path(__file__).parent / "data" / "gossip_datagrams.json").read_text())
-KINDS = {"ping": DatagramKind.PING, "ack": DatagramKind.ACK, "ping-req": DatagramKind.ASK}
+KINDS = {"ping": DatagramKind.PING, "ack": DatagramKind.ACK, "ping-req": DatagramKind.PING_REQ}
 STATUSES = {"alive": MemberStatus.ALIVE, "suspect": MemberStatus.SUSPECT, "dead": MemberStatus.DEAD}
 
 
@@ -21,7 +21,7 @@
         for update in row["updates"]
     )
     kind = KINDS[row["kind"]]
-    return Message(kind, row["sender"], row["incarnation"], row["sequence"], row["subject"], updates)
+    return Datagram(kind, row["sender"], row["incarnation"], row["sequence"], row["subject"], updates)
 
 
 def test_each_kind_of_datagram_is_recorded():
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -28,8 +28,9 @@
 from cloverwell.control.messages import AppendAnswer, ProposalOutcome, Propose, VoteAnswer
 from cloverwell.control.storage import StoredState
 from cloverwell.facade import AttemptOutcome
-from cloverwell.gossip.membership_view import GossipTiming, MembershipView
-from cloverwell.gossip.wire import NOBODY, DatagramKind, MembershipUpdate, MemberStatus, Message
+from cloverwell.gossip.membership_view import MembershipView
+from cloverwell.gossip.timing import GossipTiming
+from cloverwell.gossip.wire import NO_PROXY, Datagram, DatagramKind, MembershipUpdate, MemberStatus
 from cloverwell.handover import successor
 from cloverwell.log import Log
 from cloverwell.membership.list_retry import ListRetry
@@ -37,7 +38,7 @@
 from cloverwell.timer_wheel import TimerWheel
 from lab.proxy import SETTINGS as SITE
 
-FIGURES = GossipTiming()
+GOSSIP_TIMING = GossipTiming()
 SETTINGS = Driver().settings
 
 ANSWER = b"VA 5 O1\r\nhello\r\n"
@@ -211,13 +212,13 @@
     """A view of a tier of three, all of them alive, and a ping out."""
     view = MembershipView(0, 3, 1000, 1)
     for number in (1, 2):
-        view.receive(0.0, Message(DatagramKind.PING, number, 1000, 1, NOBODY, ()))
+        view.receive(0.0, Datagram(DatagramKind.PING, number, 1000, 1, NO_PROXY, ()))
     assert view.tick(0.0) and view.alive() == {0, 1, 2}
     return view
 
 
 def states(view):
-    return {number: known.state for number, known in view.known.items()}
+    return {number: member.status for number, member in view.members.items()}
 
 
 def test_a_proxy_that_was_stopped_takes_nobody_elses_silence_for_a_death():
@@ -225,20 +226,20 @@
     view.tick(50.0)
     view.receive(
         50.0,
-        Message(DatagramKind.PING, 1, 1000, 2, NOBODY, (MembershipUpdate(2, 1000, MemberStatus.SUSPECT),)),
+        Datagram(DatagramKind.PING, 1, 1000, 2, NO_PROXY, (MembershipUpdate(2, 1000, MemberStatus.SUSPECT),)),
     )
     view.tick(10_050.0)  # what both have sent meanwhile is not read yet
     assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.SUSPECT}
-    view.receive(10_051.0, Message(DatagramKind.PING, 2, 1001, 9, NOBODY, ()))
+    view.receive(10_051.0, Datagram(DatagramKind.PING, 2, 1001, 9, NO_PROXY, ()))
     view.tick(10_100.0)
     assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.ALIVE}
 
 
 def test_behind_a_stop_a_silent_one_dies_in_its_time():
     view, now = met(), 10_000.0
-    while now < 10_000.0 + 2 * FIGURES.period_ms + 2 * FIGURES.suspect_ms:
+    while now < 10_000.0 + 2 * GOSSIP_TIMING.protocol_period_ms + 2 * GOSSIP_TIMING.suspicion_timeout_ms:
         view.tick(now)
-        now += FIGURES.period_ms / 4.0
+        now += GOSSIP_TIMING.protocol_period_ms / 4.0
     assert MemberStatus.DEAD in states(view).values()
 
 
