--- a/cloverwell/handover/__init__.py
+++ b/cloverwell/handover/__init__.py
@@ -1,1 +1,1 @@
-"""One process takes over from another at the same address, without a request lost at the door."""
+"""Replacement of one proxy process by another at the same address, without losing a client's connection."""
--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -1,16 +1,18 @@
-"""What two processes tell each other when one takes over: JSON, a message a line. No I/O.
+"""The messages between the two processes of a handover, and where they meet; without I/O.
+
+Each message is one line of JSON, sent over a Unix socket:
 
     successor -> predecessor   {"version":1,"listen":"HOST:PORT"}
     predecessor -> successor   {"version":1,"sockets":N,"table":{...},"node_starts":{...}} and the listening
                                socket's descriptor
     successor -> predecessor   {"serves":true}
 
-Fields that a process does not know are passed over, and `node_starts` may be missing: an older process
-beside a newer one is understood either way. The conversation stays open from then on: its end tells each
-that the other process has gone.
+Unknown fields are ignored, and `node_starts` may be missing, so that processes of an older and a newer
+release understand each other either way. The connection stays open after the last message: its end tells each
+process that the other one has exited.
 """
 
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -19,67 +21,108 @@
 from cloverwell.membership.node_starts import KnownStarts
 
 VERSION = 1
-MAX_HELLO = 1024
-MAX_ESTATE = 2 * MAX_LIST  # the list, and the starts of its nodes
-END = b"\n"
+MAX_HELLO_BYTES = 1024
+MAX_ESTATE = 2 * MAX_LIST  # In bytes: the endpoint list takes up to half, and its nodes' starts the rest.
+MESSAGE_END = b"\n"
 
-T = TypeVar("T")
+MessageT = TypeVar("MessageT", bound=msgspec.Struct)
 
 
 class HandoverError(Exception):
-    """What is wrong with a message."""
+    """The handover can't go on; the text says why, and is written to the log."""
+
+
+class MalformedMessageError(HandoverError):
+    """A line is not a message of the expected type; `problem` is the decoder's description."""
+
+    def __init__(self, problem: str) -> None:
+        """Describe the line that was received by `problem`."""
+        super().__init__(f"malformed: {problem}")
+        self.problem = problem
+
+
+class UnsupportedVersionError(HandoverError):
+    """The other process speaks another `version` of the protocol."""
+
+    def __init__(self, version: int) -> None:
+        """`version` is what the other process has sent."""
+        super().__init__(f"version {version}, not {VERSION}")
+        self.version = version
+
+
+class InvalidEndpointError(HandoverError):
+    """The endpoint list names an address that can't be used; `problem` says which."""
+
+    def __init__(self, problem: str) -> None:
+        """Take the description of the endpoint list's own check."""
+        super().__init__(problem)
+        self.problem = problem
 
 
 class Hello(msgspec.Struct):
+    """The successor's request for the address `listen`, as `HOST:PORT`."""
+
     version: int
     listen: str
 
 
 class HandoverState(msgspec.Struct):
-    """`sockets`: descriptors that the successor may hold until its predecessor has gone; `table`: the list as
-    it was told last; `node_starts`: when its nodes started, by the clock that both processes read."""
+    """What the predecessor leaves to its successor.
+
+    `sockets` is the number of descriptors that the successor may hold until its predecessor has exited;
+    `table` is the endpoint list as it was received last; `node_starts` is when its nodes started, by the
+    monotonic clock that both processes read.
+    """
 
     version: int
     sockets: int
     table: EndpointList
     node_starts: KnownStarts | None = None
 
-    def keep_starts_of(self, asked_ms: float, received_ms: float) -> bool:
-        """Drops the starts, and returns False, unless they were written between these two moments.
+    def check_clock(self, requested_ms: float, received_ms: float) -> bool:
+        """Return False, and drop `node_starts`, if it was not written between these two moments.
 
-        A Unix socket joins processes of one running kernel, whose monotonic clock is one clock. A time
-        namespace, or a process that was restored from an image, may show it with an offset all the same.
+        A Unix socket connects processes on one running kernel, whose monotonic clock is the same for both. A
+        process in another time namespace, or one restored from an image, may still read it with an offset.
         """
-        if self.node_starts is None or asked_ms <= self.node_starts.clock_ms <= received_ms:
+        if self.node_starts is None or requested_ms <= self.node_starts.clock_ms <= received_ms:
             return True
         self.node_starts = None
         return False
 
 
 class Serves(msgspec.Struct):
+    """The successor's notice that it accepts connections from now on."""
+
     serves: bool
 
 
-def encode(message: Any) -> bytes:
-    return msgspec.json.encode(message) + END
+def encode(message: msgspec.Struct) -> bytes:
+    """Return the message as a line of JSON, with its end."""
+    return msgspec.json.encode(message) + MESSAGE_END
 
 
-def decode(line: bytes, kind: type[T]) -> T:
+def decode(line: bytes, message_type: type[MessageT]) -> MessageT:
+    """Return the message that a line without its end holds; raise `HandoverError` if it can't be used."""
     try:
-        message = msgspec.json.decode(line, type=kind)
+        message = msgspec.json.decode(line, type=message_type)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise HandoverError(f"malformed: {error}") from None
-    if (version := getattr(message, "version", VERSION)) != VERSION:
-        raise HandoverError(f"version {version}, not {VERSION}")
+        raise MalformedMessageError(str(error)) from None
+    if isinstance(message, Hello | HandoverState) and message.version != VERSION:
+        raise UnsupportedVersionError(message.version)
     if isinstance(message, HandoverState):
-        try:
-            for member in message.table.members:
-                split_address(member.host_port)
-        except EndpointListError as error:
-            raise HandoverError(str(error)) from None
+        _check_addresses(message.table)
     return message
 
 
+def _check_addresses(endpoint_list: EndpointList) -> None:
+    try:
+        for member in endpoint_list.members:
+            split_address(member.host_port)
+    except EndpointListError as error:
+        raise InvalidEndpointError(str(error)) from None
+
+
 def place(folder: str, listen: tuple[str, int]) -> str:
-    """Where the process that serves at `listen` waits for a successor."""
+    """Return the path of the Unix socket at which the process that serves `listen` waits for a successor."""
     return f"{folder}/cloverwell-{listen[0]}-{listen[1]}.sock"
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -1,13 +1,16 @@
-"""The process that serves: it waits for a successor, and leaves it what it needs."""
+"""The predecessor's side of a handover: it waits for a successor, and leaves it its state and its port."""
 
 from __future__ import annotations
 
 import contextlib
 import os
-from typing import Any, Protocol
+from collections.abc import Iterator
+from enum import Enum
+from typing import Protocol
 
 from twisted.internet import tcp, unix
 from twisted.internet.error import CannotListenError
+from twisted.internet.interfaces import IAddress, IReactorUNIX
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
@@ -15,148 +18,217 @@
 from cloverwell.front.port import RestingPort
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
-from cloverwell.handover.sockets import clear, is_ours, short
+from cloverwell.handover.sockets import is_same_user, remove_stale_socket, short_path
 from cloverwell.log import Log
-from cloverwell.timer_wheel import TimerWheel
+from cloverwell.timer_wheel import Timer, TimerWheel
 
-HELLO_MS = 1000.0  # what a caller may take to say what it wants
-CALLERS = 2  # at once: one that says nothing does not shut the successor out
+HELLO_TIMEOUT_MS = 1000.0
+MAX_CONNECTIONS = 2  # At once, so that a connection that sends nothing does not keep the successor out.
+MAX_LOGGED_ADDRESS = 60  # Characters of an address that another process has sent.
+SOCKET_MODE = 0o600
+SOCKET_UMASK = 0o177
 
 
-class Owner(Protocol):
-    """Whose address is taken over."""
+class Refusal(Enum):
+    """Why another process can't be the successor; the values are written to the log."""
+
+    SILENT = "it says nothing"
+    OTHER_USER = "it is another user's"
+    HELLO_TOO_LONG = "it says too much"
+    SUCCESSOR_EXISTS = "there is a successor already"
+
+
+class HandoverRefusedError(HandoverError):
+    """The other process is refused for the reason `refusal`."""
+
+    def __init__(self, refusal: Refusal) -> None:
+        """The error's text is the value of `refusal`."""
+        super().__init__(refusal.value)
+        self.refusal = refusal
+
+
+class OtherAddressError(HandoverError):
+    """The other process serves at another address, `listen`, than this one."""
+
+    def __init__(self, listen: str) -> None:
+        """`listen` is the address as the other process has sent it."""
+        super().__init__(f"it serves at {listen[:MAX_LOGGED_ADDRESS]!r}")
+        self.listen = listen
+
+
+class ServingProxy(Protocol):
+    """The proxy whose address is taken over."""
 
     def hand_over(self) -> tuple[HandoverState, int]:
-        """What the successor gets, and the listening socket's descriptor."""
+        """Return what the successor gets, and the listening socket's descriptor.
+
+        Raises `HandoverError` if there is nothing to hand over.
+        """
 
     def succeeded(self) -> None:
-        """The successor serves."""
+        """Take notice that the successor accepts connections."""
 
     def successor_lost(self) -> None:
-        """The successor has gone: all is ours again."""
+        """Take back what was handed over: the successor has exited."""
 
 
-class _Port(RestingPort, unix.Port):
+class _UnixPort(RestingPort, unix.Port):
     def connectionLost(self, reason: Failure) -> None:
-        # Twisted unlinks the path here, a turn of the loop late: a successor may have its own there by then.
+        # `unix.Port` would remove the path here, one turn of the loop after the port was closed. By then the
+        # path may be the successor's.
         tcp.Port.connectionLost(self, reason)
 
 
 class SuccessorListener(Factory):
-    """Waits at `path`; one successor at a time."""
+    """Listens on a Unix socket, and accepts one successor at a time."""
 
     noisy = False
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: IReactorUNIX,
         path: str,
         listen: tuple[str, int],
-        owner: Owner,
+        proxy: ServingProxy,
         timer_wheel: TimerWheel,
         log: Log,
-    ):
+    ) -> None:
+        """`path` is the socket's; `listen` is the address at which `proxy` serves clients."""
         self._reactor = reactor
         self._path = path
         self._listen = f"{listen[0]}:{listen[1]}"
-        self._port: Any = None
-        self.owner = owner
+        self._port: _UnixPort | None = None
+        self._connection_count = 0
+        self.proxy = proxy
         self.timer_wheel = timer_wheel
         self.log = log
         self.successor: SuccessorConnection | None = None
-        self._callers = 0
 
     def open(self) -> None:
-        """Without it a successor takes the address by SO_REUSEPORT."""
-        old = os.umask(0o177)
+        """Listen for a successor.
+
+        Where that fails a line is logged, and a successor shares the address by SO_REUSEPORT instead.
+        """
         try:
-            clear(self._path)
-            with short(self._path) as name:
-                port = _Port(name, self, CALLERS, 0o600, reactor=self._reactor)
-                port.startListening()
-                port.guard()
-            self._port = port
+            with _umask(SOCKET_UMASK):
+                remove_stale_socket(self._path)
+                self._port = self._start_port()
         except (CannotListenError, OSError) as error:
             self.log.warn("handover", f"no successor can ask: {error}".replace("\n", " "))
-        finally:
-            os.umask(old)
+
+    def _start_port(self) -> _UnixPort:
+        with short_path(self._path) as name:
+            # Twisted declares bytes, but takes text as well, which reads better in the text of its errors.
+            port = _UnixPort(name, self, MAX_CONNECTIONS, SOCKET_MODE, self._reactor)  # type: ignore[arg-type]
+            port.startListening()  # type: ignore[no-untyped-call]
+            port.guard()
+        return port
 
     def close(self) -> None:
-        """The path is free, at once."""
-        if self._port is not None:
-            with contextlib.suppress(OSError):
-                os.unlink(self._path)
-            self._port.stopListening()
-            self._port = None
+        """Stop listening; the path is free at once."""
+        if self._port is None:
+            return
+        with contextlib.suppress(OSError):
+            os.unlink(self._path)
+        self._port.stopListening()
+        self._port = None
 
     def accept_failed(self, reason: str) -> None:
+        """Log that a connection could not be accepted; see `RestingPort`."""
         self.log.warn("handover", f"no successor could be let in for a moment: {reason}")
 
     def accepts_no_more(self) -> None:
-        """How long a successor waits to be let in does not count."""
+        """Ignore a pause of the port: it matters to nobody how long a successor waits to be accepted."""
 
-    def buildProtocol(self, addr: object) -> SuccessorConnection | None:
-        if self._callers >= CALLERS:
+    def buildProtocol(self, _address: IAddress | None) -> SuccessorConnection | None:
+        """Return the protocol of a new connection; None closes it, since too many are open."""
+        if self._connection_count >= MAX_CONNECTIONS:
             return None
-        self._callers += 1
+        self._connection_count += 1
         return SuccessorConnection(self)
 
-    def asked(self, caller: SuccessorConnection, hello: Hello) -> None:
+    def hello_received(self, connection: SuccessorConnection, hello: Hello) -> None:
+        """Hand over to the process that has sent `hello`; raise `HandoverError` if it can't be the
+        successor."""
         if self.successor is not None:
-            raise HandoverError("there is a successor already")
+            raise HandoverRefusedError(Refusal.SUCCESSOR_EXISTS)
         if hello.listen != self._listen:
-            raise HandoverError(f"it serves at {hello.listen[:60]!r}")
-        self.successor = caller
-        self.close()  # the path is the successor's now
-        handover_state, listening = self.owner.hand_over()
-        caller.transport.sendFileDescriptor(listening)
-        caller.transport.write(messages.encode(handover_state))
+            raise OtherAddressError(hello.listen)
+        self.successor = connection
+        self.close()  # From now on the path is the successor's.
+        handover_state, listening = self.proxy.hand_over()
+        connection.send_state(handover_state, listening)
         self.log.info(
             "handover", f"a successor has the port, {handover_state.sockets} descriptors and the list"
         )
 
-    def left(self, caller: SuccessorConnection) -> None:
-        self._callers -= 1
-        if self.successor is caller:
+    def connection_closed(self, connection: SuccessorConnection) -> None:
+        """Free the connection's place; if it was the successor's, the proxy serves alone again."""
+        self._connection_count -= 1
+        if self.successor is connection:
             self.successor = None
-            self.owner.successor_lost()
+            self.proxy.successor_lost()
 
 
 class SuccessorConnection(LineReceiver):
-    """One caller, that becomes the successor by a hello that can be read."""
+    """A connection from another process, which becomes the successor by a valid hello."""
 
-    delimiter = messages.END
-    MAX_LENGTH = messages.MAX_HELLO
+    delimiter = messages.MESSAGE_END
+    MAX_LENGTH = messages.MAX_HELLO_BYTES
+    transport: unix.Server  # type: ignore[assignment]  # Twisted declares only its smallest interface.
+    _hello_timer: Timer
 
     def __init__(self, successor_listener: SuccessorListener) -> None:
+        """`successor_listener` has accepted the connection."""
         self._successor_listener = successor_listener
-        self._timer: Any = None
 
     def connectionMade(self) -> None:
+        """Wait for the hello, and refuse a process of another user."""
         timer_wheel = self._successor_listener.timer_wheel
-        self._timer = timer_wheel.at(timer_wheel.now() + HELLO_MS, lambda: self._refuse("it says nothing"))
-        if not is_ours(self.transport.getHandle()):
-            self._refuse("it is another user's")
+        deadline_ms = timer_wheel.now() + HELLO_TIMEOUT_MS
+        self._hello_timer = timer_wheel.at(deadline_ms, lambda: self._refuse(Refusal.SILENT.value))
+        if not is_same_user(self.transport.getHandle()):
+            self._refuse(Refusal.OTHER_USER.value)
 
     def lineReceived(self, line: bytes) -> None:
+        """Process the hello, or a later message of the successor."""
         try:
             if self._successor_listener.successor is self:
-                if messages.decode(line, Serves).serves:
-                    self._successor_listener.owner.succeeded()
-                return
-            hello = messages.decode(line, Hello)
-            self._timer.cancel()
-            self._successor_listener.asked(self, hello)
+                self._successor_line_received(line)
+            else:
+                hello = messages.decode(line, Hello)
+                self._hello_timer.cancel()
+                self._successor_listener.hello_received(self, hello)
         except HandoverError as error:
             self._refuse(str(error))
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        self._refuse("it says too much")
+    def _successor_line_received(self, line: bytes) -> None:
+        if messages.decode(line, Serves).serves:
+            self._successor_listener.proxy.succeeded()
+
+    def lineLengthExceeded(self, _line: bytes) -> None:
+        """Refuse a process that sends more than a hello."""
+        self._refuse(Refusal.HELLO_TOO_LONG.value)
+
+    def send_state(self, handover_state: HandoverState, listening: int) -> None:
+        """Send what the successor gets, with the listening socket's descriptor."""
+        self.transport.sendFileDescriptor(listening)
+        self.transport.write(messages.encode(handover_state))
 
     def _refuse(self, reason: str) -> None:
         self._successor_listener.log.warn("handover", f"a caller is refused: {reason}".replace("\n", " "))
         self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self._timer.cancel()
-        self._successor_listener.left(self)
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
+        """Tell the listener that the other process has exited, or was refused."""
+        self._hello_timer.cancel()
+        self._successor_listener.connection_closed(self)
+
+
+@contextlib.contextmanager
+def _umask(mask: int) -> Iterator[None]:
+    previous = os.umask(mask)
+    try:
+        yield
+    finally:
+        os.umask(previous)
--- a/cloverwell/handover/sockets.py
+++ b/cloverwell/handover/sockets.py
@@ -1,4 +1,4 @@
-"""Unix sockets in a folder of any length, and who stands at the other end."""
+"""Unix sockets at paths of any length, and the user of the process at their other end."""
 
 import contextlib
 import os
@@ -6,33 +6,38 @@
 import struct
 from collections.abc import Iterator
 
-LONGEST = 100  # bytes of a path that a Unix socket's address holds
+MAX_SOCKET_PATH_BYTES = 100  # A Unix socket's address has 108 bytes; a few of them are left unused.
+_PEER_CREDENTIALS = struct.Struct("3i")  # Process, user and group, as in `struct ucred` of unix(7).
 
 
 @contextlib.contextmanager
-def short(path: str) -> Iterator[str]:
-    """The path by another name, where it is too long for an address; good for as long as the context."""
-    if len(os.fsencode(path)) <= LONGEST:
+def short_path(path: str) -> Iterator[str]:
+    """Yield a path to the same socket that fits an address; it is valid only within the context.
+
+    A path that is too long is replaced by one through a descriptor of its folder.
+    """
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield path
         return
     folder, name = os.path.split(path)
-    held = os.open(folder, os.O_PATH | os.O_DIRECTORY)
+    folder_descriptor = os.open(folder, os.O_PATH | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{held}/{name}"
+        yield f"/proc/self/fd/{folder_descriptor}/{name}"
     finally:
-        os.close(held)
+        os.close(folder_descriptor)
 
 
-def clear(path: str) -> None:
-    """Removes a socket that nobody listens at: who made it was killed."""
-    with short(path) as name, socket.socket(socket.AF_UNIX) as probe, contextlib.suppress(OSError):
+def remove_stale_socket(path: str) -> None:
+    """Remove a socket at which no process listens: the process that made it was killed."""
+    with short_path(path) as name, socket.socket(socket.AF_UNIX) as probe, contextlib.suppress(OSError):
         try:
             probe.connect(name)
         except ConnectionRefusedError:
             os.unlink(name)
 
 
-def is_ours(connection: socket.socket) -> bool:
-    """The other end is a process of the same user."""
-    told = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    return struct.unpack("3i", told)[1] == os.geteuid()
+def is_same_user(connection: socket.socket) -> bool:
+    """Whether the process at the other end belongs to the same user as this one."""
+    credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
+    _, user, _ = _PEER_CREDENTIALS.unpack(credentials)
+    return bool(user == os.geteuid())
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -1,12 +1,15 @@
-"""The process that takes over: it asks before it serves, and learns when its predecessor has gone."""
+"""The successor's side of a handover: it takes over the listening socket, and learns when its predecessor
+exits."""
 
 from __future__ import annotations
 
+import contextlib
 import os
 import socket
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
+from enum import Enum
+from typing import Protocol
 
 from twisted.internet.interfaces import IReadDescriptor
 from twisted.python.failure import Failure
@@ -14,121 +17,206 @@
 
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
-from cloverwell.handover.sockets import is_ours, short
+from cloverwell.handover.sockets import is_same_user, short_path
 from cloverwell.log import Log
 from cloverwell.system_calls import MOMENTARY
 from cloverwell.timer_wheel import monotonic_ms
 
-TELL_AGAIN_S = 0.02  # a message that the machine does not take is sent again
-WAIT_S = 1.0  # for a silent predecessor: the platform waits 6 s for the first yes
+WAIT_S = 1.0  # For a silent predecessor; the platform waits 6 s until a new process must serve.
+RESEND_INTERVAL_S = 0.02  # After a send that the kernel did not take.
+MIN_TIMEOUT_S = 0.001  # A timeout of 0 would make a socket non-blocking.
+MAX_RECEIVED_BYTES = 65536  # In one call.
+MAX_RECEIVED_DESCRIPTORS = 4  # In one call.
+
+
+class TakeoverProblem(Enum):
+    """Why nothing can be taken over; the values are written to the log."""
+
+    PREDECESSOR_GONE = "the process that left its socket there has gone"
+    OTHER_USER = "the process there is another user's"
+    ANSWER_INCOMPLETE = "the answer is cut off"
+    ANSWER_TOO_LONG = "the answer is too long"
+    NOT_LISTENING = "the socket that came does not listen at our address"
+
+
+class TakeoverError(HandoverError):
+    """Nothing can be taken over, for the reason `problem`."""
+
+    def __init__(self, problem: TakeoverProblem) -> None:
+        """The error's text is the value of `problem`."""
+        super().__init__(problem.value)
+        self.problem = problem
+
+
+class DescriptorCountError(HandoverError):
+    """The answer came with `count` descriptors in place of one."""
+
+    def __init__(self, count: int) -> None:
+        """`count` is how many descriptors came."""
+        super().__init__(f"{count} sockets came, not one")
+        self.count = count
+
+
+class ReadingReactor(Protocol):
+    """What a `Predecessor` needs of a reactor: of Twisted's `IReactorFDSet` and `IReactorTime`."""
+
+    addReader: Callable[[Predecessor], None]
+    removeReader: Callable[[Predecessor], None]
+    callLater: Callable[..., object]
 
 
 @implementer(IReadDescriptor)
-@dataclass(eq=False)
 class Predecessor:
-    """What it has left us, and the conversation that ends with it."""
-
-    handover_state: HandoverState
-    listening: int  # the descriptor of the socket that clients' connections wait in
-    _socket: socket.socket
-    _gone: Callable[[], None] = lambda: None
-    _reactor: object = None
-
-    def watch(self, reactor: object, gone: Callable[[], None]) -> None:
-        """We serve from now on; `gone` is called once, when it has ended."""
-        self._reactor, self._gone = reactor, gone
-        self._socket.setblocking(False)
+    """The predecessor's state and listening socket, and the connection that ends when it exits.
+
+    `listening` is the descriptor of the socket in whose queue clients' connections wait.
+    """
+
+    _reactor: ReadingReactor
+    _on_exit: Callable[[], None]
+
+    def __init__(self, handover_state: HandoverState, listening: int, connection: socket.socket) -> None:
+        """`connection` is the one on which the state was received."""
+        self.handover_state = handover_state
+        self.listening = listening
+        self._connection = connection
+
+    def watch(self, reactor: ReadingReactor, on_exit: Callable[[], None]) -> None:
+        """Tell the predecessor that this process serves from now on; `on_exit` is called once, when it
+        exits."""
+        self._reactor = reactor
+        self._on_exit = on_exit
+        self._connection.setblocking(False)
         reactor.addReader(self)
-        self._tell(messages.encode(Serves(True)))
+        self._send(messages.encode(Serves(True)))
 
-    def _tell(self, data: bytes) -> None:
-        """Until it knows that we serve, it takes connections too."""
+    def _send(self, data: bytes) -> None:
+        """Send until all is sent: the predecessor accepts connections, too, until it has the message."""
         try:
-            data = data[self._socket.send(data) :]
+            sent = self._connection.send(data)
         except OSError as error:
-            if not (error.errno in MOMENTARY or isinstance(error, BlockingIOError)):
-                return  # it has gone by now, and we shall read so
-        if data:
-            self._reactor.callLater(TELL_AGAIN_S, self._tell, data)
+            if not _is_momentary(error):
+                return  # The predecessor has exited, and `doRead` will notice.
+            sent = 0
+        if sent < len(data):
+            self._reactor.callLater(RESEND_INTERVAL_S, self._send, data[sent:])
 
     # IReadDescriptor ----------------------------------------------------------------------------
 
     def fileno(self) -> int:
-        return self._socket.fileno()
+        """Return the connection's descriptor."""
+        return self._connection.fileno()
 
     def logPrefix(self) -> str:
+        """Return the name under which Twisted logs faults of this reader."""
         return "predecessor"
 
     def doRead(self) -> None:
+        """Notice the end of the connection. Data is ignored, since a later version may send more messages."""
         try:
-            if self._socket.recv(4096):
-                return  # a later version may say more
-        except BlockingIOError:
-            return
+            data = self._connection.recv(4096)
         except OSError as error:
-            if error.errno in MOMENTARY:
+            if _is_momentary(error):
                 return
+            data = b""
+        if data:
+            return
         self._reactor.removeReader(self)
-        self._socket.close()
-        self._gone()
+        self._connection.close()
+        self._on_exit()
 
     def connectionLost(self, reason: Failure) -> None:
-        """The reactor ends."""
+        """Ignore the end of the reactor: the process exits with it."""
 
 
 def ask(path: str, listen: tuple[str, int], log: Log, wait_s: float = WAIT_S) -> Predecessor | None:
-    """Blocks for `wait_s` at the most. None: nobody is there, or nobody that can be understood."""
-    own: socket.socket | None = None
-    held: list[int] = []
-    until_s = time.monotonic() + wait_s
+    """Take over from the process that serves at `listen` and waits for a successor at `path`.
+
+    Blocks for at most `wait_s`. Returns None if no process is there, or none whose answer can be used; the
+    reason for the latter is logged.
+    """
+    deadline_s = time.monotonic() + wait_s
     try:
-        own = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        own.settimeout(wait_s)
-        with short(path) as name:
-            try:
-                own.connect(name)
-            except FileNotFoundError:
+        with contextlib.ExitStack() as cleanup:
+            connection = cleanup.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
+            if not _connect(connection, path, deadline_s):
                 return None
-            except ConnectionRefusedError:
-                raise HandoverError("the process that left its socket there has gone") from None
-        if not is_ours(own):
-            raise HandoverError("the process there is another user's")
-        own.settimeout(_left_s(until_s))
-        asked_ms = monotonic_ms()
-        own.sendall(messages.encode(Hello(messages.VERSION, f"{listen[0]}:{listen[1]}")))
-        handover_state = messages.decode(_line(own, held, until_s), HandoverState)
-        if not handover_state.keep_starts_of(asked_ms, monotonic_ms()):
-            log.warn("handover", "the predecessor reads another clock: its nodes' starts are not taken over")
-        if len(held) != 1:
-            raise HandoverError(f"{len(held)} sockets came, not one")
-        with socket.socket(fileno=os.dup(held[0])) as listening:
-            if listening.getsockname() != listen or not listening.getsockopt(
-                socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-            ):
-                raise HandoverError("the socket that came does not listen at our address")
+            descriptors: list[int] = []
+            cleanup.callback(_close_all, descriptors)
+            handover_state = _exchange(connection, listen, descriptors, deadline_s, log)
+            listening = _checked_listening_socket(descriptors, listen)
+            cleanup.pop_all()
     except (OSError, HandoverError) as error:
         log.warn("handover", f"nothing is taken over: {error}".replace("\n", " "))
-        if own is not None:
-            own.close()
-        for fd in held:
-            os.close(fd)
         return None
-    return Predecessor(handover_state, held[0], own)
-
+    return Predecessor(handover_state, listening, connection)
 
-def _left_s(until_s: float) -> float:
-    """0 would be a socket that does not wait, and raises another error."""
-    return max(0.001, until_s - time.monotonic())
 
-
-def _line(own: socket.socket, held: list[int], until_s: float) -> bytes:
-    """One message; the descriptors that come with it go to `held`."""
+def _connect(connection: socket.socket, path: str, deadline_s: float) -> bool:
+    """Connect to the predecessor; return False if there is none."""
+    connection.settimeout(_remaining_s(deadline_s))
+    with short_path(path) as name:
+        try:
+            connection.connect(name)
+        except FileNotFoundError:
+            return False
+        except ConnectionRefusedError:
+            raise TakeoverError(TakeoverProblem.PREDECESSOR_GONE) from None
+    if not is_same_user(connection):
+        raise TakeoverError(TakeoverProblem.OTHER_USER)
+    return True
+
+
+def _exchange(
+    connection: socket.socket, listen: tuple[str, int], descriptors: list[int], deadline_s: float, log: Log
+) -> HandoverState:
+    """Send the hello and return the answer; the descriptors that come with it are added to `descriptors`."""
+    connection.settimeout(_remaining_s(deadline_s))
+    requested_ms = monotonic_ms()
+    connection.sendall(messages.encode(Hello(messages.VERSION, f"{listen[0]}:{listen[1]}")))
+    line = _receive_line(connection, descriptors, deadline_s)
+    handover_state = messages.decode(line, HandoverState)
+    if not handover_state.check_clock(requested_ms, monotonic_ms()):
+        log.warn("handover", "the predecessor reads another clock: its nodes' starts are not taken over")
+    return handover_state
+
+
+def _receive_line(connection: socket.socket, descriptors: list[int], deadline_s: float) -> bytes:
     data = b""
-    while messages.END not in data:
-        own.settimeout(_left_s(until_s))
-        piece, fds, _, _ = socket.recv_fds(own, 65536, 4)
-        held += fds
-        data += piece
-        if not piece or len(data) > messages.MAX_ESTATE:
-            raise HandoverError("the answer is cut off" if not piece else "the answer is too long")
-    return data.partition(messages.END)[0]
+    while messages.MESSAGE_END not in data:
+        connection.settimeout(_remaining_s(deadline_s))
+        received, received_descriptors, _, _ = socket.recv_fds(
+            connection, MAX_RECEIVED_BYTES, MAX_RECEIVED_DESCRIPTORS
+        )
+        descriptors += received_descriptors
+        if not received:
+            raise TakeoverError(TakeoverProblem.ANSWER_INCOMPLETE)
+        data += received
+        if len(data) > messages.MAX_ESTATE:
+            raise TakeoverError(TakeoverProblem.ANSWER_TOO_LONG)
+    return data.partition(messages.MESSAGE_END)[0]
+
+
+def _checked_listening_socket(descriptors: list[int], listen: tuple[str, int]) -> int:
+    """Return the one descriptor, after checking that it is a socket that listens at this address."""
+    if len(descriptors) != 1:
+        raise DescriptorCountError(len(descriptors))
+    with socket.socket(fileno=os.dup(descriptors[0])) as listening:
+        is_listening = listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        if not is_listening or listening.getsockname() != listen:
+            raise TakeoverError(TakeoverProblem.NOT_LISTENING)
+    return descriptors[0]
+
+
+def _close_all(descriptors: list[int]) -> None:
+    for descriptor in descriptors:
+        os.close(descriptor)
+
+
+def _remaining_s(deadline_s: float) -> float:
+    return max(MIN_TIMEOUT_S, deadline_s - time.monotonic())
+
+
+def _is_momentary(error: OSError) -> bool:
+    """Whether the call may succeed when it is repeated."""
+    return error.errno in MOMENTARY or isinstance(error, BlockingIOError)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -51,7 +51,8 @@
     clients.stop()
     # At most the one request that crosses its connection's close, for each client and replacement.
     assert clients.crossed <= 2 * 8
-    assert old.end(signal.SIGTERM) == 0 and not os.path.exists(place.path)
+    assert old.end(signal.SIGTERM) == 0
+    assert not os.path.exists(place.path)
 
 
 def test_the_old_process_killed_leaves_the_port_to_the_new(place):
@@ -123,6 +124,8 @@
                 caller.sendall(garbage)
                 assert caller.recv(100) == b""
     assert process.log.read_text().count("a caller is refused") == 4
+    for reason in ("malformed: ", "version 9, not 1", "it says too much", "it serves at 'x'"):
+        assert process.log.read_text().count(f"a caller is refused: {reason}") == 1
     assert place.start().ready().log.read_text().count("nothing is taken over") == 0
 
 
@@ -138,7 +141,8 @@
         run = subprocess.run(
             [sys.executable, "-m", "cloverwell"], env=environ, capture_output=True, text=True
         )
-    assert run.returncode == 2 and "cloverwell: operator: " in run.stderr
+    assert run.returncode == 2
+    assert "cloverwell: operator: " in run.stderr
 
 
 @given(st.binary(max_size=200))
@@ -183,22 +187,23 @@
     new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
     new.start(adopt=lambda reactor, descriptor, factory: None)
     cold_ms = {name: new.back._nodes[name].cold_until_ms - old.now() for name in told}
-    assert cold_ms["warm"] < 0.0 and cold_ms["cold"] == pytest.approx(900.0, abs=1.0)
+    assert cold_ms["warm"] < 0.0
+    assert cold_ms["cold"] == pytest.approx(900.0, abs=1.0)
 
 
 STARTS = KnownStarts(5000.0, 4000.0, {"a": NodeStart(5.0, 3000.0)})
 
 
 @pytest.mark.parametrize(
-    "asked_ms, received_ms, kept", [(4999, 5001, True), (5001, 5900, False), (0, 4999, False)]
+    ("requested_ms", "received_ms", "kept"), [(4999, 5001, True), (5001, 5900, False), (0, 4999, False)]
 )
-def test_starts_that_were_written_by_another_clock_are_dropped(asked_ms, received_ms, kept):
+def test_starts_that_were_written_by_another_clock_are_dropped(requested_ms, received_ms, kept):
     state = HandoverState(1, 200, EndpointList(7, True, []), STARTS)
-    assert state.keep_starts_of(asked_ms, received_ms) is kept
+    assert state.check_clock(requested_ms, received_ms) is kept
     assert state.node_starts == (STARTS if kept else None)
 
 
-@pytest.mark.parametrize("offset_ms, kept", [(0.0, True), (HOUR_MS, False), (-HOUR_MS, False)])
+@pytest.mark.parametrize(("offset_ms", "kept"), [(0.0, True), (HOUR_MS, False), (-HOUR_MS, False)])
 def test_a_predecessor_that_reads_another_clock_leaves_all_but_the_starts(tmp_path, offset_ms, kept):
     path, log = str(tmp_path / "handover.sock"), io.StringIO()
     with socket.socket() as listening, socket.socket(socket.AF_UNIX) as predecessor:
@@ -221,7 +226,7 @@
         left = ask(path, listening.getsockname(), Log(monotonic_ms, log), PATIENCE_S)
         assert left is not None, log.getvalue()
         os.close(left.listening)
-        left._socket.close()
+        left._connection.close()
         thread.join()
     assert (left.handover_state.node_starts is not None) is kept
     assert log.getvalue().count("reads another clock") == (not kept)
@@ -249,16 +254,12 @@
     for _ in range(60):
         budget.take(DescriptorSide.CLIENTS)
     budget.resize(50)
-    assert (
-        budget.over == 10
-        and not budget.room(DescriptorSide.CLIENTS)
-        and not budget.room(DescriptorSide.NODES)
-    )
+    assert budget.over == 10
+    assert not budget.room(DescriptorSide.CLIENTS)
+    assert not budget.room(DescriptorSide.NODES)
     for _ in range(40):
         budget.give_back(DescriptorSide.CLIENTS)
-    assert (
-        budget.over == 0
-        and budget.room(DescriptorSide.CLIENTS) == 50 - budget.floors[DescriptorSide.NODES] - 20
-    )
+    assert budget.over == 0
+    assert budget.room(DescriptorSide.CLIENTS) == 50 - budget.floors[DescriptorSide.NODES] - 20
     budget.resize(100)
     assert budget.room(DescriptorSide.CLIENTS) == 45
--- a/tests/test_handover_calls.py
+++ b/tests/test_handover_calls.py
@@ -60,16 +60,19 @@
         reactor.advance(0.02)
     assert conversation.sent == b'{"serves":true}\n'
     predecessor.doRead()
-    assert not gone and predecessor in reactor.readers
+    assert not gone
+    assert predecessor in reactor.readers
     predecessor.doRead()  # now it has ended
-    assert gone and conversation.closed and not reactor.readers
+    assert gone
+    assert conversation.closed
+    assert not reactor.readers
 
 
 def test_a_place_that_can_not_be_looked_at_ends_no_start(tmp_path, monkeypatch):
-    def clear(path):
+    def remove_stale_socket(path):
         raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
 
-    monkeypatch.setattr(handover, "clear", clear)
+    monkeypatch.setattr(handover, "remove_stale_socket", remove_stale_socket)
     told = []
     log = SimpleNamespace(warn=lambda where, what: told.append(what))
     timer_wheel = SimpleNamespace()
@@ -77,4 +80,5 @@
         Reactor(), str(tmp_path / "x.sock"), ("127.0.0.1", 1), None, timer_wheel, log
     )
     listener.open()
-    assert len(told) == 1 and told[0].startswith("no successor can ask")
+    assert len(told) == 1
+    assert told[0].startswith("no successor can ask")
--- a/tests/test_handover_failures.py
+++ b/tests/test_handover_failures.py
@@ -35,7 +35,8 @@
 
 def check_is_told(lines, number):
     (line,) = lines.lines
-    assert line.startswith("warn handover: no successor can ask") and os.strerror(number) in line
+    assert line.startswith("warn handover: no successor can ask")
+    assert os.strerror(number) in line
 
 
 @pytest.mark.parametrize("number", ERRORS)
@@ -75,7 +76,8 @@
     assert ask(str(tmp_path / "s"), LISTEN, lines) is None
     monkeypatch.undo()
     (line,) = lines.lines
-    assert line.startswith("warn handover: nothing is taken over") and os.strerror(number) in line
+    assert line.startswith("warn handover: nothing is taken over")
+    assert os.strerror(number) in line
 
 
 @pytest.mark.parametrize("number", ERRORS)
