--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -22,7 +22,7 @@
 
 VERSION = 1
 MAX_HELLO_BYTES = 1024
-MAX_ESTATE = 2 * MAX_LIST  # In bytes: the endpoint list takes up to half, and its nodes' starts the rest.
+MAX_ESTATE = 2 * MAX_LIST  # In bytes: for the endpoint list, and for the starts of its nodes.
 MESSAGE_END = b"\n"
 
 MessageT = TypeVar("MessageT", bound=msgspec.Struct)
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -22,7 +22,7 @@
 from cloverwell.system_calls import MOMENTARY
 from cloverwell.timer_wheel import monotonic_ms
 
-WAIT_S = 1.0  # For a silent predecessor; the platform waits 6 s until a new process must serve.
+ANSWER_TIMEOUT_S = 1.0  # For a silent predecessor; the platform waits 6 s until a new process must serve.
 RESEND_INTERVAL_S = 0.02  # After a send that the kernel did not take.
 MIN_TIMEOUT_S = 0.001  # A timeout of 0 would make a socket non-blocking.
 MAX_RECEIVED_BYTES = 65536  # In one call.
@@ -129,7 +129,7 @@
         """Ignore the end of the reactor: the process exits with it."""
 
 
-def ask(path: str, listen: tuple[str, int], log: Log, wait_s: float = WAIT_S) -> Predecessor | None:
+def ask(path: str, listen: tuple[str, int], log: Log, wait_s: float = ANSWER_TIMEOUT_S) -> Predecessor | None:
     """Take over from the process that serves at `listen` and waits for a successor at `path`.
 
     Blocks for at most `wait_s`. Returns None if no process is there, or none whose answer can be used; the
