--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -74,8 +74,10 @@
 
 class _UnixPort(RestingPort, unix.Port):
     def connectionLost(self, reason: Failure) -> None:
-        # `unix.Port` would remove the path here, one turn of the loop after the port was closed. By then the
-        # path may be the successor's.
+        """Close the port, but leave its path, which `unix.Port` would remove.
+
+        This is called one turn of the loop after the port was closed, when the path may be the successor's.
+        """
         tcp.Port.connectionLost(self, reason)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -170,10 +170,10 @@
 def test_a_successor_whose_wall_clock_was_stepped_back_takes_no_warm_node_for_a_cold_one():
     old = Player()
     old.play("wait 100\ndiscovery expect GET *")
-    told = {"warm": old.now() - EPOCH_MS - 5000.0, "cold": old.now() - EPOCH_MS - 100.0}
+    up_since_ms_of = {"warm": old.now() - EPOCH_MS - 5000.0, "cold": old.now() - EPOCH_MS - 100.0}
     rows = [
         {"id": name, "host_port": "127.0.0.9:201", "flavor": "large", "up_since_ms": up_since_ms}
-        for name, up_since_ms in told.items()
+        for name, up_since_ms in up_since_ms_of.items()
     ]
     listing = {"revision": 42, "complete": False, "members": rows}
     old.play(f"discovery send 200 {json.dumps(listing)}")
@@ -186,7 +186,7 @@
     epoch_ms = EPOCH_MS + HOUR_MS
     new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
     new.start(adopt=lambda reactor, descriptor, factory: None)
-    cold_ms = {name: new.back._nodes[name].cold_until_ms - old.now() for name in told}
+    cold_ms = {name: new.back._nodes[name].cold_until_ms - old.now() for name in up_since_ms_of}
     assert cold_ms["warm"] < 0.0
     assert cold_ms["cold"] == pytest.approx(900.0, abs=1.0)
 
--- a/tests/test_handover_calls.py
+++ b/tests/test_handover_calls.py
@@ -73,12 +73,12 @@
         raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
 
     monkeypatch.setattr(handover, "remove_stale_socket", remove_stale_socket)
-    told = []
-    log = SimpleNamespace(warn=lambda where, what: told.append(what))
+    warnings = []
+    log = SimpleNamespace(warn=lambda where, what: warnings.append(what))
     timer_wheel = SimpleNamespace()
     listener = handover.SuccessorListener(
         Reactor(), str(tmp_path / "x.sock"), ("127.0.0.1", 1), None, timer_wheel, log
     )
     listener.open()
-    assert len(told) == 1
-    assert told[0].startswith("no successor can ask")
+    assert len(warnings) == 1
+    assert warnings[0].startswith("no successor can ask")
--- a/tests/test_handover_failures.py
+++ b/tests/test_handover_failures.py
@@ -33,7 +33,7 @@
     return SuccessorListener(Reactor(), str(path), LISTEN, None, None, lines)
 
 
-def check_is_told(lines, number):
+def check_one_warning(lines, number):
     (line,) = lines.lines
     assert line.startswith("warn handover: no successor can ask")
     assert os.strerror(number) in line
@@ -55,7 +55,7 @@
     opened = listener(tmp_path / "s", lines)
     opened.open()
     monkeypatch.undo()
-    check_is_told(lines, number)
+    check_one_warning(lines, number)
     opened.close()  # and the end is as without it
 
 
@@ -66,7 +66,7 @@
     lines = Lines()
     listener(path, lines).open()
     monkeypatch.undo()
-    check_is_told(lines, number)
+    check_one_warning(lines, number)
 
 
 @pytest.mark.parametrize("number", ERRORS)
@@ -90,5 +90,5 @@
     opened = listener(path, lines)
     opened.open()
     monkeypatch.undo()
-    check_is_told(lines, errno.EADDRINUSE)
+    check_one_warning(lines, errno.EADDRINUSE)
     opened.close()
