--- a/cloverwell/__init__.py
+++ b/cloverwell/__init__.py
@@ -1,1 +1,1 @@
-"""cloverwell: a memcache proxy that carries out balancer's decisions on real sockets."""
+"""A memcache proxy on Twisted: it carries out the decisions of the package `balancer` on real sockets."""
--- a/cloverwell/cli/__init__.py
+++ b/cloverwell/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, for people; the platform's bare start imports nothing of it."""
+"""The command line for people. `python -m cloverwell`, the platform's start, imports nothing of it."""
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -1,4 +1,8 @@
-"""`cloverwell` with its sub-commands. Bad input ends with exit code 2 and one line that names the field."""
+"""The command `cloverwell` and its sub-commands for a proxy.
+
+Bad input ends with exit code 2 and one line that names the field. Other packages bring sub-commands of their
+own by the entry points `cloverwell.commands`.
+"""
 
 import json
 import os
@@ -11,13 +15,14 @@
 
 from cloverwell import config as proxy_config
 
-BAD_INPUT = 2
+EXIT_BAD_INPUT = 2
+ENTRY_POINTS = "cloverwell.commands"
 
 
 def refuse(text: str) -> NoReturn:
-    """Ends with exit code 2 and one line."""
+    """Ends the program with exit code 2 and the text in one line on standard error."""
     click.echo(f"cloverwell: {text}".replace("\n", " "), err=True)
-    raise SystemExit(BAD_INPUT)
+    raise SystemExit(EXIT_BAD_INPUT)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -57,9 +62,18 @@
         config = proxy_config.read_config({"EDGE_CONFIG": file})
     except proxy_config.ConfigError as error:
         refuse(f"{file}: {error}")
+    click.echo(f"{file}: good; {_summary(config)}")
+
+
+def _summary(config: proxy_config.Config) -> str:
+    """The addresses of a configuration, and its endpoints, in one line."""
     host, port = config.listen
-    at = "" if config.operator is None else f", operators call {config.operator[0]}:{config.operator[1]}"
-    click.echo(f"{file}: good; listens on {host}:{port}{at}, {len(config.known.members)} known members")
+    parts = [f"listens on {host}:{port}"]
+    if config.operator is not None:
+        operator_host, operator_port = config.operator
+        parts.append(f"operators call {operator_host}:{operator_port}")
+    parts.append(f"{len(config.known.members)} known members")
+    return ", ".join(parts)
 
 
 @cli.group()
@@ -78,7 +92,8 @@
 
 
 def main() -> None:
-    # What stands above the proxy (the lab) brings its commands by itself: nothing here imports it.
-    for entry in entry_points(group="cloverwell.commands"):
+    """The console script: adds the commands of other packages and runs the one that was given."""
+    # The simulation stands above the proxy, so nothing here may import it.
+    for entry in entry_points(group=ENTRY_POINTS):
         cli.add_command(entry.load())
     cli()
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -1,4 +1,8 @@
-"""What a proxy is told: the configuration file, and the variables that stand before it at the start."""
+"""The proxy's configuration: its file, and the environment variables that override it at the start.
+
+The file is JSON; $EDGE_CONFIG names it. $EDGE_LISTEN, $EDGE_DISCOVERY, $EDGE_OPERATOR and $EDGE_NAME go
+before the file's fields. docs/configuration.md describes each field.
+"""
 
 import math
 import os
@@ -11,21 +15,33 @@
 from balancer.settings import check_whole, read_settings
 from cloverwell.membership.endpoint_list import PHASES, EndpointList, EndpointListError, split_address
 
-FD_MIN = 64
-MAX_CONTROL_WAIT_MS = 8000.0  # nine in ten restarts are ready within 10 s, whatever is down
+MIN_SOCKETS = 64
+# Nine in ten restarts must be ready within 10 s, whichever other processes are down.
+MAX_CONTROL_WAIT_MS = 8000.0
+MAX_QUOTED_CHARS = 60  # of a value that an error message quotes
+
+Address = tuple[str, int]
 
 
 class ConfigError(Exception):
-    """The text names the field."""
+    """A configuration that can't be used: `field` names the place, `problem` says what is wrong with it."""
+
+    def __init__(self, field: str, problem: str = "") -> None:
+        """`problem` may be empty where the error of a reader names the field by itself."""
+        super().__init__(f"{field}: {problem}" if problem else field)
+        self.field = field
+        self.problem = problem
 
 
 class Limits(msgspec.Struct):
+    """What this process may use of its machine. `sockets`: file descriptors, for all purposes together."""
+
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 1024
 
 
-class ControlNode(msgspec.Struct):
+class ControlNodeAddress(msgspec.Struct):
     """One node of the control log, as the file names it."""
 
     name: str = ""
@@ -37,12 +53,14 @@
     """The file's `control`: the nodes, this proxy's region, and how long a start waits to be caught up."""
 
     log: str = "fleet"
-    nodes: list[ControlNode] = msgspec.field(default_factory=list)
+    nodes: list[ControlNodeAddress] = msgspec.field(default_factory=list)
     region: str = ""
     wait_ms: float = 5000.0
 
 
 class File(msgspec.Struct):
+    """The configuration file as it is written; addresses and settings are not checked yet."""
+
     listen: str = ""
     discovery: str = ""
     operator: str = ""
@@ -54,126 +72,167 @@
     control: ControlSection | None = None
 
 
-class Control(msgspec.Struct):
-    """Which control nodes a proxy may follow: those of its own region, and the others, by name."""
+class ControlNodes(msgspec.Struct):
+    """Which control nodes a proxy may follow, by name: `home` are those of its own region."""
 
     log: str
-    home: dict[str, tuple[str, int]]
-    elsewhere: dict[str, tuple[str, int]]
+    home: dict[str, Address]
+    elsewhere: dict[str, Address]
     region: str
     wait_ms: float
 
     @property
-    def nodes(self) -> dict[str, tuple[str, int]]:
+    def nodes(self) -> dict[str, Address]:
         """All of them."""
         return self.home | self.elsewhere
 
 
 class Config(msgspec.Struct):
+    """A configuration that has been read and checked.
+
+    `operator`: where operators' calls are answered, None for nowhere; `control`: None where the proxy follows
+    no control log; `document`: the file's text, where a control log may change it.
+    """
+
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen: Address
+    discovery: Address
     seed: int
     limits: Limits
     known: EndpointList
     settings: Settings
-    operator: tuple[str, int] | None = None  # where operators call; None: nowhere
-    control: Control | None = None  # None: the proxy follows no control log
-    document: bytes = b""  # the file's text, where a control log may change it
+    operator: Address | None = None
+    control: ControlNodes | None = None
+    document: bytes = b""
 
 
 def read_config(environ: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """`again`: the file has been replaced, and its address of discovery is newer than the variable's."""
+    """The configuration in the file that $EDGE_CONFIG names. Raises `ConfigError`.
+
+    `again`: the file has been replaced since the start, and its address of discovery is newer than the one in
+    the environment.
+    """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
-        raise ConfigError("EDGE_CONFIG: is not set")
+        raise ConfigError("EDGE_CONFIG", "is not set")
     try:
         with open(path, "rb") as file:
             return parse_config(file.read(), environ, again)
     except OSError as error:
-        raise ConfigError(f"EDGE_CONFIG: {error.strerror}: {path}") from None
+        raise ConfigError("EDGE_CONFIG", f"{error.strerror}: {path}") from None
 
 
 def parse_config(document: bytes, environ: Mapping[str, str], again: bool = False) -> Config:
-    """The text of a configuration file, and what stands before it. Raises `ConfigError`."""
-    try:
-        raw = msgspec.json.decode(document, type=File)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ConfigError(f"EDGE_CONFIG: {error}") from None
-    if raw.settings is None:
-        raise ConfigError("settings: is missing")
-    if raw.limits.sockets < FD_MIN:
-        raise ConfigError(f"limits.sockets: must be at least {FD_MIN}")
-    for name in ("cores", "memory_mb"):
-        if not 0.0 < getattr(raw.limits, name) < math.inf:
-            raise ConfigError(f"limits.{name}: must be over 0")
-    try:
-        check_whole(raw.settings)
-        settings = read_settings(raw.settings)
-    except ValueError as error:
-        raise ConfigError(f"settings: {error}") from None
-    told = environ.get("EDGE_DISCOVERY") or raw.discovery
-    listen = _address("listen", environ.get("EDGE_LISTEN") or raw.listen)
-    calls = environ.get("EDGE_OPERATOR") or raw.operator
-    operator = _address("operator", calls) if calls else None
-    if operator == listen:
-        raise ConfigError("operator: is the address of listen")
+    """The configuration in the text of a file. Raises `ConfigError`. `again`: as for `read_config`."""
+    file = _decode(document)
+    _check_limits(file.limits)
+    settings = _read_settings(file.settings)
+    name = environ.get("EDGE_NAME") or file.name
+    listen = read_address("listen", environ.get("EDGE_LISTEN") or file.listen)
     return Config(
-        name=environ.get("EDGE_NAME") or raw.name,
+        name=name,
         listen=listen,
-        discovery=_address("discovery", raw.discovery if again and raw.discovery else told),
-        seed=_seed(raw.seed),
-        limits=raw.limits,
-        known=_known(raw.known),
+        operator=_read_operator(environ.get("EDGE_OPERATOR") or file.operator, listen),
+        discovery=_read_discovery(file.discovery, environ.get("EDGE_DISCOVERY", ""), again),
+        seed=_read_seed(file.seed),
+        limits=file.limits,
+        known=_check_endpoints(file.known),
         settings=settings,
-        operator=operator,
-        control=None if raw.control is None else _control(raw.control, environ.get("EDGE_NAME") or raw.name),
-        document=b"" if raw.control is None else document,
+        control=None if file.control is None else _read_control(file.control, name),
+        document=b"" if file.control is None else document,
     )
 
 
-def _address(field: str, text: str) -> tuple[str, int]:
+def read_address(field: str, text: str) -> Address:
+    """The address HOST:PORT in a field. Raises `ConfigError`."""
     if not text:
-        raise ConfigError(f"{field}: is missing")
+        raise ConfigError(field, "is missing")
     try:
         return split_address(text)
     except EndpointListError as error:
-        raise ConfigError(f"{field}: {error}") from None
+        raise ConfigError(field, str(error)) from None
+
+
+def _decode(document: bytes) -> File:
+    try:
+        file = msgspec.json.decode(document, type=File)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise ConfigError("EDGE_CONFIG", str(error)) from None
+    if file.settings is None:
+        raise ConfigError("settings", "is missing")
+    return file
+
+
+def _check_limits(limits: Limits) -> None:
+    if limits.sockets < MIN_SOCKETS:
+        raise ConfigError("limits.sockets", f"must be at least {MIN_SOCKETS}")
+    for field, value in (("limits.cores", limits.cores), ("limits.memory_mb", limits.memory_mb)):
+        if not 0.0 < value < math.inf:
+            raise ConfigError(field, "must be over 0")
+
+
+def _read_settings(document: object) -> Settings:
+    try:
+        check_whole(document)
+        return read_settings(document)
+    except ValueError as error:
+        raise ConfigError("settings", str(error)) from None
+
+
+def _read_operator(text: str, listen: Address) -> Address | None:
+    operator = read_address("operator", text) if text else None
+    if operator == listen:
+        raise ConfigError("operator", "is the address of listen")
+    return operator
+
+
+def _read_discovery(in_file: str, in_environment: str, again: bool) -> Address:
+    if again and in_file:
+        return read_address("discovery", in_file)
+    return read_address("discovery", in_environment or in_file)
+
+
+def _read_seed(text: str) -> int:
+    try:
+        return int(text or "0", 16)
+    except ValueError:
+        raise ConfigError("seed", "must be a hexadecimal number") from None
+
+
+def _check_endpoints(known: EndpointList) -> EndpointList:
+    for endpoint in known.members:
+        read_address("known.members.host_port", endpoint.host_port)
+        if endpoint.phase not in PHASES:
+            quoted = repr(endpoint.phase[:MAX_QUOTED_CHARS])
+            raise ConfigError("known.members.phase", f"unknown phase {quoted}")
+    return known
 
 
-def _control(section: ControlSection, proxy: str) -> Control:
+def _read_control(section: ControlSection, proxy: str) -> ControlNodes:
+    """`proxy`: this proxy's name."""
     if not proxy:
-        raise ConfigError("name: is missing, and the control log knows a proxy by it")
+        raise ConfigError("name", "is missing, and the control log knows a proxy by it")
     if not section.log:
-        raise ConfigError("control.log: is missing")
+        raise ConfigError("control.log", "is missing")
     if not section.nodes:
-        raise ConfigError("control.nodes: is missing")
+        raise ConfigError("control.nodes", "is missing")
     if not 0.0 <= section.wait_ms <= MAX_CONTROL_WAIT_MS:
-        raise ConfigError(f"control.wait_ms: must be from 0 to {MAX_CONTROL_WAIT_MS:g}")
-    control = Control(section.log, {}, {}, section.region, section.wait_ms)
+        raise ConfigError("control.wait_ms", f"must be from 0 to {MAX_CONTROL_WAIT_MS:g}")
+    control = ControlNodes(section.log, {}, {}, section.region, section.wait_ms)
     for node in section.nodes:
-        address = _address("control.nodes.address", node.address)
-        if not node.name:
-            raise ConfigError("control.nodes.name: is missing")
-        if node.name in control.nodes:
-            raise ConfigError(f"control.nodes.name: {node.name[:60]!r} stands there twice")
-        if address in control.nodes.values():
-            raise ConfigError(f"control.nodes.address: {node.address} stands there twice")
+        address = _read_control_node(node, control.nodes)
         group = control.home if node.region == section.region else control.elsewhere
         group[node.name] = address
     return control
 
 
-def _seed(text: str) -> int:
-    try:
-        return int(text or "0", 16)
-    except ValueError:
-        raise ConfigError("seed: must be a hexadecimal number") from None
-
-
-def _known(listing: EndpointList) -> EndpointList:
-    for member in listing.members:
-        _address("known.members.host_port", member.host_port)
-        if member.phase not in PHASES:
-            raise ConfigError(f"known.members.phase: unknown phase {member.phase[:60]!r}")
-    return listing
+def _read_control_node(node: ControlNodeAddress, others: dict[str, Address]) -> Address:
+    """The node's address; `others`: the nodes that stand before it in the file."""
+    address = read_address("control.nodes.address", node.address)
+    if not node.name:
+        raise ConfigError("control.nodes.name", "is missing")
+    if node.name in others:
+        raise ConfigError("control.nodes.name", f"{node.name[:MAX_QUOTED_CHARS]!r} stands there twice")
+    if address in others.values():
+        raise ConfigError("control.nodes.address", f"{node.address} stands there twice")
+    return address
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -12,7 +12,7 @@
 from cloverwell.back.origin_connection import OriginConnection
 from cloverwell.back.pool import Pool
 from cloverwell.back.pools import NodePools
-from cloverwell.config import FD_MIN, Config, ConfigError
+from cloverwell.config import MIN_SOCKETS, Config, ConfigError
 from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
 from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
 from cloverwell.connections.node_policy import NodeConnectionPolicy
@@ -263,12 +263,12 @@
             + self.budget.held[DescriptorSide.NODES]
             - len(self.pools.idle)
         )
-        keep = min(full - FD_MIN, max(full // 2, self._spare + used + SPARE_DESCRIPTORS))
+        keep = min(full - MIN_SOCKETS, max(full // 2, self._spare + used + SPARE_DESCRIPTORS))
         self._divide(keep)
         held = self._spare + sum(self.budget.held.values())
         handover_state = HandoverState(
             VERSION,
-            max(FD_MIN, full - max(keep, held)),
+            max(MIN_SOCKETS, full - max(keep, held)),
             self.endpoint_discovery.listing(),
             self.endpoint_discovery.node_starts(),
         )
