--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -1,14 +1,22 @@
-"""One proxy: `python -m cloverwell`, told what it needs by the environment and its configuration file."""
+"""The proxy as a program: `python -m cloverwell`, configured by the environment and a file.
+
+Exit codes: 0 after a graceful shutdown; 2, with one line that names the field, where the configuration can't
+be used or an address can't be listened on.
+"""
+
+from __future__ import annotations
 
 import gc
 import os
 import signal
 import sys
 from collections.abc import Callable
+from typing import cast
 
 from twisted.internet.error import CannotListenError
-from twisted.logger import globalLogBeginner
+from twisted.logger import ILogObserver, globalLogBeginner
 
+from cloverwell.assembly import ProxyReactor
 from cloverwell.config import Config, ConfigError, read_config
 from cloverwell.descriptors import raise_descriptors
 from cloverwell.front.port import adopt, listen
@@ -21,52 +29,68 @@
 from cloverwell.timer_wheel import monotonic_ms
 from cloverwell.unix_time import read_epoch_ms
 
-# Net new objects, and younger collections, between those of each generation: about 3, 9 and 27 s under load.
-COLLECT = (10_000, 3, 3)
+EXIT_BAD_INPUT = 2
+# Net new objects before a collection of the youngest generation, and collections of each generation before
+# one of the next older: under load they come every 3, 9 and 27 s or so.
+COLLECTION_THRESHOLDS = (10_000, 3, 3)
 
 
 def collect_garbage() -> None:
-    """What stands now stands for ever, and is not walked again; all the rest is, each half minute or so.
+    """Excludes what exists now from garbage collection for good, and collects all else seldom.
 
-    Every connection is a cycle by itself (transport and protocol), and one that grew old must not stay.
+    Every connection is a reference cycle by itself (transport and protocol), so an old one must be collected
+    in the end.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT)
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
 
 
-def handle_signals(service: Proxy, call: Callable[..., object]) -> None:
-    """`call` hands a call over to the loop: a signal may come in the middle of anything."""
+def handle_signals(proxy: Proxy, call_in_reactor: Callable[..., object]) -> None:
+    """SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration file again.
+
+    `call_in_reactor` has the event loop make a call: a signal may come in the middle of anything.
+    """
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: call(service.stop))
-    signal.signal(signal.SIGHUP, lambda *_: call(service.reload, lambda: read_config(again=True)))
+        signal.signal(number, lambda *_: call_in_reactor(proxy.stop))
+    signal.signal(signal.SIGHUP, lambda *_: call_in_reactor(proxy.reload, lambda: read_config(again=True)))
 
 
 def main() -> int:
+    """Serves until a graceful shutdown has ended; returns the exit code."""
     try:
-        config: Config = read_config()
+        config = read_config()
     except ConfigError as error:
-        say_last(f"cloverwell: {error}")
-        return 2
+        return _fail(str(error))
     config.limits.sockets = min(config.limits.sockets, raise_descriptors(config.limits.sockets))
     log = Log(monotonic_ms)
-    globalLogBeginner.beginLoggingTo([log.fault], redirectStandardIO=False)
-    # Where processes are replaced beside each other: the same folder for both, as the platform has it.
-    folder = os.environ.get("TMPDIR", "") if config.operator else ""
-    left = ask(place(folder, config.listen), config.listen, log) if folder else None
+    globalLogBeginner.beginLoggingTo([cast(ILogObserver, log.fault)], redirectStandardIO=False)
+    folder = _handover_folder(config)
+    predecessor = ask(place(folder, config.listen), config.listen, log) if folder else None
     reactor = install_reactor()
-    service = Proxy(reactor, config, log, monotonic_ms, read_epoch_ms, left)
-    handle_signals(service, reactor.callFromThread)
+    # Twisted's reactors declare their interfaces to zope, which a type checker without a plugin can't read.
+    proxy = Proxy(cast(ProxyReactor, reactor), config, log, monotonic_ms, read_epoch_ms, predecessor)
+    handle_signals(proxy, reactor.callFromThread)
     try:
-        service.start(listen, adopt, folder)
+        proxy.start(listen, adopt, folder)
     except CannotListenError as error:
         field = "operator" if (error.interface, error.port) == config.operator else "listen"
-        say_last(f"cloverwell: {field}: {error}")
-        return 2
+        return _fail(f"{field}: {error}")
     collect_garbage()
     reactor.run(installSignalHandlers=False)
     return 0
 
 
+def _handover_folder(config: Config) -> str:
+    """Where predecessor and successor meet, the same folder for both; "" where processes are not replaced
+    beside each other."""
+    return os.environ.get("TMPDIR", "") if config.operator else ""
+
+
+def _fail(text: str) -> int:
+    say_last(f"cloverwell: {text}")
+    return EXIT_BAD_INPUT
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- /dev/null
+++ b/cloverwell/metrics_log.py
@@ -0,0 +1,67 @@
+"""The log lines in which a proxy sums up what it did: `connections` and `counts`."""
+
+from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
+from cloverwell.counters import Counters
+from cloverwell.log import Log
+from cloverwell.timer_wheel import TimerWheel
+
+COUNTERS_INTERVAL_MS = 5_000.0  # between two `counts` lines
+CONNECTION_METRICS_INTERVAL_MS = 60_000.0  # between two `connections` lines
+# The events of connections that the `counts` lines have too, so that a fleet's connections can be summed up
+# at the finer interval.
+COUNTED_EVENTS = (
+    ConnectionEvent.OPENED,
+    ConnectionEvent.CONNECT_REFUSED,
+    ConnectionEvent.NOT_OPENED,
+    ConnectionEvent.AHEAD,
+    ConnectionEvent.STALE,
+    ConnectionEvent.RESET,
+)
+
+
+class MetricsLog:
+    """Writes the counters and the connection metrics of one proxy to its log, each at its own interval."""
+
+    def __init__(
+        self, timer_wheel: TimerWheel, log: Log, metrics: ConnectionMetrics, counters: Counters
+    ) -> None:
+        """`metrics` and `counters`: what is written; writing `counters` sets them back to zero."""
+        self._timer_wheel = timer_wheel
+        self._log = log
+        self._metrics = metrics
+        self._counters = counters
+        self._counted_totals = dict.fromkeys(COUNTED_EVENTS, 0)
+
+    def start(self) -> None:
+        """Begins the periodic lines; a line that would be empty is left out."""
+        self._log_metrics_periodically()
+        self._log_counters_periodically()
+
+    def log_final(self) -> None:
+        """Writes both lines once more, as the last ones of the process."""
+        self._log.info("connections", self._metrics.line(*ConnectionEvent))
+        self._log_counters()
+
+    def _log_metrics_periodically(self) -> None:
+        if line := self._metrics.line(*ConnectionEvent):
+            self._log.info("connections", line)
+        next_ms = self._timer_wheel.now() + CONNECTION_METRICS_INTERVAL_MS
+        self._timer_wheel.at(next_ms, self._log_metrics_periodically)
+
+    def _log_counters_periodically(self) -> None:
+        self._log_counters()
+        next_ms = self._timer_wheel.now() + COUNTERS_INTERVAL_MS
+        self._timer_wheel.at(next_ms, self._log_counters_periodically)
+
+    def _log_counters(self) -> None:
+        self._count_connection_events()
+        if line := self._counters.line():
+            self._log.info("counts", line)
+
+    def _count_connection_events(self) -> None:
+        """Adds what has happened since the last line to the counters."""
+        for event, counted in self._counted_totals.items():
+            total = self._metrics.total(event)
+            if total != counted:
+                self._counters.add(f"connections.{event.value}", total - counted)
+                self._counted_totals[event] = total
--- a/cloverwell/serving.py
+++ b/cloverwell/serving.py
@@ -1,10 +1,10 @@
-"""Whether this process serves, and how it is emptied: one state that all ask. No I/O, times in ms.
+"""Whether this process serves, and how it is drained: one state that all ask. No I/O, times in ms.
 
-`mn`, `GET /ready`, the listening port and the ends of clients' connections go by it. A drain and a planned
-end empty the process in the same way and differ in their times alone:
+The answer to `mn`, `GET /ready`, the listening port and the ends of clients' connections go by it. A drain
+and a graceful shutdown close connections in the same way and differ in their schedules alone:
 
-- for a while connections are still taken, since who sends them has not heard yet;
-- then each connection is closed between requests, one with half a command only when it is cut.
+- for a while connections are still accepted, since those who send clients here have not been told yet;
+- then each connection is closed between requests, and one with half a command some time later.
 """
 
 import math
@@ -13,6 +13,8 @@
 
 
 class ServingState(Enum):
+    """The life of a proxy process, from its start to its shutdown."""
+
     STARTING = "starting"
     READY = "ready"
     DRAINED = "drained"
@@ -20,91 +22,123 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """Since the call, in ms: until when connections are taken, from when they are closed, and cut, and by
-    when all must have been answered."""
+class DrainSchedule:
+    """What happens to connections and requests how long after a drain or a shutdown began.
+
+    `accept_ms`: until then connections are accepted; `close_idle_ms`: from then on they are closed between
+    requests; `close_mid_command_ms`: from then on also with half a command; `answer_ms`: by then all requests
+    must have been answered.
+    """
 
     accept_ms: float
-    let_go_ms: float
-    cut_ms: float
+    close_idle_ms: float
+    close_mid_command_ms: float
     answer_ms: float = math.inf
 
 
-# Told within 0.1 s, the front goes on for 0.2 s, and asks on new connections whether the drain is over.
-DRAIN = Plan(accept_ms=math.inf, let_go_ms=400.0, cut_ms=2500.0)
-# After SIGTERM clients may not have heard yet: new connections are taken for so long, and what comes on open
-# ones is answered for a little longer.
-HEARD_MS, CUT_MS = 500.0, 250.0
-MOST_MS, KILL_MS = 3000.0, 700.0  # SIGKILL: so long after the longest deadline, which counts as no more
-MARGIN_MS = 200.0  # before it
+# The front layer is told within 0.1 s, sends clients for a further 0.2 s, and asks on new connections whether
+# the drain is over.
+DRAIN_SCHEDULE = DrainSchedule(accept_ms=math.inf, close_idle_ms=400.0, close_mid_command_ms=2500.0)
+# After SIGTERM clients may not have been told yet: new connections are accepted for so long, and what comes
+# on open ones is answered for a little longer.
+SHUTDOWN_ACCEPT_MS = 500.0
+SHUTDOWN_MID_COMMAND_MS = 250.0
+# The platform sends SIGKILL so long after the longest deadline, which it counts as no more than the maximum.
+MAX_COUNTED_DEADLINE_MS = 3000.0
+KILL_DELAY_MS = 700.0
+KILL_MARGIN_MS = 200.0  # all is answered so long before SIGKILL
+
 
+def shutdown_schedule(longest_deadline_ms: float, handed_over: bool) -> DrainSchedule:
+    """The schedule of a graceful shutdown.
 
-def stop_plan(longest_ms: float, handed_over: bool) -> Plan:
-    """`longest_ms`: the longest deadline that clients have; `handed_over`: another process has the port, and
-    who is let go finds it there at once."""
-    heard_ms = 0.0 if handed_over else HEARD_MS
-    return Plan(heard_ms, heard_ms, heard_ms + CUT_MS, min(longest_ms, MOST_MS) + KILL_MS - MARGIN_MS)
+    `longest_deadline_ms`: the longest deadline that clients have; `handed_over`: another process has the
+    port, so that clients whose connections are closed find it there at once.
+    """
+    accept_ms = 0.0 if handed_over else SHUTDOWN_ACCEPT_MS
+    kill_ms = min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
+    return DrainSchedule(
+        accept_ms=accept_ms,
+        close_idle_ms=accept_ms,
+        close_mid_command_ms=accept_ms + SHUTDOWN_MID_COMMAND_MS,
+        answer_ms=kill_ms - KILL_MARGIN_MS,
+    )
 
 
 class Serving:
+    """The serving state of one process, its changes, and what follows from it at a given time."""
+
     def __init__(self) -> None:
+        """A process that is starting."""
         self.state = ServingState.STARTING
-        self._plan: Plan | None = None
+        self._schedule: DrainSchedule | None = None
         self._handed_over = False
         self._since_ms = 0.0
 
-    # What happens: each tells whether it is so now --------------------------------------------------
+    # Changes: each returns whether the state is now the one asked for ---------------------------------
 
     def serve(self) -> None:
-        """The table is usable and the port listens."""
+        """The endpoint list is usable and the port listens."""
         if self.state is ServingState.STARTING:
             self.state = ServingState.READY
 
     def drain(self, now: float) -> bool:
+        """Drains a ready process; a repeated call does not begin the schedule again."""
         if self.state is ServingState.READY:
-            self.state, self._plan, self._since_ms = ServingState.DRAINED, DRAIN, now
+            self.state = ServingState.DRAINED
+            self._schedule = DRAIN_SCHEDULE
+            self._since_ms = now
         return self.state is ServingState.DRAINED
 
     def undrain(self) -> bool:
+        """Takes a drain back."""
         if self.state is ServingState.DRAINED:
-            self.state, self._plan = ServingState.READY, None
+            self.state = ServingState.READY
+            self._schedule = None
         return self.state is ServingState.READY
 
-    def stop(self, now: float, longest_ms: float, handed_over: bool = False) -> bool:
-        """It wins over all else, and is never taken back; False if it has been called before."""
+    def stop(self, now: float, longest_deadline_ms: float, handed_over: bool = False) -> bool:
+        """Begins a graceful shutdown, which no other call takes back; False if it has begun before.
+
+        Arguments as those of `shutdown_schedule`.
+        """
         if self.state is ServingState.STOPPING:
             return False
-        self._plan, self._handed_over = stop_plan(longest_ms, handed_over), handed_over
-        self.state, self._since_ms = ServingState.STOPPING, now
+        self.state = ServingState.STOPPING
+        self._schedule = shutdown_schedule(longest_deadline_ms, handed_over)
+        self._handed_over = handed_over
+        self._since_ms = now
         return True
 
-    # What follows from it ---------------------------------------------------------------------------
+    # What follows from the state ----------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """This process can serve; drained, it is not sent anything."""
+        """This process can serve; drained, it still can, but no clients are sent to it."""
         return self.state in (ServingState.READY, ServingState.DRAINED)
 
     @property
     def wanted(self) -> bool:
-        """The answer to `mn`, which is asked of an address: another process may serve it by now."""
+        """The answer to `mn`. The question is put to an address, which a successor may serve by now."""
         return self.state is ServingState.READY or self._handed_over
 
     @property
     def emptying(self) -> bool:
-        return self._plan is not None
+        """The process is drained or stopping."""
+        return self._schedule is not None
 
     def accepts(self, now: float) -> bool:
-        return self._plan is None or now - self._since_ms < self._plan.accept_ms
+        """New connections are accepted."""
+        return self._schedule is None or now - self._since_ms < self._schedule.accept_ms
 
     def lets_go(self, now: float) -> bool:
         """Connections are closed between requests."""
-        return self._plan is not None and now - self._since_ms >= self._plan.let_go_ms
+        return self._schedule is not None and now - self._since_ms >= self._schedule.close_idle_ms
 
-    def answers_by_ms(self) -> float:
-        """When all must have been answered."""
-        return math.inf if self._plan is None else self._since_ms + self._plan.answer_ms
+    def closes_mid_command(self, now: float) -> bool:
+        """Connections are closed also where half a command has come."""
+        return self._schedule is not None and now - self._since_ms >= self._schedule.close_mid_command_ms
 
-    def cuts(self, now: float) -> bool:
-        """So are those with half a command."""
-        return self._plan is not None and now - self._since_ms >= self._plan.cut_ms
+    def answer_by_ms(self) -> float:
+        """The time by which all requests must have been answered; infinite while there is none."""
+        return math.inf if self._schedule is None else self._since_ms + self._schedule.answer_ms
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -39,6 +39,8 @@
     ("cloverwell.front",),
     ("cloverwell.config",),
     ("cloverwell.control", "cloverwell.handover"),
+    ("cloverwell.assembly", "cloverwell.client_port", "cloverwell.metrics_log"),
+    ("cloverwell.graceful_shutdown", "cloverwell.handover_coordinator"),
     ("cloverwell.proxy",),
     ("cloverwell.__main__",),
     ("cloverwell.cli",),
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -9,7 +9,7 @@
 
 from cloverwell.config import ConfigError, read_config
 from cloverwell.front.operators import CALLERS, MAX_BODY, MAX_HEAD
-from cloverwell.serving import DRAIN, Serving, ServingState, stop_plan
+from cloverwell.serving import DRAIN_SCHEDULE, Serving, ServingState, shutdown_schedule
 from lab.proxy import SETTINGS
 
 CALLS = st.lists(
@@ -42,23 +42,26 @@
         )
         assert serving.emptying == (serving.state in (ServingState.DRAINED, ServingState.STOPPING))
         if serving.state is ServingState.STOPPING:
-            assert serving.accepts(now) == (now - stopped_ms < stop_plan(2000.0, False).accept_ms)
+            assert serving.accepts(now) == (now - stopped_ms < shutdown_schedule(2000.0, False).accept_ms)
         else:
             assert serving.accepts(now)
         if serving.state is ServingState.DRAINED:
-            assert serving.lets_go(now) == (now - drained_ms >= DRAIN.let_go_ms)
-            assert serving.cuts(now) <= serving.lets_go(now)
+            assert serving.lets_go(now) == (now - drained_ms >= DRAIN_SCHEDULE.close_idle_ms)
+            assert serving.closes_mid_command(now) <= serving.lets_go(now)
         elif not serving.emptying:
-            assert not serving.lets_go(now) and not serving.cuts(now)
+            assert not serving.lets_go(now) and not serving.closes_mid_command(now)
 
 
 @given(st.floats(100.0, 10_000.0), st.booleans())
 def test_a_planned_end_is_over_before_the_platform_kills(longest_ms, handed_over):
-    plan = stop_plan(longest_ms, handed_over)
+    schedule = shutdown_schedule(longest_ms, handed_over)
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert plan.accept_ms <= plan.let_go_ms < plan.cut_ms and plan.answer_ms < kill_ms
+    assert (
+        schedule.accept_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
+        and schedule.answer_ms < kill_ms
+    )
     # What comes last has its whole time, as far as the platform gives it.
-    assert plan.answer_ms - plan.let_go_ms >= min(longest_ms, 3000.0) - 1e-6
+    assert schedule.answer_ms - schedule.close_idle_ms >= min(longest_ms, 3000.0) - 1e-6
 
 
 def test_callers_that_finish_nothing_never_stand_in_the_way_and_are_bounded():
@@ -105,8 +108,8 @@
     ],
 )
 def test_the_operators_address_is_read(tmp_path, variable, field, reads):
-    told = {"listen": "127.0.0.1:7", "discovery": "127.0.0.1:6", "operator": field, "settings": SETTINGS}
-    (tmp_path / "config.json").write_text(json.dumps(told))
+    document = {"listen": "127.0.0.1:7", "discovery": "127.0.0.1:6", "operator": field, "settings": SETTINGS}
+    (tmp_path / "config.json").write_text(json.dumps(document))
     environ = {"EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_OPERATOR": variable}
     if reads is ConfigError:
         with pytest.raises(ConfigError, match=r"^operator: "):
