--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -170,8 +170,11 @@
     run = subprocess.run(
         [sys.executable, "-m", "cloverwell"], env={"EDGE_CONFIG": str(path)}, capture_output=True, text=True
     )
-    assert run.returncode == 2 and run.stdout == ""
-    assert len(run.stderr.splitlines()) == 1 and field in run.stderr and "Traceback" not in run.stderr
+    assert run.returncode == 2
+    assert run.stdout == ""
+    assert len(run.stderr.splitlines()) == 1
+    assert field in run.stderr
+    assert "Traceback" not in run.stderr
 
 
 def test_log_whose_reader_went_away_does_not_end_the_proxy():
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -34,8 +34,8 @@
             folder.mkdir()
             made.append(here := Place(folder))
             if discovery is not None:
-                told = json.loads(here.config.read_text()) | {"discovery": "{}:{}".format(*discovery)}
-                here.config.write_text(json.dumps(told))
+                document = json.loads(here.config.read_text()) | {"discovery": "{}:{}".format(*discovery)}
+                here.config.write_text(json.dumps(document))
         return made[-number:]
 
     yield make
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -37,9 +37,8 @@
             assert serving.stop(now, 2000.0) == (stopped_ms is None)
             stopped_ms = now if stopped_ms is None else stopped_ms
         assert (serving.state is ServingState.STOPPING) == (stopped_ms is not None)
-        assert serving.wanted == (serving.state is ServingState.READY) and (
-            serving.ready or not serving.wanted
-        )
+        assert serving.wanted == (serving.state is ServingState.READY)
+        assert serving.ready or not serving.wanted
         assert serving.emptying == (serving.state in (ServingState.DRAINED, ServingState.STOPPING))
         if serving.state is ServingState.STOPPING:
             assert serving.accepts(now) == (now - stopped_ms < shutdown_schedule(2000.0, False).accept_ms)
@@ -49,17 +48,16 @@
             assert serving.lets_go(now) == (now - drained_ms >= DRAIN_SCHEDULE.close_idle_ms)
             assert serving.closes_mid_command(now) <= serving.lets_go(now)
         elif not serving.emptying:
-            assert not serving.lets_go(now) and not serving.closes_mid_command(now)
+            assert not serving.lets_go(now)
+            assert not serving.closes_mid_command(now)
 
 
 @given(st.floats(100.0, 10_000.0), st.booleans())
 def test_a_planned_end_is_over_before_the_platform_kills(longest_ms, handed_over):
     schedule = shutdown_schedule(longest_ms, handed_over)
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert (
-        schedule.accept_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
-        and schedule.answer_ms < kill_ms
-    )
+    assert schedule.accept_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
+    assert schedule.answer_ms < kill_ms
     # What comes last has its whole time, as far as the platform gives it.
     assert schedule.answer_ms - schedule.close_idle_ms >= min(longest_ms, 3000.0) - 1e-6
 
@@ -97,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "variable, field, reads",
+    ("variable", "field", "reads"),
     [
         ("", "", None),
         ("", "127.0.0.1:9", ("127.0.0.1", 9)),
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -40,18 +40,18 @@
 def whole(proxy, node, begin, end):
     """The connection on which that command has come, to its last byte, and on no other.
 
-    A last byte that the machine's load makes late leaves by a further connection, with less time told."""
-    heard = {}
+    A last byte that the machine's load makes late leaves by a further connection, with less time."""
+    received = {}
 
     def look():
         node._accept()
         for one in node.taken:
             with contextlib.suppress(BlockingIOError, ConnectionResetError):
-                heard[one] = heard.get(one, b"") + one.recv(1 << 16)
-        return [one for one, data in heard.items() if begin in data and data.endswith(end)]
+                received[one] = received.get(one, b"") + one.recv(1 << 16)
+        return [one for one, data in received.items() if begin in data and data.endswith(end)]
 
     (found,) = proxy.until(look, f"{begin!r} did not come")
-    assert heard[found].count(begin) == 1
+    assert received[found].count(begin) == 1
     return found
 
 
@@ -89,7 +89,8 @@
     exchange(proxy, proxy.client(), 1)
     assert at_node.failed == at_origin.failed == 2
     if calls == "recv":
-        assert len(proxy.nodes[0].taken) == len(proxy.origin.taken) == 1 and proxy.origin._accept() is None
+        assert len(proxy.nodes[0].taken) == len(proxy.origin.taken) == 1
+        assert proxy.origin._accept() is None
 
 
 @pytest.mark.parametrize("calls", ["recv", "send"])
@@ -103,7 +104,8 @@
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     proxy.got(discovery, b"GET /v1/servers?after=42")
-    assert failing.failed == 1 and "call failed" not in proxy.log.getvalue()
+    assert failing.failed == 1
+    assert "call failed" not in proxy.log.getvalue()
 
 
 def test_a_connection_that_can_not_be_looked_at_is_not_closed_for_it(proxy):
@@ -138,14 +140,15 @@
     second = proxy.nodes[0].take()
     proxy.got(second, b"mg k2 ")
     second.sendall(b"VA 3 O2\r\ntwo\r\n")
-    assert proxy.got(conn, b"two\r\n") == b"VA 3 O2\r\ntwo\r\n" and peek.failed == 1
+    assert proxy.got(conn, b"two\r\n") == b"VA 3 O2\r\ntwo\r\n"
+    assert peek.failed == 1
 
 
 # Short reads and writes ----------------------------------------------------------------------------
 
 
 # A byte a turn of the loop would be too slow to leave within the time that a command tells its node.
-@pytest.mark.parametrize("calls, most", [("recv", 1), ("recv", 7), ("send", 16), ("send", 50)])
+@pytest.mark.parametrize(("calls", "most"), [("recv", 1), ("recv", 7), ("send", 16), ("send", 50)])
 def test_short_reads_and_writes_change_nothing(proxy, outgoing, calls, most):
     accepting(proxy.service._port, **{calls: Calls(most=most)})
     for node in (proxy.nodes[0], proxy.origin):
@@ -221,7 +224,7 @@
     return fail
 
 
-@pytest.mark.parametrize("fails, seen", [(1, True), (2, True), (3, False)])
+@pytest.mark.parametrize(("fails", "seen"), [(1, True), (2, True), (3, False)])
 def test_a_look_for_clients_that_have_left_is_taken_again(fails, seen, failing_polls):
     failing_polls(fails)
     ours, theirs = socket.socketpair()
@@ -230,7 +233,7 @@
         assert hung_up([ours]) == ({ours.fileno()} if seen else set())
 
 
-@pytest.mark.parametrize("fails, seen", [(0, False), (2, False), (3, True)])
+@pytest.mark.parametrize(("fails", "seen"), [(0, False), (2, False), (3, True)])
 def test_a_look_for_connections_that_wait_is_taken_again_and_else_they_are_taken_to_wait(
     fails, seen, failing_polls
 ):
@@ -244,7 +247,7 @@
 
 
 @pytest.mark.parametrize("number", BROKEN)
-@pytest.mark.parametrize("cls, again", [("order", False), ("adjust", True)])
+@pytest.mark.parametrize(("cls", "again"), [("order", False), ("adjust", True)])
 def test_a_broken_connection_under_a_whole_request_may_have_run_it(proxy, outgoing, number, cls, again):
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
@@ -266,7 +269,7 @@
 
 @pytest.mark.parametrize("number", BROKEN)
 def test_a_connection_that_breaks_before_the_last_byte_has_not_run_the_request(proxy, outgoing, number):
-    proxy.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
+    proxy.service.back.use = lambda node, age_ms, unsafe: ConnectionUse.SPLIT
     proxy.service.back.hold_ms = lambda node: 1500.0
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
@@ -278,7 +281,8 @@
     second = whole(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
     assert second is not origin
     second.sendall(RECEIPT)
-    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n" and broken.failed == 1
+    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
+    assert broken.failed == 1
 
 
 @pytest.mark.parametrize("number", [*BROKEN, errno.EPIPE])
@@ -287,7 +291,8 @@
     outgoing.at(proxy.origin.address, send=broken)
     conn = proxy.client(write(1))
     whole(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
-    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n" and broken.failed == 1
+    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
+    assert broken.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
 
 
@@ -330,4 +335,5 @@
     proxy.until(lambda: not proxy.service.dispatcher.open_count)
     failing.always = None
     proxy.skip(300)
-    assert proxy.origin._accept() is None and not proxy.service.side.connections
+    assert proxy.origin._accept() is None
+    assert not proxy.service.side.connections
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -22,7 +22,7 @@
 from lab.proxy import SETTINGS
 from lab.world import load
 
-SLACK_MS = 150.0  # the page's, of the time that a node is told
+SLACK_MS = 150.0  # the page's, of the time that a node is given
 HIT = b"VA 1 O%d\r\nx\r\n"
 
 
@@ -35,7 +35,8 @@
     conn = proxy.client()  # its request is on the way
     proxy.lag(600)  # the port closes before the reactor has looked at it
     proxy.turn()
-    assert proxy.service.side.connections and proxy.service._port is None
+    assert proxy.service.side.connections
+    assert proxy.service._port is None
     conn.sendall(read(1, 900))
     proxy.skip(10)
     node = proxy.nodes[0].take()
@@ -95,7 +96,8 @@
     assert proxy.ended(resting).endswith(b"END")
     answers = proxy.ended(conn)
     assert answers.count(b"CLIENT_ERROR") == errors
-    assert answers.count(b"SERVER_ERROR") == 2 and answers.endswith(b"END")
+    assert answers.count(b"SERVER_ERROR") == 2
+    assert answers.endswith(b"END")
 
 
 # What a client that leaves hands on ---------------------------------------------------------------
@@ -125,7 +127,8 @@
     before = len(begun)
     conn.close()
     proxy.skip(60)
-    assert proxy.service.dispatcher.open_count == 1 and len(begun) == before
+    assert proxy.service.dispatcher.open_count == 1
+    assert len(begun) == before
     assert places_taken(proxy) == {"9"}
 
 
@@ -157,8 +160,8 @@
     proxy.got(proxy.origin.take(), b"PUT /k100 ")  # not refused as late
 
 
-def told_ms(conn, proxy):
-    """The time that an attempt has told its node."""
+def propagated_deadline_ms(conn, proxy):
+    """The time that an attempt gives its node."""
     return int(re.search(rb"d=(\d+)", proxy.got(conn, b"\r\n"))[1])
 
 
@@ -174,7 +177,7 @@
         proxy.skip(5)
     waited_ms = proxy.now() - sent_ms
     assert waited_ms > 2 * SLACK_MS
-    assert told_ms(node, proxy) <= 1900 - waited_ms + SLACK_MS
+    assert propagated_deadline_ms(node, proxy) <= 1900 - waited_ms + SLACK_MS
 
 
 def test_who_connects_when_the_crowd_is_over_has_all_of_its_time(rig):
@@ -187,7 +190,7 @@
         conn.close()
     proxy.skip(200)
     proxy.client(write(1, 900))
-    assert told_ms(proxy.origin.take(), proxy) > 900 - SLACK_MS
+    assert propagated_deadline_ms(proxy.origin.take(), proxy) > 900 - SLACK_MS
 
 
 class QueueModel:
@@ -205,7 +208,8 @@
         """Each that is accepted came no sooner than is said, or has not waited."""
         for _ in range(min(number, len(self.came_ms))):
             since_ms, came_ms = self.queue.accepted(), self.came_ms.pop(0)
-            assert since_ms is not None and since_ms <= came_ms
+            assert since_ms is not None
+            assert since_ms <= came_ms
         if not self.came_ms:
             self.queue.empty()
 
@@ -251,7 +255,7 @@
     drains = {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"}
     listing = {"revision": 42, "complete": False, "members": [drains]}
     player.play(f"discovery expect GET *\ndiscovery send 200 {json.dumps(listing)}")
-    told_s = player.reactor.rightNow
+    informed_s = player.reactor.rightNow
     player.reactor.rightNow += waited_ms / 1000.0
     written_s = []
     put = RingLineReceiver.put_command
@@ -264,7 +268,7 @@
     monkeypatch.setattr(RingLineReceiver, "put_command", held_up)
     player.connection("s1", 0)
     assert bool(written_s) == (waited_ms < GRACE_MS - STALL_MS - WAY_MS)
-    assert all(at - told_s <= (GRACE_MS - WAY_MS) / 1000.0 + 1e-6 for at in written_s)
+    assert all(at - informed_s <= (GRACE_MS - WAY_MS) / 1000.0 + 1e-6 for at in written_s)
 
 
 # Cold nodes before few proxies, and small writes ----------------------------------------------------
@@ -276,7 +280,8 @@
 def test_a_handful_of_proxies_keeps_the_budget_of_cold_nodes():
     summary = Play(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()
     assert not any(summary["rules"].values()), summary["breaches"]
-    assert summary["coldest_load"] < 0.95 and summary["service"] > 0.9, summary["ends"]
+    assert summary["coldest_load"] < 0.95, summary["ends"]
+    assert summary["service"] > 0.9, summary["ends"]
 
 
 def test_the_judge_catches_a_handful_that_takes_cold_nodes_for_warm_ones(monkeypatch):
@@ -328,4 +333,5 @@
     proxy.skip(2000)
     assert len(got) < len(VALUE)
     rest = proxy.ended(conn)
-    assert rest.endswith(b"v\r\nEND") and len(got) + len(rest) > len(VALUE)
+    assert rest.endswith(b"v\r\nEND")
+    assert len(got) + len(rest) > len(VALUE)
