--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -34,18 +34,19 @@
 from cloverwell.serving import Serving
 from cloverwell.timer_wheel import TimerWheel
 
-# The timer wheel turns no faster than this. The decisions are told, and keep their distance from deadlines.
+# The timer wheel turns no faster than this. The balancer is told, and keeps its timeouts that far from
+# deadlines.
 MIN_GRANULARITY_MS = 5.0
-# Descriptors for the standard streams, the reactor's own, discovery, and what is closed but not yet free.
+# Descriptors for the standard streams, the reactor, discovery, and connections that are closed but not yet
+# free.
 SPARE_DESCRIPTORS = 24
-# Descriptors for the operators' port and its callers, which never wait for clients' connections.
+# Descriptors for the operators' port and its connections, which must not wait for clients to close theirs.
 OPERATOR_DESCRIPTORS = 10
 # Connections that a process may hold, however few descriptors it has during a handover.
 MIN_CONNECTIONS = 8
-# The share of all descriptors that clients' connections with requests take: the platform's clients open no
-# more.
+# The platform's clients open connections for requests for no more than this share of all descriptors.
 REQUEST_CONNECTIONS_SHARE = 1.0 / 3.0
-# The share of the memory for streamed values that came faster than their clients read them.
+# The share of the memory limit that buffers streamed values whose clients read more slowly than they come.
 STREAMED_VALUES_MEMORY_SHARE = 0.125
 # Our idle connections are closed after this share of the time after which their node would close them, so
 # that no request is written to a connection that the node closes at that moment.
--- a/cloverwell/client_port.py
+++ b/cloverwell/client_port.py
@@ -11,7 +11,7 @@
     """A listening port whose socket can be given to another process."""
 
     def share(self) -> int:
-        """The descriptor of the socket; connections in its queue wait for both processes from now on."""
+        """The descriptor of the socket; connections in its queue wait for both processes."""
 
     def stopListening(self) -> object:
         """Closes the port, as Twisted's `IListeningPort` does."""
@@ -33,11 +33,11 @@
         self.listening = listening
 
     def attach(self) -> None:
-        """Lets the client connections pause the port by themselves where descriptors run short."""
+        """From now on `ClientConnections` pauses and resumes the port by itself, as descriptors run short."""
         self._side.port = self.listening
 
     def pause(self) -> None:
-        """Accepts nothing until `resume`; connections wait in the machine's queue."""
+        """Accepts nothing until `resume`; new connections wait in the kernel's accept queue."""
         self._side.port = None
         if self.listening is not None:
             self.listening.pauseProducing()
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -1,7 +1,7 @@
-"""The proxy's configuration: its file, and the environment variables that override it at the start.
+"""The proxy's configuration: a JSON file, and the environment variables that override fields of it.
 
-The file is JSON; $EDGE_CONFIG names it. $EDGE_LISTEN, $EDGE_DISCOVERY, $EDGE_OPERATOR and $EDGE_NAME go
-before the file's fields. docs/configuration.md describes each field.
+$EDGE_CONFIG names the file; $EDGE_LISTEN, $EDGE_DISCOVERY, $EDGE_OPERATOR and $EDGE_NAME override its fields.
+docs/configuration.md describes each field.
 """
 
 import math
@@ -15,7 +15,7 @@
 from balancer.settings import check_whole, read_settings
 from cloverwell.membership.endpoint_list import PHASES, EndpointList, EndpointListError, split_address
 
-MIN_SOCKETS = 64
+MIN_SOCKETS = 64  # for the descriptors that are reserved, and some connections on either side
 # Nine in ten restarts must be ready within 10 s, whichever other processes are down.
 MAX_CONTROL_WAIT_MS = 8000.0
 MAX_QUOTED_CHARS = 60  # of a value that an error message quotes
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -63,7 +63,10 @@
 
 
 class Proxy:
-    """Owns the parts of one proxy, which are also its attributes, and carries them from start to end."""
+    """One proxy: starts its parts, which are also its attributes, and ends them.
+
+    It is the `OperatorService` of the operators' port and the `ConfigurationTarget` of the control log.
+    """
 
     def __init__(
         self,
--- a/cloverwell/serving.py
+++ b/cloverwell/serving.py
@@ -1,7 +1,8 @@
-"""Whether this process serves, and how it is drained: one state that all ask. No I/O, times in ms.
+"""Whether this process serves, and when its connections are closed. No I/O, times in ms.
 
-The answer to `mn`, `GET /ready`, the listening port and the ends of clients' connections go by it. A drain
-and a graceful shutdown close connections in the same way and differ in their schedules alone:
+The answers to `mn` and `GET /ready`, the listening port and the closing of clients' connections follow from
+this one state. A drain and a graceful shutdown close connections in the same way and differ in their
+schedules alone:
 
 - for a while connections are still accepted, since those who send clients here have not been told yet;
 - then each connection is closed between requests, and one with half a command some time later.
