--- a/cloverwell/control/__init__.py
+++ b/cloverwell/control/__init__.py
@@ -1,7 +1,6 @@
-"""The fleet's control log: ordered, versioned entries that control nodes agree on and proxies follow. No
-I/O here.
+"""The fleet's control log: ordered, versioned entries that control nodes agree on and proxies follow.
 
-Events and the time go in, typed messages and effects come out. Times are milliseconds of one process's
-monotonic clock and are never compared between processes; a caller carries out effects in the order in
-which they are listed.
+There is no I/O here. Events and the time go in, typed messages and effects come out; the caller carries out
+effects in the order in which they are listed. Times are milliseconds of one process's monotonic clock and are
+never compared between processes.
 """
--- a/cloverwell/control/consensus.py
+++ b/cloverwell/control/consensus.py
@@ -1,13 +1,21 @@
-"""Raft (Ongaro and Ousterhout 2014) for one control node: election with pre-vote, replication, commit,
-snapshots.
+"""Raft consensus for one control node: elections, replication, commitment and snapshots.
 
-No membership change: `nodes` is fixed. What differs from the paper, each after Ongaro's dissertation: a
-candidate asks first whether it would win (pre-vote, 9.6), so a node that was cut off doesn't unseat the
-leader when it is back; a leader that no quorum answers steps down (check quorum, 6.2) and refuses proposals
-even before. A leader sends on without waiting for answers (pipelining) and falls back to what the follower
-holds when one is refused.
+The section numbers in this package are those of "In Search of an Understandable Consensus Algorithm" (Ongaro
+and Ousterhout, 2014), or, where it says so, of Ongaro's dissertation "Consensus: Bridging Theory and
+Practice" (2014). Terms, votes, roles and indexes have the names that are used there.
 
-A `Write` among the effects stands ahead of the messages that depend on it: see `storage`.
+The set of nodes is fixed; membership changes (section 6) are not implemented. These extensions are:
+
+- Pre-vote (dissertation, 9.6). A node asks whether it would win before it increases its term, so that a node
+  that was partitioned does not depose the leader when it returns.
+- Check quorum (dissertation, 6.2). A leader that does not hear from a quorum refuses proposals, and later
+  steps down.
+- Pipelining (dissertation, 10.2.1). A leader sends entries without waiting for earlier answers, and moves
+  `next_index` back when a follower rejects some.
+- Leases (dissertation, 6.4.1). Followers hold leases too; the leader passes on what is left of its own.
+
+What the leader tracks about its followers is in `leadership`. A `Write` stands among the effects ahead of the
+messages that depend on it: see `storage`.
 """
 
 from __future__ import annotations
@@ -17,9 +25,9 @@
 
 from cloverwell.control.effects import EntriesCommitted, NodeEffect, SendToPeer, SnapshotInstalled
 from cloverwell.control.entry import Entry, EntryKind, Snapshot
-from cloverwell.control.leadership import Leadership, Progress
+from cloverwell.control.errors import ControlError
+from cloverwell.control.leadership import Leadership
 from cloverwell.control.messages import (
-    NO_TOKEN,
     AppendAnswer,
     AppendEntries,
     ConsensusMessage,
@@ -29,10 +37,23 @@
 )
 from cloverwell.control.replicated_log import ReplicatedLog
 from cloverwell.control.storage import StoredState, Write
-from cloverwell.control.timing import LEASE_MS, Timing, lease_end
+from cloverwell.control.timing import Timing, lease_end
+
+NO_NODE = ""  # in place of a node's name: no leader is known, or no vote was cast in this term
+
+
+class NotLeaderError(ControlError):
+    """An entry was proposed at a node that does not lead."""
+
+    def __init__(self, node: str) -> None:
+        """Names the node that does not lead."""
+        super().__init__(f"{node} is not the leader")
+        self.node = node
 
 
 class Role(StrEnum):
+    """The state of a node (section 5.1); a pre-candidate is collecting pre-votes."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -40,7 +61,11 @@
 
 
 class Consensus:
-    """One node of the quorum. Events go in with the time (ms, monotonic), effects come out."""
+    """The Raft state machine of one node.
+
+    Every event takes the time in ms of this process's monotonic clock and returns the effects that the caller
+    has to carry out, in order.
+    """
 
     def __init__(
         self,
@@ -51,6 +76,11 @@
         random: Random,
         now: float,
     ) -> None:
+        """Starts as a follower from what is stored.
+
+        `nodes` names all nodes of the quorum, `node` among them; else ValueError is raised. `random` spreads
+        the election timeouts.
+        """
         if node not in nodes or len(set(nodes)) != len(nodes):
             raise ValueError("nodes: must be distinct and name this node")
         self.node = node
@@ -60,222 +90,213 @@
         self.term = stored.term
         self.vote = stored.vote
         self.role = Role.FOLLOWER
-        self.leader = ""  # "" while none is known
-        self.leadership: Leadership | None = None  # of the present term, while this node leads
+        self.leader = NO_NODE
+        self.leadership: Leadership | None = None  # of the current term, while this node leads
         self._timing = timing
         self._random = random
         self._votes: set[str] = set()
-        self._heard_leader_at = float("-inf")
-        self._started_at = now
-        self._lease_until = float("-inf")
-        self._election_at = 0.0
-        self._put_off_election(now)
+        self._last_leader_contact_ms = float("-inf")
+        self._started_at_ms = now
+        self._lease_end_ms = float("-inf")  # of the lease that this node holds as a follower
+        self._election_deadline_ms = 0.0
+        self._reset_election_timer(now)
+
+    # Queries
 
-    # What others may ask
+    @property
+    def is_leader(self) -> bool:
+        """Whether this node leads in the current term, as far as it knows."""
+        return self.leadership is not None
 
     def next_deadline(self) -> float:
-        """When `tick` has something to do at the latest."""
+        """Returns the time at which `tick` is to be called at the latest."""
         if self.leadership is not None:
             return self.leadership.next_deadline()
-        return self._election_at
+        return self._election_deadline_ms
 
     def has_quorum(self, now: float) -> bool:
-        """Whether this node leads and a quorum has said so lately: else a proposal is refused."""
+        """Returns whether this node leads and a quorum has confirmed that lately."""
         return self.leadership is not None and self.leadership.has_quorum(now)
 
     def lease_ms(self, now: float) -> float:
-        """How long from now the commit position may count as current: it was all there was at most
-        LEASE_MS before the end of that. 0 if it may not."""
+        """Returns for how many ms from now the commit index may count as current, or 0.
+
+        Current means that it covers everything that was committed LEASE_MS before the end of that time.
+        """
         if self.leadership is None:
-            return max(0.0, self._lease_until - now)
-        if self.log.term_at(self.log.commit_index) != self.term:
-            return 0.0  # entries of older terms may be committed that this leader can't tell yet
-        return max(0.0, lease_end(self.leadership.confirmed_at, LEASE_MS) - now)
+            return max(0.0, self._lease_end_ms - now)
+        return self.leadership.lease_ms(self.log, now)
 
     # Events
 
     def tick(self, now: float) -> list[NodeEffect]:
-        """To be called at `next_deadline`, or at any other time."""
+        """Handles the timers; to be called at `next_deadline`, and allowed at any other time."""
         if self.leadership is not None:
-            if not self.leadership.may_go_on(now):
-                return self._follow(self.term, "", now)
-            return self._heartbeat(now) if self.leadership.heartbeat_due(now) else []
-        if now >= self._election_at:
-            return self._ask_before_election(now)
+            return self._tick_leader(self.leadership, now)
+        if now >= self._election_deadline_ms:
+            return self._start_pre_vote(now)
         return []
 
     def receive(self, message: ConsensusMessage, now: float) -> list[NodeEffect]:
+        """Handles a message of another node of the quorum."""
+        if isinstance(message, RequestVote) and message.pre_vote:
+            return self._handle_pre_vote_request(message, now)  # its term is one that nobody is in yet
+        effects = self._observe_term(message.term, now)
         match message:
-            case RequestVote(pre_vote=True):
-                return self._pre_vote_asked(message, now)
             case RequestVote():
-                return self._newer_term(message.term, now) + self._vote_asked(message, now)
+                return effects + self._handle_vote_request(message, now)
             case VoteAnswer():
-                return self._newer_term(message.term, now) + self._vote_answered(message, now)
+                return effects + self._handle_vote_answer(message, now)
             case AppendEntries():
-                return self._newer_term(message.term, now) + self._append(message, now)
+                return effects + self._handle_append_entries(message, now)
             case InstallSnapshot():
-                return self._newer_term(message.term, now) + self._install(message, now)
+                return effects + self._handle_install_snapshot(message, now)
             case AppendAnswer():
-                return self._newer_term(message.term, now) + self._append_answered(message, now)
+                return effects + self._handle_append_answer(message, now)
+
+    def propose(self, kind: str, payload: bytes, proposal: str, now: float) -> list[NodeEffect]:
+        """Appends an entry to the leader's log, where it has the index `log.last_index`, and replicates it.
 
-    def propose(self, kind: str, payload: bytes, proposal: str, now: float) -> tuple[Entry, list[NodeEffect]]:
-        """Appends an entry to the leader's log and sends it. Raises ValueError on a node that doesn't
-        lead."""
+        Raises NotLeaderError on a node that does not lead.
+        """
         if self.leadership is None:
-            raise ValueError("not the leader")
+            raise NotLeaderError(self.node)
         entry = Entry(self.log.last_index + 1, self.term, kind, payload, proposal)
         self.log.append(entry)
-        effects = [self._write(entries=(entry,))]
-        effects += self._replicate(now)
-        effects += self._commit_if_held(now)
-        return entry, effects
+        effects: list[NodeEffect] = [self._write(entries=(entry,))]
+        effects += self.leadership.replicate(self.log, now)
+        effects += self._advance_commit_index(now)
+        return effects
 
-    # Elections
+    # Elections (section 5.2)
 
-    def _put_off_election(self, now: float) -> None:
-        self._election_at = now + self._random.uniform(
-            self._timing.election_min_ms, self._timing.election_max_ms
-        )
+    def _reset_election_timer(self, now: float) -> None:
+        timeout = self._random.uniform(self._timing.election_min_ms, self._timing.election_max_ms)
+        self._election_deadline_ms = now + timeout
 
-    def _newer_term(self, term: int, now: float) -> list[NodeEffect]:
-        return self._follow(term, "", now) if term > self.term else []
+    def _observe_term(self, term: int, now: float) -> list[NodeEffect]:
+        """Becomes a follower if another node is in a newer term (section 5.1)."""
+        return self._become_follower(term, NO_NODE, now) if term > self.term else []
 
-    def _follow(self, term: int, leader: str, now: float) -> list[NodeEffect]:
-        """Becomes or stays a follower in a term not older than the present one."""
-        effects: list[NodeEffect] = []
+    def _become_follower(self, term: int, leader: str, now: float) -> list[NodeEffect]:
+        """Becomes or stays a follower in a term that is not older than the current one."""
         if self.role is not Role.FOLLOWER:
-            self._put_off_election(now)
-        self.role, self.leader, self.leadership = Role.FOLLOWER, leader, None
-        if term > self.term:
-            self.term, self.vote = term, ""
-            effects.append(self._write())
-        return effects
-
-    def _ask_before_election(self, now: float) -> list[NodeEffect]:
-        self.role, self.leader, self._votes = Role.PRE_CANDIDATE, "", {self.node}
-        self._put_off_election(now)
-        if len(self._votes) >= self.quorum:
-            return self._stand(now)
-        return self._ask_votes(self.term + 1, pre_vote=True)
-
-    def _stand(self, now: float) -> list[NodeEffect]:
-        self.role, self._votes = Role.CANDIDATE, {self.node}
-        self.term, self.vote = self.term + 1, self.node
-        self._put_off_election(now)
+            self._reset_election_timer(now)
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self.leadership = None
+        if term <= self.term:
+            return []
+        self.term = term
+        self.vote = NO_NODE
+        return [self._write()]
+
+    def _start_pre_vote(self, now: float) -> list[NodeEffect]:
+        """Asks whether a quorum would vote for this node in the next term (dissertation, 9.6)."""
+        self.role = Role.PRE_CANDIDATE
+        self.leader = NO_NODE
+        self._votes = {self.node}
+        self._reset_election_timer(now)
+        if self._has_majority():
+            return self._start_election(now)
+        return self._request_votes(self.term + 1, pre_vote=True)
+
+    def _start_election(self, now: float) -> list[NodeEffect]:
+        """Increases the term, votes for this node and requests the votes of the others."""
+        self.role = Role.CANDIDATE
+        self._votes = {self.node}
+        self.term += 1
+        self.vote = self.node
+        self._reset_election_timer(now)
         effects: list[NodeEffect] = [self._write()]
-        if len(self._votes) >= self.quorum:
-            return effects + self._lead(now)
-        return effects + self._ask_votes(self.term, pre_vote=False)
+        if self._has_majority():
+            return effects + self._become_leader(now)
+        return effects + self._request_votes(self.term, pre_vote=False)
 
-    def _ask_votes(self, term: int, pre_vote: bool) -> list[NodeEffect]:
+    def _request_votes(self, term: int, pre_vote: bool) -> list[NodeEffect]:
         request = RequestVote(term, self.node, self.log.last_index, self.log.last_term, pre_vote)
         return [SendToPeer(peer, request) for peer in self.peers]
 
-    def _pre_vote_asked(self, message: RequestVote, now: float) -> list[NodeEffect]:
-        """Nothing changes here; no to whoever stands against a leader that was heard of lately."""
-        led = self.role is Role.LEADER or now - self._heard_leader_at < self._timing.election_min_ms
-        granted = message.term > self.term and not led and self._up_to_date(message)
+    def _handle_pre_vote_request(self, message: RequestVote, now: float) -> list[NodeEffect]:
+        """Answers without a change of state; a node that has a leader does not support another one."""
+        since_contact_ms = now - self._last_leader_contact_ms
+        has_leader = self.role is Role.LEADER or since_contact_ms < self._timing.election_min_ms
+        granted = message.term > self.term and not has_leader and self._is_up_to_date(message)
         answer = VoteAnswer(self.term, self.node, message.term, granted, pre_vote=True)
         return [SendToPeer(message.candidate, answer)]
 
-    def _vote_asked(self, message: RequestVote, now: float) -> list[NodeEffect]:
+    def _handle_vote_request(self, message: RequestVote, now: float) -> list[NodeEffect]:
+        """Votes for at most one candidate in a term."""
         effects: list[NodeEffect] = []
-        free = self.vote in ("", message.candidate)
-        granted = message.term == self.term and free and self._up_to_date(message)
+        may_vote = self.vote in (NO_NODE, message.candidate)
+        granted = message.term == self.term and may_vote and self._is_up_to_date(message)
         if granted:
-            self._put_off_election(now)
-            if not self.vote:
+            self._reset_election_timer(now)
+            if self.vote == NO_NODE:
                 self.vote = message.candidate
                 effects.append(self._write())
         answer = VoteAnswer(self.term, self.node, message.term, granted)
         return [*effects, SendToPeer(message.candidate, answer)]
 
-    def _up_to_date(self, message: RequestVote) -> bool:
+    def _is_up_to_date(self, message: RequestVote) -> bool:
+        """Returns whether the candidate's log is at least as up to date as this one (section 5.4.1)."""
         return (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
 
-    def _vote_answered(self, message: VoteAnswer, now: float) -> list[NodeEffect]:
-        asked = self.term + 1 if message.pre_vote else self.term
-        role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
-        if not message.granted or self.role is not role or message.asked_term != asked:
+    def _handle_vote_answer(self, message: VoteAnswer, now: float) -> list[NodeEffect]:
+        requested_term = self.term + 1 if message.pre_vote else self.term
+        requesting_role = Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE
+        is_awaited = self.role is requesting_role and message.asked_term == requested_term
+        if not message.granted or not is_awaited:
             return []
         self._votes.add(message.voter)
-        if len(self._votes) < self.quorum:
+        if not self._has_majority():
             return []
-        return self._stand(now) if message.pre_vote else self._lead(now)
-
-    def _lead(self, now: float) -> list[NodeEffect]:
-        self.role, self.leader = Role.LEADER, self.node
-        self.leadership = Leadership(self.peers, self.quorum, self.log.last_index, self._timing, now)
-        _, effects = self.propose(EntryKind.NOOP, b"", "", now)
-        return effects
-
-    # Replication, at the leader
-
-    def _heartbeat(self, now: float) -> list[NodeEffect]:
-        assert self.leadership is not None
-        self.leadership.heartbeat_sent(now)
-        return self._replicate(now)
+        return self._start_election(now) if message.pre_vote else self._become_leader(now)
 
-    def _replicate(self, now: float) -> list[NodeEffect]:
-        """To each follower the entries that it is next to get, or a heartbeat."""
-        return [effect for peer in self.peers for effect in self._replicate_to(peer, now)]
+    def _has_majority(self) -> bool:
+        return len(self._votes) >= self.quorum
 
-    def _replicate_to(self, peer: str, now: float) -> list[NodeEffect]:
-        assert self.leadership is not None
-        progress = self.leadership.progress[peer]
-        previous = progress.next_index - 1
-        previous_term = self.log.term_at(previous)
-        if previous_term is None or previous < self.log.base_index:
-            if not progress.snapshot_due(now):
-                return []
-            progress.snapshot_sent_at = now
-            return [SendToPeer(peer, InstallSnapshot(self.term, self.node, self.log.base, now))]
-        entries = self.log.after(previous, self._timing.append_entries, self._timing.append_bytes)
-        progress.next_index += len(entries)
-        message = AppendEntries(
-            self.term,
-            self.node,
-            previous,
-            previous_term,
-            entries,
-            self.log.commit_index,
-            now,
-            progress.token,
-            self._lease_for(progress, now),
+    def _become_leader(self, now: float) -> list[NodeEffect]:
+        """Begins the leadership with an entry of its own term, so that older ones can be committed (8)."""
+        self.role = Role.LEADER
+        self.leader = self.node
+        self.leadership = Leadership(
+            self.node, self.term, self.peers, self.quorum, self.log.last_index, self._timing, now
         )
-        return [SendToPeer(peer, message)]
+        return self.propose(EntryKind.NOOP, b"", "", now)
+
+    # Replication at the leader (section 5.3)
 
-    def _lease_for(self, progress: Progress, now: float) -> float:
-        """What is left of this node's own lease, from when the follower sent its token."""
-        left = self.lease_ms(now)
-        return left + now - progress.token_at if left and progress.token != NO_TOKEN else 0.0
+    def _tick_leader(self, leadership: Leadership, now: float) -> list[NodeEffect]:
+        if leadership.must_step_down(now):
+            return self._become_follower(self.term, NO_NODE, now)
+        return leadership.heartbeat(self.log, now) if leadership.heartbeat_due(now) else []
 
-    def _append_answered(self, message: AppendAnswer, now: float) -> list[NodeEffect]:
+    def _handle_append_answer(self, message: AppendAnswer, now: float) -> list[NodeEffect]:
         if self.leadership is None or message.term != self.term:
             return []
-        progress = self.leadership.progress[message.follower]
-        self.leadership.answered(message, now)
+        self.leadership.record_answer(message, now)
         if not message.success:
-            progress.fall_back(message.match_index)
-            return self._replicate_to(message.follower, now)
-        progress.matched(message.match_index)
-        effects = self._commit_if_held(now)
-        if progress.next_index <= self.log.last_index:
-            effects += self._replicate_to(message.follower, now)
+            return self.leadership.replicate_to(message.follower, self.log, now)
+        effects = self._advance_commit_index(now)
+        if self.leadership.is_behind(message.follower, self.log):
+            effects += self.leadership.replicate_to(message.follower, self.log, now)
         return effects
 
-    def _commit_if_held(self, now: float) -> list[NodeEffect]:
-        """Commits what a quorum holds, and tells the followers at once."""
+    def _advance_commit_index(self, now: float) -> list[NodeEffect]:
+        """Commits what a quorum has stored, and tells the followers at once."""
         assert self.leadership is not None
-        index = self.leadership.held_by_quorum(self.log.last_index)
+        index = self.leadership.quorum_match_index(self.log.last_index)
         if index <= self.log.commit_index or not self._may_commit(index):
             return []
         effects = self._commit(index)
-        return effects + self._replicate(now)
+        return effects + self.leadership.replicate(self.log, now)
 
     def _may_commit(self, index: int) -> bool:
-        """Only an entry of the present term is committed by counting (5.4.2); older ones come with it."""
+        """Only an entry of the current term is committed by counting replicas (section 5.4.2).
+
+        Entries of earlier terms are committed with it.
+        """
         return self.log.term_at(index) == self.term
 
     def _commit(self, index: int) -> list[NodeEffect]:
@@ -287,78 +308,64 @@
             effects.append(self._write(snapshot=base))
         return effects
 
-    # Replication, at a follower
+    # Replication at a follower (sections 5.3 and 7)
 
-    def _append(self, message: AppendEntries, now: float) -> list[NodeEffect]:
+    def _handle_append_entries(self, message: AppendEntries, now: float) -> list[NodeEffect]:
         if message.term < self.term:
-            return [self._answer(message, False, 0, now)]
-        effects = self._hear_leader(message, now)
-        mismatch = self._mismatch(message)
+            return [self._append_answer(message, False, 0, now)]
+        effects = self._observe_leader(message, now)
+        mismatch = self.log.find_mismatch(message.previous_index, message.previous_term)
         if mismatch is not None:
-            return [*effects, self._answer(message, False, mismatch, now)]
-        effects += self._take(message.entries)
-        held = message.previous_index + len(message.entries)
-        effects += self._commit(min(message.commit_index, held))
+            return [*effects, self._append_answer(message, False, mismatch, now)]
+        effects += self._store_entries(message.entries)
+        match_index = message.previous_index + len(message.entries)
+        effects += self._commit(min(message.commit_index, match_index))
         if self.log.commit_index >= message.commit_index:
-            self._take_lease(message, now)
-        return [*effects, self._answer(message, True, held, now)]
-
-    def _take_lease(self, message: AppendEntries, now: float) -> None:
-        """An echo from outside this run's time isn't this run's: the clock has begun anew."""
-        if message.lease_ms > 0 and self._started_at <= message.echo <= now:
-            self._lease_until = max(self._lease_until, lease_end(message.echo, message.lease_ms))
-
-    def _mismatch(self, message: AppendEntries) -> int | None:
-        """None if the entry before the message's is held here; else an index up to which the logs may
-        agree."""
-        previous = message.previous_index
-        if previous < self.log.base_index:
-            return None  # all up to the base is committed, so it is the leader's as well
-        term = self.log.term_at(previous)
-        if term == message.previous_term:
-            return None
-        if term is None:
-            return self.log.last_index
-        while previous > self.log.commit_index and self.log.term_at(previous) == term:
-            previous -= 1  # back over the whole term at once
-        return previous
-
-    def _take(self, entries: tuple[Entry, ...]) -> list[NodeEffect]:
-        """Appends what is new; what stands against it goes."""
-        fresh = [e for e in entries if e.index > self.log.base_index and self.log.term_at(e.index) != e.term]
-        if not fresh:
+            self._accept_lease(message, now)
+        return [*effects, self._append_answer(message, True, match_index, now)]
+
+    def _accept_lease(self, message: AppendEntries, now: float) -> None:
+        # An echo from outside this run's time was not sent by this run: the clock has started again.
+        if message.lease_ms > 0 and self._started_at_ms <= message.echo <= now:
+            self._lease_end_ms = max(self._lease_end_ms, lease_end(message.echo, message.lease_ms))
+
+    def _store_entries(self, entries: tuple[Entry, ...]) -> list[NodeEffect]:
+        """Appends the entries that are new, in place of those that conflict with them."""
+        new = self.log.select_new(entries)
+        if not new:
             return []
         truncate_from = None
-        if fresh[0].index <= self.log.last_index:
-            truncate_from = fresh[0].index
+        if new[0].index <= self.log.last_index:
+            truncate_from = new[0].index
             self.log.truncate_from(truncate_from)
-        for entry in fresh:
+        for entry in new:
             self.log.append(entry)
-        return [self._write(truncate_from=truncate_from, entries=tuple(fresh))]
+        return [self._write(truncate_from=truncate_from, entries=new)]
 
-    def _install(self, message: InstallSnapshot, now: float) -> list[NodeEffect]:
+    def _handle_install_snapshot(self, message: InstallSnapshot, now: float) -> list[NodeEffect]:
         if message.term < self.term:
-            return [self._answer(message, False, 0, now)]
-        effects = self._hear_leader(message, now)
-        position = message.snapshot.position
+            return [self._append_answer(message, False, 0, now)]
+        effects = self._observe_leader(message, now)
         if not message.snapshot.intact:
-            return effects  # asked for again by the next heartbeat's refusal
-        if position.index > self.log.commit_index:
+            return effects  # The next heartbeat is rejected, which requests the snapshot again.
+        index = message.snapshot.position.index
+        if index > self.log.commit_index:
             self.log.install(message.snapshot)
-            kept = tuple(self.log.entries)
-            effects.append(self._write(position.index + 1, kept, message.snapshot))
+            retained = tuple(self.log.entries)
+            effects.append(self._write(index + 1, retained, message.snapshot))
             effects.append(SnapshotInstalled(message.snapshot))
-        return [*effects, self._answer(message, True, position.index, now)]
+        return [*effects, self._append_answer(message, True, index, now)]
 
-    def _hear_leader(self, message: AppendEntries | InstallSnapshot, now: float) -> list[NodeEffect]:
-        effects = self._follow(message.term, message.leader, now)
-        self._heard_leader_at = now
-        self._put_off_election(now)
+    def _observe_leader(self, message: AppendEntries | InstallSnapshot, now: float) -> list[NodeEffect]:
+        """Follows the leader that has sent a message of the current term or a newer one."""
+        effects = self._become_follower(message.term, message.leader, now)
+        self._last_leader_contact_ms = now
+        self._reset_election_timer(now)
         return effects
 
-    def _answer(
+    def _append_answer(
         self, message: AppendEntries | InstallSnapshot, success: bool, match_index: int, now: float
-    ) -> NodeEffect:
+    ) -> SendToPeer:
         answer = AppendAnswer(self.term, self.node, success, match_index, message.token, now)
         return SendToPeer(message.leader, answer)
 
--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -181,7 +181,7 @@
         return effects
 
     def _leads(self) -> bool:
-        return self.consensus.leadership is not None
+        return self.consensus.is_leader
 
     def _settled(self, effects: list[NodeEffect], now: float) -> list[NodeEffect]:
         """The effects with what follows from them: to proxies what was committed, to proposers their
--- a/cloverwell/control/entry.py
+++ b/cloverwell/control/entry.py
@@ -1,7 +1,7 @@
-"""Entries of the control log, positions in it, and what a snapshot of it holds.
+"""Entries of the control log, positions in it, the state they amount to, and snapshots of that state.
 
-A position is an index and a digest that chains over all entries up to it (blake2b, 16 bytes): two logs
-with one position hold the same entries. Index 0 is the empty log. Nothing here reads a payload.
+A position is an index and a digest that chains over all entries up to it (BLAKE2b, 16 bytes): two logs that
+have a position in common hold the same entries up to it. Index 0 is the empty log. Payloads are opaque here.
 """
 
 from __future__ import annotations
@@ -13,24 +13,28 @@
 
 DIGEST_BYTES = 16
 MAX_PAYLOAD_BYTES = 1024 * 1024
-# How many purges a snapshot lists, and how many bytes of them: five minutes of 3.4 purges a second.
+# A snapshot lists so many purges, and so many bytes of them: five minutes at 3.4 purges a second.
 SNAPSHOT_PURGES = 1024
 SNAPSHOT_PURGE_BYTES = 256 * 1024
 
 
 class EntryKind(StrEnum):
-    """The kinds that this version knows. `Entry.kind` is a plain string, so that a newer kind can be
-    carried."""
+    """The kinds of entry that this version knows.
+
+    `Entry.kind` is a plain string, so that entries of newer kinds can be replicated as well.
+    """
 
     CONFIGURATION = "configuration"
     MEMBERSHIP = "membership"
     PURGE = "purge"
-    NOOP = "noop"  # the first entry of a leader's term; nothing to load
+    NOOP = "noop"  # the first entry of a leader's term; nothing is applied
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log. `proposal` is the proposer's id for it, by which a repeated proposal is
-    recognised."""
+    """One entry of the log.
+
+    `proposal` is the identifier that the proposer chose, by which a repeated proposal is recognised.
+    """
 
     index: int
     term: int
@@ -46,7 +50,7 @@
     digest: bytes
 
     def after(self, entry: Entry) -> Position:
-        """The position one entry further. Raises ValueError if the entry is not the next one."""
+        """Returns the position after one more entry. Raises ValueError if the entry is not the next one."""
         if entry.index != self.index + 1:
             raise ValueError(f"entry {entry.index} does not follow position {self.index}")
         digest = hashlib.blake2b(self.digest, digest_size=DIGEST_BYTES)
@@ -60,9 +64,9 @@
 class LogState(msgspec.Struct, frozen=True, array_like=True):
     """What the log amounts to at a position: the latest entry of each kind, and the latest purges.
 
-    Purges add up instead of replacing each other. Only the last `SNAPSHOT_PURGES` are kept: who comes
-    from a position before `purges_complete_from` has missed purges that are not listed, and must drop
-    all it has cached.
+    Purges add up instead of replacing each other. Only the latest `SNAPSHOT_PURGES` are listed. A proxy whose
+    position is before `purges_complete_from` has missed purges that are not listed, and must drop everything
+    it has cached.
     """
 
     latest: dict[str, Entry] = {}
@@ -70,23 +74,30 @@
     purges_complete_from: int = 0
 
     def after(self, entry: Entry) -> LogState:
-        """The state with one more entry."""
+        """Returns the state after one more entry."""
         if entry.kind == EntryKind.NOOP:
             return self
-        if entry.kind != EntryKind.PURGE:
-            return msgspec.structs.replace(self, latest={**self.latest, entry.kind: entry})
+        if entry.kind == EntryKind.PURGE:
+            return self._after_purge(entry)
+        return msgspec.structs.replace(self, latest={**self.latest, entry.kind: entry})
+
+    def _after_purge(self, entry: Entry) -> LogState:
+        """Returns the state with one more purge, less the oldest ones that go over the bounds."""
         purges = (*self.purges, entry)
         surplus = max(0, len(purges) - SNAPSHOT_PURGES)
-        size = sum(len(purge.payload) for purge in purges[surplus:])
-        while size > SNAPSHOT_PURGE_BYTES:
-            size -= len(purges[surplus].payload)
+        size_bytes = sum(len(purge.payload) for purge in purges[surplus:])
+        while size_bytes > SNAPSHOT_PURGE_BYTES:
+            size_bytes -= len(purges[surplus].payload)
             surplus += 1
         complete_from = purges[surplus - 1].index if surplus else self.purges_complete_from
         return msgspec.structs.replace(self, purges=purges[surplus:], purges_complete_from=complete_from)
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The log's state at a position. `term`: of the entry at the position; `checksum`: over all the rest."""
+    """The log's state at a position.
+
+    `term` is that of the entry at the position; `checksum` covers all other fields.
+    """
 
     position: Position
     term: int
@@ -95,12 +106,12 @@
 
     @classmethod
     def of(cls, position: Position, term: int, state: LogState) -> Snapshot:
-        """A snapshot with its checksum."""
+        """Returns a snapshot with its checksum."""
         return cls(position, term, state, _checksum(position, term, state))
 
     @property
     def intact(self) -> bool:
-        """Whether the checksum fits the content."""
+        """Whether the checksum matches the content."""
         return self.checksum == _checksum(self.position, self.term, self.state)
 
 
--- a/cloverwell/control/leadership.py
+++ b/cloverwell/control/leadership.py
@@ -1,85 +1,194 @@
-"""What a leader keeps of its followers during its term: how far each is, and since when a quorum has
-answered."""
+"""A leader's side of replication during one term (sections 5.3 and 7 of the Raft paper).
+
+A `Leadership` tracks how far each follower's log matches and when a quorum last confirmed the leader, and
+composes the messages that followers are due. It neither appends to the log nor commits: `consensus` does.
+"""
 
 from __future__ import annotations
 
-from cloverwell.control.messages import NO_TOKEN, AppendAnswer
-from cloverwell.control.timing import Timing
+from cloverwell.control.effects import NodeEffect, SendToPeer
+from cloverwell.control.messages import NO_TOKEN, AppendAnswer, AppendEntries, InstallSnapshot
+from cloverwell.control.replicated_log import ReplicatedLog
+from cloverwell.control.timing import LEASE_MS, Timing, lease_end
+
 
+class FollowerProgress:
+    """How far one follower is, as its leader knows it.
 
-class Progress:
-    """How far one follower is, as its leader knows it."""
+    `next_index` and `match_index` are those of the paper's figure 2. `last_echo_ms` is the time at which the
+    latest message that the follower has answered was sent. `token` is the follower's latest one, for its
+    lease, and `token_received_ms` is when that arrived. All times are of the leader's clock.
+    """
 
-    __slots__ = ("_timing", "echoed_at", "match_index", "next_index", "snapshot_sent_at", "token", "token_at")
+    __slots__ = (
+        "_timing",
+        "last_echo_ms",
+        "match_index",
+        "next_index",
+        "snapshot_sent_ms",
+        "token",
+        "token_received_ms",
+    )
 
     def __init__(self, next_index: int, timing: Timing, now: float) -> None:
+        """Starts with nothing known of the follower's log; `next_index` is the first to be sent."""
         self._timing = timing
         self.next_index = next_index
         self.match_index = 0
-        self.echoed_at = float("-inf")  # when the latest message that it answered was sent
-        self.token = NO_TOKEN  # its latest, and when that came
-        self.token_at = now
-        self.snapshot_sent_at = float("-inf")
+        self.last_echo_ms = float("-inf")
+        self.token = NO_TOKEN
+        self.token_received_ms = now
+        self.snapshot_sent_ms = float("-inf")
 
     def snapshot_due(self, now: float) -> bool:
-        return now >= self.snapshot_sent_at + self._timing.snapshot_retry_ms
+        """Returns whether a snapshot may be sent again."""
+        return now >= self.snapshot_sent_ms + self._timing.snapshot_retry_ms
 
-    def matched(self, index: int) -> None:
-        """Its log is the leader's up to `index`."""
+    def record_match(self, index: int) -> None:
+        """Records that the follower's log matches the leader's up to `index`."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
 
-    def fall_back(self, index: int) -> None:
-        """It refused entries; its log may be the leader's up to `index`."""
+    def record_mismatch(self, index: int) -> None:
+        """Records that the follower rejected entries, and that its log may match up to `index`."""
         self.next_index = max(self.match_index, min(index, self.next_index - 1)) + 1
 
 
 class Leadership:
-    """One node's time as a leader, from its election on."""
+    """One node's time as a leader, from its election in `term` on.
+
+    The log is not kept here but passed to the methods that read it.
+    """
 
     def __init__(
-        self, peers: tuple[str, ...], quorum: int, last_index: int, timing: Timing, now: float
+        self,
+        node: str,
+        term: int,
+        peers: tuple[str, ...],
+        quorum: int,
+        last_index: int,
+        timing: Timing,
+        now: float,
     ) -> None:
-        self.progress = {peer: Progress(last_index + 1, timing, now) for peer in peers}
+        """Starts at the election of `node`, whose own log ends at `last_index`."""
+        self.progress = {peer: FollowerProgress(last_index + 1, timing, now) for peer in peers}
+        self._node = node
+        self._term = term
         self._quorum = quorum
         self._timing = timing
-        self._since = now
-        self._heartbeat_at = now + timing.heartbeat_ms
-        self.confirmed_at = now if quorum == 1 else float("-inf")
+        self._elected_at_ms = now
+        self._next_heartbeat_ms = now + timing.heartbeat_ms
+        # The latest time at which a quorum is known to have accepted this node as its leader.
+        self.quorum_confirmed_ms = now if quorum == 1 else float("-inf")
+
+    # Queries
 
     def next_deadline(self) -> float:
-        return self._heartbeat_at
+        """Returns when the next heartbeat is due."""
+        return self._next_heartbeat_ms
 
     def heartbeat_due(self, now: float) -> bool:
-        return now >= self._heartbeat_at
+        """Returns whether it is time for a heartbeat."""
+        return now >= self._next_heartbeat_ms
 
-    def heartbeat_sent(self, now: float) -> None:
-        self._heartbeat_at = now + self._timing.heartbeat_ms
-        if self._quorum == 1:
-            self.confirmed_at = now
+    def has_quorum(self, now: float) -> bool:
+        """Returns whether a quorum has confirmed this leader lately enough to accept proposals."""
+        return self._confirmed_within(self._timing.quorum_ms, now)
 
-    def answered(self, message: AppendAnswer, now: float) -> None:
-        """A follower's answer in this term, whether it took the entries or not."""
-        progress = self.progress[message.follower]
-        progress.echoed_at = max(progress.echoed_at, min(message.echo, now))
-        progress.token, progress.token_at = (
-            message.token,
-            now,
-        )  # not the highest: a restart may set its clock back
-        echoes = sorted((peer.echoed_at for peer in self.progress.values()), reverse=True)
-        self.confirmed_at = max(self.confirmed_at, echoes[self._quorum - 2])
+    def must_step_down(self, now: float) -> bool:
+        """Returns whether no quorum has confirmed this leader for too long (dissertation, 6.2)."""
+        return not self._confirmed_within(self._timing.step_down_ms, now)
 
-    def has_quorum(self, now: float) -> bool:
-        return self._confirmed(now, self._timing.quorum_ms)
+    def quorum_match_index(self, last_index: int) -> int:
+        """Returns the highest index that a quorum has stored; this node has stored `last_index`."""
+        match_indexes = [last_index, *(progress.match_index for progress in self.progress.values())]
+        match_indexes.sort(reverse=True)
+        return match_indexes[self._quorum - 1]
+
+    def is_behind(self, peer: str, log: ReplicatedLog) -> bool:
+        """Returns whether there are entries that were not sent to a follower yet."""
+        return self.progress[peer].next_index <= log.last_index
 
-    def may_go_on(self, now: float) -> bool:
-        return self._confirmed(now, self._timing.step_down_ms)
+    def lease_ms(self, log: ReplicatedLog, now: float) -> float:
+        """Returns what is left of the leader's lease (dissertation, 6.4.1), or 0."""
+        if log.term_at(log.commit_index) != self._term:
+            return 0.0  # Entries of earlier terms may be committed without this leader knowing it yet.
+        return max(0.0, lease_end(self.quorum_confirmed_ms, LEASE_MS) - now)
 
-    def held_by_quorum(self, last_index: int) -> int:
-        """The highest index that a quorum holds, this node with it."""
-        held = sorted((last_index, *(peer.match_index for peer in self.progress.values())), reverse=True)
-        return held[self._quorum - 1]
+    # Events
 
-    def _confirmed(self, now: float, within_ms: float) -> bool:
-        """Since when a quorum is known to have had this node for leader; its election counts as such."""
-        return now - max(self.confirmed_at, self._since) <= within_ms
+    def record_answer(self, message: AppendAnswer, now: float) -> None:
+        """Records a follower's answer in this term, whether it accepted the entries or rejected them."""
+        progress = self.progress[message.follower]
+        progress.last_echo_ms = max(progress.last_echo_ms, min(message.echo, now))
+        # The latest token counts, not the highest: a restart may set the follower's clock back.
+        progress.token = message.token
+        progress.token_received_ms = now
+        self._update_quorum_confirmed()
+        if message.success:
+            progress.record_match(message.match_index)
+        else:
+            progress.record_mismatch(message.match_index)
+
+    def heartbeat(self, log: ReplicatedLog, now: float) -> list[NodeEffect]:
+        """Sends heartbeats, or entries where some are due, and schedules the next heartbeat."""
+        self._next_heartbeat_ms = now + self._timing.heartbeat_ms
+        if self._quorum == 1:
+            self.quorum_confirmed_ms = now
+        return self.replicate(log, now)
+
+    def replicate(self, log: ReplicatedLog, now: float) -> list[NodeEffect]:
+        """Sends each follower the entries that it needs next, or a heartbeat."""
+        return [effect for peer in self.progress for effect in self.replicate_to(peer, log, now)]
+
+    def replicate_to(self, peer: str, log: ReplicatedLog, now: float) -> list[NodeEffect]:
+        """Sends one follower the entries that it needs next, a heartbeat, or a snapshot.
+
+        A follower whose next entry was discarded by compaction gets a snapshot (section 7), or nothing while
+        one is on its way.
+        """
+        progress = self.progress[peer]
+        previous_index = progress.next_index - 1
+        previous_term = log.term_at(previous_index)
+        if previous_term is None:
+            return self._send_snapshot(peer, progress, log, now)
+        entries = log.entries_after(previous_index, self._timing.append_entries, self._timing.append_bytes)
+        progress.next_index += len(entries)
+        message = AppendEntries(
+            self._term,
+            self._node,
+            previous_index,
+            previous_term,
+            entries,
+            log.commit_index,
+            now,
+            progress.token,
+            self._follower_lease_ms(progress, log, now),
+        )
+        return [SendToPeer(peer, message)]
+
+    # Steps
+
+    def _send_snapshot(
+        self, peer: str, progress: FollowerProgress, log: ReplicatedLog, now: float
+    ) -> list[NodeEffect]:
+        if not progress.snapshot_due(now):
+            return []
+        progress.snapshot_sent_ms = now
+        return [SendToPeer(peer, InstallSnapshot(self._term, self._node, log.base, now))]
+
+    def _follower_lease_ms(self, progress: FollowerProgress, log: ReplicatedLog, now: float) -> float:
+        """Returns what is left of the leader's lease, counted from when the follower sent its token."""
+        remaining_ms = self.lease_ms(log, now)
+        if not remaining_ms or progress.token == NO_TOKEN:
+            return 0.0
+        return remaining_ms + now - progress.token_received_ms
+
+    def _update_quorum_confirmed(self) -> None:
+        echoes = sorted((progress.last_echo_ms for progress in self.progress.values()), reverse=True)
+        followers_needed = self._quorum - 1  # the leader itself completes the quorum
+        self.quorum_confirmed_ms = max(self.quorum_confirmed_ms, echoes[followers_needed - 1])
+
+    def _confirmed_within(self, limit_ms: float, now: float) -> bool:
+        """Returns whether a quorum confirmed this leader, or elected it, within the last `limit_ms`."""
+        return now - max(self.quorum_confirmed_ms, self._elected_at_ms) <= limit_ms
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals at a leader: which are taken, which wait for their commit, and what their proposers are told."""
+"""Proposals at a control node: which are accepted, which await their commit, and how each is answered."""
 
 from __future__ import annotations
 
@@ -10,92 +10,113 @@
 from cloverwell.control.messages import ANY_INDEX, ProposalAnswer, ProposalOutcome, Propose
 from cloverwell.control.timing import Timing
 
-MAX_NAME_CHARS = 200
-PROPOSED_KINDS = frozenset(EntryKind) - {EntryKind.NOOP}
+MAX_PROPOSAL_CHARS = 200
+PROPOSABLE_KINDS = frozenset(EntryKind) - {EntryKind.NOOP}
 
 
 class PendingProposal(msgspec.Struct, frozen=True):
-    """A proposal whose entry is in the leader's log and not committed yet."""
+    """A proposal whose entry is in the leader's log and was not seen to be committed yet."""
 
     request: int
     proposal: str
     index: int
-    until: float
+    deadline_ms: float
 
 
 class Proposals:
-    """The proposals of one control node. Each is answered once, at the latest after `Timing.proposal_ms`."""
+    """The proposals at one control node.
+
+    Each is answered exactly once, at the latest `Timing.proposal_ms` after it was made.
+    """
 
     def __init__(self, consensus: Consensus, timing: Timing) -> None:
+        """Proposes to `consensus`, with the bounds of `timing`."""
         self._consensus = consensus
         self._timing = timing
-        self._waiting: list[PendingProposal] = []
-        self._term = 0  # in which those that wait were taken
+        self._pending: list[PendingProposal] = []
+        self._pending_term = 0  # the term in which the pending proposals were accepted
 
     def next_deadline(self) -> float:
-        return min((waiting.until for waiting in self._waiting), default=float("inf"))
+        """Returns when `settle` is to be called at the latest."""
+        return min((pending.deadline_ms for pending in self._pending), default=float("inf"))
 
     def propose(self, request: int, message: Propose, now: float) -> list[NodeEffect]:
-        refused = self._reason_against(message, now)
-        if refused is not None:
-            return [self._answer(request, message.proposal, refused)]
-        index = self._index_of(message.proposal)
+        """Accepts or rejects a proposal; `request` is the caller's number for its answer."""
+        rejection = self._find_rejection(message, now)
+        if rejection is not None:
+            return [self._answer(request, message.proposal, rejection)]
+        index = self._find_index(message.proposal)
         if index is not None and index <= self._consensus.log.commit_index:
             return [self._answer(request, message.proposal, ProposalOutcome.COMMITTED, index)]
-        if len(self._waiting) >= self._timing.proposals:
+        if len(self._pending) >= self._timing.proposals:
             return [self._answer(request, message.proposal, ProposalOutcome.BUSY)]
-        if index is None and not self._as_expected(message):
+        if index is None and not self._expectation_holds(message):
             return [self._answer(request, message.proposal, ProposalOutcome.CONFLICT)]
         effects: list[NodeEffect] = []
         if index is None:
-            entry, effects = self._consensus.propose(message.kind, message.payload, message.proposal, now)
-            index = entry.index
-        self._term = self._consensus.term
-        self._waiting.append(
-            PendingProposal(request, message.proposal, index, now + self._timing.proposal_ms)
-        )
+            effects = self._consensus.propose(message.kind, message.payload, message.proposal, now)
+            index = self._consensus.log.last_index
+        deadline_ms = now + self._timing.proposal_ms
+        self._pending.append(PendingProposal(request, message.proposal, index, deadline_ms))
+        self._pending_term = self._consensus.term
         return effects
 
     def settle(self, now: float) -> list[NodeEffect]:
-        """The answers that have become due; to be called after each event."""
-        if not self._waiting:
+        """Returns the answers that are due; to be called after each event."""
+        if not self._pending:
             return []
-        leads = self._consensus.leadership is not None and self._consensus.term == self._term
         answers: list[NodeEffect] = []
-        still: list[PendingProposal] = []
-        for waiting in self._waiting:
-            if leads and waiting.index <= self._consensus.log.commit_index:
-                outcome = ProposalOutcome.COMMITTED
-                answers.append(self._answer(waiting.request, waiting.proposal, outcome, waiting.index))
-            elif not leads or now >= waiting.until:
-                answers.append(self._answer(waiting.request, waiting.proposal, ProposalOutcome.UNKNOWN))
-            else:
-                still.append(waiting)
-        self._waiting = still
+        still_pending: list[PendingProposal] = []
+        for pending in self._pending:
+            outcome = self._outcome_of(pending, now)
+            if outcome is None:
+                still_pending.append(pending)
+                continue
+            index = pending.index if outcome is ProposalOutcome.COMMITTED else 0
+            answers.append(self._answer(pending.request, pending.proposal, outcome, index))
+        self._pending = still_pending
         return answers
 
-    def _reason_against(self, message: Propose, now: float) -> ProposalOutcome | None:
-        too_long = len(message.proposal) > MAX_NAME_CHARS
-        if too_long or not message.proposal or message.kind not in PROPOSED_KINDS:
+    def _outcome_of(self, pending: PendingProposal, now: float) -> ProposalOutcome | None:
+        """Returns what became of a pending proposal, or None while that is open.
+
+        A leader that has lost its term can't tell any more whether the entry will be committed.
+        """
+        consensus = self._consensus
+        leads_as_before = consensus.is_leader and consensus.term == self._pending_term
+        if leads_as_before and pending.index <= consensus.log.commit_index:
+            return ProposalOutcome.COMMITTED
+        if not leads_as_before or now >= pending.deadline_ms:
+            return ProposalOutcome.UNKNOWN
+        return None
+
+    def _find_rejection(self, message: Propose, now: float) -> ProposalOutcome | None:
+        """Returns why a proposal is rejected whatever the log holds, or None."""
+        if not 0 < len(message.proposal) <= MAX_PROPOSAL_CHARS or message.kind not in PROPOSABLE_KINDS:
             return ProposalOutcome.INVALID
         if len(message.payload) > MAX_PAYLOAD_BYTES:
             return ProposalOutcome.INVALID
-        if self._consensus.leadership is None:
+        if not self._consensus.is_leader:
             return ProposalOutcome.NOT_LEADER if self._consensus.leader else ProposalOutcome.NO_QUORUM
         return None if self._consensus.has_quorum(now) else ProposalOutcome.NO_QUORUM
 
-    def _entries(self) -> list[Entry]:
-        """All that the log and its base state still show, oldest first."""
+    def _visible_entries(self) -> list[Entry]:
+        """Returns the entries that the log and its base state still show, oldest first."""
         state = self._consensus.log.base.state
         return [*state.latest.values(), *state.purges, *self._consensus.log.entries]
 
-    def _index_of(self, proposal: str) -> int | None:
-        return next((entry.index for entry in reversed(self._entries()) if entry.proposal == proposal), None)
+    def _find_index(self, proposal: str) -> int | None:
+        """Returns the index at which a proposal is in the log already, or None."""
+        for entry in reversed(self._visible_entries()):
+            if entry.proposal == proposal:
+                return entry.index
+        return None
 
-    def _as_expected(self, message: Propose) -> bool:
+    def _expectation_holds(self, message: Propose) -> bool:
+        """Returns whether the latest entry of the kind is the one that the proposer expects."""
         if message.expected_index == ANY_INDEX:
             return True
-        indexes = (entry.index for entry in self._entries() if entry.kind == message.kind)
+        indexes = (entry.index for entry in self._visible_entries() if entry.kind == message.kind)
         return max(indexes, default=0) == message.expected_index
 
     def _answer(
--- a/cloverwell/control/replicated_log.py
+++ b/cloverwell/control/replicated_log.py
@@ -1,42 +1,63 @@
-"""A control node's copy of the log: a snapshot, the entries after it, and how far they are committed."""
+"""A control node's copy of the log: a snapshot, the entries after it, and the commit index.
+
+The snapshot is called the base; the log is compacted by folding its oldest committed entries into the base
+(section 7 of the Raft paper).
+"""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from cloverwell.control.entry import Entry, LogState, Position, Snapshot
+from cloverwell.control.entry import Entry, Position, Snapshot
+from cloverwell.control.errors import ControlError
 from cloverwell.control.storage import StoredState
 
 
+class CommittedEntryError(ControlError):
+    """An entry that is committed would have been dropped from the log."""
+
+    def __init__(self, index: int) -> None:
+        """Names the first entry that would have been dropped."""
+        super().__init__(f"entry {index} is committed")
+        self.index = index
+
+
 class CommittedLog(Protocol):
-    """What the fan-out needs of the log: only what is committed."""
+    """The committed part of a log, as the fan-out to subscribers reads it."""
 
     @property
-    def committed(self) -> Position: ...
+    def committed(self) -> Position:
+        """The position of the last committed entry."""
 
     @property
-    def first_index(self) -> int:
+    def base_index(self) -> int:
         """The oldest index whose position is still known."""
 
-    def holds(self, position: Position) -> bool:
-        """Whether the committed log has this very position, and all entries after it."""
+    def contains(self, position: Position) -> bool:
+        """Returns whether the committed log has this position and all entries after it."""
 
-    def tail(self, after: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Committed entries after an index that the log holds; at least one if there is one."""
+    def committed_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Returns committed entries after an index that the log contains; at least one if there is one."""
 
     def position_at(self, index: int) -> Position:
-        """The position at an index that the log holds."""
+        """Returns the position at an index that the log contains."""
 
     def committed_snapshot(self) -> Snapshot:
-        """The state at the commit position."""
+        """Returns a snapshot of the state at the commit index."""
 
 
 class ReplicatedLog:
-    """Indexes run from `base.position.index + 1` to `last_index`; `commit_index` lies between."""
+    """The log of one node. Entries have the indexes from `base_index + 1` to `last_index`.
+
+    `commit_index` lies between the two.
+    """
 
     def __init__(self, stored: StoredState, keep_entries: int, keep_bytes: int) -> None:
-        """A compaction comes when twice as much as is kept has gathered, in entries or in bytes of
-        payload."""
+        """Starts from what is stored.
+
+        Compaction keeps `keep_entries` entries and `keep_bytes` bytes of payload, and takes place when there
+        is twice as much of either.
+        """
         self._keep_entries = keep_entries
         self._keep_bytes = keep_bytes
         self.base = stored.snapshot
@@ -44,130 +65,169 @@
         self._positions = [self.base.position]  # after the base, then after each entry
         for entry in self.entries:
             self._positions.append(self._positions[-1].after(entry))
-        self._bytes = sum(len(entry.payload) for entry in self.entries)
+        self._payload_bytes = sum(len(entry.payload) for entry in self.entries)
         self.commit_index = self.base.position.index
-        self._state = self.base.state  # at the commit index
+        self._committed_state = self.base.state
+
+    # What is in the log
 
     @property
     def base_index(self) -> int:
+        """The index of the last entry that was folded into the base."""
         return self.base.position.index
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry, committed or not."""
         return self._positions[-1].index
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry, committed or not."""
         return self.entries[-1].term if self.entries else self.base.term
 
     @property
     def committed(self) -> Position:
+        """The position of the last committed entry."""
         return self._positions[self.commit_index - self.base_index]
 
-    @property
-    def state(self) -> LogState:
-        """At the commit index."""
-        return self._state
-
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at an index, None where the log doesn't reach (any more)."""
+        """Returns the term of the entry at an index, or None if the log does not have it (any more)."""
         if index == self.base_index:
             return self.base.term
         if self.base_index < index <= self.last_index:
             return self.entries[index - self.base_index - 1].term
         return None
 
-    def after(self, index: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Entries after an index, committed or not; at least one if there is one."""
+    def position_at(self, index: int) -> Position:
+        """Returns the position at an index that the log contains."""
+        return self._positions[index - self.base_index]
+
+    def contains(self, position: Position) -> bool:
+        """Returns whether the committed log has this position and all entries after it."""
+        if not self.base_index <= position.index <= self.commit_index:
+            return False
+        return self._positions[position.index - self.base_index] == position
+
+    def entries_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Returns entries after an index, committed or not; at least one if there is one."""
         first = index - self.base_index
-        chosen: list[Entry] = []
-        size = 0
-        for entry in self.entries[first : first + most]:
-            size += len(entry.payload)
-            if chosen and size > most_bytes:
+        selected: list[Entry] = []
+        size_bytes = 0
+        for entry in self.entries[first : first + max_entries]:
+            size_bytes += len(entry.payload)
+            if selected and size_bytes > max_bytes:
                 break
-            chosen.append(entry)
-        return tuple(chosen)
+            selected.append(entry)
+        return tuple(selected)
+
+    def committed_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Returns committed entries after an index; at least one if there is one."""
+        committed_entries = max(0, self.commit_index - index)
+        return self.entries_after(index, min(max_entries, committed_entries), max_bytes)
+
+    def committed_snapshot(self) -> Snapshot:
+        """Returns a snapshot of the state at the commit index."""
+        term = self.term_at(self.commit_index)
+        assert term is not None
+        return Snapshot.of(self.committed, term, self._committed_state)
+
+    # The consistency check of AppendEntries (section 5.3)
+
+    def find_mismatch(self, previous_index: int, previous_term: int) -> int | None:
+        """Returns None if the log has the entry that precedes new ones, else an index to try next.
+
+        Up to the returned index the two logs may match. It goes back over a whole term at once, so that a
+        follower needs one rejection a term and not one an entry.
+        """
+        if previous_index < self.base_index:
+            return None  # The base is committed, so the leader has all of it as well.
+        term = self.term_at(previous_index)
+        if term == previous_term:
+            return None
+        if term is None:
+            return self.last_index
+        index = previous_index
+        while index > self.commit_index and self.term_at(index) == term:
+            index -= 1
+        return index
+
+    def select_new(self, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+        """Returns those of a leader's entries that the log does not have, or has with another term."""
+        return tuple(
+            entry
+            for entry in entries
+            if entry.index > self.base_index and self.term_at(entry.index) != entry.term
+        )
+
+    # Changes
 
     def append(self, entry: Entry) -> None:
+        """Appends the next entry. Raises ValueError if its index is not the next one."""
         self._positions.append(self._positions[-1].after(entry))
         self.entries.append(entry)
-        self._bytes += len(entry.payload)
+        self._payload_bytes += len(entry.payload)
 
     def truncate_from(self, index: int) -> None:
-        """Drops the entries from an index on. Raises ValueError if one of them is committed."""
+        """Drops the entries from an index on. Raises CommittedEntryError if one of them is committed."""
         if index <= self.commit_index:
-            raise ValueError(f"entry {index} is committed")
+            raise CommittedEntryError(index)
         keep = index - self.base_index - 1
-        self._bytes -= sum(len(entry.payload) for entry in self.entries[keep:])
+        self._payload_bytes -= sum(len(entry.payload) for entry in self.entries[keep:])
         del self.entries[keep:]
         del self._positions[keep + 1 :]
 
     def commit(self, index: int) -> tuple[Entry, ...]:
-        """Commits up to an index that the log holds; the entries that were not committed before."""
+        """Commits up to an index that the log contains; returns the entries that this has committed."""
         if index <= self.commit_index:
             return ()
         first = self.commit_index - self.base_index
         entries = tuple(self.entries[first : index - self.base_index])
         for entry in entries:
-            self._state = self._state.after(entry)
+            self._committed_state = self._committed_state.after(entry)
         self.commit_index = index
         return entries
 
     def install(self, snapshot: Snapshot) -> None:
-        """Puts a snapshot past the commit index in place; entries after it stay if they belong to it."""
+        """Replaces the base by a snapshot past the commit index.
+
+        Entries after the snapshot are retained if the log has the snapshot's last entry (section 7).
+        """
         index = snapshot.position.index
-        keep = self.term_at(index) == snapshot.term and index > self.base_index
-        entries = self.entries[index - self.base_index :] if keep else []
-        self.base, self.entries, self._positions = snapshot, [], [snapshot.position]
-        self.commit_index, self._state, self._bytes = index, snapshot.state, 0
-        for entry in entries:
+        retains = index > self.base_index and self.term_at(index) == snapshot.term
+        retained = self.entries[index - self.base_index :] if retains else []
+        self.base = snapshot
+        self.entries = []
+        self._positions = [snapshot.position]
+        self._payload_bytes = 0
+        self.commit_index = index
+        self._committed_state = snapshot.state
+        for entry in retained:
             self.append(entry)
 
     def compact(self) -> Snapshot | None:
-        """Folds the oldest committed entries into the base once there are enough; the new base then."""
-        if len(self.entries) < 2 * self._keep_entries and self._bytes < 2 * self._keep_bytes:
+        """Folds the oldest committed entries into the base; returns the new base, None if nothing was due."""
+        if len(self.entries) < 2 * self._keep_entries and self._payload_bytes < 2 * self._keep_bytes:
             return None
-        surplus = self._surplus()
+        surplus = self._count_surplus()
         if not surplus:
             return None
         state = self.base.state
         for entry in self.entries[:surplus]:
             state = state.after(entry)
-            self._bytes -= len(entry.payload)
+            self._payload_bytes -= len(entry.payload)
         self.base = Snapshot.of(self._positions[surplus], self.entries[surplus - 1].term, state)
         del self.entries[:surplus]
         del self._positions[:surplus]
         return self.base
 
-    def _surplus(self) -> int:
-        """How many of the oldest committed entries go, for the rest to be what is kept."""
-        surplus, size = 0, self._bytes
+    def _count_surplus(self) -> int:
+        """Returns how many of the oldest committed entries have to go for the rest to be within bounds."""
+        surplus = 0
+        size_bytes = self._payload_bytes
         for entry in self.entries[: self.commit_index - self.base_index]:
-            if len(self.entries) - surplus <= self._keep_entries and size <= self._keep_bytes:
+            if len(self.entries) - surplus <= self._keep_entries and size_bytes <= self._keep_bytes:
                 break
             surplus += 1
-            size -= len(entry.payload)
+            size_bytes -= len(entry.payload)
         return surplus
-
-    # What the fan-out sees
-
-    @property
-    def first_index(self) -> int:
-        return self.base_index
-
-    def holds(self, position: Position) -> bool:
-        if not self.base_index <= position.index <= self.commit_index:
-            return False
-        return self._positions[position.index - self.base_index] == position
-
-    def position_at(self, index: int) -> Position:
-        return self._positions[index - self.base_index]
-
-    def tail(self, after: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
-        return self.after(after, max(0, min(most, self.commit_index - after)), most_bytes)
-
-    def committed_snapshot(self) -> Snapshot:
-        term = self.term_at(self.commit_index)
-        assert term is not None
-        return Snapshot.of(self.committed, term, self._state)
--- a/cloverwell/control/storage.py
+++ b/cloverwell/control/storage.py
@@ -1,8 +1,9 @@
-"""What a control node must find again after a restart, and the small protocol by which it is kept.
+"""The persistent state of a control node, and the protocol of what stores it.
 
-Raft is safe only if a node's term, vote and log are durable before anybody is told of them. So a node lists a
-`Write` among its effects, ahead of each message that depends on it; whoever carries effects out returns from
-`Storage.write` only when the content would survive a crash, and sends the messages after that.
+Raft is safe only if a node's term, vote and log are durable before another node is told of them (figure 2 of
+the paper). So a node lists a `Write` among its effects ahead of each message that depends on it. Whoever
+carries effects out returns from `Storage.write` only when the content would survive a crash, and sends the
+messages after that.
 """
 
 from __future__ import annotations
@@ -12,14 +13,22 @@
 import msgspec
 
 from cloverwell.control.entry import EMPTY_SNAPSHOT, Entry, Snapshot
+from cloverwell.control.errors import ControlError
+
+
+class StorageError(ControlError):
+    """The storage can't be read or written.
+
+    A node without storage must not vote, so it must not run.
+    """
 
 
 class Write(msgspec.Struct, frozen=True):
-    """One change of what is stored, to be made whole or not at all.
+    """One atomic change of the stored state.
 
-    `snapshot`, where given, replaces the stored one, and entries up to its index go. `truncate_from`,
-    where given, drops the entries from that index on. Then `entries` are appended. `term` and `vote` (""
-    for none) always stand.
+    `snapshot`, if given, replaces the stored one, and entries up to its index are dropped. `truncate_from`,
+    if given, drops the entries from that index on. Then `entries` are appended. `term` and `vote` ("" for
+    none) always replace the stored ones.
     """
 
     term: int
@@ -30,7 +39,7 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """What a node starts from. `entries` follow the snapshot without a gap."""
+    """The state that a node starts from. `entries` follow the snapshot without a gap."""
 
     term: int = 0
     vote: str = ""
@@ -38,7 +47,7 @@
     entries: tuple[Entry, ...] = ()
 
     def after(self, write: Write) -> StoredState:
-        """What is stored after a write."""
+        """Returns the stored state after a write."""
         entries = list(self.entries)
         snapshot = write.snapshot or self.snapshot
         if write.truncate_from is not None:
@@ -48,29 +57,32 @@
 
 
 class Storage(Protocol):
-    """Where a control node's state is kept. One node, one storage."""
+    """Where one control node keeps its persistent state."""
 
     def load(self) -> StoredState:
-        """What is stored; the empty state for a new node. Raises StorageError for content that can't be
-        trusted."""
+        """Returns what is stored; the empty state for a new node.
 
-    def write(self, write: Write) -> None:
-        """Makes the change durable; on return it survives a crash. Raises StorageError: the node must
-        stop then."""
+        Raises StorageError for content that can't be trusted.
+        """
 
+    def write(self, write: Write) -> None:
+        """Makes the change durable: on return it survives a crash.
 
-class StorageError(Exception):
-    """The storage can't be read or written. A node without storage must not vote, so it must not run."""
+        Raises StorageError, after which the node must stop.
+        """
 
 
 class MemoryStorage:
-    """Storage for tests: durable as long as the object."""
+    """A storage for tests, which lasts as long as the object."""
 
     def __init__(self, state: StoredState | None = None) -> None:
+        """Starts with `state`, or empty."""
         self.state = state or StoredState()
 
     def load(self) -> StoredState:
+        """Returns what is stored."""
         return self.state
 
     def write(self, write: Write) -> None:
+        """Applies the change."""
         self.state = self.state.after(write)
--- a/cloverwell/control/subscribers.py
+++ b/cloverwell/control/subscribers.py
@@ -256,9 +256,9 @@
 
     def _strays(self, subscriber: Subscriber, position: Position) -> bool:
         """Whether it has told a position that the log, which still goes back so far, does not have."""
-        if subscriber.snapshot_index is not None or position.index < self._log.first_index:
+        if subscriber.snapshot_index is not None or position.index < self._log.base_index:
             return False
-        return not self._log.holds(position)
+        return not self._log.contains(position)
 
     def _feed(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
         if subscriber.snapshot_index is not None:
@@ -270,14 +270,14 @@
 
     def _may_tail(self, position: Position) -> bool:
         """Whether what follows this position can be sent: only to who has the very same entries up to it."""
-        return self._log.holds(position)
+        return self._log.contains(position)
 
     def _send_tail(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
         room = self._timing.window_entries - len(subscriber.in_flight)
         room_bytes = self._timing.window_bytes - subscriber.in_flight_bytes
         if room <= 0 or room_bytes <= 0:
             return []
-        entries = self._log.tail(subscriber.sent.index, room, room_bytes)
+        entries = self._log.committed_after(subscriber.sent.index, room, room_bytes)
         if not entries:
             return []
         message = Entries(subscriber.sent, entries)
--- a/lab/control_explorer.py
+++ b/lab/control_explorer.py
@@ -5,6 +5,7 @@
 import time
 from dataclasses import dataclass, field
 
+from cloverwell.control.errors import ControlError
 from lab.control_model import Action, Budget, Model, State
 from lab.control_rules import RuleBroken
 
@@ -48,7 +49,7 @@
                 result.steps += 1
                 try:
                     after = model.step(state, action)
-                except (RuleBroken, ValueError) as error:
+                except (RuleBroken, ControlError, ValueError) as error:
                     result.broken = f"{type(error).__name__}: {error}"
                     result.actions = described(model, Trace(action, trace))
                     result.seconds = time.perf_counter() - began
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cloverwell.control.consensus import Consensus, Role
+from cloverwell.control.consensus import Consensus, NotLeaderError, Role
 from cloverwell.control.effects import EntriesCommitted, SendToPeer, SnapshotInstalled
 from cloverwell.control.entry import EMPTY_SNAPSHOT, START, Entry, EntryKind, LogState, Snapshot
 from cloverwell.control.messages import (
@@ -15,7 +15,7 @@
     RequestVote,
     VoteAnswer,
 )
-from cloverwell.control.replicated_log import ReplicatedLog
+from cloverwell.control.replicated_log import CommittedEntryError, ReplicatedLog
 from cloverwell.control.storage import MemoryStorage, StoredState, Write
 from cloverwell.control.timing import LEASE_MS, Timing, lease_end
 
@@ -70,7 +70,7 @@
     effects = node.receive(append(1, (0, 0), entries(1)), 1.0)
     kinds = [type(effect) for effect in effects]
     assert kinds.index(SendToPeer) > max(number for number, kind in enumerate(kinds) if kind is Write)
-    _, effects = leader().propose("configuration", b"", "x", 10_001.0)
+    effects = leader().propose("configuration", b"", "x", 10_001.0)
     assert isinstance(effects[0], Write)
 
 
@@ -110,14 +110,14 @@
     assert node.role is Role.LEADER
     node.tick(10_001.0 + TIMING.step_down_ms)
     assert node.role is Role.FOLLOWER
-    with pytest.raises(ValueError, match="not the leader"):
+    with pytest.raises(NotLeaderError, match="not the leader"):
         node.propose("configuration", b"", "x", 20_000.0)
 
 
 def test_a_leader_gives_no_lease_before_an_entry_of_its_own_term_is_committed():
     node = leader(StoredState(1, "", EMPTY_SNAPSHOT, entries(1)))
     node.receive(AppendAnswer(2, "c", False, 0, 10_000.0, 5.0), 10_050.0)  # a quorum has it for its leader
-    assert node.leadership.confirmed_at == 10_000.0
+    assert node.leadership.quorum_confirmed_ms == 10_000.0
     assert node.lease_ms(10_050.0) == 0.0
     effects = node.receive(AppendAnswer(2, "c", True, 2, 10_050.0, 6.0), 10_100.0)
     assert effects[0] == EntriesCommitted((*entries(1), Entry(2, 2, EntryKind.NOOP)))
@@ -160,7 +160,7 @@
 def test_an_entry_that_is_committed_can_not_be_dropped():
     node = consensus()
     node.receive(append(1, (0, 0), entries(1), 1), 1.0)
-    with pytest.raises(ValueError, match="committed"):
+    with pytest.raises(CommittedEntryError, match="committed"):
         node.receive(append(2, (0, 0), entries(2)), 2.0)
 
 
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -132,6 +132,7 @@
     "delivery",
     "effects",
     "entry",
+    "errors",
     "fleet",
     "leadership",
     "messages",
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -67,7 +67,7 @@
 class CommitsAlone(Consensus):
     """Tells of an entry as committed as soon as the leader has it."""
 
-    def _commit_if_held(self, now):
+    def _advance_commit_index(self, now):
         return self._commit(self.log.last_index) if self.leadership is not None else []
 
 
@@ -79,7 +79,7 @@
     """Sends the tail from any position that the log reaches, whatever its digest."""
 
     def _may_tail(self, position):
-        return self._log.first_index <= position.index <= self._log.committed.index
+        return self._log.base_index <= position.index <= self._log.committed.index
 
 
 class TailsWithoutDigestNode(ControlNode):
