--- a/cloverwell/control/choice.py
+++ b/cloverwell/control/choice.py
@@ -42,7 +42,7 @@
         if self._round:
             return 0.0
         self._round = list(self._order)
-        most = min(self._timing.round_max_ms, self._timing.round_ms * 2.0 ** min(self._rounds, 16))
+        most = min(self._timing.backoff_max_ms, self._timing.backoff_ms * 2.0 ** min(self._rounds, 16))
         self._rounds += 1
         return self._random.uniform(most / 2, most)
 
@@ -50,7 +50,7 @@
         """For how long to stay at the present node: for good at one of the own region."""
         if self.node() in self._home:
             return float("inf")
-        return self._random.uniform(self._timing.away_ms / 2, self._timing.away_ms)
+        return self._random.uniform(self._timing.remote_stay_ms / 2, self._timing.remote_stay_ms)
 
     def go_home(self) -> None:
         """Begins a round with the own region's nodes."""
--- a/cloverwell/control/messages.py
+++ b/cloverwell/control/messages.py
@@ -1,13 +1,13 @@
-"""What control nodes tell each other, what a control node and a proxy tell each other, and what a proposer
-asks.
+"""Messages between control nodes, between a control node and a proxy, and from proposers to control nodes.
 
-On the wire a message is one version byte and a msgpack map with a `type` field; a frame around it is the
-transport's. Receivers ignore fields that they don't know, so new optional fields need no new version.
+On the wire a message is one version byte and a msgpack map with a `type` field; the frame around it belongs
+to the transport. Receivers ignore fields that they don't know, so new optional fields need no new version. A
+type or field that has been renamed in the code keeps its first name on the wire.
 
-Leases without common clocks: who wants a lease puts `token`, the time of sending by its own clock, into
-a message; the answer brings it back as `echo` with `lease_ms`. The lease runs for `lease_ms` from that
-sending, so neither delay on the way nor the difference of two clocks can make it longer than was meant.
-No echo: NO_TOKEN.
+Leases work without synchronised clocks. A holder puts `token`, the time of sending by its own clock, into a
+message; the answer returns it as `echo` together with `lease_ms`. The lease runs for `lease_ms` from that
+sending, so neither the delay on the way nor the difference between two clocks can make it longer than was
+meant. Without an echo the field is NO_TOKEN.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 import msgspec
 
 from cloverwell.control.entry import Entry, Position, Snapshot
+from cloverwell.control.errors import ControlError
 
 VERSION = 1
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # a snapshot is the largest message
@@ -26,38 +27,43 @@
 MAX_REASON_CHARS = 200
 
 
-class MessageError(Exception):
-    """Bytes that are no message of this version; the text says why in a few words."""
+class MessageError(ControlError):
+    """Bytes that are not a message of this version; `reason` says why in a few words."""
+
+    def __init__(self, reason: str) -> None:
+        """Makes the message of the reason alone."""
+        super().__init__(reason)
+        self.reason = reason
 
 
 class RefusalReason(StrEnum):
-    """Why a control node takes no subscription."""
+    """Why a control node refuses a subscription."""
 
-    BEHIND = "behind"  # the proxy knows more than this node does so far: ask another
-    FULL = "full"  # this node has as many subscribers as it takes
+    BEHIND = "behind"  # the proxy's log reaches further than this node's: it has to try another node
+    FULL = "full"  # this node has as many subscribers as it accepts
     OTHER_LOG = "other log"  # the proxy is configured for another control log
-    INVALID = "invalid"  # the message makes no sense here
+    INVALID = "invalid"  # the message makes no sense at this point
 
 
 class ProposalOutcome(StrEnum):
-    """What became of a proposal."""
+    """The result of a proposal."""
 
-    COMMITTED = "committed"  # in the log for good, at `index`
-    NOT_LEADER = "not leader"  # nothing was done: ask `leader`, if it is named
-    NO_QUORUM = "no quorum"  # nothing was done: this part of the fleet can change nothing now
-    CONFLICT = "conflict"  # nothing was done: the latest entry of the kind is not the expected one
-    BUSY = "busy"  # nothing was done: too many proposals wait
-    INVALID = "invalid"  # nothing was done: payload too long, or a kind that nobody may propose
-    UNKNOWN = "unknown"  # it may be in the log or come into it: propose it again with the same id
+    COMMITTED = "committed"  # the entry is committed at `index`
+    NOT_LEADER = "not leader"  # nothing was changed: propose to `leader`, if it is given
+    NO_QUORUM = "no quorum"  # nothing was changed: no leader with a quorum can be reached from here
+    CONFLICT = "conflict"  # nothing was changed: the latest entry of the kind is not the expected one
+    BUSY = "busy"  # nothing was changed: too many proposals are pending
+    INVALID = "invalid"  # nothing was changed: the payload is too long, or the kind can't be proposed
+    UNKNOWN = "unknown"  # the entry may be or become committed: propose again with the same identifier
 
 
 class FleetCount(msgspec.Struct, frozen=True):
-    """How many proxies live, as the leader knows it.
+    """The number of proxies in the fleet, as the leader knows it.
 
-    `alive`: subscribers that have been heard of lately. `hidden`: those that may live where the leader
-    can't see them (lost without a goodbye, or of a control node that it doesn't hear). `complete`: False
-    while a control node has not been heard of since the leader's term began, so that `alive` and
-    `hidden` may leave proxies out.
+    `alive` counts subscribers in contact with their control node. `hidden` counts proxies that may be alive
+    where the leader can't see them: lost without a goodbye, or subscribed to a control node that does not
+    report. `complete` is False while a control node has not reported since the leader's term began, so that
+    `alive` and `hidden` may leave proxies out.
     """
 
     alive: int = 0
@@ -66,15 +72,17 @@
 
 
 class PositionCount(msgspec.Struct, frozen=True, array_like=True):
-    """So many proxies have taken in the log up to `index`."""
+    """The number of proxies that have applied the log up to `index`."""
 
     index: int
     proxies: int
 
 
 class RefusalCount(msgspec.Struct, frozen=True, array_like=True):
-    """So many proxies couldn't load the entry at `index` and go on by an older one; `reason`: one of
-    theirs."""
+    """The number of proxies that could not apply the entry at `index` and use an older one.
+
+    `reason` is that of one of them.
+    """
 
     index: int
     reason: str
@@ -85,7 +93,10 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag=True):
-    """A candidate asks for a vote in `term`; with `pre_vote` it only asks whether it would get it."""
+    """A candidate's request for a vote in `term` (Raft, section 5.2).
+
+    With `pre_vote` it only asks whether the vote would be granted.
+    """
 
     term: int
     candidate: str
@@ -95,7 +106,10 @@
 
 
 class VoteAnswer(msgspec.Struct, frozen=True, tag=True):
-    """`term`: the voter's; `asked_term`: the one that the request named."""
+    """The answer to a RequestVote.
+
+    `term` is the voter's current term, `asked_term` the one that the request named.
+    """
 
     term: int
     voter: str
@@ -105,8 +119,10 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag=True):
-    """Entries for a follower, or none as a heartbeat. `token`: the leader's, `echo`: the follower's last
-    one."""
+    """Entries for a follower, or none as a heartbeat (Raft, section 5.3).
+
+    `token` is the leader's, `echo` the follower's latest one.
+    """
 
     term: int
     leader: str
@@ -120,7 +136,10 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag=True):
-    """For a follower whose next entry the leader's log no longer holds; answered by an AppendAnswer."""
+    """A snapshot for a follower whose next entry the leader's log no longer has (Raft, section 7).
+
+    It is answered by an AppendAnswer.
+    """
 
     term: int
     leader: str
@@ -129,8 +148,11 @@
 
 
 class AppendAnswer(msgspec.Struct, frozen=True, tag=True):
-    """`match_index`: with `success` the follower's log is the leader's up to it; else it may be at most
-    up to it."""
+    """The answer to AppendEntries and InstallSnapshot.
+
+    With `success` the follower's log matches the leader's up to `match_index`; else the two logs may match up
+    to there, and certainly not further.
+    """
 
     term: int
     follower: str
@@ -141,11 +163,11 @@
 
 
 class SubscriberReport(msgspec.Struct, frozen=True, tag=True):
-    """A control node to the leader: its subscribers in sums. `lost`: gone without a goodbye, not yet
-    forgotten.
+    """A control node's report to the leader about its subscribers, in totals.
 
-    `positions` counts each live subscriber once, oldest first; where there are more than
-    MAX_REPORT_POSITIONS, neighbours are added up at the older index.
+    `lost` counts proxies that left without a goodbye and are still remembered. `positions` counts each live
+    subscriber once, oldest first; where there would be more than MAX_REPORT_POSITIONS, the oldest are merged
+    at the oldest index.
     """
 
     node: str
@@ -156,7 +178,7 @@
 
 
 class FleetSummary(msgspec.Struct, frozen=True, tag=True):
-    """The leader to the other control nodes: what they pass on to their subscribers."""
+    """The leader's totals for the other control nodes, which pass them on to their subscribers."""
 
     term: int
     leader: str
@@ -164,7 +186,10 @@
 
 
 class SubscriberMoved(msgspec.Struct, frozen=True, tag=True):
-    """To the control node that a proxy was subscribed to before: it isn't lost there, it is counted here."""
+    """Tells a control node that a proxy, subscribed to it before, is now subscribed to the sender.
+
+    So the proxy does not count as lost there.
+    """
 
     proxy: str
     run: int
@@ -177,10 +202,10 @@
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
     """A proxy's first message: which log it follows and how far it is.
 
-    `proxy`: its name in the fleet, the same after a restart. `run`: a random number of this process, and
-    `attempt`: a number that grows within a run; which of two subscriptions of one name stands is told in
-    `subscribers`. `position`: after what it has received; `loaded_index`: up to where that is loaded.
-    `last_node`: the control node that it was subscribed to before in this run, or "".
+    `proxy` is its name in the fleet, the same after a restart. `run` is a random number of this process, and
+    `attempt` a number that grows within a run; `subscribers` says which of two subscriptions of one name
+    takes precedence. `position` is that after the last entry received; everything up to `applied_index` is
+    applied. `last_node` is the control node to which the proxy was subscribed before in this run, or "".
     """
 
     proxy: str
@@ -188,27 +213,29 @@
     attempt: int
     log: str
     position: Position
-    loaded_index: int
+    applied_index: int = msgspec.field(name="loaded_index")
     token: float
     last_node: str = ""
 
 
-class Snapshotted(msgspec.Struct, frozen=True, tag=True):
-    """The log's state, in place of entries: for a position that is too old, too slow, or not of this log."""
+class SnapshotTransfer(msgspec.Struct, frozen=True, tag="Snapshotted"):
+    """The log's state in place of entries.
+
+    It is sent to a proxy whose position is too old or not of this log, and to one that is too slow.
+    """
 
     snapshot: Snapshot
 
 
 class Entries(msgspec.Struct, frozen=True, tag=True):
-    """Committed entries, in order; `previous`: the position before the first of them."""
+    """Committed entries, in order; `previous` is the position before the first of them."""
 
     previous: Position
     entries: tuple[Entry, ...]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag=True):
-    """How far the log is committed, as this node knows it, and since when at least that was all (see the
-    lease)."""
+    """The commit position that this node knows, with a lease on its being current."""
 
     committed: Position
     echo: float
@@ -217,8 +244,11 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag=True):
-    """How far the proxy has taken in the log. `refused_index`: an entry up to there that it could not
-    load and that none of its kind has replaced (0: none), and why."""
+    """How far the proxy has applied the log.
+
+    `refused_index` is that of an entry up to there which could not be applied, and which no later entry of
+    its kind has replaced; 0 if there is none. `refused_reason` says why.
+    """
 
     position: Position
     token: float
@@ -227,22 +257,25 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, tag=True):
-    """No subscription here; the connection ends after it."""
+    """A subscription is refused; the connection is closed after this message."""
 
     reason: RefusalReason
 
 
 class Goodbye(msgspec.Struct, frozen=True, tag=True):
-    """The proxy stops in good order: from now on it is not one of those that live."""
+    """The proxy shuts down gracefully: from now on it does not count as alive or hidden."""
 
 
 # Between a proposer and a control node
 
 
 class Propose(msgspec.Struct, frozen=True, tag=True):
-    """A change to be made. `proposal`: an id of the proposer's choice; repeated with the same id it is
-    made once, as long as the leader's log or state still shows it. `expected_index`: the latest entry of
-    the kind that the proposer knows, 0 for none, ANY_INDEX to skip the check."""
+    """A proposal to append an entry.
+
+    `proposal` is an identifier that the proposer chooses. A proposal repeated with the same identifier is
+    made once, as long as the leader's log or state still shows it. `expected_index` is that of the latest
+    entry of the kind that the proposer knows, 0 for none, ANY_INDEX to skip the check.
+    """
 
     proposal: str
     kind: str
@@ -251,7 +284,10 @@
 
 
 class ProposalAnswer(msgspec.Struct, frozen=True, tag=True):
-    """What became of a proposal. `index`: where it is committed; `leader`: whom to ask instead."""
+    """The outcome of a proposal.
+
+    `index` is where the entry is committed, `leader` the node to propose to instead.
+    """
 
     proposal: str
     outcome: ProposalOutcome
@@ -262,7 +298,7 @@
 ConsensusMessage = RequestVote | VoteAnswer | AppendEntries | AppendAnswer | InstallSnapshot
 PeerMessage = ConsensusMessage | SubscriberReport | FleetSummary | SubscriberMoved
 ProxyMessage = Subscribe | Acknowledge | Goodbye  # from a proxy
-NodeMessage = Snapshotted | Entries | Heartbeat | Refusal  # to a proxy
+NodeMessage = SnapshotTransfer | Entries | Heartbeat | Refusal  # to a proxy
 Message = PeerMessage | ProxyMessage | NodeMessage | Propose | ProposalAnswer
 
 _encoder = msgspec.msgpack.Encoder()
@@ -270,12 +306,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message, without a frame."""
+    """Returns the bytes of a message, without a frame."""
     return bytes((VERSION,)) + _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """The message of these bytes. Raises MessageError."""
+    """Returns the message that the bytes encode. Raises MessageError."""
     if not data:
         raise MessageError("empty")
     if len(data) > MAX_MESSAGE_BYTES:
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -48,7 +48,7 @@
         index = self._find_index(message.proposal)
         if index is not None and index <= self._consensus.log.commit_index:
             return [self._answer(request, message.proposal, ProposalOutcome.COMMITTED, index)]
-        if len(self._pending) >= self._timing.proposals:
+        if len(self._pending) >= self._timing.max_pending_proposals:
             return [self._answer(request, message.proposal, ProposalOutcome.BUSY)]
         if index is None and not self._expectation_holds(message):
             return [self._answer(request, message.proposal, ProposalOutcome.CONFLICT)]
--- a/cloverwell/control/subscribers.py
+++ b/cloverwell/control/subscribers.py
@@ -29,7 +29,7 @@
     Refusal,
     RefusalCount,
     RefusalReason,
-    Snapshotted,
+    SnapshotTransfer,
     Subscribe,
     SubscriberMoved,
     SubscriberReport,
@@ -76,7 +76,7 @@
         self.proxy = message.proxy
         self.run_attempt = RunAttempt(message.run, message.attempt)
         self.displaced_runs = displaced_runs
-        self.acknowledged = message.loaded_index
+        self.acknowledged = message.applied_index
         self.sent = message.position
         self.in_flight: deque[tuple[int, int]] = deque()  # index, bytes of payload
         self.in_flight_bytes = 0
@@ -194,7 +194,7 @@
 
     def drop_silent(self, now: float) -> list[NodeEffect]:
         """Lets those go that have not been heard of for too long, and forgets those lost long ago."""
-        since = now - self._timing.silence_ms
+        since = now - self._timing.silence_timeout_ms
         silent = [number for number, sub in self._subscribers.items() if sub.heard_at < since]
         for connection in silent:
             self._lose(connection, now)
@@ -248,7 +248,7 @@
             return RefusalReason.BEHIND
         old = self._connections.get(message.proxy)
         if old is None:
-            return RefusalReason.FULL if self.alive >= self._timing.subscribers else None
+            return RefusalReason.FULL if self.alive >= self._timing.max_subscribers else None
         return None if self._subscribers[old].gives_way_to(message) else RefusalReason.INVALID
 
     def _refuse(self, connection: int, reason: RefusalReason) -> list[NodeEffect]:
@@ -289,7 +289,7 @@
         if self._snapshot is None or self._snapshot.position != self._log.committed:
             self._snapshot = self._log.committed_snapshot()
         subscriber.snapshot_sent(self._snapshot.position)
-        return [SendToSubscriber(connection, Snapshotted(self._snapshot))]
+        return [SendToSubscriber(connection, SnapshotTransfer(self._snapshot))]
 
     def _remove(self, connection: int) -> Subscriber:
         subscriber = self._subscribers.pop(connection)
@@ -299,7 +299,7 @@
     def _lose(self, connection: int, now: float) -> None:
         subscriber = self._remove(connection)
         self._lost[subscriber.proxy] = (subscriber.run_attempt, now + self._timing.forget_ms)
-        while len(self._lost) > self._timing.subscribers:
+        while len(self._lost) > self._timing.max_subscribers:
             del self._lost[next(iter(self._lost))]
 
 
--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -26,7 +26,7 @@
     Heartbeat,
     NodeMessage,
     Refusal,
-    Snapshotted,
+    SnapshotTransfer,
     Subscribe,
 )
 from cloverwell.control.timing import SubscriptionTiming, lease_end
@@ -161,8 +161,8 @@
         if attempt != self._attempt or not self._trying or self._connected:
             return []
         self._connected = True
-        self._deadline = now + self._timing.silence_ms
-        self._lease_wanted_by = now + self._timing.lease_wait_ms
+        self._deadline = now + self._timing.silence_timeout_ms
+        self._lease_wanted_by = now + self._timing.lease_timeout_ms
         self._acknowledge_at = now + self._timing.acknowledge_ms
         self._home_at = now + self._choice.away_ms()
         subscribe = Subscribe(
@@ -191,11 +191,11 @@
             return []
         if isinstance(message, Refusal):
             return self._fail(f"refuses: {message.reason}", now)
-        self._deadline = now + self._timing.silence_ms
+        self._deadline = now + self._timing.silence_timeout_ms
         self._last_node = self._choice.node()
         try:
             match message:
-                case Snapshotted():
+                case SnapshotTransfer():
                     self._delivery.take_snapshot(message.snapshot)
                 case Entries():
                     self._delivery.take_entries(message.previous, message.entries)
@@ -232,7 +232,7 @@
         self._attempt += 1
         self._attempt_at = now
         self._trying = True
-        self._deadline = now + self._timing.connect_ms
+        self._deadline = now + self._timing.connect_timeout_ms
         return [ConnectToNode(self._choice.node(), self._attempt)]
 
     def _fail(self, reason: str, now: float, ended: bool = False) -> list[ProxyEffect]:
@@ -262,7 +262,7 @@
             raise DeliveryError("digest: this is not what the log holds")
         self._fleet = message.fleet
         if message.lease_ms > 0 and self._attempt_at <= message.echo <= now:
-            self._lease_wanted_by = now + self._timing.lease_wait_ms
+            self._lease_wanted_by = now + self._timing.lease_timeout_ms
             self._choice.served()
             self._offers.append(LeaseOffer(message.committed, lease_end(message.echo, message.lease_ms)))
 
--- a/lab/control_cells.py
+++ b/lab/control_cells.py
@@ -43,10 +43,14 @@
     report_ms=ENDLESS,
 )
 FANOUT = FanoutTiming(
-    heartbeat_ms=ENDLESS, silence_ms=ENDLESS, forget_ms=ENDLESS, window_entries=1, tail_entries=2
+    heartbeat_ms=ENDLESS, silence_timeout_ms=ENDLESS, forget_ms=ENDLESS, window_entries=1, tail_entries=2
 )
 SUBSCRIPTION = SubscriptionTiming(
-    connect_ms=ENDLESS, silence_ms=ENDLESS, round_ms=0.0, round_max_ms=0.0, lease_wait_ms=ENDLESS
+    connect_timeout_ms=ENDLESS,
+    silence_timeout_ms=ENDLESS,
+    backoff_ms=0.0,
+    backoff_max_ms=0.0,
+    lease_timeout_ms=ENDLESS,
 )
 
 
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -25,7 +25,7 @@
     Refusal,
     RefusalCount,
     RefusalReason,
-    Snapshotted,
+    SnapshotTransfer,
     Subscribe,
     SubscriberMoved,
     SubscriberReport,
@@ -41,7 +41,14 @@
 def node(**fanout):
     """A control node that leads alone, at 10,000 ms."""
     alone = ControlNode(
-        "a", ("a",), "main", StoredState(), Random(1), 0.0, Timing(proposals=1), FanoutTiming(**fanout)
+        "a",
+        ("a",),
+        "main",
+        StoredState(),
+        Random(1),
+        0.0,
+        Timing(max_pending_proposals=1),
+        FanoutTiming(**fanout),
     )
     alone.tick(10_000.0)
     return alone
@@ -65,7 +72,7 @@
     ],
 )
 def test_a_subscription_that_is_not_taken_is_refused_with_its_reason(message, reason):
-    full = node(subscribers=2)
+    full = node(max_subscribers=2)
     full.receive_proxy(1, subscribe("first"), 10_000.0)
     full.receive_proxy(2, subscribe("second"), 10_000.0)
     effects = full.receive_proxy(3, message, 10_000.0)
@@ -79,7 +86,7 @@
     assert [type(message) for message in messages] == [Entries, Heartbeat]
     assert messages[1].committed == START.after(messages[0].entries[0])
     messages = to_proxy(alone.receive_proxy(2, subscribe("q", position=Position(1, b"other")), 10_000.0))
-    assert [type(message) for message in messages] == [Snapshotted, Heartbeat]
+    assert [type(message) for message in messages] == [SnapshotTransfer, Heartbeat]
     assert messages[0].snapshot.position == alone.consensus.log.committed
 
 
@@ -150,7 +157,7 @@
 
 
 def test_who_says_goodbye_is_gone_and_who_falls_silent_or_ends_is_lost_until_it_is_forgotten():
-    alone = node(silence_ms=5_000.0, forget_ms=60_000.0)
+    alone = node(silence_timeout_ms=5_000.0, forget_ms=60_000.0)
     for number, name in enumerate(["good", "ended", "silent"]):
         alone.receive_proxy(number, subscribe(name), 10_000.0)
     assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseSubscriber(0)]
@@ -205,7 +212,9 @@
 
 
 def test_more_proposals_than_may_wait_are_refused_and_one_that_waits_too_long_is_unknown():
-    three = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0, Timing(proposals=1, quorum_ms=1e9))
+    three = ControlNode(
+        "a", NODES, "main", StoredState(), Random(1), 0.0, Timing(max_pending_proposals=1, quorum_ms=1e9)
+    )
     three.tick(10_000.0)
     three.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), 10_000.0)
     three.receive_peer("b", VoteAnswer(1, "b", 1, True), 10_000.0)
@@ -302,7 +311,7 @@
 
 def test_the_own_region_is_tried_first_each_once_a_round_and_rounds_grow_apart():
     choice = NodeChoice(
-        (("a", "b"), ("c", "d")), SubscriptionTiming(round_ms=100, round_max_ms=300), Random(3)
+        (("a", "b"), ("c", "d")), SubscriptionTiming(backoff_ms=100, backoff_max_ms=300), Random(3)
     )
     rounds = []
     for _ in range(4):
@@ -331,7 +340,7 @@
 
 
 def test_a_proxy_at_another_regions_node_goes_home_after_a_while():
-    choice = NodeChoice((("a",), ("b",)), SubscriptionTiming(away_ms=1000.0), Random(3))
+    choice = NodeChoice((("a",), ("b",)), SubscriptionTiming(remote_stay_ms=1000.0), Random(3))
     assert choice.away_ms() == float("inf")
     choice.failed()
     assert 500.0 <= choice.away_ms() <= 1000.0
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -15,7 +15,7 @@
     Heartbeat,
     Refusal,
     RefusalReason,
-    Snapshotted,
+    SnapshotTransfer,
     Subscribe,
 )
 from cloverwell.control.net.follower import EntryRefusedError, Follower
@@ -96,7 +96,7 @@
     assert {t.address for t in played.reactor.tries[1:]} == set(ELSEWHERE.values())
     played.last.fail()
     assert len(played.reactor.tries) == 3  # all have failed: not at once
-    played.reactor.advance(TIMING.round_max_ms / 1000)
+    played.reactor.advance(TIMING.backoff_max_ms / 1000)
     assert len(played.reactor.tries) == 4
 
 
@@ -138,7 +138,7 @@
     played.connect()
     played.tell(Entries(START, tuple(entries[:2])))
     assert played.loaded == [1, 2]
-    played.tell(Snapshotted(Snapshot.of(at[5], 1, state)))
+    played.tell(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
     assert played.loaded == [1, 2, 3, 4, 5] and played.missed == 0
     assert played.follower.status.position == at[5]
 
@@ -149,20 +149,20 @@
         position = position.after(entry(index))
     state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
     played.connect()
-    played.tell(Snapshotted(Snapshot.of(position, 1, state)))
+    played.tell(SnapshotTransfer(Snapshot.of(position, 1, state)))
     assert played.missed == 1 and played.loaded == [9]
 
 
 def test_a_node_that_falls_silent_is_left_for_the_next(played):
     played.connect()
-    played.reactor.advance(TIMING.silence_ms / 1000 + 0.1)
+    played.reactor.advance(TIMING.silence_timeout_ms / 1000 + 0.1)
     assert len(played.reactor.tries) == 2 and played.reactor.tries[0].transport.closed
     assert "warn control: left north-1: silent" in played.lines.lines
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_is_not_used(played):
     first = played.last
-    played.reactor.advance(TIMING.connect_ms / 1000 + 0.1)
+    played.reactor.advance(TIMING.connect_timeout_ms / 1000 + 0.1)
     assert first.given_up and len(played.reactor.tries) == 2
     assert first.succeed().aborted
     end(first.protocol)
@@ -181,7 +181,7 @@
     third.protocol.dataReceived(frame(Goodbye()))
     assert third.transport.aborted
     end(third.protocol)
-    played.reactor.advance(TIMING.round_max_ms / 1000)
+    played.reactor.advance(TIMING.backoff_max_ms / 1000)
     assert len(played.reactor.tries) == 4
 
 
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -33,7 +33,7 @@
     Heartbeat,
     MessageError,
     Propose,
-    Snapshotted,
+    SnapshotTransfer,
     Subscribe,
     SubscriberReport,
     decode,
@@ -45,7 +45,7 @@
 MESSAGES = [
     AppendEntries(3, "a", 0, 0, (ENTRY,), 0, 12.5),
     Subscribe("proxy", 17, 1, "main", START, 0, 5.0, "b"),
-    Snapshotted(SNAPSHOT),
+    SnapshotTransfer(SNAPSHOT),
     Entries(START, (ENTRY,)),
     Heartbeat(START, 4.5, 7000.0, FleetCount(480, 2, True)),
     Acknowledge(START, 5.5, 3, "limits: unknown name"),
@@ -120,7 +120,7 @@
 def test_a_snapshot_that_was_changed_is_not_intact():
     assert SNAPSHOT.intact
     assert EMPTY_SNAPSHOT.intact
-    assert decode(encode(Snapshotted(SNAPSHOT))).snapshot.intact
+    assert decode(encode(SnapshotTransfer(SNAPSHOT))).snapshot.intact
     for change in ({"term": 2}, {"state": LogState()}, {"position": START}, {"checksum": bytes(16)}):
         assert not msgspec.structs.replace(SNAPSHOT, **change).intact
 
