--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -13,7 +13,6 @@
 
 import msgspec
 
-from cloverwell.control.choice import NodeChoice
 from cloverwell.control.delivery import Delivery, DeliveryError
 from cloverwell.control.effects import ConnectToNode, DisconnectFromNode, ProxyEffect, SendToControlNode
 from cloverwell.control.entry import EntryKind, Position, Snapshot
@@ -29,6 +28,7 @@
     SnapshotTransfer,
     Subscribe,
 )
+from cloverwell.control.node_selection import NodeChoice
 from cloverwell.control.timing import SubscriptionTiming, lease_end
 
 MAX_LEASE_OFFERS = 8
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -7,7 +7,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwell.control.choice import NodeChoice
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import AnswerProposal, CloseSubscriber, SendToPeer, SendToSubscriber
 from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START, EntryKind, Position
@@ -31,6 +30,7 @@
     SubscriberReport,
     VoteAnswer,
 )
+from cloverwell.control.node_selection import NodeChoice
 from cloverwell.control.storage import StoredState
 from cloverwell.control.subscribers import MAX_DISPLACED_RUNS, summed_up
 from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -126,7 +126,6 @@
 
 
 PURE = [
-    "choice",
     "consensus",
     "control_node",
     "delivery",
@@ -136,6 +135,7 @@
     "fleet",
     "leadership",
     "messages",
+    "node_selection",
     "proposals",
     "replicated_log",
     "storage",
