--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -1,9 +1,8 @@
-"""A control node put together: the quorum's log, the fan-out to its proxies, proposals, and the counts of
-the fleet.
+"""A control node as a whole: consensus, fan-out to proxies, proposals, and the counts of the fleet.
 
-This is the one class that a transport needs at a control node. Every event returns effects, to be
-carried out in order: a `Write` is durable before what follows it is sent. After each event
-`next_deadline` may have changed.
+`ControlNode` is the one class that a transport needs at a control node. Every event returns effects to be
+carried out in order: a `Write` is durable before what follows it is sent. Each event may change
+`next_deadline`.
 """
 
 from __future__ import annotations
@@ -18,15 +17,21 @@
 from cloverwell.control.fleet import ActivationCount, FleetView
 from cloverwell.control.messages import (
     Acknowledge,
+    AppendAnswer,
+    AppendEntries,
+    ConsensusMessage,
     FleetCount,
     FleetSummary,
     Goodbye,
+    InstallSnapshot,
     PeerMessage,
     Propose,
     ProxyMessage,
+    RequestVote,
     Subscribe,
     SubscriberMoved,
     SubscriberReport,
+    VoteAnswer,
 )
 from cloverwell.control.proposals import Proposals
 from cloverwell.control.storage import StoredState
@@ -35,8 +40,10 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """For operators. `leader`: "" while none is known. `lease_ms`: how long `committed` may count as
-    current."""
+    """The status of a control node for operators.
+
+    `leader` is "" while none is known. `lease_ms` is for how long `committed` may count as current.
+    """
 
     role: Role
     term: int
@@ -49,8 +56,7 @@
 
 
 class ControlNode:
-    """One of `nodes`, the control nodes of the log `log_name`. Times: ms of this process's monotonic
-    clock."""
+    """One control node. Every event takes the time in ms of this process's monotonic clock."""
 
     consensus_type = Consensus
     subscribers_type = SubscriberTable
@@ -66,6 +72,7 @@
         timing: Timing | None = None,
         fanout: FanoutTiming | None = None,
     ) -> None:
+        """Starts the control node `node`, one of `nodes`, of the log `log_name` from what is stored."""
         self.node = node
         self.nodes = nodes
         self._timing = timing or Timing()
@@ -73,24 +80,25 @@
         self.consensus = self.consensus_type(node, nodes, stored, self._timing, random, now)
         self.subscribers = self.subscribers_type(log_name, self.consensus.log, self._fanout)
         self._proposals = Proposals(self.consensus, self._timing)
-        self._view: FleetView | None = None  # while this node leads, of its term
-        self._view_term = 0
-        self._fleet = FleetCount()  # as the leader told it last
-        self._report_at = now + self._timing.report_ms
-        self._heartbeat_at = now + self._fanout.heartbeat_ms
+        self._fleet_view: FleetView | None = None  # of the term `_fleet_view_term`, while this node leads
+        self._fleet_view_term = 0
+        self._fleet = FleetCount()  # the leader's latest count
+        self._next_report_ms = now + self._timing.report_ms
+        self._next_heartbeat_ms = now + self._fanout.heartbeat_ms
 
-    # What others may ask
+    # Queries
 
     def next_deadline(self) -> float:
-        """When `tick` has something to do at the latest."""
+        """Returns the time at which `tick` is to be called at the latest."""
         return min(
             self.consensus.next_deadline(),
             self._proposals.next_deadline(),
-            self._report_at,
-            self._heartbeat_at,
+            self._next_report_ms,
+            self._next_heartbeat_ms,
         )
 
     def status(self, now: float) -> NodeStatus:
+        """Returns the status for operators."""
         consensus = self.consensus
         return NodeStatus(
             consensus.role,
@@ -104,37 +112,42 @@
         )
 
     def fleet(self, now: float) -> FleetCount:
-        """How many proxies live, as the leader knows it; not complete where this node has no lease."""
+        """Returns the leader's latest count of proxies; it is incomplete where this node has no lease."""
         if self.consensus.lease_ms(now) == 0:
             return FleetCount(self._fleet.alive, self._fleet.hidden, complete=False)
         return self._fleet
 
     def in_force(self, index: int, now: float) -> ActivationCount | None:
-        """Where the entry at an index is in force; None on a node that doesn't lead."""
-        return self._view.in_force(index, now) if self._leads() and self._view is not None else None
+        """Returns where the entry at an index is active, or None on a node that does not lead."""
+        if not self.consensus.is_leader or self._fleet_view is None:
+            return None
+        return self._fleet_view.activation_count(index, now)
 
     # Events
 
     def tick(self, now: float) -> list[NodeEffect]:
-        """To be called at `next_deadline`, or at any other time."""
-        effects = self._settled(self.consensus.tick(now), now)
-        if now >= self._report_at:
-            self._report_at = now + self._timing.report_ms
+        """Handles the timers; to be called at `next_deadline`, and allowed at any other time."""
+        effects = self._settle(self.consensus.tick(now), now)
+        if now >= self._next_report_ms:
+            self._next_report_ms = now + self._timing.report_ms
             effects += self._report(now)
-        if now >= self._heartbeat_at:
-            self._heartbeat_at = now + self._fanout.heartbeat_ms
-            effects += self.subscribers.drop_silent(now)
+        if now >= self._next_heartbeat_ms:
+            self._next_heartbeat_ms = now + self._fanout.heartbeat_ms
+            effects += self.subscribers.expire(now)
             effects += self.subscribers.heartbeats(self.consensus.lease_ms(now), self.fleet(now), now)
         return effects
 
     def receive_peer(self, sender: str, message: PeerMessage, now: float) -> list[NodeEffect]:
-        """A message of another control node; `sender` as the transport knows it. Others are ignored."""
+        """Handles a message of another control node, `sender` as the transport has authenticated it.
+
+        Messages of other senders, and those that name another sender, are ignored.
+        """
         if sender not in self.consensus.peers:
             return []
         match message:
             case SubscriberReport():
-                if self._view is not None and message.node == sender:
-                    self._view.take(message, now)
+                if self._fleet_view is not None and message.node == sender:
+                    self._fleet_view.record_report(message, now)
                 return []
             case FleetSummary():
                 if message.term == self.consensus.term and sender == self.consensus.leader:
@@ -142,12 +155,12 @@
                 return []
             case SubscriberMoved():
                 return self.subscribers.moved(message)
-        if message_sender(message) != sender:
+        if _consensus_sender(message) != sender:
             return []
-        return self._settled(self.consensus.receive(message, now), now)
+        return self._settle(self.consensus.receive(message, now), now)
 
     def receive_proxy(self, connection: int, message: ProxyMessage, now: float) -> list[NodeEffect]:
-        """A proxy's message over a connection; the transport gives each connection a number of its own."""
+        """Handles a proxy's message; the transport gives each connection a number of its own."""
         match message:
             case Subscribe():
                 return self._subscribe(connection, message, now)
@@ -157,19 +170,21 @@
                 return self.subscribers.goodbye(connection)
 
     def proxy_disconnected(self, connection: int, now: float) -> list[NodeEffect]:
-        """A proxy's connection has ended, whatever the reason."""
+        """Handles the end of a proxy's connection, whatever the reason."""
         self.subscribers.disconnected(connection, now)
         return []
 
     def propose(self, request: int, message: Propose, now: float) -> list[NodeEffect]:
-        """A proposal; one AnswerProposal with the number `request` comes now or later."""
-        return self._settled(self._proposals.propose(request, message, now), now)
+        """Handles a proposal; one AnswerProposal with the number `request` is returned now or later."""
+        return self._settle(self._proposals.propose(request, message, now), now)
 
     # Steps
 
     def _subscribe(self, connection: int, message: Subscribe, now: float) -> list[NodeEffect]:
-        """Takes or refuses it; a heartbeat follows at once, and the node that had the proxy before is
-        told."""
+        """Accepts or refuses a subscription.
+
+        After an accepted one follow a heartbeat and a message to the node that had the proxy before.
+        """
         effects = self.subscribers.subscribe(connection, message, now)
         if connection not in self.subscribers:
             return effects
@@ -180,41 +195,42 @@
             effects.append(SendToPeer(message.last_node, moved))
         return effects
 
-    def _leads(self) -> bool:
-        return self.consensus.is_leader
-
-    def _settled(self, effects: list[NodeEffect], now: float) -> list[NodeEffect]:
-        """The effects with what follows from them: to proxies what was committed, to proposers their
-        answers."""
-        self._follow_leadership(now)
+    def _settle(self, effects: list[NodeEffect], now: float) -> list[NodeEffect]:
+        """Returns the effects with what follows from them for subscribers and proposers."""
+        self._update_fleet_view(now)
         if any(isinstance(effect, (EntriesCommitted, SnapshotInstalled)) for effect in effects):
             effects = effects + self.subscribers.feed()
         return effects + self._proposals.settle(now)
 
-    def _follow_leadership(self, now: float) -> None:
-        """A view of the fleet begins with a term as leader and ends with it."""
-        if not self._leads():
-            self._view = None
-        elif self._view is None or self._view_term != self.consensus.term:
-            self._view = FleetView(self.nodes, self._fanout.forget_ms, now)
-            self._view_term = self.consensus.term
-            self._report_at = now
+    def _update_fleet_view(self, now: float) -> None:
+        """Begins a view of the fleet with each term as leader, and ends it with the term."""
+        if not self.consensus.is_leader:
+            self._fleet_view = None
+        elif self._fleet_view is None or self._fleet_view_term != self.consensus.term:
+            self._fleet_view = FleetView(self.nodes, self._fanout.forget_ms, now)
+            self._fleet_view_term = self.consensus.term
+            self._next_report_ms = now
 
     def _report(self, now: float) -> list[NodeEffect]:
-        """To the leader this node's sums; from the leader to all what they come to."""
+        """Sends the leader this node's report or, at the leader, all other nodes the summary."""
         report = self.subscribers.report(self.node)
-        if self._view is None:
+        if self._fleet_view is None:
             leader = self.consensus.leader
             return [SendToPeer(leader, report)] if leader else []
-        self._view.take(report, now)
-        self._fleet = self._view.count(now)
+        self._fleet_view.record_report(report, now)
+        self._fleet = self._fleet_view.count(now)
         summary = FleetSummary(self.consensus.term, self.node, self._fleet)
         return [SendToPeer(peer, summary) for peer in self.consensus.peers]
 
 
-def message_sender(message: PeerMessage) -> str:
-    """The control node that a consensus message names as its sender."""
-    for name in ("candidate", "voter", "leader", "follower"):
-        if (sender := getattr(message, name, None)) is not None:
-            return sender
-    return ""
+def _consensus_sender(message: ConsensusMessage) -> str:
+    """Returns the control node that a consensus message names as its sender."""
+    match message:
+        case RequestVote():
+            return message.candidate
+        case VoteAnswer():
+            return message.voter
+        case AppendEntries() | InstallSnapshot():
+            return message.leader
+        case AppendAnswer():
+            return message.follower
--- a/cloverwell/control/delivery.py
+++ b/cloverwell/control/delivery.py
@@ -1,4 +1,4 @@
-"""What a proxy has received of the log, what it is loading, and how far it has come."""
+"""What a proxy has received of the log, what it is applying, and how far it has applied it."""
 
 from __future__ import annotations
 
@@ -8,41 +8,51 @@
 
 from cloverwell.control.effects import ApplyEntry, ApplySnapshot
 from cloverwell.control.entry import START, Entry, EntryKind, Position, Snapshot
+from cloverwell.control.errors import ControlError
 from cloverwell.control.messages import MAX_REASON_CHARS
 
-MAX_PENDING_ENTRIES = 1024  # more than any window: a control node that sends more is not one of ours
+MAX_PENDING_ENTRIES = 1024  # larger than any window: a control node that sends more is faulty
 
 
-class DeliveryError(Exception):
-    """What was received doesn't follow what is here; the text says why. The connection has to go."""
+class DeliveryError(ControlError):
+    """A message does not follow what was received before, so its connection has to be closed."""
+
+    def __init__(self, reason: str) -> None:
+        """Makes the message of the reason alone."""
+        super().__init__(reason)
+        self.reason = reason
 
 
 class RefusedEntry(msgspec.Struct, frozen=True):
-    """An entry that could not be loaded, and why."""
+    """An entry that could not be applied, and why."""
 
     index: int
     reason: str
 
 
 class Delivery:
-    """Entries in their order, one at a time. `position`: all up to it is loaded, or refused and passed
-    over."""
+    """The way of entries from their receipt to their application, in order and one at a time.
+
+    Everything up to `position` is applied, or refused and skipped. `received` is the position after the last
+    entry that is applied, being applied or pending.
+    """
 
     def __init__(self) -> None:
+        """Starts at the beginning of the log."""
         self.position = START
-        self.received = START  # loaded, being loaded, or waiting for it
-        self._loading: ApplyEntry | ApplySnapshot | None = None
-        self._loading_to = START
+        self.received = START
+        self._applying: ApplyEntry | ApplySnapshot | None = None
+        self._applying_to = START  # the position after what is being applied
         self._pending: deque[Entry | Snapshot] = deque()
-        self._refused: dict[str, RefusedEntry] = {}  # by kind, until one of the kind is loaded
+        self._refused: dict[str, RefusedEntry] = {}  # by kind, until an entry of the kind is applied
 
     @property
     def refused(self) -> RefusedEntry | None:
-        """The latest of those that are refused and not replaced."""
+        """The latest entry that was refused and not replaced by a later one of its kind."""
         return max(self._refused.values(), key=lambda refused: refused.index, default=None)
 
-    def take_entries(self, previous: Position, entries: tuple[Entry, ...]) -> None:
-        """Raises DeliveryError for entries that don't follow what was received."""
+    def receive_entries(self, previous: Position, entries: tuple[Entry, ...]) -> None:
+        """Adds entries. Raises DeliveryError if they don't follow what was received."""
         if previous != self.received:
             raise DeliveryError(f"entries after {previous.index} at {self.received.index}")
         if len(self._pending) + len(entries) > MAX_PENDING_ENTRIES:
@@ -56,9 +66,12 @@
         self._pending.extend(entries)
         self.received = received
 
-    def take_snapshot(self, snapshot: Snapshot) -> None:
-        """A snapshot takes the place of all that waits. Raises DeliveryError for one that can't be
-        trusted, or that is older than what is loaded or being loaded: a proxy never goes back."""
+    def receive_snapshot(self, snapshot: Snapshot) -> None:
+        """Replaces all that is pending by a snapshot.
+
+        Raises DeliveryError for one that is damaged, and for one that is older than what is applied or being
+        applied: a proxy never goes back.
+        """
         if not snapshot.intact:
             raise DeliveryError("snapshot: checksum")
         self.drop_pending()
@@ -68,41 +81,35 @@
             self._pending.append(snapshot)
             self.received = snapshot.position
 
-    def next_load(self) -> ApplyEntry | ApplySnapshot | None:
-        """What is to be loaded next, None while something is, or where nothing waits. No-ops need no
-        loading."""
-        while self._loading is None and self._pending:
-            item = self._pending.popleft()
-            if isinstance(item, Snapshot):
-                self._loading, self._loading_to = ApplySnapshot(item, self.position), item.position
-            elif item.kind == EntryKind.NOOP:
-                self.position = self.position.after(item)
-            else:
-                self._loading, self._loading_to = ApplyEntry(item), self.position.after(item)
-            if self._loading is not None:
-                return self._loading
+    def next_to_apply(self) -> ApplyEntry | ApplySnapshot | None:
+        """Returns what is to be applied next; None while something is being applied or nothing is pending."""
+        while self._applying is None and self._pending:
+            self._begin(self._pending.popleft())
+            if self._applying is not None:
+                return self._applying
         return None
 
-    def loaded(self, index: int) -> bool:
-        """The caller has loaded what was given; False if that isn't what it was given last."""
-        if not self._is_loading(index):
+    def record_applied(self, index: int) -> bool:
+        """Records that what was given out is applied; returns False if `index` is not that of it."""
+        if not self._is_applying(index):
             return False
-        if isinstance(self._loading, ApplyEntry):
-            self._refused.pop(self._loading.entry.kind, None)
+        if isinstance(self._applying, ApplyEntry):
+            self._refused.pop(self._applying.entry.kind, None)
         else:
             self._refused.clear()
         self._finish()
         return True
 
-    def refuse(self, index: int, reason: str, kind: str) -> bool:
-        """The caller could not load what was given and goes on by what it had; False as with `loaded`.
+    def record_refused(self, index: int, reason: str, kind: str) -> bool:
+        """Records that what was given out could not be applied, so that what was applied before stays.
 
-        `kind`: for a snapshot, of the entry in it that could not be loaded.
+        `kind` is, for a snapshot, that of the entry in it that could not be applied. Returns False if `index`
+        is not that of what was given out.
         """
-        if not self._is_loading(index):
+        if not self._is_applying(index):
             return False
-        if isinstance(self._loading, ApplyEntry):
-            kind = self._loading.entry.kind
+        if isinstance(self._applying, ApplyEntry):
+            kind = self._applying.entry.kind
         else:
             self._refused.clear()
         self._refused[kind] = RefusedEntry(index, reason[:MAX_REASON_CHARS])
@@ -110,13 +117,24 @@
         return True
 
     def drop_pending(self) -> None:
-        """Forgets what waits to be loaded, as after the connection's end; what is being loaded stands."""
+        """Drops what is pending, as after the end of a connection; what is being applied stays."""
         self._pending.clear()
-        self.received = self.position if self._loading is None else self._loading_to
+        self.received = self.position if self._applying is None else self._applying_to
+
+    def _begin(self, item: Entry | Snapshot) -> None:
+        """Begins to apply an item, or skips a no-op."""
+        if isinstance(item, Snapshot):
+            self._applying = ApplySnapshot(item, self.position)
+            self._applying_to = item.position
+        elif item.kind == EntryKind.NOOP:
+            self.position = self.position.after(item)
+        else:
+            self._applying = ApplyEntry(item)
+            self._applying_to = self.position.after(item)
 
-    def _is_loading(self, index: int) -> bool:
-        return self._loading is not None and self._loading_to.index == index
+    def _is_applying(self, index: int) -> bool:
+        return self._applying is not None and self._applying_to.index == index
 
     def _finish(self) -> None:
-        self.position = self._loading_to
-        self._loading = None
+        self.position = self._applying_to
+        self._applying = None
--- a/cloverwell/control/fleet.py
+++ b/cloverwell/control/fleet.py
@@ -1,5 +1,8 @@
-"""How many proxies live and how far they are, as the leader adds it up; and what fleet-wide bounds
-divide by."""
+"""The leader's view of the fleet, and what fleet-wide bounds are divided by.
+
+Control nodes report their subscribers to the leader, which adds up how many proxies are alive and how far
+they have applied the log.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,16 @@
 
 from cloverwell.control.messages import FleetCount, RefusalCount, SubscriberReport
 
-UNHEARD_MS = 2500.0  # without a report for so long a control node's subscribers are hidden: five reports
+REPORT_TIMEOUT_MS = 2500.0  # without a report for so long, five intervals, a node's subscribers are hidden
 
 
 def divide_by(count: FleetCount, provisioned: int, current: bool) -> int:
-    """By what a fleet-wide bound is divided, for all proxies together to stay within it.
+    """Returns the number by which a fleet-wide bound is divided, for all proxies together to stay within it.
 
-    `provisioned`: the most proxies that may live (`peers-total`). `current`: whether this proxy's lease
-    runs, so that `count` is what the leader knows now. Whoever can't know (no lease, no whole count)
-    takes the least share that is ever right. Hidden proxies count as alive: too high a number only
-    leaves some of the bound unused.
+    `provisioned` is the largest number of proxies that may be alive (`peers-total`). `current` says whether
+    this proxy holds a lease, so that `count` is what the leader knows now. A proxy that can't know (no lease,
+    or an incomplete count) takes the smallest share that is ever right. Hidden proxies count as alive: too
+    high a number only leaves some of the bound unused.
     """
     if not current or not count.complete:
         return max(provisioned, 1)
@@ -26,10 +29,10 @@
 
 
 class ActivationCount(msgspec.Struct, frozen=True):
-    """Where the entry at an index is in force: at `applied` of `alive` proxies.
+    """Where the entry at an index is active: at `applied` of `alive` proxies.
 
-    `refused`: those that could not load it, not among the applied. `hidden`, `complete`: as in FleetCount.
-    `oldest_index`: the furthest back that a live proxy is, None without any.
+    `refused` counts those that could not apply it, which are not among the applied. `hidden` and `complete`
+    are as in FleetCount. `oldest_index` is that of the proxy furthest behind, None without any proxy.
     """
 
     index: int
@@ -43,41 +46,49 @@
 
 
 class FleetView:
-    """The reports of all control nodes, at a leader, from the beginning of its term on."""
+    """The latest reports of all control nodes, at a leader, from the beginning of its term on."""
 
     def __init__(self, nodes: tuple[str, ...], forget_ms: float, now: float) -> None:
+        """Starts without reports; the subscribers of a node are forgotten `forget_ms` after its last one."""
         self._nodes = nodes
         self._forget_ms = forget_ms
-        self._since = now
+        self._started_at_ms = now
         self._reports: dict[str, SubscriberReport] = {}
-        self._heard_at: dict[str, float] = {}
+        self._reported_at_ms: dict[str, float] = {}
 
-    def take(self, report: SubscriberReport, now: float) -> None:
+    def record_report(self, report: SubscriberReport, now: float) -> None:
+        """Records the report of a control node; one of an unknown node is ignored."""
         if report.node in self._nodes:
             self._reports[report.node] = report
-            self._heard_at[report.node] = now
+            self._reported_at_ms[report.node] = now
 
     def count(self, now: float) -> FleetCount:
+        """Returns how many proxies are alive and hidden."""
         alive = hidden = 0
         for node, report in self._reports.items():
-            if self._heard(node, now):
+            if self._has_reported_lately(node, now):
                 alive += report.alive
                 hidden += report.lost
-            elif now - self._heard_at[node] <= self._forget_ms:
+            elif now - self._reported_at_ms[node] <= self._forget_ms:
                 hidden += report.alive + report.lost
-        complete = len(self._reports) == len(self._nodes) or now - self._since > self._forget_ms
+        all_reported = len(self._reports) == len(self._nodes)
+        # A node that is gone for good must not keep the count incomplete for ever.
+        complete = all_reported or now - self._started_at_ms > self._forget_ms
         return FleetCount(alive, hidden, complete)
 
-    def in_force(self, index: int, now: float) -> ActivationCount:
-        """Who has the entry at an index; a proxy that refused it and has gone on past it is no such."""
-        heard = [report for node, report in self._reports.items() if self._heard(node, now)]
+    def activation_count(self, index: int, now: float) -> ActivationCount:
+        """Returns where the entry at an index is active.
+
+        A proxy that has refused it and gone on past it does not count as having applied it.
+        """
+        reports = [report for node, report in self._reports.items() if self._has_reported_lately(node, now)]
         positions: Counter[int] = Counter()
-        for report in heard:
+        for report in reports:
             for position in report.positions:
                 positions[position.index] += position.proxies
-        refusals = tuple(refusal for report in heard for refusal in report.refusals)
+        refusals = tuple(refusal for report in reports for refusal in report.refusals)
         refused = sum(refusal.proxies for refusal in refusals if refusal.index == index)
-        reached = sum(proxies for at, proxies in positions.items() if at >= index)
+        reached = sum(proxies for reached_index, proxies in positions.items() if reached_index >= index)
         count = self.count(now)
         return ActivationCount(
             index,
@@ -90,5 +101,5 @@
             refusals,
         )
 
-    def _heard(self, node: str, now: float) -> bool:
-        return now - self._heard_at[node] <= UNHEARD_MS
+    def _has_reported_lately(self, node: str, now: float) -> bool:
+        return now - self._reported_at_ms[node] <= REPORT_TIMEOUT_MS
--- a/cloverwell/control/node_selection.py
+++ b/cloverwell/control/node_selection.py
@@ -1,5 +1,4 @@
-"""Which control node a proxy tries next: its own region's first, each once in a round, rounds ever
-further apart."""
+"""Which control node a proxy connects to: the local region's first, with backoff between rounds."""
 
 from __future__ import annotations
 
@@ -7,51 +6,67 @@
 
 from cloverwell.control.timing import SubscriptionTiming
 
+MAX_BACKOFF_DOUBLINGS = 16
 
-class NodeChoice:
-    """The order in which one proxy tries the control nodes. `groups`: the own region's first."""
+
+class ControlNodeSelector:
+    """The order in which one proxy tries the control nodes.
+
+    In a round each node is tried at most once. After a round in which all have failed there is a backoff,
+    which doubles until a node has served.
+    """
 
     def __init__(
         self, groups: tuple[tuple[str, ...], ...], timing: SubscriptionTiming, random: Random
     ) -> None:
+        """Starts a first round through `groups` of control nodes, the local region's group first.
+
+        Within a group the order is drawn from `random`. Raises ValueError for no node, or one named twice.
+        """
         self._order = [name for group in groups for name in random.sample(group, len(group))]
         if not self._order or len(set(self._order)) != len(self._order):
             raise ValueError("nodes: must name each control node once, and at least one")
         self._timing = timing
         self._random = random
-        self._home = frozenset(groups[0])
-        self._round = list(self._order)  # those still to be tried, the present one first
-        self._rounds = 0  # all of them failed in so many since one has served
-        self._served = False
-
-    def node(self) -> str:
-        """The one to be tried now."""
-        return self._round[0]
-
-    def served(self) -> None:
-        """The present one does its work."""
-        self._served, self._rounds = True, 0
-
-    def failed(self) -> float:
-        """Goes on to the next node; for how many ms to wait before the try."""
-        failed = self._round.pop(0)
-        if self._served:
-            self._served = False
-            self._round = [name for name in self._order if name != failed] + [failed]
+        self._local_nodes = frozenset(groups[0])
+        self._remaining = list(self._order)  # to be tried in this round, the selected node first
+        self._failed_rounds = 0  # since a node has served
+        self._has_served = False
+
+    def selected(self) -> str:
+        """Returns the node to connect to, or to stay connected to."""
+        return self._remaining[0]
+
+    def record_served(self) -> None:
+        """Records that the selected node does its work."""
+        self._has_served = True
+        self._failed_rounds = 0
+
+    def record_failure(self) -> float:
+        """Selects the next node; returns for how many ms to wait before connecting to it."""
+        failed = self._remaining.pop(0)
+        if self._has_served:
+            self._has_served = False
+            self._remaining = [name for name in self._order if name != failed] + [failed]
             return 0.0
-        if self._round:
+        if self._remaining:
             return 0.0
-        self._round = list(self._order)
-        most = min(self._timing.backoff_max_ms, self._timing.backoff_ms * 2.0 ** min(self._rounds, 16))
-        self._rounds += 1
-        return self._random.uniform(most / 2, most)
-
-    def away_ms(self) -> float:
-        """For how long to stay at the present node: for good at one of the own region."""
-        if self.node() in self._home:
+        self._remaining = list(self._order)
+        return self._next_backoff_ms()
+
+    def stay_ms(self) -> float:
+        """Returns for how long to stay at the selected node: without limit at one of the local region."""
+        if self.selected() in self._local_nodes:
             return float("inf")
         return self._random.uniform(self._timing.remote_stay_ms / 2, self._timing.remote_stay_ms)
 
-    def go_home(self) -> None:
-        """Begins a round with the own region's nodes."""
-        self._round, self._served = list(self._order), False
+    def return_to_local(self) -> None:
+        """Begins a round with the local region's nodes."""
+        self._remaining = list(self._order)
+        self._has_served = False
+
+    def _next_backoff_ms(self) -> float:
+        doublings = min(self._failed_rounds, MAX_BACKOFF_DOUBLINGS)
+        longest_ms = min(self._timing.backoff_max_ms, self._timing.backoff_ms * 2.0**doublings)
+        self._failed_rounds += 1
+        return self._random.uniform(longest_ms / 2, longest_ms)
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -10,7 +10,7 @@
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import AnswerProposal, CloseSubscriber, SendToPeer, SendToSubscriber
 from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START, EntryKind, Position
-from cloverwell.control.fleet import UNHEARD_MS, FleetView, divide_by
+from cloverwell.control.fleet import REPORT_TIMEOUT_MS, FleetView, divide_by
 from cloverwell.control.messages import (
     MAX_REPORT_POSITIONS,
     Acknowledge,
@@ -30,9 +30,10 @@
     SubscriberReport,
     VoteAnswer,
 )
-from cloverwell.control.node_selection import NodeChoice
+from cloverwell.control.node_selection import ControlNodeSelector
 from cloverwell.control.storage import StoredState
-from cloverwell.control.subscribers import MAX_DISPLACED_RUNS, summed_up
+from cloverwell.control.subscriber import MAX_DISPLACED_RUNS
+from cloverwell.control.subscribers import merge_positions
 from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
 
 NODES = ("a", "b", "c")
@@ -230,7 +231,7 @@
 
 @given(st.dictionaries(st.integers(0, 1000), st.integers(1, 50), max_size=60))
 def test_positions_are_summed_up_without_losing_a_proxy_or_telling_one_further_than_it_is(positions):
-    counts = summed_up(Counter(positions))
+    counts = merge_positions(Counter(positions))
     assert len(counts) <= MAX_REPORT_POSITIONS
     assert sum(count.proxies for count in counts) == sum(positions.values())
     for index in positions:
@@ -244,31 +245,31 @@
 
 def test_a_node_that_is_not_heard_of_hides_its_proxies_until_they_are_forgotten():
     view = FleetView(NODES, 60_000.0, 0.0)
-    view.take(SubscriberReport("a", 60, 2), 100.0)
+    view.record_report(SubscriberReport("a", 60, 2), 100.0)
     assert view.count(100.0) == FleetCount(60, 2, complete=False)
-    view.take(SubscriberReport("b", 70, 0), 100.0)
-    view.take(SubscriberReport("c", 50, 0), 100.0)
-    view.take(SubscriberReport("stranger", 999, 0), 100.0)
+    view.record_report(SubscriberReport("b", 70, 0), 100.0)
+    view.record_report(SubscriberReport("c", 50, 0), 100.0)
+    view.record_report(SubscriberReport("stranger", 999, 0), 100.0)
     assert view.count(100.0) == FleetCount(180, 2, complete=True)
-    view.take(SubscriberReport("a", 60, 0), 100.0 + UNHEARD_MS)
-    view.take(SubscriberReport("b", 70, 0), 100.0 + UNHEARD_MS)
-    assert view.count(101.0 + UNHEARD_MS) == FleetCount(130, 50, complete=True)
+    view.record_report(SubscriberReport("a", 60, 0), 100.0 + REPORT_TIMEOUT_MS)
+    view.record_report(SubscriberReport("b", 70, 0), 100.0 + REPORT_TIMEOUT_MS)
+    assert view.count(101.0 + REPORT_TIMEOUT_MS) == FleetCount(130, 50, complete=True)
     assert view.count(60_101.0).hidden == 60 + 70  # those two, long silent as well; the third is forgotten
 
 
 def test_a_new_leader_does_not_call_its_count_complete_before_all_have_told_it_theirs():
     view = FleetView(NODES, 60_000.0, 0.0)
-    view.take(SubscriberReport("a", 60, 0), 100.0)
+    view.record_report(SubscriberReport("a", 60, 0), 100.0)
     assert not view.count(60_000.0).complete
     assert view.count(60_001.0).complete  # a node that is gone for good must not hold it up for ever
 
 
 def test_in_force_counts_who_has_it_and_who_refused_it():
     view = FleetView(("a", "b"), 60_000.0, 0.0)
-    view.take(SubscriberReport("a", 5, 0, (PositionCount(3, 1), PositionCount(7, 4))), 0.0)
+    view.record_report(SubscriberReport("a", 5, 0, (PositionCount(3, 1), PositionCount(7, 4))), 0.0)
     refusals = (RefusalCount(7, "limits", 2),)
-    view.take(SubscriberReport("b", 6, 1, (PositionCount(7, 5), PositionCount(8, 1)), refusals), 0.0)
-    report = view.in_force(7, 0.0)
+    view.record_report(SubscriberReport("b", 6, 1, (PositionCount(7, 5), PositionCount(8, 1)), refusals), 0.0)
+    report = view.activation_count(7, 0.0)
     assert (report.applied, report.refused, report.alive, report.hidden) == (8, 2, 11, 1)
     assert (report.oldest_index, report.complete, report.refusals) == (3, True, refusals)
 
@@ -310,15 +311,15 @@
 
 
 def test_the_own_region_is_tried_first_each_once_a_round_and_rounds_grow_apart():
-    choice = NodeChoice(
+    selector = ControlNodeSelector(
         (("a", "b"), ("c", "d")), SubscriptionTiming(backoff_ms=100, backoff_max_ms=300), Random(3)
     )
     rounds = []
     for _ in range(4):
         tried, waits = [], []
         for _ in range(4):
-            tried.append(choice.node())
-            waits.append(choice.failed())
+            tried.append(selector.selected())
+            waits.append(selector.record_failure())
         assert set(tried[:2]) == {"a", "b"}
         assert set(tried[2:]) == {"c", "d"}
         assert waits[:3] == [0.0] * 3
@@ -329,20 +330,20 @@
 
 
 def test_after_a_node_that_served_the_others_come_first_and_it_comes_last():
-    choice = NodeChoice((("a",), ("b", "c")), SubscriptionTiming(), Random(3))
-    choice.served()
-    assert choice.failed() == 0.0
+    selector = ControlNodeSelector((("a",), ("b", "c")), SubscriptionTiming(), Random(3))
+    selector.record_served()
+    assert selector.record_failure() == 0.0
     others = []
     for _ in range(2):
-        others.append(choice.node())
-        choice.failed()
-    assert (sorted(others), choice.node()) == (["b", "c"], "a")
+        others.append(selector.selected())
+        selector.record_failure()
+    assert (sorted(others), selector.selected()) == (["b", "c"], "a")
 
 
 def test_a_proxy_at_another_regions_node_goes_home_after_a_while():
-    choice = NodeChoice((("a",), ("b",)), SubscriptionTiming(remote_stay_ms=1000.0), Random(3))
-    assert choice.away_ms() == float("inf")
-    choice.failed()
-    assert 500.0 <= choice.away_ms() <= 1000.0
-    choice.go_home()
-    assert choice.node() == "a"
+    selector = ControlNodeSelector((("a",), ("b",)), SubscriptionTiming(remote_stay_ms=1000.0), Random(3))
+    assert selector.stay_ms() == float("inf")
+    selector.record_failure()
+    assert 500.0 <= selector.stay_ms() <= 1000.0
+    selector.return_to_local()
+    assert selector.selected() == "a"
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -139,6 +139,7 @@
     "proposals",
     "replicated_log",
     "storage",
+    "subscriber",
     "subscribers",
     "subscription",
     "timing",
