--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -1,9 +1,10 @@
-"""What a committed configuration changes in a running proxy. No I/O.
+"""How a configuration committed to the control log changes a running proxy. No I/O.
 
-An entry of the control log is a configuration file for the whole fleet: what it does not name, such as a
-proxy's own `listen`, is taken from that proxy's file. The whole is read by the reader of files. It may differ
-from what is in force in discovery's address and in the number of proxies alone; any other difference refuses
-it, since it would count from the next start on, and half a version is worse than the one before.
+The payload of an entry is a configuration file for the whole fleet. What it does not name, such as a proxy's
+own `listen`, is taken from that proxy's file, and the merged document is read like any other. It may differ
+from the active configuration in discovery's address and in the number of proxies alone. Any other difference
+refuses the whole document, since it would count from the next start on, and half a version is worse than the
+one before.
 """
 
 from __future__ import annotations
@@ -20,42 +21,40 @@
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
 DIGEST_DIGITS = 16
-CHANGEABLE = frozenset({"discovery", "settings", "document"})  # `settings` is looked into
+# Fields of `Config` that may differ; of the settings only FLEET_SIZE may, which is checked apart.
+CHANGEABLE_FIELDS = frozenset({"discovery", "settings", "document"})
 FLEET_SIZE = ("peers-total",)
 
-Path = tuple[str, ...]
+SettingPath = tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationChange:
-    """What a version of the configuration brings, read whole."""
+    """What a committed configuration changes in a running proxy.
+
+    `discovery` is the host and port of the discovery service, `peers_total` the number of proxies.
+    """
 
     discovery: tuple[str, int]
     peers_total: int
 
 
 def digest(document: bytes) -> str:
-    """Short name of a document, the same on each machine."""
+    """Returns a short name of a document, the same on each machine."""
     return hashlib.sha256(document).hexdigest()[:DIGEST_DIGITS]
 
 
 def check_document(document: bytes) -> None:
-    """What can be told of an entry without a proxy's own file. Raises `ConfigError`."""
-    named = _read_object(document)
+    """Checks what can be known of a payload without a proxy's own file. Raises ConfigError."""
+    fields = _read_object(document)
     try:
-        file = msgspec.convert(named, File)
+        file = msgspec.convert(fields, File)
     except msgspec.ValidationError as error:
         raise ConfigError(str(error)) from None
     if file.discovery:
         _check_address("discovery", file.discovery)
-    if "settings" in named:
-        if file.settings is None:
-            raise ConfigError("settings: is missing")
-        try:
-            check_whole(file.settings)
-            read_settings(file.settings)
-        except ValueError as error:
-            raise ConfigError(f"settings: {error}") from None
+    if "settings" in fields:
+        _check_settings(file.settings)
 
 
 def _check_address(field: str, text: str) -> None:
@@ -65,17 +64,31 @@
         raise ConfigError(f"{field}: {error}") from None
 
 
+def _check_settings(settings: dict[str, Any] | None) -> None:
+    if settings is None:
+        raise ConfigError("settings: is missing")
+    try:
+        check_whole(settings)
+        read_settings(settings)
+    except ValueError as error:
+        raise ConfigError(f"settings: {error}") from None
+
+
 def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> ConfigurationChange:
-    """`own`: the file this proxy started with. Raises `ConfigError`, which names the field."""
+    """Returns what a committed document changes at a proxy.
+
+    `own` is the file with which the proxy has started, `environ` its environment. Raises ConfigError, which
+    names the first field that can't be read or can't be changed at run time.
+    """
     started = parse_config(own, environ, again=True)
     merged = _merge(own, document)
     config = parse_config(merged, environ, again=True)
     for field in Config.__struct_fields__:
-        if field not in CHANGEABLE and getattr(config, field) != getattr(started, field):
+        if field not in CHANGEABLE_FIELDS and getattr(config, field) != getattr(started, field):
             raise _unchangeable(field)
-    same_size = replace(config.settings, peers_total=started.settings.peers_total)
-    if same_size != started.settings:
-        raise _unchangeable(_changed_setting(started, merged))
+    with_started_size = replace(config.settings, peers_total=started.settings.peers_total)
+    if with_started_size != started.settings:
+        raise _unchangeable(_first_changed_setting(started, merged))
     return ConfigurationChange(config.discovery, config.settings.peers_total)
 
 
@@ -84,40 +97,42 @@
 
 
 def _merge(own: bytes, document: bytes) -> bytes:
-    """The proxy's own file, with each field that the document names in its place."""
+    """Returns the proxy's own file with the fields that the document names replaced."""
     return msgspec.json.encode(msgspec.json.decode(own) | _read_object(document))
 
 
 def _read_object(document: bytes) -> dict[str, Any]:
     try:
-        named = msgspec.json.decode(document)
+        fields = msgspec.json.decode(document)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError(f"configuration: {error}") from None
-    if not isinstance(named, dict):
+    if not isinstance(fields, dict):
         raise ConfigError("configuration: must be an object")
-    return named
+    return fields
 
 
-def _changed_setting(started: Config, merged: bytes) -> str:
-    """The first setting, as the file names it, whose change alone would be another configuration."""
+def _first_changed_setting(started: Config, merged: bytes) -> str:
+    """Returns the first setting, as the file names it, whose change alone makes another configuration."""
     before = msgspec.json.decode(started.document)["settings"]
     after = msgspec.json.decode(merged)["settings"]
     for path, value in _differences(before, after):
-        if path == FLEET_SIZE:
-            continue
-        try:
-            differs = read_settings(_with(before, path, value)) != started.settings
-        except SettingsError:
-            differs = True
-        if differs:
+        if path != FLEET_SIZE and _changes_settings(started, before, path, value):
             return ".".join(("settings", *path))
     return "settings"
 
 
+def _changes_settings(started: Config, before: dict[str, Any], path: SettingPath, value: object) -> bool:
+    """Returns whether one value alone makes other settings; one that can't be read alone does."""
+    try:
+        return read_settings(_with_value(before, path, value)) != started.settings
+    except SettingsError:
+        return True
+
+
 def _differences(
-    before: dict[str, Any], after: dict[str, Any], path: Path = ()
-) -> Iterator[tuple[Path, Any]]:
-    """The paths whose values differ, in the order of their names, with the value after."""
+    before: dict[str, Any], after: dict[str, Any], path: SettingPath = ()
+) -> Iterator[tuple[SettingPath, Any]]:
+    """Yields the paths whose values differ, in the order of their names, with the value after."""
     for name in sorted(before.keys() | after.keys()):
         old, new = before.get(name), after.get(name)
         if isinstance(old, dict) and isinstance(new, dict):
@@ -126,8 +141,10 @@
             yield (*path, name), new
 
 
-def _with(settings: dict[str, Any], path: Path, value: Any) -> dict[str, Any]:
-    """A copy with that value there."""
+def _with_value(settings: dict[str, Any], path: SettingPath, value: object) -> dict[str, Any]:
+    """Returns a copy of the settings with the value at a path replaced."""
     name, *rest = path
-    inner = _with(settings.get(name) or {}, tuple(rest), value) if rest else value
-    return settings | {name: inner}
+    if not rest:
+        return settings | {name: value}
+    nested = settings.get(name) or {}
+    return settings | {name: _with_value(nested, tuple(rest), value)}
