--- a/lab/control_explorer.py
+++ b/lab/control_explorer.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from cloverwell.control.errors import ControlError
+from lab.control_invariants import RuleBroken
 from lab.control_model import Action, Budget, Model, State
-from lab.control_rules import RuleBroken
 
 
 @dataclass(slots=True)
--- a/lab/control_model.py
+++ b/lab/control_model.py
@@ -38,8 +38,8 @@
     decode,
     encode,
 )
-from lab.control_cells import Interner, NodeCell, ProxyCell, Saved, Started
-from lab.control_rules import Rules
+from lab.control_invariants import Rules
+from lab.control_model_processes import Interner, NodeCell, ProxyCell, Saved, Started
 from lab.control_states import (
     END,
     MOST_ATTEMPTS,
--- a/lab/control_starts.py
+++ b/lab/control_starts.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lab.control_cells import Saved
 from lab.control_model import Model
+from lab.control_model_processes import Saved
 from lab.control_states import Action, State
 
 NOTHING = list(Saved).index(Saved.NOTHING)
--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -34,8 +34,8 @@
 from cloverwell.control.storage import Write
 from cloverwell.control.subscription import Subscription
 from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
+from lab.control_invariants import Rules
 from lab.control_processes import Clock, Connection, NodeProcess, Process, ProxyProcess
-from lab.control_rules import Rules
 
 LOG_NAME = "main"
 LOCAL_MS, REGION_MS = 1.0, 40.0  # one way, within a region and between two; up to twice as much
