--- a/lab/control_explorer.py
+++ b/lab/control_explorer.py
@@ -1,4 +1,4 @@
-"""The explorer of the model check: every state up to a bound, breadth first, until a rule is broken."""
+"""The explorer of the model check: every state up to a bound, breadth first, until a violation."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 from dataclasses import dataclass, field
 
 from cloverwell.control.errors import ControlError
-from lab.control_invariants import RuleBroken
-from lab.control_model import Action, Budget, Model, State
+from lab.control_invariants import InvariantViolationError
+from lab.control_model import Model
+from lab.control_states import Action, Budget, State
 
 
 @dataclass(slots=True)
@@ -20,22 +21,26 @@
 
 @dataclass(slots=True)
 class Result:
-    """What an exploration has found. `broken`: the first rule broken, with the actions that lead there."""
+    """What an exploration has found.
+
+    `broken` is the first violation of an invariant, "" for none, and `actions` lead there. `whole` says that
+    all states within the budget were seen.
+    """
 
     states: int = 0
-    steps: int = 0  # transitions
+    steps: int = 0  # transitions, also to states that were seen before
     depth: int = 0
-    whole: bool = False  # all states within the budget were seen
+    whole: bool = False
     seconds: float = 0.0
     broken: str = ""
     actions: list[str] = field(default_factory=list)
 
 
 def explore(model: Model, start: State, budget: Budget, most_states: int, most_seconds: float) -> Result:
-    """All states that can be reached from the start, breadth first, until a rule is broken or a bound met.
+    """Explores the states that can be reached, breadth first, until a violation or a bound is met.
 
-    States are remembered by 64 bits of hash: two of a million that fell on one would leave one
-    unexplored, at odds of one in ten million.
+    States are remembered by 64 bits of hash. A collision would leave a state unexplored; among a million
+    states there is one with a probability of about one in ten million.
     """
     began = time.perf_counter()
     result = Result(states=1)
@@ -49,9 +54,9 @@
                 result.steps += 1
                 try:
                     after = model.step(state, action)
-                except (RuleBroken, ControlError, ValueError) as error:
+                except (InvariantViolationError, ControlError, ValueError) as error:
                     result.broken = f"{type(error).__name__}: {error}"
-                    result.actions = described(model, Trace(action, trace))
+                    result.actions = describe(model, Trace(action, trace))
                     result.seconds = time.perf_counter() - began
                     return result
                 key = hash(after)
@@ -68,10 +73,10 @@
     return result
 
 
-def described(model: Model, trace: Trace | None) -> list[str]:
-    """The actions of a trace in words, first to last."""
+def describe(model: Model, trace: Trace | None) -> list[str]:
+    """Returns the actions of a trace in words, first to last."""
     lines: list[str] = []
     while trace is not None:
-        lines.append(model.described(trace.action))
+        lines.append(model.describe(trace.action))
         trace = trace.before
     return lines[::-1]
--- a/lab/control_invariants.py
+++ b/lab/control_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of the control log in every play: checked by the virtual world and by the model check."""
+"""The invariants of the control log, checked by the simulation in virtual time and by the model check."""
 
 from __future__ import annotations
 
@@ -9,93 +9,103 @@
 from cloverwell.control.timing import LEASE_MS
 
 
-class RuleBroken(AssertionError):
-    """One of the rules; the text says which, and by what."""
+class InvariantViolationError(AssertionError):
+    """An invariant does not hold; the message says which, and what violates it."""
 
 
-class Rules:
-    """What all processes together have shown so far. Each method raises RuleBroken."""
+class ControlInvariants:
+    """What all processes together have shown so far.
+
+    Each method records an observation, and raises InvariantViolationError if that violates an invariant.
+    """
 
     def __init__(self) -> None:
+        """Starts with nothing observed."""
         self.leaders: dict[int, str] = {}  # by term
-        self.log: list[Entry] = []  # committed, by whoever said so first
+        self.log: list[Entry] = []  # the committed log, as the first node to commit an entry has reported it
         self.positions: list[Position] = [START]
-        self.committed_at: list[float] = []
-        self.loaded_to: dict[str, int] = {}  # by proxy: the index that it was given last in this run
-        self.started_with: dict[str, Snapshot] = {}  # until it is loaded
-        self.strays: set[str] = set()  # proxies that began with what the committed log never was
+        self.committed_at_ms: list[float] = []
+        self.applied_index: dict[str, int] = {}  # by proxy: the index that it was given last in this run
+        self.unapplied_saved: dict[str, Snapshot] = {}  # by proxy: what it started with, until it is applied
+        self.diverged: set[str] = set()  # proxies that started with what the committed log never was
 
-    def leads(self, node: str, term: int) -> None:
-        """At most one leader a term."""
+    def observe_leader(self, node: str, term: int) -> None:
+        """At most one node leads in a term (Raft's election safety)."""
         first = self.leaders.setdefault(term, node)
         if first != node:
-            raise RuleBroken(f"two leaders in term {term}: {first} and {node}")
+            raise InvariantViolationError(f"two leaders in term {term}: {first} and {node}")
 
-    def committed(self, entries: tuple[Entry, ...], now: float = 0.0) -> None:
-        """What is committed is never lost or changed."""
+    def observe_committed(self, entries: tuple[Entry, ...], now: float = 0.0) -> None:
+        """What is committed is never lost or changed (Raft's state machine safety)."""
         for entry in entries:
             if entry.index <= len(self.log):
                 if self.log[entry.index - 1] != entry:
-                    raise RuleBroken(f"entry {entry.index} was committed as another")
+                    raise InvariantViolationError(f"entry {entry.index} was committed as another")
             elif entry.index != len(self.log) + 1:
-                raise RuleBroken(f"entry {entry.index} committed before {len(self.log) + 1}")
+                raise InvariantViolationError(f"entry {entry.index} committed before {len(self.log) + 1}")
             else:
                 self.log.append(entry)
                 self.positions.append(self.positions[-1].after(entry))
-                self.committed_at.append(now)
+                self.committed_at_ms.append(now)
 
-    def snapshot(self, snapshot: Snapshot) -> None:
+    def observe_snapshot(self, snapshot: Snapshot) -> None:
         """A snapshot is what the committed log amounts to at its position."""
         index = snapshot.position.index
         if index > len(self.log) or self.positions[index] != snapshot.position:
-            raise RuleBroken(f"a snapshot of {index} that the committed log doesn't have")
+            raise InvariantViolationError(f"a snapshot of {index} that the committed log doesn't have")
         state = LogState()
         for entry in self.log[:index]:
             state = state.after(entry)
         if state != snapshot.state:
-            raise RuleBroken(f"the snapshot of {index} isn't what the log amounts to")
+            raise InvariantViolationError(f"the snapshot of {index} isn't what the log amounts to")
 
-    def proxy_started(self, proxy: str, saved: Snapshot | None = None) -> None:
-        """A proxy's run begins with what one before it has left, which may be anything."""
+    def observe_proxy_start(self, proxy: str, saved: Snapshot | None = None) -> None:
+        """Records that a proxy's run begins, with `saved` from an earlier run, which may be anything."""
         position = START if saved is None else saved.position
-        self.loaded_to[proxy] = position.index
-        self.strays.discard(proxy)
-        self.started_with.pop(proxy, None)
+        self.applied_index[proxy] = position.index
+        self.diverged.discard(proxy)
+        self.unapplied_saved.pop(proxy, None)
         if saved is not None:
-            self.started_with[proxy] = saved
+            self.unapplied_saved[proxy] = saved
         if position not in self.positions:
-            self.strays.add(proxy)
-
-    def load(self, proxy: str, effect: ApplyEntry | ApplySnapshot) -> None:
-        """What a proxy is given is the committed log: nothing skipped, nothing twice, all in order."""
-        given = self.loaded_to[proxy]
-        if isinstance(effect, ApplySnapshot) and self._is_start(proxy, effect.snapshot):
-            return
-        if isinstance(effect, ApplySnapshot):
-            self.snapshot(effect.snapshot)
-            index = effect.snapshot.position.index
-            if index <= given and proxy not in self.strays:
-                raise RuleBroken(f"{proxy} went from {given} back to a snapshot of {index}")
-        else:
+            self.diverged.add(proxy)
+
+    def observe_apply(self, proxy: str, effect: ApplyEntry | ApplySnapshot) -> None:
+        """A proxy is given the committed log: nothing skipped, nothing twice, everything in order."""
+        if isinstance(effect, ApplyEntry):
             index = effect.entry.index
-            if index > len(self.log) or self.log[index - 1] != effect.entry:
-                raise RuleBroken(f"{proxy} was given entry {index}, which is not committed")
-            if proxy in self.strays:
-                raise RuleBroken(f"{proxy} was given entry {index} on top of what the log never was")
-            if index <= given:
-                raise RuleBroken(f"{proxy} was given entry {index} after {given}")
-            skipped = [entry for entry in self.log[given : index - 1] if entry.kind != EntryKind.NOOP]
-            if skipped:
-                raise RuleBroken(f"{proxy} was given entry {index} after {given}: {skipped[0].index} skipped")
-        self.loaded_to[proxy] = index
-        self.strays.discard(proxy)
-
-    def _is_start(self, proxy: str, snapshot: Snapshot) -> bool:
-        """Whether this is what the proxy was started with, given out once."""
-        return self.started_with.pop(proxy, None) == snapshot
-
-    def lease(self, proxy: str, current: bool, position: Position, now: float) -> None:
-        """Who says that it is current has all that was committed LEASE_MS ago."""
-        due = bisect_right(self.committed_at, now - LEASE_MS)
+            self._check_entry(proxy, effect.entry)
+        elif self.unapplied_saved.pop(proxy, None) == effect.snapshot:
+            return  # This is what the proxy was started with.
+        else:
+            index = effect.snapshot.position.index
+            self._check_snapshot(proxy, effect.snapshot)
+        self.applied_index[proxy] = index
+        self.diverged.discard(proxy)
+
+    def observe_lease(self, proxy: str, current: bool, position: Position, now: float) -> None:
+        """A proxy that says that it is current has all that was committed LEASE_MS ago."""
+        due = bisect_right(self.committed_at_ms, now - LEASE_MS)
         if current and position not in self.positions[due:]:
-            raise RuleBroken(f"{proxy} is current at {position}; {due} was committed {LEASE_MS:.0f} ms ago")
+            raise InvariantViolationError(
+                f"{proxy} is current at {position}; {due} was committed {LEASE_MS:.0f} ms ago"
+            )
+
+    def _check_snapshot(self, proxy: str, snapshot: Snapshot) -> None:
+        self.observe_snapshot(snapshot)
+        index, applied = snapshot.position.index, self.applied_index[proxy]
+        if index <= applied and proxy not in self.diverged:
+            raise InvariantViolationError(f"{proxy} went from {applied} back to a snapshot of {index}")
+
+    def _check_entry(self, proxy: str, entry: Entry) -> None:
+        index, applied = entry.index, self.applied_index[proxy]
+        given = f"{proxy} was given entry {index}"
+        if index > len(self.log) or self.log[index - 1] != entry:
+            raise InvariantViolationError(f"{given}, which is not committed")
+        if proxy in self.diverged:
+            raise InvariantViolationError(f"{given} on top of what the log never was")
+        if index <= applied:
+            raise InvariantViolationError(f"{given} after {applied}")
+        skipped = [between for between in self.log[applied : index - 1] if between.kind != EntryKind.NOOP]
+        if skipped:
+            raise InvariantViolationError(f"{given} after {applied}: {skipped[0].index} skipped")
--- a/lab/control_model_processes.py
+++ b/lab/control_model_processes.py
@@ -1,20 +1,18 @@
-"""The processes of the model check: the real modules, with their stores, as values that can be copied and
-compared.
+"""The processes of the model check: the real modules with their storage, as values to copy and compare.
 
-Time stands still and every bound in ms is 0 or endless: any timer may fire at any time, none has to. So
-a step is a function of a process's state and an event, and is worked out once; `Interner` keeps both by
-number.
+Time stands still, and every timeout is 0 or endless: any timer may fire at any time, and none has to. So a
+step is a function of a process's state and an event, and is computed once; `Interner` numbers the states.
 """
 
 from __future__ import annotations
 
 import pickle
 from collections import deque
-from collections.abc import Hashable
+from collections.abc import Hashable, Sequence
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
-from typing import Any
+from typing import Generic, TypeVar
 
 import msgspec
 
@@ -29,7 +27,7 @@
 NOW = 0.0
 ENDLESS = 1e12
 LOG_NAME = "main"
-ONLY_TOLD = {"_last_failure"}  # attributes that operators see and that decide nothing
+STATUS_ATTRIBUTES = {"_last_failure"}  # shown to operators, and without influence on any decision
 TIMING = Timing(
     heartbeat_ms=0.0,
     election_min_ms=0.0,
@@ -43,32 +41,48 @@
     report_ms=ENDLESS,
 )
 FANOUT = FanoutTiming(
-    heartbeat_ms=ENDLESS, silence_timeout_ms=ENDLESS, forget_ms=ENDLESS, window_entries=1, tail_entries=2
+    heartbeat_ms=ENDLESS,
+    silence_timeout_ms=ENDLESS,
+    forget_ms=ENDLESS,
+    window_entries=1,
+    tail_entries=2,
 )
 SUBSCRIPTION = SubscriptionTiming(
     connect_timeout_ms=ENDLESS,
     silence_timeout_ms=ENDLESS,
+    lease_timeout_ms=ENDLESS,
     backoff_ms=0.0,
     backoff_max_ms=0.0,
-    lease_timeout_ms=ENDLESS,
 )
 
+Value = TypeVar("Value")
 
-class NoChance(Random):
-    """Draws the lowest, and leaves orders as they are."""
 
-    def uniform(self, a: float, b: float) -> float:
-        return a
+class ConstantRandom(Random):
+    """A random source that draws the lowest value and leaves orders as they are."""
 
-    def sample(self, population: Any, k: int, *, counts: Any = None) -> list:
+    def uniform(self, a: float, b: float) -> float:
+        """Returns the lowest value."""
+        return min(a, b)
+
+    def sample(
+        self,
+        population: Sequence[Value],
+        k: int,
+        *,
+        counts: object = None,
+    ) -> list[Value]:
+        """Returns the first `k` values."""
+        assert counts is None, "the control modules draw without counts"
         return list(population)[:k]
 
-    def __reduce__(self) -> tuple:
-        return NoChance, ()
+    def __reduce__(self) -> tuple[type[ConstantRandom], tuple[()]]:
+        """Makes copies new objects, as there is no state."""
+        return ConstantRandom, ()
 
 
-def freeze(value: Any) -> Hashable:
-    """A value that is equal for equal states: what an object holds, without its chance and its constants."""
+def freeze(value: object) -> Hashable:
+    """Returns a hashable value, equal for objects of equal state; random sources and timings don't count."""
     if isinstance(value, (str, bytes, int, float, type(None), Enum)):
         return value
     if isinstance(value, (list, tuple, deque)):
@@ -76,25 +90,31 @@
     if isinstance(value, dict):
         return tuple(sorted((freeze(key), freeze(item)) for key, item in value.items()))
     if isinstance(value, (set, frozenset)):
-        return tuple(sorted(freeze(item) for item in value))
+        return tuple(sorted(freeze(item) for item in value))  # type: ignore[type-var]
     if isinstance(value, type):
         return value.__name__
     if isinstance(value, (Random, Timing, FanoutTiming, SubscriptionTiming)):
         return ""
+    return (type(value).__name__, *(freeze(getattr(value, name)) for name in _attribute_names(value)))
+
+
+def _attribute_names(value: object) -> Sequence[str]:
     if isinstance(value, msgspec.Struct):
-        return (type(value).__name__, *(freeze(getattr(value, name)) for name in value.__struct_fields__))
-    names = value.__slots__ if hasattr(value, "__slots__") else sorted(vars(value).keys() - ONLY_TOLD)
-    return (type(value).__name__, *(freeze(getattr(value, name)) for name in names))
+        return value.__struct_fields__
+    slots: Sequence[str] | None = getattr(value, "__slots__", None)
+    return slots if slots is not None else sorted(vars(value).keys() - STATUS_ATTRIBUTES)
 
 
-class Interner:
-    """Values by number, equal ones by the same; each is given out as a copy of its own."""
+class Interner(Generic[Value]):
+    """Numbers for values, the same for equal ones; a value is handed out as a copy of its own."""
 
     def __init__(self) -> None:
+        """Starts without values."""
         self._numbers: dict[Hashable, int] = {}
         self._pickles: list[bytes] = []
 
-    def number(self, value: Any) -> int:
+    def number(self, value: Value) -> int:
+        """Returns the number of a value."""
         key = freeze(value)
         number = self._numbers.get(key)
         if number is None:
@@ -102,63 +122,64 @@
             self._pickles.append(pickle.dumps(value, pickle.HIGHEST_PROTOCOL))
         return number
 
-    def copy(self, number: int) -> Any:
-        return pickle.loads(self._pickles[number])
-
-    def __len__(self) -> int:
-        return len(self._pickles)
+    def copy(self, number: int) -> Value:
+        """Returns a copy of the value with a number."""
+        value: Value = pickle.loads(self._pickles[number])
+        return value
 
 
-class NodeCell:
-    """A control node and its disk."""
+class ModelNode:
+    """A control node and its storage."""
 
     def __init__(self, name: str, nodes: tuple[str, ...], node_type: type[ControlNode]) -> None:
-        self.name, self.nodes, self.node_type = name, nodes, node_type
+        """Starts the control node `name` with an empty storage."""
+        self.name = name
+        self.nodes = nodes
+        self.node_type = node_type
         self.stored = StoredState()
         self.restart()
 
-    def __getstate__(self) -> dict[str, Any]:
-        return self.__dict__
-
     def restart(self) -> list[NodeEffect]:
+        """Starts again from what is stored."""
         self.node = self.node_type(
-            self.name, self.nodes, LOG_NAME, self.stored, NoChance(), NOW, TIMING, FANOUT
+            self.name, self.nodes, LOG_NAME, self.stored, ConstantRandom(), NOW, TIMING, FANOUT
         )
         return []
 
     def tick(self) -> list[NodeEffect]:
-        return self._written(self.node.tick(NOW))
+        """Lets a timer fire."""
+        return self._store(self.node.tick(NOW))
 
-    def stand(self) -> list[NodeEffect]:
-        """Its timer fires, and it is told that it would win, whether it would or not."""
+    def start_election(self) -> list[NodeEffect]:
+        """Lets the election timer fire, and grants the pre-vote of a quorum whether it would or not."""
         self.node.tick(NOW)
         consensus = self.node.consensus
-        answers = [
-            VoteAnswer(consensus.term, peer, consensus.term + 1, True, pre_vote=True)
-            for peer in consensus.peers[: consensus.quorum - 1]
-        ]
-        effects = [
-            effect for answer in answers for effect in self.node.receive_peer(answer.voter, answer, NOW)
-        ]
-        return self._written(effects)
+        effects: list[NodeEffect] = []
+        for peer in consensus.peers[: consensus.quorum - 1]:
+            answer = VoteAnswer(consensus.term, peer, consensus.term + 1, True, pre_vote=True)
+            effects += self.node.receive_peer(peer, answer, NOW)
+        return self._store(effects)
 
     def propose(self) -> list[NodeEffect]:
-        """A change, of an id that no other has."""
+        """Proposes an entry with an identifier that no other one has."""
         consensus = self.node.consensus
         proposal = f"{self.name} {consensus.term} {consensus.log.last_index}"
         message = Propose(proposal, EntryKind.CONFIGURATION, proposal.encode())
-        return self._written(self.node.propose(0, message, NOW))
+        return self._store(self.node.propose(0, message, NOW))
 
     def receive_peer(self, sender: str, message: PeerMessage) -> list[NodeEffect]:
-        return self._written(self.node.receive_peer(sender, message, NOW))
+        """Handles a message of another control node."""
+        return self._store(self.node.receive_peer(sender, message, NOW))
 
     def receive_proxy(self, connection: int, message: ProxyMessage) -> list[NodeEffect]:
-        return self._written(self.node.receive_proxy(connection, message, NOW))
+        """Handles a message of a proxy."""
+        return self._store(self.node.receive_proxy(connection, message, NOW))
 
     def disconnected(self, connection: int) -> list[NodeEffect]:
-        return self._written(self.node.proxy_disconnected(connection, NOW))
+        """Handles the end of a proxy's connection."""
+        return self._store(self.node.proxy_disconnected(connection, NOW))
 
-    def _written(self, effects: list[NodeEffect]) -> list[NodeEffect]:
+    def _store(self, effects: list[NodeEffect]) -> list[NodeEffect]:
         for effect in effects:
             if isinstance(effect, Write):
                 self.stored = self.stored.after(effect)
@@ -166,8 +187,8 @@
 
 
 @dataclass
-class Kept:
-    """What a proxy has loaded in all its runs, as a process after it may find it."""
+class AppliedLog:
+    """What a proxy has applied, as a process after it may find it saved."""
 
     position: Position = START
     state: LogState = LogState()  # noqa: RUF009 -- frozen
@@ -175,76 +196,94 @@
 
 
 class Saved(Enum):
-    """What a proxy that starts again finds."""
+    """What a proxy finds saved when it starts."""
 
     NOTHING = "nothing"
     OWN = "its own"
-    DAMAGED = "damaged"  # the checksum tells
+    DAMAGED = "damaged"  # the checksum does not match
     FOREIGN = "another log's"  # of the same length, and intact
     AHEAD = "ahead"  # intact, and longer than any log here
 
 
-class Started(msgspec.Struct, frozen=True):
-    """Stands among a proxy's effects at its start: what it has found, if it can be loaded."""
+class ProxyStarted(msgspec.Struct, frozen=True):
+    """Stands first among a proxy's effects at its start: what it has found saved, if it is intact."""
 
     saved: Snapshot | None
 
 
-class ProxyCell:
-    """A proxy that loads at once whatever it is given."""
+ModelProxyEffect = ProxyEffect | ProxyStarted
+
+
+class ModelProxy:
+    """A proxy that applies at once whatever it is given."""
 
     def __init__(self, name: str, nodes: tuple[str, ...]) -> None:
-        self.name, self.nodes = name, nodes
+        """Prepares the proxy `name`, which tries `nodes` in their order; `start` starts it."""
+        self.name = name
+        self.nodes = nodes
         self.run = 0
-        self.kept = Kept()
+        self.applied = AppliedLog()
 
-    def start(self, saved: Saved) -> list[ProxyEffect | Started]:
+    def start(self, saved: Saved) -> list[ModelProxyEffect]:
+        """Starts a new process with what it finds saved."""
         self.run += 1
-        snapshot = self._saved(saved)
-        self.kept = Kept()
+        snapshot = self._find_saved(saved)
+        self.applied = AppliedLog()
         groups = (self.nodes,)
         self.subscription = Subscription(
-            self.name, self.run, LOG_NAME, groups, NoChance(), NOW, snapshot, SUBSCRIPTION
+            self.name, self.run, LOG_NAME, groups, ConstantRandom(), NOW, snapshot, SUBSCRIPTION
         )
-        loadable = snapshot if snapshot is not None and snapshot.intact else None
-        return [Started(loadable), *self._loaded(self.subscription.start(NOW))]
+        intact = snapshot if snapshot is not None and snapshot.intact else None
+        return [ProxyStarted(intact), *self._apply_all(self.subscription.start(NOW))]
 
     def connected(self, attempt: int) -> list[ProxyEffect]:
-        return self._loaded(self.subscription.connected(attempt, NOW))
+        """Handles a new connection."""
+        return self._apply_all(self.subscription.connected(attempt, NOW))
 
     def disconnected(self, attempt: int) -> list[ProxyEffect]:
-        return self._loaded(self.subscription.disconnected(attempt, NOW))
+        """Handles the end of a connection."""
+        return self._apply_all(self.subscription.disconnected(attempt, NOW))
 
     def receive(self, attempt: int, message: NodeMessage) -> list[ProxyEffect]:
-        return self._loaded(self.subscription.receive(attempt, message, NOW))
+        """Handles a message of a control node."""
+        return self._apply_all(self.subscription.receive(attempt, message, NOW))
 
-    def _loaded(self, effects: list[ProxyEffect]) -> list[ProxyEffect]:
-        """The effects, with those of loading what they give out."""
-        done: list[ProxyEffect] = []
+    def _apply_all(self, effects: list[ProxyEffect]) -> list[ProxyEffect]:
+        """Applies what is given out; returns the effects with those that follow from that."""
+        handled: list[ProxyEffect] = []
         while effects:
             effect = effects.pop(0)
-            done.append(effect)
+            handled.append(effect)
             if isinstance(effect, ApplyEntry):
-                self.kept.state = self.kept.state.after(effect.entry)
-                self.kept.term = effect.entry.term
-                effects += self._keep(effect.entry.index)
+                self.applied.state = self.applied.state.after(effect.entry)
+                self.applied.term = effect.entry.term
+                effects += self._report_applied(effect.entry.index)
             elif isinstance(effect, ApplySnapshot):
-                self.kept.state, self.kept.term = effect.snapshot.state, effect.snapshot.term
-                effects += self._keep(effect.snapshot.position.index)
-        return done
+                self.applied.state = effect.snapshot.state
+                self.applied.term = effect.snapshot.term
+                effects += self._report_applied(effect.snapshot.position.index)
+        return handled
 
-    def _keep(self, index: int) -> list[ProxyEffect]:
+    def _report_applied(self, index: int) -> list[ProxyEffect]:
         effects = self.subscription.loaded(index, NOW)
-        self.kept.position = self.subscription.position
+        self.applied.position = self.subscription.position
         return effects
 
-    def _saved(self, saved: Saved) -> Snapshot | None:
-        kept = self.kept
-        if saved is Saved.NOTHING:
-            return None
-        if saved is Saved.OWN:
-            return Snapshot.of(kept.position, kept.term, kept.state)
-        if saved is Saved.DAMAGED:
-            return Snapshot(kept.position, kept.term, kept.state, b"damaged")
-        index = kept.position.index if saved is Saved.FOREIGN else kept.position.index + 100
-        return Snapshot.of(Position(max(index, 1), b"another log's"), kept.term, LogState())
+    def _find_saved(self, saved: Saved) -> Snapshot | None:
+        applied = self.applied
+        index = applied.position.index
+        match saved:
+            case Saved.NOTHING:
+                return None
+            case Saved.OWN:
+                return Snapshot.of(applied.position, applied.term, applied.state)
+            case Saved.DAMAGED:
+                return Snapshot(applied.position, applied.term, applied.state, b"damaged")
+            case Saved.FOREIGN:
+                return self._foreign_snapshot(index)
+            case Saved.AHEAD:
+                return self._foreign_snapshot(index + 100)
+
+    def _foreign_snapshot(self, index: int) -> Snapshot:
+        position = Position(max(index, 1), b"another log's")
+        return Snapshot.of(position, self.applied.term, LogState())
--- a/lab/control_states.py
+++ b/lab/control_states.py
@@ -1,31 +1,53 @@
-"""States of the model check, and what may happen in them."""
+"""States of the model check, and the actions that may happen in them."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import NamedTuple
 
-MOST_ATTEMPTS = 4  # of a proxy in one run; after that it stays unconnected
-MOST_PROXIES = 8
-END = -1  # in place of a message: the connection ends
+MAX_ATTEMPTS = 4  # to connect, of a proxy in one run; after that it stays unconnected
+MAX_PROXIES = 8
+END_OF_CONNECTION = -1  # in place of a message's number
 NO_TERM = -1
 
 
 class Budget(NamedTuple):
-    """How often each may happen from a start state on."""
+    """How often each kind of action may happen from a start state on."""
 
-    elections: int = 0  # a node stands for election, whatever the others would have said to its pre-vote
-    timeouts: int = 0  # a follower's or candidate's timer fires, and it asks for pre-votes
-    heartbeats: int = 0  # a leader's does
-    crashes: int = 0  # of a control node, which starts again at once from what it had stored
+    elections: int = 0  # a node starts an election, whatever the others would have answered its pre-vote
+    timeouts: int = 0  # a follower's or candidate's election timer fires, and it asks for pre-votes
+    heartbeats: int = 0  # a leader's heartbeat timer fires
+    crashes: int = 0  # a control node crashes and starts again at once from what it had stored
     proposals: int = 0
-    losses: int = 0  # of a message between control nodes
+    losses: int = 0  # a message between control nodes is lost
     repeats: int = 0  # such a message arrives a second time
-    breaks: int = 0  # of a proxy's connection
-    restarts: int = 0  # of a proxy, with anything of `Saved`
+    breaks: int = 0  # a proxy's connection breaks
+    restarts: int = 0  # a proxy restarts, with anything of `Saved`
+
+
+class ActionKind(StrEnum):
+    """The kinds of action: those that a `Budget` bounds, and the arrival of messages."""
+
+    ELECTION = "elections"
+    TIMEOUT = "timeouts"
+    HEARTBEAT = "heartbeats"
+    CRASH = "crashes"
+    PROPOSAL = "proposals"
+    LOSS = "losses"
+    REPEAT = "repeats"
+    BREAK = "breaks"
+    RESTART = "restarts"
+    PEER_ARRIVAL = "peer"  # at a control node, from another one
+    UP_ARRIVAL = "up"  # at a control node, from a proxy
+    DOWN_ARRIVAL = "down"  # at a proxy
 
 
 class Connection(NamedTuple):
-    """A proxy's; messages by number, in the order in which they will arrive."""
+    """A proxy's connection to a control node.
+
+    `up` and `down` are the numbers of the messages in flight to the node and to the proxy, in the order in
+    which they will arrive.
+    """
 
     attempt: int
     node: int
@@ -34,29 +56,31 @@
 
 
 class State(NamedTuple):
-    """Nodes, proxies and rules by the numbers of their states. `links`: what is on its way between
-    nodes, in order, by (receiver, sender)."""
+    """The state of the whole system; nodes, proxies and invariants by the numbers of their states.
+
+    `links` are the messages in flight between nodes, in order, by (receiver, sender).
+    """
 
     nodes: tuple[int, ...]
     proxies: tuple[int, ...]
-    rules: int
+    invariants: int
     links: tuple[tuple[int, ...], ...]
     connections: tuple[Connection | None, ...]
     budget: Budget
 
 
 class Action(NamedTuple):
-    """One event. `what`: a Budget's field, or "peer", "up", "down"; `which`: of what, by number."""
+    """One event. `arguments` are the numbers of the processes and messages that take part."""
 
-    what: str
-    which: tuple[int, ...]
+    kind: ActionKind
+    arguments: tuple[int, ...]
 
 
 def connection_number(proxy: int, attempt: int) -> int:
-    """By which a node knows a proxy's connection."""
-    return attempt * MOST_PROXIES + proxy
+    """Returns the number by which a control node knows a proxy's connection."""
+    return attempt * MAX_PROXIES + proxy
 
 
 def proxy_and_attempt(number: int) -> tuple[int, int]:
-    """Whose connection this is, and of which try."""
-    return number % MOST_PROXIES, number // MOST_PROXIES
+    """Returns whose connection a number is, and of which attempt."""
+    return number % MAX_PROXIES, number // MAX_PROXIES
--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -1,15 +1,12 @@
-"""Control nodes and proxies of the control log in virtual time: delays, cuts, crashes, clocks that go
-differently.
+"""The control log in virtual time: control nodes, proxies, and the network between them.
 
-The real modules of `cloverwell.control` play here; the network, the disks and the loading are this
-file's. Time is in ms. Every process has a clock of its own, which starts anywhere and may run a little
+The real modules of `cloverwell.control` run here; the network, the storage and what applies entries are
+simulated. Time is in ms. Every process has a clock of its own, which starts anywhere and may run a little
 fast or slow.
 """
 
 from __future__ import annotations
 
-import heapq
-from collections.abc import Callable
 from itertools import count
 from random import Random
 
@@ -30,19 +27,23 @@
     SnapshotInstalled,
 )
 from cloverwell.control.entry import EntryKind, Snapshot
-from cloverwell.control.messages import Propose, decode, encode
+from cloverwell.control.messages import NodeMessage, PeerMessage, Propose, ProxyMessage, decode, encode
 from cloverwell.control.storage import Write
 from cloverwell.control.subscription import Subscription
 from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
-from lab.control_invariants import Rules
+from lab.control_event_loop import EventLoop
+from lab.control_invariants import ControlInvariants
+from lab.control_network import ControlNetwork
 from lab.control_processes import Clock, Connection, NodeProcess, Process, ProxyProcess
 
 LOG_NAME = "main"
-LOCAL_MS, REGION_MS = 1.0, 40.0  # one way, within a region and between two; up to twice as much
 
 
-class ControlWorld:
-    """`nodes` and `proxies`: region by name. Every rule of `Rules` is checked at each step."""
+class ControlWorld(EventLoop):
+    """Control nodes and proxies, played event by event in virtual time (ms).
+
+    The invariants of `ControlInvariants` are checked at each step.
+    """
 
     def __init__(
         self,
@@ -54,17 +55,20 @@
         fanout: FanoutTiming | None = None,
         subscription: SubscriptionTiming | None = None,
     ) -> None:
+        """Starts the control nodes; proxies are started by `start_proxy`.
+
+        `nodes` and `proxies` are regions by name. `drift` is by what fraction clocks may differ from true
+        time.
+        """
+        super().__init__()
         self.random = Random(seed)
-        self.now = 0.0
-        self.rules = Rules()
-        self.cuts: set[frozenset[str]] = set()  # of regions, or of process names
-        self.peer_loss = 0.0  # part of the messages between nodes that is lost
+        self.rules = ControlInvariants()
+        self.network = ControlNetwork(self.random)
         self._drift = drift
         self._timing = timing or Timing()
         self._fanout = fanout or FanoutTiming()
         self._subscription_timing = subscription or SubscriptionTiming()
-        self._events: list[tuple[float, int, Callable[..., None], tuple]] = []
-        self._numbers = count(1)
+        self._connection_numbers = count(1)
         self._requests = count(1)
         self.sent_bytes: dict[str, int] = {}  # from nodes to proxies and back, by proxy
         self.connections: dict[int, Connection] = {}
@@ -77,6 +81,7 @@
     # What happens to processes
 
     def start_node(self, name: str) -> None:
+        """Starts a control node from what it has stored."""
         process = self.nodes[name]
         process.run += 1
         process.up = True
@@ -90,11 +95,14 @@
             self._timing,
             self._fanout,
         )
-        self._schedule(process)
+        self._schedule_tick(process)
 
     def kill_node(self, name: str, machine: bool = False) -> None:
-        """It dies with all it had not stored, and its connections end; with its `machine` what it had
-        sent and nobody has received is lost as well, and nobody hears of the connections' end."""
+        """Kills a control node's process: what it had not stored is lost, and its connections end.
+
+        With the whole `machine`, what it had sent and nobody has received is lost as well, and the other
+        sides are not notified of the end of their connections.
+        """
         process = self.nodes[name]
         process.up, process.node, process.due = False, None, float("inf")
         if machine:
@@ -105,12 +113,13 @@
             self._end(connection, process)
 
     def start_proxy(self, name: str, saved: Snapshot | None = None) -> None:
+        """Starts a proxy, which finds `saved` from an earlier run."""
         process = self.proxies[name]
         process.run += 1
         process.up = True
         process.loads = []
         process.serving = {}
-        self.rules.proxy_started(name, saved if saved is not None and saved.intact else None)
+        self.rules.observe_proxy_start(name, saved if saved is not None and saved.intact else None)
         process.subscription = Subscription(
             name,
             process.run,
@@ -124,32 +133,35 @@
         self._proxy_effects(process, process.subscription.start(process.clock.at(self.now)))
 
     def kill_proxy(self, name: str) -> None:
+        """Kills a proxy's process; its connections end."""
         process = self.proxies[name]
         process.up, process.subscription, process.due = False, None, float("inf")
         for connection in [each for each in self.connections.values() if each.proxy == name]:
             self._end(connection, process)
 
     def stop_proxy(self, name: str) -> None:
-        """It stops in good order."""
+        """Shuts a proxy down gracefully."""
         process = self.proxies[name]
         assert process.subscription is not None
         self._proxy_effects(process, process.subscription.stop())
         process.up, process.subscription, process.due = False, None, float("inf")
 
     def cut(self, one: str, other: str) -> None:
-        """Nothing passes between two regions, or two processes, until `mend`."""
-        self.cuts.add(frozenset((one, other)))
+        """Partitions two regions, or two processes, until `mend`."""
+        self.network.partition(one, other)
 
     def cut_off(self, region: str) -> None:
+        """Partitions a region from all others."""
         regions = {process.region for process in (*self.nodes.values(), *self.proxies.values())}
         for other in regions - {region}:
             self.cut(region, other)
 
     def mend(self) -> None:
-        self.cuts.clear()
+        """Ends all partitions."""
+        self.network.heal()
 
     def propose(self, name: str, message: Propose) -> int:
-        """Proposes at a node; the number under which its answer will be in `answers` there."""
+        """Proposes at a node; returns the number under which its answer will be in `answers` there."""
         process = self.nodes[name]
         assert process.node is not None
         request = next(self._requests)
@@ -157,46 +169,24 @@
         return request
 
     def change(self, name: str, proposal: str, payload: bytes = b"limits") -> int:
+        """Proposes a configuration at a node; returns the number of the answer."""
         return self.propose(name, Propose(proposal, EntryKind.CONFIGURATION, payload))
 
     def leader(self) -> NodeProcess | None:
-        """The leader that has a quorum, if there is one."""
+        """Returns the leader that has a quorum, if there is one."""
         leaders = [
             p for p in self.nodes.values() if p.node and p.node.consensus.has_quorum(p.clock.at(self.now))
         ]
         return max(leaders, key=lambda p: p.node.consensus.term if p.node else 0, default=None)
 
-    # Time
-
-    def run(self, ms: float) -> None:
-        """Plays so many ms."""
-        until = self.now + ms
-        while self._events and self._events[0][0] <= until:
-            self.step()
-        self.now = until
-
-    def run_until(self, condition: Callable[[], bool], most_ms: float) -> float:
-        """Plays until the condition holds; how many ms that took. AssertionError after `most_ms`."""
-        began = self.now
-        while not condition():
-            assert self._events and self._events[0][0] <= began + most_ms, f"not within {most_ms} ms"
-            self.step()
-        return self.now - began
-
-    def step(self) -> None:
-        """Plays the next event and checks the rules; nothing where nothing is due, as with all processes
-        down."""
-        if not self._events:
-            return
-        self.now, _, event, arguments = heapq.heappop(self._events)
-        event(*arguments)
+    # Invariants
 
     def check_leases(self) -> None:
-        """Whether what each proxy says of itself is so."""
+        """Checks that each proxy that says that it is current is so."""
         for process in self.proxies.values():
             if process.subscription is not None:
                 current = process.subscription.current(process.clock.at(self.now))
-                self.rules.lease(process.name, current, process.subscription.position, self.now)
+                self.rules.observe_lease(process.name, current, process.subscription.position, self.now)
 
     # Steps
 
@@ -208,10 +198,7 @@
         others = tuple(name for name in self.nodes if name not in own)
         return tuple(group for group in (own, others) if group)
 
-    def _at(self, when: float, event: Callable[..., None], *arguments: object) -> None:
-        heapq.heappush(self._events, (when, next(self._numbers), event, arguments))
-
-    def _schedule(self, process: NodeProcess | ProxyProcess) -> None:
+    def _schedule_tick(self, process: NodeProcess | ProxyProcess) -> None:
         decisions = process.node if isinstance(process, NodeProcess) else process.subscription
         if decisions is None:
             return
@@ -219,7 +206,7 @@
         due = max(self.now, process.clock.true(decisions.next_deadline())) + 0.01
         if due != process.due and due != float("inf"):
             process.due = due
-            self._at(due, self._tick, process, process.run, due)
+            self.schedule(due, self._tick, process, process.run, due)
 
     def _tick(self, process: NodeProcess | ProxyProcess, run: int, due: float) -> None:
         if not process.up or run != process.run or due != process.due:
@@ -233,17 +220,10 @@
             assert process.subscription is not None
             self._proxy_effects(process, process.subscription.tick(reading))
 
-    def _apart(self, one: Process, other: Process) -> bool:
-        pairs = (frozenset((one.region, other.region)), frozenset((one.name, other.name)))
-        return any(pair in self.cuts for pair in pairs)
-
-    def _delay(self, one: Process, other: Process) -> float:
-        return (LOCAL_MS if one.region == other.region else REGION_MS) * self.random.uniform(1.0, 2.0)
-
     def _node_effects(self, process: NodeProcess, effects: list[NodeEffect]) -> None:
         assert process.node is not None
         if process.node.consensus.leadership is not None:
-            self.rules.leads(process.name, process.node.consensus.term)
+            self.rules.observe_leader(process.name, process.node.consensus.term)
         for effect in effects:
             match effect:
                 case Write():
@@ -251,29 +231,41 @@
                 case SendToPeer():
                     self._send_peer(process, self.nodes[effect.node], encode(effect.message))
                 case EntriesCommitted():
-                    self.rules.committed(effect.entries, self.now)
+                    self.rules.observe_committed(effect.entries, self.now)
                 case SnapshotInstalled():
-                    self.rules.snapshot(effect.snapshot)
+                    self.rules.observe_snapshot(effect.snapshot)
                 case AnswerProposal():
                     assert effect.request not in process.answers, "answered twice"
                     process.answers[effect.request] = effect.answer
                 case SendToSubscriber():
                     self._send_over(effect.connection, process, encode(effect.message))
                 case CloseSubscriber():
-                    connection = self.connections.get(effect.connection)
-                    if connection is not None:
-                        self._end(connection, process)
-        self._schedule(process)
+                    self._close_subscriber(process, effect.connection)
+        self._schedule_tick(process)
+
+    def _close_subscriber(self, process: NodeProcess, number: int) -> None:
+        connection = self.connections.get(number)
+        if connection is not None:
+            self._end(connection, process)
 
     def _send_peer(self, process: NodeProcess, other: NodeProcess, data: bytes) -> None:
-        if self._apart(process, other) or self.random.random() < self.peer_loss:
+        if self.network.loses_peer_message(process, other):
             return
-        self._at(self.now + self._delay(process, other), self._peer_arrives, process, self.now, other, data)
+        self.schedule(
+            self.now + self.network.delay_ms(process, other),
+            self._peer_arrives,
+            process,
+            self.now,
+            other,
+            data,
+        )
 
     def _peer_arrives(self, sender: NodeProcess, sent_at: float, process: NodeProcess, data: bytes) -> None:
-        lost = sent_at <= sender.lost_until or self._apart(sender, process)
+        lost = sent_at <= sender.lost_until or self.network.separates(sender, process)
         if process.node is not None and not lost:
-            effects = process.node.receive_peer(sender.name, decode(data), process.clock.at(self.now))
+            message = decode(data)
+            assert isinstance(message, PeerMessage)
+            effects = process.node.receive_peer(sender.name, message, process.clock.at(self.now))
             self._node_effects(process, effects)
 
     def _proxy_effects(self, process: ProxyProcess, effects: list[ProxyEffect]) -> None:
@@ -291,22 +283,26 @@
                         self._end(connection, process)
                 case ApplyEntry() | ApplySnapshot():
                     process.loads.append(effect)
-                    self.rules.load(process.name, effect)
-                    self._at(self.now + process.load_ms, self._load, process, process.run, effect)
-        self._schedule(process)
+                    self.rules.observe_apply(process.name, effect)
+                    self.schedule(self.now + process.load_ms, self._load, process, process.run, effect)
+        self._schedule_tick(process)
 
     def _connect(self, process: ProxyProcess, effect: ConnectToNode) -> None:
         node = self.nodes[effect.node]
-        if self._apart(process, node):
+        if self.network.separates(process, node):
             return  # nobody answers
         attempt, run = effect.attempt, process.run
         if not node.up:
-            self._at(self.now + self._delay(process, node), self._refused, process, run, attempt)
+            self.schedule(
+                self.now + self.network.delay_ms(process, node), self._refused, process, run, attempt
+            )
             return
-        connection = Connection(next(self._numbers), process.name, run, attempt, node.name)
+        connection = Connection(next(self._connection_numbers), process.name, run, attempt, node.name)
         self.connections[connection.number] = connection
         self._by_attempt[process.name, run, attempt] = connection
-        self._at(self.now + 2 * self._delay(process, node), self._connected, process, run, connection)
+        self.schedule(
+            self.now + 2 * self.network.delay_ms(process, node), self._connected, process, run, connection
+        )
 
     def _refused(self, process: ProxyProcess, run: int, attempt: int) -> None:
         if process.subscription is not None and run == process.run:
@@ -325,46 +321,47 @@
         proxy, node = self.proxies[connection.proxy], self.nodes[connection.node]
         self.sent_bytes[proxy.name] = self.sent_bytes.get(proxy.name, 0) + len(data)
         receiver = node if sender is proxy else proxy
-        when = max(self.now + self._delay(proxy, node), connection.last_at.get(receiver.name, 0.0))
+        when = max(self.now + self.network.delay_ms(proxy, node), connection.last_at.get(receiver.name, 0.0))
         connection.last_at[receiver.name] = when
-        self._at(when, self._arrives, connection, receiver, data)
+        self.schedule(when, self._arrives, connection, receiver, data)
 
     def _arrives(self, connection: Connection, receiver: NodeProcess | ProxyProcess, data: bytes) -> None:
         proxy, node = self.proxies[connection.proxy], self.nodes[connection.node]
-        connection.stalled = connection.stalled or self._apart(proxy, node)
+        connection.stalled = connection.stalled or self.network.separates(proxy, node)
         if receiver.name in connection.gone or connection.stalled:
             return
         reading = receiver.clock.at(self.now)
+        message = decode(data)
         if isinstance(receiver, NodeProcess):
             assert receiver.node is not None
-            effects = receiver.node.receive_proxy(connection.number, decode(data), reading)
+            assert isinstance(message, ProxyMessage)
+            effects = receiver.node.receive_proxy(connection.number, message, reading)
             self._node_effects(receiver, effects)
         else:
             assert receiver.subscription is not None
-            self._proxy_effects(
-                receiver, receiver.subscription.receive(connection.attempt, decode(data), reading)
-            )
+            assert isinstance(message, NodeMessage)
+            self._proxy_effects(receiver, receiver.subscription.receive(connection.attempt, message, reading))
 
     def _end(self, connection: Connection, by: Process) -> None:
-        """One side is through with a connection; the other hears of it after what was sent before."""
+        """Ends a connection at one side; the other is notified after what was sent before."""
         if by.name in connection.gone:
             return
         connection.gone.add(by.name)
         proxy, node = self.proxies[connection.proxy], self.nodes[connection.node]
         other = node if by is proxy else proxy
-        when = max(self.now + self._delay(proxy, node), connection.last_at.get(other.name, 0.0))
-        self._at(when, self._ended, connection, other)
+        when = max(self.now + self.network.delay_ms(proxy, node), connection.last_at.get(other.name, 0.0))
+        self.schedule(when, self._ended, connection, other)
 
     def _ended(self, connection: Connection, receiver: NodeProcess | ProxyProcess) -> None:
         proxy, node = self.proxies[connection.proxy], self.nodes[connection.node]
-        stalled = connection.stalled or self._apart(proxy, node)
-        heard = receiver.name not in connection.gone and not stalled
-        if heard:
+        stalled = connection.stalled or self.network.separates(proxy, node)
+        notified = receiver.name not in connection.gone and not stalled
+        if notified:
             connection.gone.add(receiver.name)
         if len(connection.gone) == 2:
             self.connections.pop(connection.number, None)
             self._by_attempt.pop((connection.proxy, connection.run, connection.attempt), None)
-        if not heard:
+        if not notified:
             return
         reading = receiver.clock.at(self.now)
         if isinstance(receiver, NodeProcess):
--- a/tests/test_control_hard_cases.py
+++ b/tests/test_control_hard_cases.py
@@ -1,4 +1,4 @@
-"""What is hard for the control log, each case forced in virtual time; `Rules` are checked at every step."""
+"""Hard cases of the control log, each forced in virtual time, with `ControlInvariants` at every step."""
 
 from collections import Counter
 
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -12,7 +12,7 @@
 from lab.control_explorer import explore
 from lab.control_model import Model
 from lab.control_starts import elected, led, long_log, served, two_logs
-from lab.control_states import Action, Budget
+from lab.control_states import Action, ActionKind, Budget
 
 MOST_STATES, MOST_SECONDS = 1_000_000, float("inf")  # the bound is the budget, not the machine's speed
 
@@ -101,7 +101,7 @@
 
 def test_a_node_that_forgets_its_vote_is_found():
     def two_stand(model):
-        return model.play(model.empty, Action("elections", (0,)), Action("elections", (1,)))
+        return model.play(model.empty, Action(ActionKind.ELECTION, (0,)), Action(ActionKind.ELECTION, (1,)))
 
     result = found(ForgetsItsVote, two_stand, 0, Budget(crashes=1))
     assert "two leaders in term 1: node0 and node1" in result.broken or "node1 and node0" in result.broken
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -1,6 +1,7 @@
 """The control log under any mixture of delays, losses, cuts, crashes and restarts, in virtual time.
 
-`Rules` are checked at every event, leases at every step. At the end all is mended, and everybody must agree.
+`ControlInvariants` are checked at every event, leases at every step. At the end all partitions are
+healed, and all processes must agree.
 """
 
 from hypothesis import HealthCheck, settings
@@ -52,7 +53,7 @@
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.5]))
     def lose(self, loss):
-        self.world.peer_loss = loss
+        self.world.network.peer_loss = loss
 
     # Processes
 
@@ -131,7 +132,7 @@
         if not hasattr(self, "world"):
             return
         self.mend()
-        self.world.peer_loss = 0.0
+        self.world.network.peer_loss = 0.0
         for name in NODES:
             self.start_node(name)
         for name, process in self.world.proxies.items():
