--- a/benchmarks/control_model.py
+++ b/benchmarks/control_model.py
@@ -1,10 +1,10 @@
-"""The model check of the control log with larger budgets than CI's: states, depth and time of each
-exploration.
+"""The model check of the control log with larger budgets than CI's.
 
 .venv-dev/bin/python benchmarks/control_model.py [MOST_SECONDS_EACH [MOST_STATES_EACH]]
 
-Ends with exit code 1 and the actions that lead there if a rule is broken. `whole`: every state within
-the budget was seen; else the bound in seconds or states came first.
+Prints the states, depth and time of each exploration. `whole` says that every state within the budget was
+seen; else the bound in seconds or states was met first. A violation of an invariant ends the program with
+exit code 1, after the actions that lead to it.
 """
 
 import sys
@@ -32,6 +32,7 @@
 
 
 def main() -> None:
+    """Explores all cases and prints a line for each."""
     most_seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 120.0
     most_states = int(sys.argv[2]) if len(sys.argv) > 2 else 2_000_000
     print("start      proxies    states     steps  depth  whole  seconds  budget")
