--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -43,16 +43,19 @@
     control = parse(OWN).control
     assert control.home == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
     assert control.elsewhere == {"south-1": ("127.0.0.1", 7402)}
-    assert control.region == "north" and control.wait_ms == 5000.0 and control.log == "fleet"
+    assert control.region == "north"
+    assert control.wait_ms == 5000.0
+    assert control.log == "fleet"
 
 
 def test_without_the_section_there_is_no_control():
     config = parse({name: value for name, value in OWN.items() if name != "control"})
-    assert config.control is None and config.document == b""
+    assert config.control is None
+    assert config.document == b""
 
 
 @pytest.mark.parametrize(
-    "section, field",
+    ("section", "field"),
     [
         ({}, "control.nodes: is missing"),
         ({"nodes": []}, "control.nodes: is missing"),
@@ -84,8 +87,8 @@
 
 
 def test_discovery_and_the_number_of_proxies_may_change():
-    told = with_settings(**{"peers-total": 480}) | {"discovery": "127.0.0.1:9"}
-    assert change(told) == ConfigurationChange(("127.0.0.1", 9), 480)
+    document = with_settings(**{"peers-total": 480}) | {"discovery": "127.0.0.1:9"}
+    assert change(document) == ConfigurationChange(("127.0.0.1", 9), 480)
 
 
 def test_what_an_entry_does_not_name_is_the_proxys_own():
@@ -105,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, field",
+    ("document", "field"),
     [
         ({"listen": "127.0.0.1:8"}, "listen"),
         ({"name": "proxy-2"}, "name"),
@@ -118,13 +121,13 @@
     ],
     ids=str,
 )
-def test_what_cannot_change_at_run_time_is_refused_by_its_name(told, field):
+def test_what_cannot_change_at_run_time_is_refused_by_its_name(document, field):
     with pytest.raises(ConfigError, match=f"^{field}: can't be changed at run time"):
-        change(told | {"discovery": "127.0.0.1:9"})
+        change(document | {"discovery": "127.0.0.1:9"})
 
 
 @pytest.mark.parametrize(
-    "told, field",
+    ("document", "field"),
     [
         (with_settings(**{"peers-total": 0}), "settings: peers-total"),
         (with_settings(classes=[]), "settings: classes"),
@@ -134,12 +137,12 @@
     ],
     ids=str,
 )
-def test_what_the_reader_of_files_refuses_is_refused_in_its_words(told, field):
+def test_what_the_reader_of_files_refuses_is_refused_in_its_words(document, field):
     with pytest.raises(ConfigError, match=field):
-        change(told)
-    # As far as it can be told without a proxy's own file, a proposal is refused in the same words.
+        change(document)
+    # As far as it can be checked without a proxy's own file, a proposal is refused in the same words.
     with pytest.raises(ConfigError, match=field):
-        check_document(json.dumps(told).encode())
+        check_document(json.dumps(document).encode())
 
 
 def test_what_a_proxy_takes_may_be_proposed():
@@ -153,7 +156,8 @@
 
 
 def test_digests_tell_documents_apart():
-    assert digest(b"{}") == digest(b"{}") != digest(b"{ }") and len(digest(b"")) == 16
+    assert digest(b"{}") == digest(b"{}") != digest(b"{ }")
+    assert len(digest(b"")) == 16
 
 
 def test_a_file_with_the_section_keeps_its_text(tmp_path):
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -116,7 +116,8 @@
     alone = node()
     alone.receive_proxy(1, subscribe(run=7, attempt=3), 10_000.0)
     effects = alone.receive_proxy(2, subscribe(run=run), 10_000.0)
-    assert effects[0] == CloseSubscriber(1) and 2 in alone.subscribers
+    assert effects[0] == CloseSubscriber(1)
+    assert 2 in alone.subscribers
     report = alone.subscribers.report("a")
     assert (report.alive, report.lost) == (1, 0)
 
@@ -137,7 +138,7 @@
 
 
 @pytest.mark.parametrize("run", [6, 8])
-def test_news_that_another_process_of_the_name_has_moved_changes_nothing(run):
+def test_a_message_that_another_process_of_the_name_has_moved_changes_nothing(run):
     one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
     one.receive_proxy(1, subscribe(run=7), 1.0)
     assert one.receive_peer("b", SubscriberMoved("p", run, 9), 2.0) == []
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -22,8 +22,8 @@
 from cloverwell.control.timing import SubscriptionTiming
 from lab.control_follower import follower_factory
 
-HOME = {"north-1": ("127.0.0.1", 1)}
-ELSEWHERE = {"south-1": ("127.0.0.1", 2), "west-1": ("127.0.0.1", 3)}
+LOCAL_NODES = {"north-1": ("127.0.0.1", 1)}
+REMOTE_NODES = {"south-1": ("127.0.0.1", 2), "west-1": ("127.0.0.1", 3)}
 TIMING = SubscriptionTiming()
 
 
@@ -40,14 +40,14 @@
 
 
 class Played:
-    """A follower without a proxy: `loaded` are put in force, those whose index is in `bad` refused."""
+    """A follower without a proxy, which applies all entries but those in `refused_indexes`."""
 
     def __init__(self):
         self.reactor, self.lines = Reactor(), Lines()
-        self.loaded, self.bad, self.missed = [], set(), 0
+        self.applied, self.refused_indexes, self.missed = [], set(), 0
         self.follower = Follower(
             self.reactor,
-            (HOME, ELSEWHERE),
+            (LOCAL_NODES, REMOTE_NODES),
             "fleet",
             "proxy-1",
             self.in_force,
@@ -60,9 +60,9 @@
         self.follower.start()
 
     def in_force(self, entry):
-        if entry.index in self.bad:
+        if entry.index in self.refused_indexes:
             raise EntryRefusedError("field: no")
-        self.loaded.append(entry.index)
+        self.applied.append(entry.index)
 
     def purges_missed(self):
         self.missed += 1
@@ -90,10 +90,10 @@
 
 
 def test_the_own_region_comes_first_and_the_next_after_a_failure(played):
-    assert played.last.address == HOME["north-1"]
+    assert played.last.address == LOCAL_NODES["north-1"]
     played.last.fail()
     played.last.fail()
-    assert {t.address for t in played.reactor.tries[1:]} == set(ELSEWHERE.values())
+    assert {t.address for t in played.reactor.tries[1:]} == set(REMOTE_NODES.values())
     played.last.fail()
     assert len(played.reactor.tries) == 3  # all have failed: not at once
     played.reactor.advance(TIMING.backoff_max_ms / 1000)
@@ -103,7 +103,8 @@
 def test_no_two_processes_are_one_run_whatever_their_clocks_and_seeds_say(monkeypatch):
     monkeypatch.setattr("time.time", lambda: 0.0)
     runs = {Played().connect().run for _ in range(3)}
-    assert len(runs) == 3 and all(0 <= run < 2**53 for run in runs)
+    assert len(runs) == 3
+    assert all(0 <= run < 2**53 for run in runs)
 
 
 def test_entries_are_put_in_force_in_order_and_acknowledged(played):
@@ -112,22 +113,24 @@
     subscribe = played.connect()
     assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
     played.tell(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
-    assert played.loaded == [1, 2, 3]
+    assert played.applied == [1, 2, 3]
     acknowledged = [m.position for m in played.said() if isinstance(m, Acknowledge)]
     assert acknowledged[-1] == at[3] == played.follower.status.position
 
 
-def test_an_entry_that_is_refused_is_told_and_the_next_one_replaces_it(played):
+def test_an_entry_that_is_refused_is_reported_and_the_next_one_replaces_it(played):
     entries = tuple(entry(index) for index in (1, 2, 3))
     at = positions(entries)
-    played.bad = {2}
+    played.refused_indexes = {2}
     played.connect()
     played.tell(Entries(START, entries[:2]))
     last = played.said()[-1]
     assert (last.position, last.refused_index, last.refused_reason) == (at[2], 2, "field: no")
-    assert played.loaded == [1] and played.follower.status.refused_index == 2
+    assert played.applied == [1]
+    assert played.follower.status.refused_index == 2
     played.tell(Entries(at[2], entries[2:]))
-    assert played.loaded == [1, 3] and played.said()[-1].refused_index == 0
+    assert played.applied == [1, 3]
+    assert played.said()[-1].refused_index == 0
 
 
 def test_a_snapshot_brings_the_last_of_each_kind_and_the_purges_since(played):
@@ -137,33 +140,37 @@
         state = state.after(one)
     played.connect()
     played.tell(Entries(START, tuple(entries[:2])))
-    assert played.loaded == [1, 2]
+    assert played.applied == [1, 2]
     played.tell(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
-    assert played.loaded == [1, 2, 3, 4, 5] and played.missed == 0
+    assert played.applied == [1, 2, 3, 4, 5]
+    assert played.missed == 0
     assert played.follower.status.position == at[5]
 
 
-def test_purges_that_nobody_can_name_any_more_are_told(played):
+def test_purges_that_nobody_can_name_any_more_are_reported(played):
     position = START
     for index in range(1, 10):
         position = position.after(entry(index))
     state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
     played.connect()
     played.tell(SnapshotTransfer(Snapshot.of(position, 1, state)))
-    assert played.missed == 1 and played.loaded == [9]
+    assert played.missed == 1
+    assert played.applied == [9]
 
 
 def test_a_node_that_falls_silent_is_left_for_the_next(played):
     played.connect()
     played.reactor.advance(TIMING.silence_timeout_ms / 1000 + 0.1)
-    assert len(played.reactor.tries) == 2 and played.reactor.tries[0].transport.closed
+    assert len(played.reactor.tries) == 2
+    assert played.reactor.tries[0].transport.closed
     assert "warn control: left north-1: silent" in played.lines.lines
 
 
 def test_a_connection_that_comes_up_after_it_was_given_up_is_not_used(played):
     first = played.last
     played.reactor.advance(TIMING.connect_timeout_ms / 1000 + 0.1)
-    assert first.given_up and len(played.reactor.tries) == 2
+    assert first.given_up
+    assert len(played.reactor.tries) == 2
     assert first.succeed().aborted
     end(first.protocol)
     assert len(played.reactor.tries) == 2
@@ -189,10 +196,12 @@
     subscribe = played.connect()
     assert not played.follower.ready
     played.tell(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
-    assert played.follower.ready and played.follower.status.current
+    assert played.follower.ready
+    assert played.follower.status.current
     assert played.follower.divide_by(480) == 32
-    played.reactor.advance(20)  # nothing more is heard: the lease ends
-    assert not played.follower.status.current and played.follower.divide_by(480) == 480
+    played.reactor.advance(20)  # nothing more is received: the lease ends
+    assert not played.follower.status.current
+    assert played.follower.divide_by(480) == 480
 
 
 def test_a_start_without_any_node_waits_for_a_bounded_time(played):
@@ -201,17 +210,20 @@
         if played.last.factory is not None:
             played.last.fail()
         played.reactor.advance(0.25)
-    assert played.follower.ready and not played.follower.status.caught_up
+    assert played.follower.ready
+    assert not played.follower.status.caught_up
 
 
 def test_a_stop_takes_leave_and_ends_all_timers(played):
     played.connect()
     transport = played.last.transport
     played.follower.stop()
-    assert transport.messages() == [Goodbye()] and transport.closed
+    assert transport.messages() == [Goodbye()]
+    assert transport.closed
     end(played.last.protocol)
     played.reactor.advance(60)
-    assert len(played.reactor.tries) == 1 and not played.reactor.getDelayedCalls()
+    assert len(played.reactor.tries) == 1
+    assert not played.reactor.getDelayedCalls()
 
 
 def test_it_may_be_started_again(played):
@@ -223,21 +235,21 @@
     played.follower.start()
     assert played.connect().position == positions(entries)[1]
     played.tell(Entries(positions(entries)[1], entries[1:]))
-    assert played.loaded == [1, 2]
+    assert played.applied == [1, 2]
 
 
 def test_a_hollow_proxy_follows_without_a_service():
-    told = []
+    reported = []
     context = SimpleNamespace(
-        name="hollow-1", reactor=Reactor(), in_force=lambda *arguments: told.append(arguments)
+        name="hollow-1", reactor=Reactor(), in_force=lambda *arguments: reported.append(arguments)
     )
-    regions = {"north": HOME, "south": ELSEWHERE}
+    regions = {"north": LOCAL_NODES, "south": REMOTE_NODES}
     follower = follower_factory(regions, lambda proxy: "south")(context)
     follower.start()
-    assert context.reactor.tries[0].address in ELSEWHERE.values()
+    assert context.reactor.tries[0].address in REMOTE_NODES.values()
     transport = context.reactor.tries[0].succeed()
     assert transport.messages()[0].proxy == "hollow-1"
     context.reactor.tries[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
-    assert told == [("control", 1, False, 1), ("control", 2, False, 1)]
+    assert reported == [("control", 1, False, 1), ("control", 2, False, 1)]
     follower.stop()
     assert transport.messages()[-1] == Goodbye()
--- a/tests/test_control_hard_cases.py
+++ b/tests/test_control_hard_cases.py
@@ -4,7 +4,7 @@
 
 import pytest
 from control_rig import (
-    IN_FORCE_MS,
+    ACTIVATION_MS,
     NODES,
     REGIONS,
     all_serve,
@@ -12,7 +12,7 @@
     current,
     run_checked,
     serving,
-    times_loaded,
+    times_applied,
     world,
 )
 
@@ -33,12 +33,12 @@
     played.run_until(lambda: len(played.rules.log) > before, 1_000)
     played.kill_node(leader, machine=True)
     assert not any(serving(process) == "change-1" for process in played.proxies.values())
-    assert played.run_until(all_serve(played, "change-1"), 60_000) <= IN_FORCE_MS
-    assert all(times_loaded(process, "change-1") == 1 for process in played.proxies.values())
+    assert played.run_until(all_serve(played, "change-1"), 60_000) <= ACTIVATION_MS
+    assert all(times_applied(process, "change-1") == 1 for process in played.proxies.values())
     assert played.leader().name != leader
 
 
-def test_a_control_node_dies_with_half_of_its_subscribers_told():
+def test_a_control_node_dies_with_half_of_its_subscribers_notified():
     played = world(proxies=30)
     leader = played.leader().name
     node = next(name for name in ("n1", "s1", "n2", "s2") if name != leader)
@@ -49,12 +49,15 @@
     ]
     assert len(own) >= 4
     change(played, "change-1")
-    told = lambda: sum(serving(process) == "change-1" for process in own)  # noqa: E731
-    played.run_until(lambda: told() >= len(own) // 2, 1_000)
-    assert 0 < told() < len(own)
+
+    def count_serving():
+        return sum(serving(process) == "change-1" for process in own)
+
+    played.run_until(lambda: count_serving() >= len(own) // 2, 1_000)
+    assert 0 < count_serving() < len(own)
     played.kill_node(node, machine=True)
-    assert played.run_until(all_serve(played, "change-1"), 60_000) <= IN_FORCE_MS
-    assert all(times_loaded(process, "change-1") == 1 for process in own)
+    assert played.run_until(all_serve(played, "change-1"), 60_000) <= ACTIVATION_MS
+    assert all(times_applied(process, "change-1") == 1 for process in own)
     run_checked(played, 10_000)
     assert all(current(played, process) for process in own)
 
@@ -81,10 +84,10 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "whole_region", "loads_after"),
+    ("changes", "whole_region", "effects_after"),
     [(200, True, {ApplyEntry: 200}), (200, False, {ApplyEntry: 200}), (300, False, {ApplySnapshot: 1})],
 )
-def test_a_region_is_cut_off_for_minutes_while_changes_are_made(changes, whole_region, loads_after):
+def test_a_region_is_cut_off_for_minutes_while_changes_are_made(changes, whole_region, effects_after):
     """With its control node, or its proxies without one: then the tail may have grown too long."""
     played = world()
     change(played, "before")
@@ -107,10 +110,10 @@
     assert all(len(process.loads) == loads[process.name] for process in away)
     assert not any(current(played, process) for process in away)
     played.mend()
-    assert played.run_until(all_serve(played, last), 60_000) <= IN_FORCE_MS
+    assert played.run_until(all_serve(played, last), 60_000) <= ACTIVATION_MS
     for process in away:
-        news = process.loads[loads[process.name] :]
-        assert Counter(type(load) for load in news) == loads_after
+        given = process.loads[loads[process.name] :]
+        assert Counter(type(effect) for effect in given) == effects_after
     played.run(5_000)
     assert all(current(played, process) for process in away)
 
