--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -85,6 +85,7 @@
     waiting = [process.subscription for process in world.proxies.values() if process.subscription is not None]
 
     def is_everywhere() -> bool:
+        """Returns whether no proxy is waiting for the entry any more."""
         while waiting and waiting[-1].position.index >= index:
             waiting.pop()
         return not waiting
