--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -53,7 +53,9 @@
     """
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: call_in_reactor(proxy.stop))
-    signal.signal(signal.SIGHUP, lambda *_: call_in_reactor(proxy.reload, lambda: read_config(again=True)))
+    signal.signal(
+        signal.SIGHUP, lambda *_: call_in_reactor(proxy.reload, lambda: read_config(reloading=True))
+    )
 
 
 def main() -> int:
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -88,7 +88,7 @@
     \b
     Example: cloverwell config schema > schema.json
     """
-    click.echo(json.dumps(msgspec.json.schema(proxy_config.File), indent=1))
+    click.echo(json.dumps(msgspec.json.schema(proxy_config.ConfigFile), indent=1))
 
 
 def main() -> None:
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -58,7 +58,7 @@
     wait_ms: float = 5000.0
 
 
-class File(msgspec.Struct):
+class ConfigFile(msgspec.Struct):
     """The configuration file as it is written; addresses and settings are not checked yet."""
 
     listen: str = ""
@@ -106,24 +106,24 @@
     document: bytes = b""
 
 
-def read_config(environ: Mapping[str, str] = os.environ, again: bool = False) -> Config:
+def read_config(environ: Mapping[str, str] = os.environ, reloading: bool = False) -> Config:
     """The configuration in the file that $EDGE_CONFIG names. Raises `ConfigError`.
 
-    `again`: the file has been replaced since the start, and its address of discovery is newer than the one in
-    the environment.
+    `reloading`: the file has been replaced since the start, and its address of discovery is newer than the one
+    in the environment.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
         raise ConfigError("EDGE_CONFIG", "is not set")
     try:
         with open(path, "rb") as file:
-            return parse_config(file.read(), environ, again)
+            return parse_config(file.read(), environ, reloading)
     except OSError as error:
         raise ConfigError("EDGE_CONFIG", f"{error.strerror}: {path}") from None
 
 
-def parse_config(document: bytes, environ: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration in the text of a file. Raises `ConfigError`. `again`: as for `read_config`."""
+def parse_config(document: bytes, environ: Mapping[str, str], reloading: bool = False) -> Config:
+    """The configuration in the text of a file. Raises `ConfigError`. `reloading`: as for `read_config`."""
     file = _decode(document)
     _check_limits(file.limits)
     settings = _read_settings(file.settings)
@@ -133,7 +133,7 @@
         name=name,
         listen=listen,
         operator=_read_operator(environ.get("EDGE_OPERATOR") or file.operator, listen),
-        discovery=_read_discovery(file.discovery, environ.get("EDGE_DISCOVERY", ""), again),
+        discovery=_read_discovery(file.discovery, environ.get("EDGE_DISCOVERY", ""), reloading),
         seed=_read_seed(file.seed),
         limits=file.limits,
         known=_check_endpoints(file.known),
@@ -153,9 +153,9 @@
         raise ConfigError(field, str(error)) from None
 
 
-def _decode(document: bytes) -> File:
+def _decode(document: bytes) -> ConfigFile:
     try:
-        file = msgspec.json.decode(document, type=File)
+        file = msgspec.json.decode(document, type=ConfigFile)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError("EDGE_CONFIG", str(error)) from None
     if file.settings is None:
@@ -186,8 +186,8 @@
     return operator
 
 
-def _read_discovery(in_file: str, in_environment: str, again: bool) -> Address:
-    if again and in_file:
+def _read_discovery(in_file: str, in_environment: str, reloading: bool) -> Address:
+    if reloading and in_file:
         return read_address("discovery", in_file)
     return read_address("discovery", in_environment or in_file)
 
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from balancer.settings import SettingsError, check_whole, read_settings
-from cloverwell.config import Config, ConfigError, File, parse_config
+from cloverwell.config import Config, ConfigError, ConfigFile, parse_config
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
 DIGEST_DIGITS = 16
@@ -48,7 +48,7 @@
     """Checks what can be known of a payload without a proxy's own file. Raises ConfigError."""
     fields = _read_object(document)
     try:
-        file = msgspec.convert(fields, File)
+        file = msgspec.convert(fields, ConfigFile)
     except msgspec.ValidationError as error:
         raise ConfigError(str(error)) from None
     if file.discovery:
@@ -61,17 +61,17 @@
     try:
         split_address(text)
     except EndpointListError as error:
-        raise ConfigError(f"{field}: {error}") from None
+        raise ConfigError(field, str(error)) from None
 
 
 def _check_settings(settings: dict[str, Any] | None) -> None:
     if settings is None:
-        raise ConfigError("settings: is missing")
+        raise ConfigError("settings", "is missing")
     try:
         check_whole(settings)
         read_settings(settings)
     except ValueError as error:
-        raise ConfigError(f"settings: {error}") from None
+        raise ConfigError("settings", str(error)) from None
 
 
 def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> ConfigurationChange:
@@ -80,9 +80,9 @@
     `own` is the file with which the proxy has started, `environ` its environment. Raises ConfigError, which
     names the first field that can't be read or can't be changed at run time.
     """
-    started = parse_config(own, environ, again=True)
+    started = parse_config(own, environ, reloading=True)
     merged = _merge(own, document)
-    config = parse_config(merged, environ, again=True)
+    config = parse_config(merged, environ, reloading=True)
     for field in Config.__struct_fields__:
         if field not in CHANGEABLE_FIELDS and getattr(config, field) != getattr(started, field):
             raise _unchangeable(field)
@@ -93,7 +93,7 @@
 
 
 def _unchangeable(field: str) -> ConfigError:
-    return ConfigError(f"{field}: can't be changed at run time")
+    return ConfigError(field, "can't be changed at run time")
 
 
 def _merge(own: bytes, document: bytes) -> bytes:
@@ -105,9 +105,9 @@
     try:
         fields = msgspec.json.decode(document)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ConfigError(f"configuration: {error}") from None
+        raise ConfigError("configuration", str(error)) from None
     if not isinstance(fields, dict):
-        raise ConfigError("configuration: must be an object")
+        raise ConfigError("configuration", "must be an object")
     return fields
 
 
--- a/cloverwell/control/net/errors.py
+++ b/cloverwell/control/net/errors.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from cloverwell.control.errors import ControlError
 from cloverwell.control.net.address import Address, format_address
 
 
-class ControlTransportError(Exception):
+class ControlTransportError(ControlError):
     """Base class of the errors of this package."""
 
 
--- a/cloverwell/control/server/errors.py
+++ b/cloverwell/control/server/errors.py
@@ -4,10 +4,11 @@
 
 from pathlib import PurePath
 
+from cloverwell.control.errors import ControlError
 from cloverwell.control.storage import StorageError
 
 
-class ControlServerError(Exception):
+class ControlServerError(ControlError):
     """Base class of the errors that the control node's process adds to those of the control log."""
 
 
--- a/cloverwell/control/server/port.py
+++ b/cloverwell/control/server/port.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.address import IPv4Address, IPv6Address
 from twisted.internet.interfaces import IAddress
-from twisted.internet.protocol import Factory, connectionDone
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from cloverwell.control.entry import MAX_PAYLOAD_BYTES
@@ -19,6 +19,7 @@
 from cloverwell.control.net.connection import FrameConnection
 from cloverwell.control.net.reactor_types import DelayedCall, Reactor
 from cloverwell.control.net.wire import PeerHello, StatusAnswer, StatusRequest, WireMessage
+from cloverwell.front.port import BoundedFactory
 from cloverwell.log import Log
 
 MAX_CONNECTIONS = 4096
@@ -50,14 +51,12 @@
         """Returns the answer to an operator's request."""
 
 
-class ControlPort(Factory):
+class ControlPort(BoundedFactory):
     """The factory of incoming connections.
 
     `connections` has them by number, `peers` those of control nodes by the node's name.
     """
 
-    noisy = False
-
     def __init__(self, reactor: Reactor, handler: ControlRequestHandler, log: Log) -> None:
         """Takes what handles the messages. The factory listens nowhere by itself."""
         self.reactor = reactor
@@ -77,9 +76,6 @@
         """Logs that the machine could not accept a connection for a moment."""
         self.log.warn("accept", f"failed for a moment: {reason}")
 
-    def accepts_no_more(self) -> None:
-        """Does nothing: a control node keeps no account of how long connections wait to be accepted."""
-
     def buildProtocol(self, addr: IAddress | None) -> InboundConnection:
         """Twisted: a connection has been accepted."""
         assert isinstance(addr, IPv4Address | IPv6Address)
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -11,11 +11,11 @@
 from twisted.internet import tcp, unix
 from twisted.internet.error import CannotListenError
 from twisted.internet.interfaces import IAddress, IReactorUNIX
-from twisted.internet.protocol import Factory, connectionDone
+from twisted.internet.protocol import connectionDone
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from cloverwell.front.port import RestingPort
+from cloverwell.front.port import BoundedFactory, RestingPort
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverError, HandoverState, Hello, Serves
 from cloverwell.handover.sockets import is_same_user, remove_stale_socket, short_path
@@ -81,11 +81,9 @@
         tcp.Port.connectionLost(self, reason)
 
 
-class SuccessorListener(Factory):
+class SuccessorListener(BoundedFactory):
     """Listens on a Unix socket, and accepts one successor at a time."""
 
-    noisy = False
-
     def __init__(
         self,
         reactor: IReactorUNIX,
@@ -139,9 +137,6 @@
         """Log that a connection could not be accepted; see `RestingPort`."""
         self.log.warn("handover", f"no successor could be let in for a moment: {reason}")
 
-    def accepts_no_more(self) -> None:
-        """Ignore a pause of the port: it matters to nobody how long a successor waits to be accepted."""
-
     def buildProtocol(self, _address: IAddress | None) -> SuccessorConnection | None:
         """Return the protocol of a new connection; None closes it, since too many are open."""
         if self._connection_count >= MAX_CONNECTIONS:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -141,7 +141,7 @@
 
     def reread(self, text):
         if text not in self.ports:
-            raise ConfigError("EDGE_CONFIG: malformed")
+            raise ConfigError("EDGE_CONFIG", "malformed")
         return msgspec.structs.replace(self.config, discovery=("127.0.0.9", self.ports[text]))
 
     @staticmethod
--- a/tests/test_config_failures.py
+++ b/tests/test_config_failures.py
@@ -60,7 +60,7 @@
     failing_at(number)
     service = Proxy.__new__(Proxy)  # a reload that went on would need more of it
     service._log = Lines()
-    service.reload(lambda: read_config({"EDGE_CONFIG": "/etc/proxy.json"}, again=True))
+    service.reload(lambda: read_config({"EDGE_CONFIG": "/etc/proxy.json"}, reloading=True))
     (line,) = service._log.lines
     assert line.startswith("warn reload: all stays as it is: EDGE_CONFIG: ")
     assert os.strerror(number) in line
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -191,10 +191,10 @@
     environ = {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.9:100", "EDGE_LISTEN": "127.0.0.1:1"}
     path.write_text(json.dumps({"discovery": "127.0.0.9:101", "settings": SETTINGS}))
     assert read_config(environ).discovery == ("127.0.0.9", 100)
-    assert read_config(environ, again=True).discovery == ("127.0.0.9", 101)
+    assert read_config(environ, reloading=True).discovery == ("127.0.0.9", 101)
     path.write_text('{"discovery": "nowhere", "settings": {}}')
     with pytest.raises(ConfigError, match="settings: "):
-        read_config(environ, again=True)
+        read_config(environ, reloading=True)
 
 
 def test_each_signal_is_handed_to_the_loop_and_none_ends_the_program():
