--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -12,7 +12,7 @@
 
 from cloverwell.back.node_connection import NodeConnection, SendResult
 from cloverwell.back.opener import ConnectionOpener
-from cloverwell.back.pool_set import PoolContext
+from cloverwell.back.pool_context import PoolContext
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.connect_retry import HOLD_MS, RETRY_MS, ConnectRetry
 from cloverwell.connections.metrics import ConnectionEvent
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cloverwell.connections.stale import Limits
+from cloverwell.connections.idle_limits import Limits
 
 HOLD_MS = (4.0, 45.0)  # what the last byte is held back for, at least and at most
 HOLD_TIMES = 1.25  # of the longest that resets take to come, of late
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -8,6 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from cloverwell.connections.budget import BudgetError, DescriptorBudget, DescriptorSide, other
+from cloverwell.connections.idle_limits import EDGES, MARGIN, Ages, bucket
 from cloverwell.connections.metrics import MAX_NAMES, OTHERS, ConnectionEvent, ConnectionMetrics
 from cloverwell.connections.node_policy import (
     AHEAD_EACH,
@@ -16,7 +17,6 @@
     ConnectionUse,
     NodeConnectionPolicy,
 )
-from cloverwell.connections.stale import EDGES, MARGIN, Ages, bucket
 from cloverwell.facade import AttemptOutcome
 from lab.attempts import GRACE_MS, PATTERNS, Fixed, Rig
 
