--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -70,7 +70,7 @@
     return b""
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_a_read_whose_connection_could_not_be_begun_is_sent_soon_and_its_node_not_blamed(
     rig, outgoing, stage, number
 ):
@@ -79,15 +79,17 @@
     conn = proxy.client(read(1))
     node = reached(proxy, proxy.nodes[0], b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
-    assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n" and failing.failed == 1
+    assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
+    assert failing.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.of("s1")
-    assert pool.opening == 0 and proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
+    assert pool.opening == 0
+    assert proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
     assert proxy.origin._accept() is None
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_an_order_whose_connection_could_not_be_begun_is_sent_once(rig, outgoing, stage, number):
     proxy = rig()
     fail(outgoing, proxy.origin.address, stage, number)
@@ -100,7 +102,7 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-@pytest.mark.parametrize("stage, number", [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
+@pytest.mark.parametrize(("stage", "number"), [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
 def test_a_shortage_that_lasts_ends_no_request_that_has_time(rig, outgoing, make, stage, number):
     proxy = rig()
     origin, cache = proxy.origin.address, proxy.nodes[0].address
@@ -108,7 +110,8 @@
     begun_ms = proxy.now()
     conn = proxy.client(make(1, 1990))
     proxy.skip(400)
-    assert answers(proxy, conn) == b"" and proxy.service.dispatcher.open_count == 1
+    assert answers(proxy, conn) == b""
+    assert proxy.service.dispatcher.open_count == 1
     # One try in 20 ms at the most, at each of the two; a loop without a pause would make thousands.
     tries = sum(calls.failed for calls in failing)
     assert 5 <= tries <= 2 * (proxy.now() - begun_ms) / 20 + 3
@@ -136,7 +139,8 @@
     proxy.skip(399)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     proxy.skip(500)
-    assert answers(proxy, conn) == b"" and not proxy.service.dispatcher.open_count
+    assert answers(proxy, conn) == b""
+    assert not proxy.service.dispatcher.open_count
     assert not proxy.service.budget.held[DescriptorSide.NODES]
 
 
@@ -176,7 +180,8 @@
     for calls in failing:
         calls.always = None
     proxy.skip(300)
-    assert proxy.origin._accept() is None and proxy.nodes[0]._accept() is None
+    assert proxy.origin._accept() is None
+    assert proxy.nodes[0]._accept() is None
 
 
 def test_with_one_connection_in_hand_the_others_can_not_be_opened_and_all_are_served(rig, outgoing):
@@ -227,14 +232,15 @@
 # Discovery -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_discovery_is_asked_soon_where_this_machine_could_not(rig, outgoing, stage, number):
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     take_watch_back(proxy)
     proxy.service.endpoint_discovery.watch()
     reached(proxy, proxy.discovery, b"GET /v1/servers")
-    assert failing.failed >= 1 and "call failed" not in proxy.log.getvalue()
+    assert failing.failed >= 1
+    assert "call failed" not in proxy.log.getvalue()
     assert not proxy.service.endpoint_discovery._retry.failing
 
 
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -41,4 +41,5 @@
 def test_nothing_of_the_proxy_that_is_cut_off_reaches_the_origin(monkeypatch):
     begin, end = CUT_S
     asked, _ = fetches_by_proxy(monkeypatch, 2, (begin + 0.001, end))
-    assert not asked["proxy-0"] and asked["proxy-1"] > 30
+    assert not asked["proxy-0"]
+    assert asked["proxy-1"] > 30
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -94,8 +94,10 @@
         for place in range(10):
             rig.attempt(place)
         counts.append(len(visits(monkeypatch, rig, 60.0)))
-        assert not rig.pools.idle and rig.metrics.total(ConnectionEvent.RETIRED) == 10
-    assert counts[0] == counts[1] == counts[2] and counts[0] <= 60
+        assert not rig.pools.idle
+        assert rig.metrics.total(ConnectionEvent.RETIRED) == 10
+    assert counts[0] == counts[1] == counts[2]
+    assert counts[0] <= 60
 
 
 def test_a_node_that_left_is_visited_until_its_last_attempt_is_over_and_then_forgotten(monkeypatch):
@@ -105,8 +107,10 @@
     rig.net.run_for(0.1)
     rig.pools.leave("s0")
     seen = visits(monkeypatch, rig, 5.0)
-    assert set(seen) == {"s0"} and 4 <= len(seen) <= 20
-    assert rig.pools.names() == {"s1", "s2"} and len(rig.back) == 2
+    assert set(seen) == {"s0"}
+    assert 4 <= len(seen) <= 20
+    assert rig.pools.names() == {"s1", "s2"}
+    assert len(rig.back) == 2
 
 
 ITEMS = st.sampled_from("abcdef")
@@ -146,7 +150,8 @@
         elif what == "at" and args[0] in order:
             schedule.at(args[0], args[1] + EARLY_MS)
             due[args[0]] = min(due.get(args[0], math.inf), args[1])
-    assert len(schedule) == len(order) and len(schedule._times) <= len(steps)
+    assert len(schedule) == len(order)
+    assert len(schedule._times) <= len(steps)
 
 
 def test_one_woken_during_a_sweep_has_its_turn_in_it_where_that_is_still_to_come():
@@ -162,7 +167,8 @@
             schedule.wake("a")
             schedule.wake("b")
             schedule.wake("c")
-    assert seen == ["b", "c"] and list(schedule.sweep(2.0)) == ["a", "b"]
+    assert seen == ["b", "c"]
+    assert list(schedule.sweep(2.0)) == ["a", "b"]
 
 
 def test_one_discarded_during_a_sweep_has_no_turn():
@@ -173,4 +179,5 @@
     for item in schedule.sweep(0.0):
         seen.append(item)
         schedule.discard("c")
-    assert seen == ["a", "b"] and list(schedule.sweep(1.0)) == []
+    assert seen == ["a", "b"]
+    assert list(schedule.sweep(1.0)) == []
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -40,7 +40,7 @@
     player.play("wait 600\nclient send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
 
 
-@pytest.mark.parametrize("waited, leaves", [(190, True), (201, False)])
+@pytest.mark.parametrize(("waited", "leaves"), [(190, True), (201, False)])
 def test_a_repeat_whose_window_ends_while_it_waits_for_a_connection_is_not_sent(waited, leaves):
     # Nodes drop a repeat for 1500 ms: one that leaves later may run twice.
     player = Player()
@@ -52,7 +52,7 @@
         player.play("wait 5\nclient expect SERVER_ERROR busy*")
 
 
-@pytest.mark.parametrize("grace, waited, leaves", [(300, 90, True), (300, 101, False), (150, 1, False)])
+@pytest.mark.parametrize(("grace", "waited", "leaves"), [(300, 90, True), (300, 101, False), (150, 1, False)])
 def test_an_attempt_that_waits_for_a_connection_does_not_leave_past_the_drain_time(grace, waited, leaves):
     # Of what the site allows 150 ms are for a hold-up before the write, and 50 are the way there.
     player = Player(settings=settings_with("guarantees", **{"drain-grace": float(grace)}))
@@ -68,7 +68,8 @@
     # Seen in Dispatcher.gone: every attempt of a write was let go on, also one of which no byte had left.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=1900|a\nclient close\nwait 10")
-    assert sent(player, "origin") == b"" and not player.service.dispatcher.open_count
+    assert sent(player, "origin") == b""
+    assert not player.service.dispatcher.open_count
 
 
 def test_a_write_whose_client_left_while_it_waited_for_a_place_is_not_sent():
@@ -92,7 +93,8 @@
     player.play(
         "client send ms k1 1 O1 Pc=order,t=acme,d=1900|a\norigin expect PUT *\nclient close\nwait 400"
     )
-    assert not player.connection("origin", 0)[1].ended and player.service.dispatcher.open_count == 1
+    assert not player.connection("origin", 0)[1].ended
+    assert player.service.dispatcher.open_count == 1
     player.play("origin send 200 r1")
     assert player.service.dispatcher.open_count == 0
 
@@ -106,12 +108,14 @@
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CALLED_OFF)
     player.play("origin expect end\nwait 30")
-    assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 1
+    assert player.next_asked("origin") is None
+    assert player.service.dispatcher.open_count == 1
     if stays:
         player.play("wait 15\norigin#2 expect PUT /k1 *\norigin#2 send 200 r\nclient expect HD O1 cr")
     else:
         player.play("client close\nwait 300")
-        assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 0
+        assert player.next_asked("origin") is None
+        assert player.service.dispatcher.open_count == 0
 
 
 def test_a_command_that_was_cut_off_in_the_middle_never_ran_and_goes_elsewhere():
@@ -132,7 +136,8 @@
     transport.send = lambda data: 3
     player.play("wait 20\nclient send ms k3 1 O3 Pc=order,t=acme,d=900|a\nclient close\norigin expect end")
     player.play("wait 300")
-    assert player.next_asked("origin") is None and player.service.dispatcher.open_count == 0
+    assert player.next_asked("origin") is None
+    assert player.service.dispatcher.open_count == 0
 
 
 def test_a_node_that_moves_gets_nothing_more_at_its_old_address():
