--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -3,6 +3,7 @@
 import contextlib
 import errno
 import os
+from dataclasses import replace
 
 import pytest
 from faulty_sockets import Calls, Outgoing, take_watch_back
@@ -13,6 +14,7 @@
 
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.metrics import ConnectionEvent
+from cloverwell.connections.unsent_retry import MARGIN_TICKS, RETRY_DELAY_MS, UnsentRequest, retry_at_ms
 from lab.proxy import SETTINGS
 
 SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -285,3 +287,34 @@
     assert connect_fault(ConnectError(string="closed")) is not None
     assert connect_fault(TimeoutError()) is None
     assert all(connect_fault(getConnectError((number, ""))) is None for number in SERVERS)
+
+
+UNSENT = UnsentRequest(
+    over=False,
+    in_flight=False,
+    may_have_run=False,
+    rejected_or_failed=True,
+    ordered=False,
+    answer_by_ms=1000.0,
+)
+TICK_MS = 5.0
+
+
+def test_a_request_that_nothing_was_sent_for_is_decided_again_while_there_is_time_for_it():
+    latest_ms = 1000.0 - MARGIN_TICKS * TICK_MS - RETRY_DELAY_MS
+    assert retry_at_ms(UNSENT, latest_ms - 0.1, TICK_MS) == latest_ms - 0.1 + RETRY_DELAY_MS
+    assert retry_at_ms(UNSENT, latest_ms, TICK_MS) is None
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"over": True},
+        {"in_flight": True},
+        {"may_have_run": True},
+        {"rejected_or_failed": False},
+        {"ordered": True},
+    ],
+)
+def test_a_request_that_is_over_has_run_or_has_another_attempt_keeps_its_decision(change):
+    assert retry_at_ms(replace(UNSENT, **change), 0.0, TICK_MS) is None
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -1,4 +1,4 @@
-"""Long values are passed on while they come: cut anywhere, stalled, spoilt, broken, in line, many at once."""
+"""Long values are passed on while they arrive: cut anywhere, stalled, malformed, broken, in line, many."""
 
 import pytest
 from hypothesis import given
@@ -244,7 +244,7 @@
 
 
 @given(st.integers(0, 10**9), st.integers(0, 10**4))
-def test_all_flows_together_stay_in_their_room_where_there_is_any(room, flows):
-    each = ahead(room, flows)
+def test_all_streams_together_stay_in_their_room_where_there_is_any(room, streams):
+    each = ahead(room, streams)
     assert AHEAD[0] <= each <= AHEAD[1]
-    assert each == AHEAD[0] or each * flows <= room
+    assert each == AHEAD[0] or each * streams <= room
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -23,7 +23,7 @@
 
 
 def far_and_says_so(rig):
-    """Handshakes are dear, and nodes take what was opened ahead away again."""
+    """Handshakes are slow, and nodes close what was opened ahead."""
     for node in rig.nodes:
         node.idle_s, node.says_so = (lambda now_s: 0.3), True
         rig.net.path(node.address).latency_s = 0.01
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -13,6 +13,7 @@
 
 from cloverwell.connections.node_policy import ConnectionUse
 from cloverwell.facade import AttemptOutcome
+from cloverwell.request import Attempt
 from lab.proxy import SETTINGS
 
 WHOLE = re.compile(rb"mg [^\r]*\r\n|GET .*?\r\n\r\n|PUT .*?\r\n\r\na", re.S)
@@ -245,6 +246,16 @@
     assert "deadline.exceeded_at_send" not in player.service.counts.line()
 
 
+def test_an_attempt_that_tells_its_node_more_than_its_client_has_left_is_counted(monkeypatch):
+    # That the check above can fail.
+    monkeypatch.setattr(Attempt, "left_ms", lambda self, now, delay_ms=0.0: 5000)
+    player = Player()
+    player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 v O1 *\ns1 send VA 1 O1|x")
+    line = player.service.counts.line()
+    assert "deadline.exceeded_at_send=1" in line
+    assert "deadline.exceeded_at_send_ms" in line
+
+
 def clog(transport, taken):
     """The machine takes so many bytes of what is written next, and nothing until it is drained."""
     room = [taken]
