--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cloverwell.back.node_connection import NodeConnection
-from cloverwell.codec.lines import FramingError
+from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
 from cloverwell.streamed_value import LONG, LONGEST
@@ -22,9 +22,9 @@
         return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
-        """Reads the head of an answer. Raises `FramingError` for one that is not owed or is malformed."""
+        """Reads the head of an answer. Raises `MalformedMessageError` also for one that is not owed."""
         if not self.attempts:
-            raise FramingError("an answer that no attempt waits for")
+            raise MalformedMessageError("an answer that no attempt waits for")
         words = line.split()
         match words[:1]:
             case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
@@ -38,7 +38,7 @@
                 self._check(words[1:], write=True)
                 receipts = [word[1:] for word in words[1:] if word.startswith(b"c")]
                 if not receipts:
-                    raise FramingError("a receipt is missing")
+                    raise MalformedMessageError("a receipt is missing")
                 self.finish_attempt(AttemptOutcome.SERVED, receipts[0])
             case [b"EN"]:
                 self._check(words[1:])
@@ -48,7 +48,7 @@
             case [b"SERVER_ERROR"] if words[1:2] == [b"failed"]:
                 self.finish_attempt(AttemptOutcome.ERROR, named=False)
             case _:
-                raise FramingError(f"unknown line {line[:60]!r}")
+                raise MalformedMessageError(f"unknown line {line[:60]!r}")
 
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value, and awaits the line end behind the last one."""
@@ -59,7 +59,7 @@
     def valueReceived(self, data: bytes) -> None:
         """Takes a whole value with its line end, or the line end of a long value."""
         if not data.endswith(self.delimiter):
-            raise FramingError("a value without its line end")
+            raise MalformedMessageError("a value without its line end")
         if self.stream is not None:
             self.end_stream()
         else:
@@ -70,6 +70,6 @@
         # taken for a value.
         request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
-            raise FramingError("an answer under another id")
+            raise MalformedMessageError("an answer under another id")
         if write not in (None, request.write):
-            raise FramingError("an answer of another kind")
+            raise MalformedMessageError("an answer of another kind")
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -7,8 +7,8 @@
 
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.pool import Pool
+from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.codec.http import HttpReceiver, encode_request
-from cloverwell.codec.lines import FramingError
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
 from cloverwell.streamed_value import LONG, LONGEST
@@ -38,9 +38,9 @@
 
     def _check(self, headers: dict[str, str]) -> None:
         if not self.attempts:
-            raise FramingError("an answer that no attempt waits for")
+            raise MalformedMessageError("an answer that no attempt waits for")
         if headers.get("request-id", self.attempts[0].request.id) != self.attempts[0].request.id:
-            raise FramingError("an answer under another id")
+            raise MalformedMessageError("an answer under another id")
 
     def long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
         """Begins a long value, and returns True, if the body is one."""
@@ -61,7 +61,7 @@
             self.end_stream(named=False)
 
     def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Ends the attempt with a whole answer. Raises `FramingError` for one that is not owed or unknown."""
+        """Ends the attempt. Raises `MalformedMessageError` for an answer that is not owed or unknown."""
         self._check(headers)
         closing = headers.get("connection", "").lower() == "close"
         if closing:
@@ -75,10 +75,11 @@
     def _outcome(self, status: int, headers: dict[str, str], body: bytes) -> AttemptOutcome:
         if status == 200:
             if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
-                raise FramingError("not a receipt")  # in the client's line it would be noise, or a second one
+                # In the client's line it would be noise, or a second flag.
+                raise MalformedMessageError("not a receipt")
             return AttemptOutcome.SERVED
         if status in (503, 504) and headers.get("not-started") == "1":
             return AttemptOutcome.BUSY
         if 500 <= status < 600:
             return AttemptOutcome.ERROR
-        raise FramingError(f"unknown status {status}")
+        raise MalformedMessageError(f"unknown status {status}")
--- a/cloverwell/codec/http.py
+++ b/cloverwell/codec/http.py
@@ -6,7 +6,8 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.codec.lines import MAX_VALUE, FramingError, RingLineReceiver
+from cloverwell.codec.errors import MalformedMessageError
+from cloverwell.codec.lines import MAX_VALUE, RingLineReceiver
 
 MAX_HEADERS = 64
 
@@ -44,7 +45,7 @@
         self._until_close = False
 
     def lineReceived(self, line: bytes) -> None:
-        """Reads one line of a head, a chunk or a trailer. Raises `FramingError` if it is malformed."""
+        """Reads one line of a head, a chunk or a trailer. Raises `MalformedMessageError`."""
         if self._trailer:
             if not line:
                 self._complete()
@@ -60,17 +61,17 @@
     def _status_line(self, line: bytes) -> None:
         parts = line.split(None, 2)
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
-            raise FramingError("malformed status line")
+            raise MalformedMessageError("malformed status line")
         self._status = int(parts[1])
 
     def _header(self, line: bytes) -> None:
         name, colon, value = line.decode("latin-1").partition(":")
         self._lines += 1  # lines are counted, not names: one name could repeat without end
         if not colon or self._lines > MAX_HEADERS:
-            raise FramingError("malformed header")
+            raise MalformedMessageError("malformed header")
         name, value = name.strip().lower(), value.strip()
         if name == "content-length" and self._headers.get(name, value) != value:
-            raise FramingError("two lengths")  # whichever is taken, the body may be cut wrongly
+            raise MalformedMessageError("two lengths")  # whichever is taken, the body may be cut wrongly
         self._headers[name] = value
 
     def _headers_complete(self) -> None:
@@ -91,7 +92,7 @@
         if usable and self.long_body(self._status, self._headers, int(length)):
             return
         if not usable or int(length) > self.max_body:
-            raise FramingError("body of no usable length")
+            raise MalformedMessageError("body of no usable length")
         self._left = int(length)
         self._expect_more()
 
@@ -106,7 +107,7 @@
             return
         self._got += len(data)
         if self._got > self.max_body:
-            raise FramingError("body too long")
+            raise MalformedMessageError("body too long")
         self._body.append(data)
 
     def ends_body(self, reason: Failure) -> bool:
@@ -118,7 +119,7 @@
         if self.ends_body(reason):
             try:
                 self._complete()
-            except FramingError as error:
+            except MalformedMessageError as error:
                 self.framingLost(str(error))
         super().connectionLost(reason)
 
@@ -137,9 +138,9 @@
         try:
             size = int(line.split(b";")[0], 16)
         except ValueError:
-            raise FramingError("malformed chunk") from None
+            raise MalformedMessageError("malformed chunk") from None
         if size < 0 or self._got + size > self.max_body:
-            raise FramingError("body too long")
+            raise MalformedMessageError("body too long")
         self._left = 0
         if size:
             self._left = size
--- a/cloverwell/codec/lines.py
+++ b/cloverwell/codec/lines.py
@@ -18,6 +18,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.codec.ring_buffer import RingBuffer
 from cloverwell.codec.steady_socket import steady
 from cloverwell.codec.transport import StreamTransport
@@ -69,10 +70,6 @@
     return int(unacknowledged)
 
 
-class FramingError(Exception):
-    """The received bytes can't be cut into messages any more."""
-
-
 @implementer(IPullProducer)
 class RingLineReceiver(LineReceiver):
     """Calls `lineReceived` and, for a value that a line announced, `valueReceived` with the whole of it.
@@ -159,13 +156,13 @@
                 else:
                     mark = data.find(b"\r\n", start)
                     if mark - start > self.MAX_LENGTH or (mark < 0 and end - start > self.MAX_LENGTH):
-                        raise FramingError("line too long")
+                        raise MalformedMessageError("line too long")
                     if mark < 0:
                         return data[start:]
                     place = mark + 2
                     self.unparsed = end - place + self._rest
                     self.lineReceived(data[start:mark])
-        except FramingError as error:
+        except MalformedMessageError as error:
             self.framingLost(str(error))
         finally:
             self._parsing = False
--- a/cloverwell/codec/meta.py
+++ b/cloverwell/codec/meta.py
@@ -12,12 +12,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from cloverwell.codec.errors import CodecError
+
 MAX_KEY = 250  # characters
 MAX_ID = 64  # characters
 MAX_WAIT_MS = 3_600_000
 
 
-class CommandError(Exception):
+class CommandError(CodecError):
     """A command is wrong; the message says how, in words for the client."""
 
 
