--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -22,7 +22,7 @@
 from cloverwell.request import Attempt
 
 FLOW_STILL_MS = 10_000.0  # a long value of which nothing is read, or taken, for so long is given up
-MAX_MOVES = 4  # connections that one attempt may find closed before its last byte
+MAX_REASSIGNMENTS = 4  # connections that one attempt may find closed before its last byte
 
 
 class Pool:
@@ -76,10 +76,10 @@
 
     def reassign(self, attempt: Attempt) -> None:
         """Gives an attempt whose connection ended before its last byte to another connection."""
-        attempt.moves += 1
+        attempt.reassignments += 1
         if attempt.over:
             return
-        if attempt.moves > MAX_MOVES or self.too_late(attempt):
+        if attempt.reassignments > MAX_REASSIGNMENTS or self.too_late(attempt):
             attempt.end(AttemptOutcome.NOT_CONNECTED)
         else:
             self._write_or_wait(attempt)
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -175,7 +175,7 @@
         costly = f.never_twice(settings, request.class_number)
         deadline_ms = min(now + decision.timeout_ms, request.deadline_ms)
         attempt = Attempt(
-            decision, request, write_by_ms, self._attempt_ended, pool, deadline_ms, costly, asked_ms=now
+            decision, request, write_by_ms, self._ended, pool, deadline_ms, costly, asked_ms=now
         )
         request.attempts[decision.number] = attempt
         attempt.timer = self._wheel.not_before(deadline_ms, lambda: self._time_out(attempt))
@@ -201,7 +201,7 @@
     def _time_out(self, attempt: Attempt) -> None:
         attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
         request = attempt.request
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
         request.attempts.pop(attempt.choice.number, None)
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -72,7 +72,7 @@
     deadline_ms: float  # it is given up then, which is at its client's deadline at the latest
     costly: bool = False  # it may not run twice: a reset after its last byte loses the request
     asked_ms: float = 0.0  # when it was asked for
-    moves: int = 0  # connections that were found closed before its last byte
+    reassignments: int = 0  # connections that were found closed before its last byte
     timer: Timer | None = None
     propagated_ms: int = 0  # the time left that its command tells its node, set when it is formatted
     written_ms: float | None = None  # when its last byte was handed to the kernel, at the latest
