--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -1,38 +1,44 @@
-"""Attempts to a cache node, in memcache meta commands."""
+"""Attempts to a cache node, in memcache meta commands: `mg` for a read and `ms` for a write."""
+
+from __future__ import annotations
 
 from cloverwell.back.node_connection import NodeConnection
-from cloverwell.codec.lines import FramingError
+from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
 from cloverwell.streamed_value import LONG, LONGEST
 
 
 class CacheConnection(NodeConnection):
+    """A connection to a cache node, which may carry several attempts."""
+
     def command(self, attempt: Attempt) -> bytes:
+        """Returns the meta command of an attempt, with the propagated deadline in its `P` flag."""
         request = attempt.request
-        info = request.info_with(attempt.told_ms)
+        info = request.info_with(attempt.propagated_ms)
         if not request.write:
             return f"mg {request.key} v O{request.id} P{info}\r\n".encode()
         line = f"ms {request.key} {len(request.value)} O{request.id} P{info}\r\n"
         return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
+        """Reads the head of an answer. Raises `MalformedMessageError` also for one that is not owed."""
         if not self.attempts:
-            raise FramingError("an answer that no attempt waits for")
+            raise MalformedMessageError("an answer that no attempt waits for")
         words = line.split()
         match words[:1]:
             case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
                 self._check(words[2:], write=False)
                 length = int(words[1])
                 if length > LONG:
-                    self.begin(length)
+                    self.begin_stream(length)
                 else:
-                    self.expect_value(length + 2)
+                    self.expect_value(length + len(self.delimiter))
             case [b"HD"]:
                 self._check(words[1:], write=True)
                 receipts = [word[1:] for word in words[1:] if word.startswith(b"c")]
                 if not receipts:
-                    raise FramingError("a receipt is missing")
+                    raise MalformedMessageError("a receipt is missing")
                 self.finish_attempt(AttemptOutcome.SERVED, receipts[0])
             case [b"EN"]:
                 self._check(words[1:])
@@ -42,25 +48,28 @@
             case [b"SERVER_ERROR"] if words[1:2] == [b"failed"]:
                 self.finish_attempt(AttemptOutcome.ERROR, named=False)
             case _:
-                raise FramingError(f"unknown line {line[:60]!r}")
+                raise MalformedMessageError(f"unknown line {line[:60]!r}")
 
     def pieceReceived(self, data: bytes) -> None:
+        """Passes on a piece of a long value, and awaits the line end behind the last one."""
         super().pieceReceived(data)
-        if self.flow is not None and not self.flow.left:
-            self.expect_value(2)
+        if self.stream is not None and not self.stream.left:
+            self.expect_value(len(self.delimiter))
 
     def valueReceived(self, data: bytes) -> None:
-        if not data.endswith(b"\r\n"):
-            raise FramingError("a value without its line end")
-        if self.flow is not None:
-            return self.end_flow()
-        return self.finish_attempt(AttemptOutcome.SERVED, data[:-2])
+        """Takes a whole value with its line end, or the line end of a long value."""
+        if not data.endswith(self.delimiter):
+            raise MalformedMessageError("a value without its line end")
+        if self.stream is not None:
+            self.end_stream()
+        else:
+            self.finish_attempt(AttemptOutcome.SERVED, data[: -len(self.delimiter)])
 
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
         # An answer under another id is another request's: it must not reach this one. Nor may a receipt be
         # taken for a value.
         request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
-            raise FramingError("an answer under another id")
+            raise MalformedMessageError("an answer under another id")
         if write not in (None, request.write):
-            raise FramingError("an answer of another kind")
+            raise MalformedMessageError("an answer of another kind")
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -3,6 +3,7 @@
 import contextlib
 import errno
 import os
+from dataclasses import replace
 
 import pytest
 from faulty_sockets import Calls, Outgoing, take_watch_back
@@ -13,6 +14,7 @@
 
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.metrics import ConnectionEvent
+from cloverwell.connections.unsent_retry import MARGIN_TICKS, RETRY_DELAY_MS, UnsentRequest, retry_at_ms
 from lab.proxy import SETTINGS
 
 SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -70,7 +72,7 @@
     return b""
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_a_read_whose_connection_could_not_be_begun_is_sent_soon_and_its_node_not_blamed(
     rig, outgoing, stage, number
 ):
@@ -79,15 +81,17 @@
     conn = proxy.client(read(1))
     node = reached(proxy, proxy.nodes[0], b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
-    assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n" and failing.failed == 1
+    assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
+    assert failing.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.of("s1")
-    assert pool.opening == 0 and proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
+    assert pool.opening == 0
+    assert proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
     assert proxy.origin._accept() is None
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_an_order_whose_connection_could_not_be_begun_is_sent_once(rig, outgoing, stage, number):
     proxy = rig()
     fail(outgoing, proxy.origin.address, stage, number)
@@ -100,7 +104,7 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-@pytest.mark.parametrize("stage, number", [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
+@pytest.mark.parametrize(("stage", "number"), [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
 def test_a_shortage_that_lasts_ends_no_request_that_has_time(rig, outgoing, make, stage, number):
     proxy = rig()
     origin, cache = proxy.origin.address, proxy.nodes[0].address
@@ -108,7 +112,8 @@
     begun_ms = proxy.now()
     conn = proxy.client(make(1, 1990))
     proxy.skip(400)
-    assert answers(proxy, conn) == b"" and proxy.service.dispatcher.open_count == 1
+    assert answers(proxy, conn) == b""
+    assert proxy.service.dispatcher.open_count == 1
     # One try in 20 ms at the most, at each of the two; a loop without a pause would make thousands.
     tries = sum(calls.failed for calls in failing)
     assert 5 <= tries <= 2 * (proxy.now() - begun_ms) / 20 + 3
@@ -136,7 +141,8 @@
     proxy.skip(399)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     proxy.skip(500)
-    assert answers(proxy, conn) == b"" and not proxy.service.dispatcher.open_count
+    assert answers(proxy, conn) == b""
+    assert not proxy.service.dispatcher.open_count
     assert not proxy.service.budget.held[DescriptorSide.NODES]
 
 
@@ -176,7 +182,8 @@
     for calls in failing:
         calls.always = None
     proxy.skip(300)
-    assert proxy.origin._accept() is None and proxy.nodes[0]._accept() is None
+    assert proxy.origin._accept() is None
+    assert proxy.nodes[0]._accept() is None
 
 
 def test_with_one_connection_in_hand_the_others_can_not_be_opened_and_all_are_served(rig, outgoing):
@@ -227,14 +234,15 @@
 # Discovery -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("stage, number", LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL)
 def test_discovery_is_asked_soon_where_this_machine_could_not(rig, outgoing, stage, number):
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     take_watch_back(proxy)
     proxy.service.endpoint_discovery.watch()
     reached(proxy, proxy.discovery, b"GET /v1/servers")
-    assert failing.failed >= 1 and "call failed" not in proxy.log.getvalue()
+    assert failing.failed >= 1
+    assert "call failed" not in proxy.log.getvalue()
     assert not proxy.service.endpoint_discovery._retry.failing
 
 
@@ -279,3 +287,34 @@
     assert connect_fault(ConnectError(string="closed")) is not None
     assert connect_fault(TimeoutError()) is None
     assert all(connect_fault(getConnectError((number, ""))) is None for number in SERVERS)
+
+
+UNSENT = UnsentRequest(
+    over=False,
+    in_flight=False,
+    may_have_run=False,
+    rejected_or_failed=True,
+    ordered=False,
+    answer_by_ms=1000.0,
+)
+TICK_MS = 5.0
+
+
+def test_a_request_that_nothing_was_sent_for_is_decided_again_while_there_is_time_for_it():
+    latest_ms = 1000.0 - MARGIN_TICKS * TICK_MS - RETRY_DELAY_MS
+    assert retry_at_ms(UNSENT, latest_ms - 0.1, TICK_MS) == latest_ms - 0.1 + RETRY_DELAY_MS
+    assert retry_at_ms(UNSENT, latest_ms, TICK_MS) is None
+
+
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"over": True},
+        {"in_flight": True},
+        {"may_have_run": True},
+        {"rejected_or_failed": False},
+        {"ordered": True},
+    ],
+)
+def test_a_request_that_is_over_has_run_or_has_another_attempt_keeps_its_decision(change):
+    assert retry_at_ms(replace(UNSENT, **change), 0.0, TICK_MS) is None
