--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -12,11 +12,11 @@
 
 from cloverwell.cli.main import refuse
 from lab.scale import machine, plan
+from lab.scale.scenario import World, WorldError, check, load, shipped
 from lab.scale.slopes import FitError, Line, fit_all, miss
-from lab.scale.world import World, WorldError, check, load, shipped
 
 if TYPE_CHECKING:
-    from lab.scale.outcome import Outcome
+    from lab.scale.result import Outcome
 
 BROKEN = 1  # exit code where revisions were lost or misplaced, or a process ended by itself
 INTERRUPTED = 130
@@ -69,7 +69,8 @@
     \b
     Example: cloverwell lab scale small --out small.jsonl
     """
-    from lab.scale import outcome, process_group
+    from lab.scale import process_group
+    from lab.scale import result as outcome
     from lab.scale import run as runner
 
     try:
--- a/lab/scale/faults.py
+++ b/lab/scale/faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from lab.scale.messages import LinkWay, SetLink
-from lab.scale.world import Fault
+from lab.scale.scenario import Fault
 
 
 def far_region(fault: Fault, discovery_region: str) -> str:
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
-from lab.scale.world import Changes
+from lab.scale.scenario import Changes
 
 # To a process ----------------------------------------------------------------------------------
 
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -7,7 +7,7 @@
 
 from cloverwell.membership.endpoint_list import Endpoint
 from lab.proxy import SETTINGS
-from lab.scale.world import World, WorldError
+from lab.scale.scenario import World, WorldError
 
 MEMORY_SHARE = 0.5  # of the machine's, that a run may take
 MOST_PROCESSES = 300
--- a/lab/scale/outcome.py
+++ b/lab/scale/result.py
@@ -24,7 +24,7 @@
     percentiles_ms,
 )
 from lab.scale.membership import MemberList, digest
-from lab.scale.world import World
+from lab.scale.scenario import World
 
 LATENCY_SHARES = ("p50", "p99", "p100")
 
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -13,9 +13,9 @@
 from lab.scale.faults import far_region, link_state
 from lab.scale.measure import InForceMeasure, ProcessCost
 from lab.scale.membership import MemberList
-from lab.scale.outcome import Outcome
 from lab.scale.process_group import ChildProcess, ProcessEnded, ProcessGroup
-from lab.scale.world import LINK_FAULTS, Fault, World
+from lab.scale.result import Outcome
+from lab.scale.scenario import LINK_FAULTS, Fault, World
 
 START_S = 60.0  # what a process may take until it is ready
 SAMPLE_S = 1.0
--- a/lab/scale/start.py
+++ b/lab/scale/start.py
@@ -12,7 +12,7 @@
 from lab.processes import free_port
 from lab.scale import messages, plan
 from lab.scale.plan import ProxyPlace
-from lab.scale.world import World, delays_ms
+from lab.scale.scenario import World, delays_ms
 
 HOST = "127.0.0.1"
 FIRST_REVISION = 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from lab.scale import plan
 from lab.scale.call_queue import CallQueue
 from lab.scale.membership import KEPT_REMOVALS, MemberList, digest, next_change
-from lab.scale.world import WorldError, load, shipped
+from lab.scale.scenario import WorldError, load, shipped
 
 cli.add_command(lab)
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -9,7 +9,7 @@
 from lab.scale import control_clients, messages, plan
 from lab.scale.hollow import HollowProxy, NamedLog
 from lab.scale.membership import digest
-from lab.scale.world import load
+from lab.scale.scenario import load
 
 MEMBERS = [
     Endpoint("node-0", "127.0.0.1:1", "east-0", "large"),
--- a/tests/test_scale_links.py
+++ b/tests/test_scale_links.py
@@ -9,7 +9,7 @@
 from lab.scale.faults import link_state
 from lab.scale.messages import LinkWay, RelayLink
 from lab.scale.relay import RETRANSMISSION_S, Pipe, RelayPort, Way
-from lab.scale.world import Fault
+from lab.scale.scenario import Fault
 
 
 def fault(kind, way="both", between=("east", "west"), **more):
