--- a/lab/scale/charts.py
+++ b/lab/scale/charts.py
@@ -1,27 +1,30 @@
-"""One chart for each quantity: the measured points, the line, and what it predicts."""
+"""Charts of fitted lines: one for each quantity, with its measured points, its line and its prediction."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from pathlib import Path
 
 import matplotlib
 
-from lab.scale.slopes import Line
+from lab.scale.slopes import FittedLine, SizedRun
 
 matplotlib.use("Agg")
 
 from matplotlib import pyplot
 
+FIGURE_INCHES = (5.0, 3.2)
+DOTS_PER_INCH = 100
+
 
 def draw(
     folder: Path,
     axis: str,
-    runs: Sequence[tuple[float, Mapping[str, float]]],
-    lines: Mapping[str, Line],
+    runs: Sequence[SizedRun],
+    lines: dict[str, FittedLine],
     predicted_size: float | None,
 ) -> list[Path]:
-    """Writes `AXIS-QUANTITY.png` into the folder; tells the files."""
+    """Writes `AXIS-QUANTITY.png` into the folder for each line, and returns the files."""
     folder.mkdir(parents=True, exist_ok=True)
     return [_draw_one(folder, axis, name, runs, line, predicted_size) for name, line in lines.items()]
 
@@ -30,14 +33,14 @@
     folder: Path,
     axis: str,
     name: str,
-    runs: Sequence[tuple[float, Mapping[str, float]]],
-    line: Line,
+    runs: Sequence[SizedRun],
+    line: FittedLine,
     predicted_size: float | None,
 ) -> Path:
-    sizes = [size for size, _ in runs]
+    sizes = [run.size for run in runs]
     ends = [min(sizes), max([*sizes, predicted_size or 0.0])]
-    figure, axes = pyplot.subplots(figsize=(5.0, 3.2))
-    axes.plot(sizes, [quantities[name] for _, quantities in runs], "o", label="measured")
+    figure, axes = pyplot.subplots(figsize=FIGURE_INCHES)
+    axes.plot(sizes, [run.quantities[name] for run in runs], "o", label="measured")
     axes.plot(ends, [line.at(end) for end in ends], "-", label=f"{line.start:.4g} + {line.slope:.4g} x")
     if predicted_size is not None:
         error = line.error_at(predicted_size)
@@ -48,6 +51,6 @@
     axes.legend()
     figure.tight_layout()
     path = folder / f"{axis}-{name}.png"
-    figure.savefig(path, dpi=100)
+    figure.savefig(path, dpi=DOTS_PER_INCH)
     pyplot.close(figure)
     return path
--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -12,22 +12,24 @@
 
 from cloverwell.cli.main import refuse
 from lab.scale import machine, plan
-from lab.scale.scenario import World, WorldError, check, load, shipped
-from lab.scale.slopes import FitError, Line, fit_all, miss
+from lab.scale.errors import RunInterruptedError, ScaleRunError
+from lab.scale.scenario import ScaleScenario, ScenarioError, check, load, shipped
+from lab.scale.slopes import FitError, FittedLine, SizedRun, fit_all, relative_error
 
 if TYPE_CHECKING:
-    from lab.scale.result import Outcome
+    from lab.scale.result import ScaleResult
 
-BROKEN = 1  # exit code where revisions were lost or misplaced, or a process ended by itself
+BROKEN = 1  # exit code if revisions were lost or misplaced, or a process ended by itself
 INTERRUPTED = 130
 RESULTS = click.Path(exists=True, dir_okay=False, path_type=Path)
-AXES = {"proxies": lambda head: head["proxies"]["hollow"], "nodes": lambda head: head["nodes"]}
+AXES = ("proxies", "nodes")
 
 
 class RunByDefault(click.Group):
-    """`scale WORLD` is `scale run WORLD`."""
+    """A group of commands in which `scale WORLD` stands for `scale run WORLD`."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
+        """Puts `run` before arguments that begin with no command."""
         if args and args[0] not in self.commands and args[0] not in ("-h", "--help"):
             args = ["run", *args]
         return super().parse_args(ctx, args)
@@ -69,38 +71,51 @@
     \b
     Example: cloverwell lab scale small --out small.jsonl
     """
-    from lab.scale import process_group
-    from lab.scale import result as outcome
-    from lab.scale import run as runner
-
+    name = Path(world).name
     try:
-        read = _changed(load(world), Path(world).name, seed, hollow, nodes)
-        plan.check_fits(read, machine.memory_mb(), Path(world).name)
-    except WorldError as error:
+        scenario = _with_sizes(load(world), name, seed, hollow, nodes)
+        plan.check_fits(scenario, machine.memory_mb(), name)
+    except ScenarioError as error:
         refuse(str(error))
     if out is not None and not out.parent.is_dir():
         refuse(f"--out: {out.parent} is no folder")
+    _run_and_report(scenario, Path(world).stem, out, logs)
+
+
+def _run_and_report(scenario: ScaleScenario, name: str, out: Path | None, logs: Path | None) -> None:
+    # The commands that run nothing need not import what a run does.
+    from lab.scale.result import write_text
+    from lab.scale.summary import format_summary
+
+    result = _run_scenario(scenario, logs)
+    if out is not None:
+        out.write_text(write_text(result, name))
+    click.echo(format_summary(name, result))
+    if not result.good:
+        raise SystemExit(BROKEN)
+
+
+def _run_scenario(scenario: ScaleScenario, logs: Path | None) -> ScaleResult:
+    from lab.scale import run as runner
+
     with tempfile.TemporaryDirectory(prefix="cloverwell-scale-") as scratch:
         folder = logs or Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
         try:
-            result = runner.run(read, folder.resolve())
-        except runner.Stopped:
+            return runner.run(scenario, folder.resolve())
+        except RunInterruptedError:
             click.echo("cloverwell: interrupted; all processes have ended", err=True)
             raise SystemExit(INTERRUPTED) from None
-        except (process_group.ProcessEnded, TimeoutError) as error:
+        except (ScaleRunError, TimeoutError) as error:
             click.echo(f"cloverwell: {error or 'a process was not ready in time'}", err=True)
             raise SystemExit(BROKEN) from None
-    if out is not None:
-        out.write_text(outcome.write_text(result, Path(world).stem))
-    click.echo(_told(Path(world).stem, result))
-    if not result.good:
-        raise SystemExit(BROKEN)
 
 
-def _changed(world: World, where: str, seed: int | None, hollow: int | None, nodes: int | None) -> World:
-    """The world with another seed and other sizes, checked as a file's are."""
-    raw = msgspec.to_builtins(world)
+def _with_sizes(
+    scenario: ScaleScenario, where: str, seed: int | None, hollow: int | None, nodes: int | None
+) -> ScaleScenario:
+    """Returns the scenario with another seed and other sizes, checked as a file is."""
+    raw = msgspec.to_builtins(scenario)
     if seed is not None:
         raw["seed"] = seed
     if hollow is not None:
@@ -108,33 +123,16 @@
     if nodes is not None:
         raw["nodes"]["count"] = nodes
     try:
-        changed = msgspec.convert(raw, World)
+        changed = msgspec.convert(raw, ScaleScenario)
     except msgspec.ValidationError as error:
-        raise WorldError(f"{where}: {error}".replace("\n", " ")) from None
+        raise ScenarioError(where, str(error)) from None
     check(changed, where)
     return changed
 
 
-def _told(name: str, result: Outcome) -> str:
-    """The outcome for a person."""
-    sizes = f"{result.world.hollow.count} hollow, {result.world.real.count} real proxies"
-    lines = [f"{name}, seed {result.world.seed}: {sizes}, {result.world.nodes.count} nodes"]
-    lines.append(f"  {len(result.server_list.changes)} changes in {result.seconds:.1f} s")
-    lines += [f"  {what}" for what in result.faults]
-    lines += [f"  {quantity:24} {value:g}" for quantity, value in result.quantities().items()]
-    if (load_totals := result.totals.get("load")) is not None:
-        counts = {key: value for key, value in msgspec.to_builtins(load_totals).items() if key != "latency"}
-        lines.append("  requests: " + ", ".join(f"{k} {v}" for k, v in counts.items() if k != "type"))
-    orders = ", ".join(f"{key} {value}" for key, value in msgspec.to_builtins(result.orders).items() if value)
-    lines.append(f"  revisions: {orders or 'none'}")
-    lines.append(f"  latest timer of a hollow process: {result.most_lag_ms:g} ms")
-    lines.append("  good" if result.good else f"  NOT GOOD ({result.unexpected} unexpected exceptions)")
-    return "\n".join(lines)
-
-
 @scale.command()
 @click.argument("files", nargs=-1, required=True, type=RESULTS)
-@click.option("--axis", type=click.Choice(list(AXES)), default="proxies", show_default=True)
+@click.option("--axis", type=click.Choice(AXES), default="proxies", show_default=True)
 @click.option("--at", "predicted_size", type=float, help="Predict each quantity at this size.")
 @click.option("--measured", type=RESULTS, help="Results there, to compare.")
 @click.option("--charts", type=click.Path(file_okay=False, path_type=Path), help="Write charts here, as PNG.")
@@ -153,13 +151,13 @@
     Example: cloverwell lab scale slopes p*.jsonl --axis proxies --at 480 --charts charts
     """
     try:
-        runs = [_read(path, axis) for path in files]
+        runs = [_read_run(path, axis) for path in files]
         lines = fit_all(runs)
-        found = _read(measured, axis)[1] if measured is not None else {}
+        quantities = _read_run(measured, axis).quantities if measured is not None else {}
     except (FitError, KeyError, ValueError) as error:
         refuse(f"FILES: {error}")
     for name, line in lines.items():
-        row = _row(name, line, predicted_size, found.get(name))
+        row = _line_row(name, line, predicted_size, quantities.get(name))
         click.echo(json.dumps(row) if as_json else " ".join(f"{key}={value}" for key, value in row.items()))
     if charts is not None:
         from lab.scale.charts import draw
@@ -167,14 +165,17 @@
         draw(charts, axis, runs, lines, predicted_size)
 
 
-def _read(path: Path, axis: str) -> tuple[float, dict[str, float]]:
-    """A run's size and quantities."""
+def _read_run(path: Path, axis: str) -> SizedRun:
+    """Returns the size and the quantities of a run's results."""
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     by_kind = {line["kind"]: line for line in lines if line["kind"] in ("run", "summary")}
-    return float(AXES[axis](by_kind["run"])), by_kind["summary"]["quantities"]
+    head = by_kind["run"]
+    size = head["proxies"]["hollow"] if axis == "proxies" else head["nodes"]
+    return SizedRun(float(size), by_kind["summary"]["quantities"])
 
 
-def _row(name: str, line: Line, size: float | None, measured: float | None) -> dict[str, Any]:
+def _line_row(name: str, line: FittedLine, size: float | None, measured: float | None) -> dict[str, Any]:
+    """Returns the printed fields of a line, with its prediction at `size` and the value `measured` there."""
     row: dict[str, Any] = {
         "quantity": name,
         "slope": round(line.slope, 6),
@@ -186,5 +187,5 @@
     if size is not None:
         row |= {"at": size, "predicted": round(line.at(size), 4), "error": round(line.error_at(size), 4)}
         if measured is not None:
-            row |= {"measured": measured, "off": round(miss(line.at(size), measured), 3)}
+            row |= {"measured": measured, "off": round(relative_error(line.at(size), measured), 3)}
     return row
--- a/lab/scale/faults.py
+++ b/lab/scale/faults.py
@@ -1,43 +1,52 @@
-"""What a world's faults do to a link at an instant. No I/O."""
+"""The state of a link under the scheduled faults that are active at an instant. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from lab.scale.messages import LinkWay, SetLink
-from lab.scale.scenario import Fault
+from lab.scale.messages import DirectionState, SetLink
+from lab.scale.scenario import Regions, ScheduledFault
 
 
-def far_region(fault: Fault, discovery_region: str) -> str:
-    """The region of a link's fault that discovery is not in."""
-    first, second = fault.between
+def far_region(fault: ScheduledFault, discovery_region: str) -> str:
+    """Returns the region of a link's fault that discovery is not in."""
+    first, second = _regions(fault)
     return second if first == discovery_region else first
 
 
-def link_state(region: str, discovery_region: str, active: Iterable[Fault]) -> SetLink:
-    """A region's link to discovery under all faults that last now."""
-    ways = {"there": LinkWay(), "back": LinkWay()}
+def link_state(region: str, discovery_region: str, active: Iterable[ScheduledFault]) -> SetLink:
+    """Returns the state of a region's link to discovery under all active faults."""
+    there = DirectionState()
+    back = DirectionState()
     for fault in active:
         if far_region(fault, discovery_region) != region:
             continue
-        for name in _ways(fault, region):
-            ways[name] = _worse(ways[name], fault)
-    return SetLink(region, **ways)
+        if _affects(fault, region, "there"):
+            there = _add_fault(there, fault)
+        if _affects(fault, region, "back"):
+            back = _add_fault(back, fault)
+    return SetLink(region, there, back)
 
 
-def _ways(fault: Fault, region: str) -> tuple[str, ...]:
+def _regions(fault: ScheduledFault) -> Regions:
+    if fault.between is None:
+        raise ValueError(f"a fault of kind {fault.kind} is not a link's")
+    return fault.between
+
+
+def _affects(fault: ScheduledFault, region: str, direction: str) -> bool:
     if fault.way == "both":
-        return ("there", "back")
-    # A fault's `there` goes from its first region to its second, a link's from the proxies to discovery.
-    from_proxies = (fault.between[0] == region) == (fault.way == "there")
-    return ("there",) if from_proxies else ("back",)
+        return True
+    # A fault's `there` leads from its first region to its second, a link's from the proxies to discovery.
+    leads_from_proxies = (_regions(fault)[0] == region) == (fault.way == "there")
+    return leads_from_proxies == (direction == "there")
 
 
-def _worse(way: LinkWay, fault: Fault) -> LinkWay:
+def _add_fault(state: DirectionState, fault: ScheduledFault) -> DirectionState:
     match fault.kind:
         case "cut":
-            return LinkWay(True, way.extra_ms, way.loss)
+            return DirectionState(True, state.extra_ms, state.loss)
         case "delay":
-            return LinkWay(way.cut, way.extra_ms + fault.extra_ms, way.loss)
+            return DirectionState(state.cut, state.extra_ms + fault.extra_ms, state.loss)
         case _:
-            return LinkWay(way.cut, way.extra_ms, 1.0 - (1.0 - way.loss) * (1.0 - fault.share))
+            return DirectionState(state.cut, state.extra_ms, 1.0 - (1.0 - state.loss) * (1.0 - fault.share))
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -1,7 +1,7 @@
-"""A process of hollow proxies: whole proxies (`cloverwell.proxy.Proxy`) that no client can reach.
+"""A child process of hollow proxies: whole proxies (`cloverwell.proxy.Proxy`) that no client can reach.
 
-All of a proxy runs but its listening port: the watch, the decisions, the pools with their sweeps, the timer
-wheel. Their reactor is one, as is their process.
+Everything of a proxy runs but its listening port: the watch, the decisions, the connection pools with their
+sweeps, and the timer wheel. The proxies of a process share its reactor.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import io
 import time
 from collections.abc import Callable
-from typing import Any, TextIO
+from typing import TextIO, cast
 
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
@@ -21,25 +21,27 @@
 from cloverwell.unix_time import read_epoch_ms
 from lab.scale import control_clients, messages
 from lab.scale.membership import digest
+from lab.scale.reactor import Report, ScaleReactor
 
-REPORT_EVERY_S = 0.25
-NOWHERE = ("127.0.0.1", 0)
+REPORT_INTERVAL_S = 0.25
+NO_ADDRESS = ("127.0.0.1", 0)
 
 
 class NamedLog(io.TextIOBase):
-    """A proxy's lines in its process's log, its name before each."""
+    """A stream that writes a proxy's lines to its process's log, each with the proxy's name before it."""
 
     def __init__(self, name: str, log: TextIO) -> None:
+        """Writes to `log`."""
         super().__init__()
         self._name = name
         self._log = log
 
     def write(self, text: str) -> int:
-        """Takes a line without its end, or the end alone."""
+        """Writes a line without its end, or the end alone."""
         return self._log.write(text if text == "\n" else f"{self._name} {text}")
 
     def flush(self) -> None:
-        """For each line: a process that is killed must have told."""
+        """Flushes the log; each line must be, since the process may be killed at any time."""
         self._log.flush()
 
 
@@ -47,131 +49,140 @@
     """Stands for the port that a hollow proxy does not open."""
 
     def stopListening(self) -> None:
-        """There is nothing to close."""
+        """Does nothing, since no port is open."""
 
 
-def no_port(*_: Any, **__: Any) -> ClosedPort:
+def open_no_port(*_: object, **__: object) -> ClosedPort:
     """Takes the place of `cloverwell.front.port.listen`."""
     return ClosedPort()
 
 
 class HollowProxy:
-    """One proxy; each list that its decisions have taken is told to `in_force`."""
+    """One hollow proxy; each list that its decisions have applied is passed to `on_activation`."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: ScaleReactor,
         spec: messages.HollowSpec,
         known: EndpointList,
         log: TextIO,
-        in_force: Callable[[messages.ActivationCount], None],
+        on_activation: Callable[[messages.Activation], None],
         incarnation: int,
     ) -> None:
+        """Makes the proxy without starting it; `known` is the list that it begins with."""
         self.name = spec.name
         self.failed_calls = 0
         self._incarnation = incarnation
-        self._in_force = in_force
-        self._row: messages.ActivationCount | None = None  # what the answer in hand put in force
-        config = Config(
-            name=spec.name,
-            listen=NOWHERE,
-            discovery=spec.discovery,
-            seed=spec.seed,
-            limits=Limits(),
-            known=known,
-            settings=read_settings(spec.settings),
+        self._on_activation = on_activation
+        self._activation: messages.Activation | None = None  # of the answer that is being handled
+        stream = cast(TextIO, NamedLog(spec.name, log))
+        self.service = Proxy(
+            reactor, _configuration(spec, known), Log(monotonic_ms, stream), monotonic_ms, read_epoch_ms
         )
-        named_log = Log(monotonic_ms, NamedLog(spec.name, log))
-        self.service = Proxy(reactor, config, named_log, monotonic_ms, read_epoch_ms)
-        self._decide = self.service.endpoint_discovery.tell
-        self.service.endpoint_discovery.tell = self._told
-        self._take_answer = self.service.endpoint_discovery.answered
-        self.service.endpoint_discovery.answered = self._answered
+        self._observe_discovery()
         context = control_clients.ProxyContext(spec.name, self.service, reactor, self._record)
         self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
 
+    def _observe_discovery(self) -> None:
+        """Puts this object's methods in front of the proxy's own ones, which they call."""
+        self._apply_update = self.service.endpoint_discovery.tell
+        self.service.endpoint_discovery.tell = self._on_update
+        self._handle_answer = self.service.endpoint_discovery.answered
+        self.service.endpoint_discovery.answered = self._on_answer  # type: ignore[method-assign]
+
     def start(self) -> None:
-        """Takes the list known at the start, and begins to follow discovery."""
-        self.service.start(listen=no_port)
+        """Applies the list known at the start, and begins to follow discovery."""
+        self.service.start(listen=open_no_port)
         for client in self._control_clients:
             client.start()
 
     def stop(self) -> None:
-        """Ends what it follows."""
+        """Ends the control clients and the watch of discovery."""
         for client in self._control_clients:
             client.stop()
         self.service.endpoint_discovery.stop()
 
-    def _answered(self, status: int, body: bytes) -> None:
-        self._row = None
+    def _on_answer(self, status: int, body: bytes) -> None:
+        self._activation = None
         began_s = time.thread_time()
-        self._take_answer(status, body)
-        if self._row is not None:
-            self._row.cpu_ms = 1000.0 * (time.thread_time() - began_s)
+        self._handle_answer(status, body)
+        if self._activation is not None:
+            self._activation.cpu_ms = 1000.0 * (time.thread_time() - began_s)
 
-    def _told(self, told: EndpointUpdate | EndpointUpdateFailed) -> None:
-        self._decide(told)
-        if isinstance(told, EndpointUpdateFailed):
+    def _on_update(self, update: EndpointUpdate | EndpointUpdateFailed) -> None:
+        self._apply_update(update)
+        if isinstance(update, EndpointUpdateFailed):
             self.failed_calls += 1
             return
-        lines = len(told.entries)
-        self._record(messages.SERVER_LIST, told.revision, told.complete, lines, told.held)
+        lines = len(update.entries)
+        self._record(messages.SERVER_LIST, update.revision, update.complete, lines, update.held)
 
     def _record(self, source: str, revision: int, complete: bool, lines: int, held: bool = False) -> None:
         now = time.monotonic()
-        row = messages.ActivationCount(
+        activation = messages.Activation(
             self.name, self._incarnation, revision, now, complete, lines, held, source=source
         )
-        self._row = row
-        self._in_force(row)
+        self._activation = activation
+        self._on_activation(activation)
 
-    def final_list(self) -> messages.FinalList:
-        """The list as the proxy would hand it to a successor."""
+    def final_list(self) -> messages.FinalEndpointList:
+        """Returns the list as the proxy would hand it to a successor."""
         listing = self.service.endpoint_discovery.listing()
-        return messages.FinalList(self.name, listing.revision, digest(listing.members))
+        return messages.FinalEndpointList(self.name, listing.revision, digest(listing.members))
+
+
+def _configuration(spec: messages.HollowSpec, known: EndpointList) -> Config:
+    return Config(
+        name=spec.name,
+        listen=NO_ADDRESS,
+        discovery=spec.discovery,
+        seed=spec.seed,
+        limits=Limits(),
+        known=known,
+        settings=read_settings(spec.settings),
+    )
 
 
 class HollowProcess:
-    """The role of a process: so many hollow proxies on one reactor."""
+    """The role of the process: hollow proxies on one reactor."""
 
-    def __init__(
-        self, reactor: Any, start: messages.StartHollow, report: Callable[[messages.Report], None]
-    ) -> None:
+    def __init__(self, reactor: ScaleReactor, start: messages.StartHollow, report: Report) -> None:
+        """Starts all proxies of the start message, and reports that they run."""
         self._reactor = reactor
         self._report = report
-        self._rows: list[messages.ActivationCount] = []
+        self._activations: list[messages.Activation] = []
         self._log = open(f"{start.process}.proxies.log", "a")  # noqa: SIM115 (open as long as the process is)
         self._proxies = [
-            HollowProxy(reactor, spec, start.known, self._log, self._rows.append, start.incarnation)
+            HollowProxy(reactor, spec, start.known, self._log, self._activations.append, start.incarnation)
             for spec in start.proxies
         ]
         for proxy in self._proxies:
             proxy.start()
-        self._most_lag_s = 0.0
-        self._flush_due_s = time.monotonic()
-        self._flush()
+        self._max_timer_delay_s = 0.0
+        self._report_due_s = time.monotonic()
+        self._report_periodically()
         report(messages.Ready())
 
-    def _flush(self) -> None:
+    def _report_periodically(self) -> None:
         now = time.monotonic()
-        self._most_lag_s = max(self._most_lag_s, now - self._flush_due_s)
-        self._flush_due_s = now + REPORT_EVERY_S
-        self._send_rows()
-        self._reactor.callLater(REPORT_EVERY_S, self._flush)
+        self._max_timer_delay_s = max(self._max_timer_delay_s, now - self._report_due_s)
+        self._report_due_s = now + REPORT_INTERVAL_S
+        self._report_activations()
+        self._reactor.callLater(REPORT_INTERVAL_S, self._report_periodically)
 
-    def _send_rows(self) -> None:
-        if self._rows:
-            self._report(messages.InForceBatch(self._rows))
-            self._rows.clear()
+    def _report_activations(self) -> None:
+        if self._activations:
+            self._report(messages.ActivationBatch(self._activations))
+            self._activations.clear()
 
     def command(self, command: messages.Command) -> None:
-        """It takes no commands but its end."""
+        """Does nothing: the process takes no commands but its end."""
 
     def finish(self) -> messages.HollowTotals:
-        """The last rows, then the lists as they are now."""
+        """Reports the last activations, stops the proxies, and returns the totals with their lists."""
         lists = [proxy.final_list() for proxy in self._proxies]
         failed_calls = sum(proxy.failed_calls for proxy in self._proxies)
-        self._send_rows()
+        self._report_activations()
         for proxy in self._proxies:
             proxy.stop()
-        return messages.HollowTotals(lists, failed_calls, round(1000.0 * self._most_lag_s, 1))
+        return messages.HollowTotals(lists, failed_calls, round(1000.0 * self._max_timer_delay_s, 1))
--- a/lab/scale/measure.py
+++ b/lab/scale/measure.py
@@ -1,123 +1,174 @@
-"""What a run's reports come to: delays until changes were in force, the order of revisions, costs. No I/O."""
+"""Measurements from the reports of a run: activation delays, the order of revisions, and costs. No I/O."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from itertools import pairwise
+from typing import NamedTuple
 
-from hdrh.histogram import HdrHistogram
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from lab.scale import messages
 
-HIGHEST_US = 600_000_000
-DIGITS = 3
-MOST_NAMED = 10
+HIGHEST_DELAY_US = 600_000_000
+HISTOGRAM_DIGITS = 3
+MAX_NAMED_PROXIES = 10
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
 @dataclass(slots=True)
-class Orders:
-    """Counts over all proxies; the first four are 0 where all is well."""
-
-    out_of_order: int = 0  # a revision came after a later one
-    repeated: int = 0  # the same changes came again
-    lost: int = 0  # changes that a proxy alive at the end never had in force
-    wrong_lists: int = 0  # proxies whose list at the end is not discovery's
-    merged: int = 0  # revisions that came together with a later one, in one answer
-    taken: int = 0  # answers that had something new
-    not_followed: int = 0  # changes whose proxy ended before it had them
-    behind: list[str] = field(default_factory=list)  # some of the proxies with wrong lists, by name
+class RevisionCounts:
+    """Counts of revisions over all proxies; the first four are 0 in a good run.
+
+    - `out_of_order`: revisions that came after a later one.
+    - `repeated`: answers with changes that the proxy had applied already.
+    - `lost`: changes that a proxy which was alive at the end never applied.
+    - `wrong_lists`: proxies whose list at the end differs from discovery's; `behind` names some of them.
+    - `merged`: revisions that came together with a later one, in one answer.
+    - `taken`: answers with at least one new revision.
+    - `not_followed`: changes whose proxy ended before it applied them.
+    """
+
+    out_of_order: int = 0
+    repeated: int = 0
+    lost: int = 0
+    wrong_lists: int = 0
+    merged: int = 0
+    taken: int = 0
+    not_followed: int = 0
+    behind: list[str] = field(default_factory=list)
 
     @property
     def kept(self) -> bool:
-        """Nothing was lost or came out of order."""
+        """Whether nothing was lost and nothing came out of order."""
         return not (self.out_of_order or self.repeated or self.lost or self.wrong_lists)
 
 
-class InForceMeasure:
-    """Collects one source's changes and what proxies took of them, and compares both once the run is over."""
+class ProxyLife(NamedTuple):
+    """A proxy since one of its starts."""
+
+    proxy: str
+    incarnation: int
+
+
+class Comparison(NamedTuple):
+    """The result of comparing changes with activations; the histogram has the delays in microseconds."""
+
+    delays: HdrHistogram
+    counts: RevisionCounts
+
+
+class ActivationDelays(NamedTuple):
+    """The delay of each change that a proxy applied, and the number of changes that it did not."""
+
+    delays_s: list[float]
+    missing: int
+
+
+class ActivationMeasure:
+    """Collects the revisions of one source and their activations, and compares them once the run is over."""
 
     def __init__(self) -> None:
-        self.changes: list[messages.Changed] = []
-        self._rows: dict[tuple[str, int], list[messages.ActivationCount]] = defaultdict(list)
-        self._latest: dict[str, int] = {}
+        """Begins without revisions."""
+        self.changes: list[messages.RevisionPublished] = []
+        self._activations: dict[ProxyLife, list[messages.Activation]] = defaultdict(list)
+        self._latest_revision: dict[str, int] = {}  # by proxy
 
-    def changed(self, change: messages.Changed) -> None:
-        """Discovery has a new revision."""
+    def add_revision(self, change: messages.RevisionPublished) -> None:
+        """Adds a revision that the source has published."""
         self.changes.append(change)
 
-    def took(self, row: messages.ActivationCount) -> None:
-        """A proxy took a revision; each proxy's come in their order."""
-        self._rows[row.proxy, row.incarnation].append(row)
-        self._latest[row.proxy] = row.revision
+    def add_activation(self, activation: messages.Activation) -> None:
+        """Adds an activation; those of one proxy must come in their order."""
+        self._activations[ProxyLife(activation.proxy, activation.incarnation)].append(activation)
+        self._latest_revision[activation.proxy] = activation.revision
 
     def mean_cpu_ms(self) -> float | None:
-        """CPU time of a proxy to take an answer with something new; None where there was none."""
-        costs = [row.cpu_ms for rows in self._rows.values() for row in rows if row.lines and not row.held]
+        """Returns the mean CPU time of an activation that had something new; None if there was none."""
+        costs = [
+            activation.cpu_ms
+            for activations in self._activations.values()
+            for activation in activations
+            if activation.lines and not activation.held
+        ]
         return sum(costs) / len(costs) if costs else None
 
     def revision_of(self, proxy: str) -> int:
-        """The last one that it took; -1 before the first."""
-        return self._latest.get(proxy, -1)
-
-    def compare(
-        self, final: dict[str, messages.FinalList], revision: int, digest: str
-    ) -> tuple[HdrHistogram, Orders]:
-        """Delays in us, and the counts; `final` has the lists of all proxies that were there at the end."""
-        histogram, orders = HdrHistogram(1, HIGHEST_US, DIGITS), Orders()
-        latest: dict[str, int] = {}
-        for proxy, incarnation in self._rows:
-            latest[proxy] = max(incarnation, latest.get(proxy, incarnation))
-        for (proxy, incarnation), rows in self._rows.items():
-            _count_order(rows, orders)
-            delays, missing = delays_s(self.changes, rows)
-            for delay_s in delays:
-                histogram.record_value(min(HIGHEST_US, max(1, round(1e6 * delay_s))))
-            if proxy in final and incarnation == latest[proxy]:
-                orders.lost += missing
+        """Returns the last revision that the proxy applied, or -1."""
+        return self._latest_revision.get(proxy, -1)
+
+    def compare(self, final: dict[str, messages.FinalEndpointList], revision: int, digest: str) -> Comparison:
+        """Returns the delays and the counts of the run.
+
+        `final` has the lists of all proxies that were alive at the end, by proxy; `revision` and `digest` are
+        those of discovery's list at that time.
+        """
+        histogram = HdrHistogram(1, HIGHEST_DELAY_US, HISTOGRAM_DIGITS)
+        counts = RevisionCounts()
+        last_incarnations = self._last_incarnations()
+        for life, activations in self._activations.items():
+            _count_revisions(activations, counts)
+            delays_s, missing = activation_delays(self.changes, activations)
+            for delay_s in delays_s:
+                histogram.record_value(min(HIGHEST_DELAY_US, max(1, round(1e6 * delay_s))))
+            if life.proxy in final and life.incarnation == last_incarnations[life.proxy]:
+                counts.lost += missing
             else:
-                orders.not_followed += missing
-        for listed in final.values():
-            if (listed.revision, listed.digest) != (revision, digest):
-                orders.wrong_lists += 1
-                orders.behind += [listed.proxy] if len(orders.behind) < MOST_NAMED else []
-        return histogram, orders
-
-
-def delays_s(
-    changes: list[messages.Changed], rows: list[messages.ActivationCount]
-) -> tuple[list[float], int]:
-    """Of one proxy since one start: the delay of each change that it had in force, and how many it had not.
-
-    A change made before the proxy's start is no change to it.
-    """
-    delays, place = [], 0
+                counts.not_followed += missing
+        _count_wrong_lists(final, revision, digest, counts)
+        return Comparison(histogram, counts)
+
+    def _last_incarnations(self) -> dict[str, int]:
+        last: dict[str, int] = {}
+        for proxy, incarnation in self._activations:
+            last[proxy] = max(incarnation, last.get(proxy, incarnation))
+        return last
+
+
+def activation_delays(
+    changes: Sequence[messages.RevisionPublished], activations: Sequence[messages.Activation]
+) -> ActivationDelays:
+    """Returns the delays of one proxy since one start; a change made before the start is left out."""
+    delays_s: list[float] = []
+    index = 0
     for number, change in enumerate(changes):
-        if change.at_s < rows[0].at_s:
+        if change.at_s < activations[0].at_s:
             continue
-        while place < len(rows) and rows[place].revision < change.revision:
-            place += 1
-        if place == len(rows):
-            return delays, len(changes) - number
-        delays.append(max(0.0, rows[place].at_s - change.at_s))
-    return delays, 0
+        while index < len(activations) and activations[index].revision < change.revision:
+            index += 1
+        if index == len(activations):
+            return ActivationDelays(delays_s, len(changes) - number)
+        delays_s.append(max(0.0, activations[index].at_s - change.at_s))
+    return ActivationDelays(delays_s, 0)
 
 
-def _count_order(rows: list[messages.ActivationCount], orders: Orders) -> None:
-    for before, row in pairwise(rows):
-        step = row.revision - before.revision
+def _count_revisions(activations: Sequence[messages.Activation], counts: RevisionCounts) -> None:
+    for before, activation in pairwise(activations):
+        step = activation.revision - before.revision
         if step < 0:
-            orders.out_of_order += 1
+            counts.out_of_order += 1
         elif step == 0:
-            orders.repeated += row.lines > 0 and not row.complete
+            counts.repeated += activation.lines > 0 and not activation.complete
         else:
-            orders.taken += 1
-            orders.merged += step - 1
+            counts.taken += 1
+            counts.merged += step - 1
+
+
+def _count_wrong_lists(
+    final: dict[str, messages.FinalEndpointList], revision: int, digest: str, counts: RevisionCounts
+) -> None:
+    for listed in final.values():
+        if (listed.revision, listed.digest) == (revision, digest):
+            continue
+        counts.wrong_lists += 1
+        if len(counts.behind) < MAX_NAMED_PROXIES:
+            counts.behind.append(listed.proxy)
 
 
 def percentiles_ms(histogram: HdrHistogram) -> dict[str, float]:
-    """`p50` and so on, in ms; empty where nothing was recorded."""
+    """Returns `p50` and so on in ms; empty if nothing was recorded."""
     if not histogram.get_total_count():
         return {}
     return {f"p{share:g}": histogram.get_value_at_percentile(share) / 1000.0 for share in PERCENTILES}
@@ -125,24 +176,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCost:
-    """Of one process from the first change to the last: CPU seconds, and the most resident memory seen."""
+    """The cost of a process from the first change to the last.
+
+    `cpu_s` is CPU time, `rss_mb` the most resident memory seen, and `proxies` the number of hollow proxies.
+    """
 
     name: str
     cpu_s: float
     rss_mb: float
-    proxies: int = 0  # hollow ones in it
+    proxies: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HollowCost:
-    """Of one hollow proxy, by difference to a process without any."""
+    """The cost of one hollow proxy, by difference to a process without any."""
 
     cpu_percent: float
     rss_mb: float
 
 
 def hollow_cost(costs: list[ProcessCost], empty: ProcessCost, seconds: float) -> HollowCost | None:
-    """None where no process of hollow proxies lasted from the first change to the last."""
+    """Returns the mean cost of a hollow proxy over `seconds`; `empty` is a process without proxies.
+
+    None stands for no process of hollow proxies that lasted from the first change to the last.
+    """
     costs = [cost for cost in costs if cost.proxies]
     proxies = sum(cost.proxies for cost in costs)
     if not proxies:
--- a/lab/scale/messages.py
+++ b/lab/scale/messages.py
@@ -1,6 +1,7 @@
-"""What the parent and its processes tell each other: a JSON object a line, on standard input and output.
+"""The messages between the parent and its child processes, as lines of JSON on standard input and output.
 
-All instants are seconds of the machine's monotonic clock, which all processes share.
+Commands go to a child process, reports come from it. All instants (`at_s`) are seconds of the machine's
+monotonic clock, which all processes share. The tags and field names are the JSON form and must not change.
 """
 
 from __future__ import annotations
@@ -11,22 +12,27 @@
 from msgspec import Struct
 
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
-from lab.scale.scenario import Changes
+from lab.scale.scenario import ListChanges
 
 # To a process ----------------------------------------------------------------------------------
 
 
 class StartDiscovery(Struct, tag="start-discovery"):
+    """Makes the child process the discovery stand-in, with the endpoint list `known` to begin with.
+
+    It answers `calls_per_s`, and refuses calls while `queue` of them wait.
+    """
+
     port: int
     calls_per_s: float
     queue: int
     seed: int
-    changes: Changes
+    changes: ListChanges
     known: EndpointList
 
 
 class HollowSpec(Struct):
-    """One hollow proxy; `settings` is its settings object, `discovery` the address it calls."""
+    """One hollow proxy: its settings object, and the address at which it reaches discovery."""
 
     name: str
     seed: int
@@ -35,7 +41,7 @@
 
 
 class StartHollow(Struct, tag="start-hollow"):
-    """`incarnation` counts the starts of this process."""
+    """Makes the child process one of hollow proxies; `incarnation` counts the starts of this process."""
 
     process: str
     incarnation: int
@@ -44,7 +50,7 @@
 
 
 class RelayLink(Struct):
-    """A port at which proxies of `region` reach discovery."""
+    """A port at which the proxies of `region` reach discovery at `target`, later by `delay_ms` each way."""
 
     region: str
     port: int
@@ -53,18 +59,22 @@
 
 
 class StartRelay(Struct, tag="start-relay"):
+    """Makes the child process the relay between regions; `seed` draws which segments are lost."""
+
     seed: int
     links: list[RelayLink]
 
 
 class StartNodes(Struct, tag="start-nodes"):
+    """Makes the child process the stand-in cache nodes and the origin; `miss_share` of the keys miss."""
+
     ports: list[int]
     origin_port: int
     miss_share: float
 
 
 class StartLoad(Struct, tag="start-load"):
-    """Clients of the real proxies; `requests_per_s` is what each proxy is sent."""
+    """Makes the child process the clients of the real proxies; each proxy is sent `requests_per_s`."""
 
     seed: int
     proxies: list[tuple[str, int]]
@@ -73,13 +83,17 @@
 
 
 class SwitchChanges(Struct, tag="switch-changes"):
-    """Changes of the list begin, or end."""
+    """Begins or ends the changes of the endpoint list, and the load with them."""
 
     on: bool
 
 
-class LinkWay(Struct):
-    """One way of a link: cut, or later by `extra_ms`, or `loss` of its segments retransmitted."""
+class DirectionState(Struct):
+    """The state of one direction of a link.
+
+    While it is `cut` nothing arrives; otherwise data arrives later by `extra_ms`, and the share `loss` of its
+    segments is retransmitted.
+    """
 
     cut: bool = False
     extra_ms: float = 0.0
@@ -87,31 +101,32 @@
 
 
 class SetLink(Struct, tag="set-link"):
-    """`there` is the way from the region's proxies to discovery."""
+    """Sets both directions of a region's link; `there` leads from the region's proxies to discovery."""
 
     region: str
-    there: LinkWay
-    back: LinkWay
+    there: DirectionState
+    back: DirectionState
 
 
 class Finish(Struct, tag="finish"):
-    """Report the totals, and end."""
+    """Asks the child process to report its totals and to end."""
 
 
 Start = StartDiscovery | StartHollow | StartRelay | StartNodes | StartLoad
 Command = Start | SwitchChanges | SetLink | Finish
 
-SERVER_LIST = "list"  # the source of discovery's revisions; each control client names its own
+# The source of discovery's revisions; each control client has a name of its own for its source.
+SERVER_LIST = "list"
 
 # From a process --------------------------------------------------------------------------------
 
 
 class Ready(Struct, tag="ready"):
-    """It listens, or its proxies run."""
+    """Reports that the child process listens, or that its proxies run."""
 
 
-class Changed(Struct, tag="changed"):
-    """A source (discovery, or a stand-in control node) has a new revision since `at_s`."""
+class RevisionPublished(Struct, tag="changed"):
+    """Reports that a source (discovery, or a stand-in control node) has a new revision since `at_s`."""
 
     revision: int
     at_s: float
@@ -120,14 +135,14 @@
 
 
 class ChangesEnded(Struct, tag="changes-ended"):
-    """No further revision comes."""
+    """Reports that no further revision will come."""
 
 
-class ActivationCount(Struct):
-    """What a proxy took from a source, `at_s` being when its decisions had it.
+class Activation(Struct):
+    """Records that a proxy's decisions applied a revision of a source at `at_s`.
 
-    `held`: it is what was known at the proxy's start; `lines`: entries in the answer; `cpu_ms`: CPU time that
-    taking the answer cost the proxy, from its bytes to the next call.
+    `held` marks the list that was known at the proxy's start, `lines` is the number of entries in the answer,
+    and `cpu_ms` the CPU time that the proxy took for the answer, from its bytes to the next call.
     """
 
     proxy: str
@@ -141,12 +156,14 @@
     source: str = SERVER_LIST
 
 
-class InForceBatch(Struct, tag="in-force"):
-    rows: list[ActivationCount]
+class ActivationBatch(Struct, tag="in-force"):
+    """Reports activations in the order in which they happened."""
+
+    rows: list[Activation]
 
 
-class FinalList(Struct):
-    """A proxy's list at the end."""
+class FinalEndpointList(Struct):
+    """A proxy's endpoint list at the end of the run, by its revision and its digest."""
 
     proxy: str
     revision: int
@@ -154,20 +171,24 @@
 
 
 class HollowTotals(Struct, tag="hollow-totals"):
-    """`faults` counts exceptions that nothing expected, `failed_calls` those to discovery.
+    """The totals of a process of hollow proxies.
 
-    `most_lag_ms` is the latest that a timer of the process came: seconds mean that the machine was too busy
-    for the run, and that its delays say nothing of the proxies.
+    `faults` counts unexpected exceptions, and `failed_calls` the failed calls to discovery. `most_lag_ms` is
+    the greatest delay of a timer of the process: a delay of seconds means that the machine was too busy for
+    the run, and that its measured delays say nothing about the proxies.
     """
 
-    lists: list[FinalList]
+    lists: list[FinalEndpointList]
     failed_calls: int
     most_lag_ms: float
     faults: int = 0
 
 
 class DiscoveryTotals(Struct, tag="discovery-totals"):
-    """From the first change to the last. `refused`: answered with 503; `most_calls`: in any one second."""
+    """The totals of discovery from the first change to the last.
+
+    `refused` counts calls answered with 503, and `most_calls` is the largest number of calls in one second.
+    """
 
     seconds: float
     calls: int
@@ -180,18 +201,23 @@
 
 
 class RelayTotals(Struct, tag="relay-totals"):
+    """The total of the relay: how many connections it accepted."""
+
     connections: int
 
 
 class NodesTotals(Struct, tag="nodes-totals"):
+    """The totals of the stand-in cache nodes and the origin: how many requests each answered."""
+
     asked: int
     origin_asked: int
 
 
 class LoadTotals(Struct, tag="load-totals"):
-    """`lost`: the connection ended without an answer; `unanswered`: it still stands.
+    """The totals of the load's requests, by their outcome.
 
-    `latency` is an encoded histogram of those that were served, in us.
+    A `lost` request's connection ended without an answer; an `unanswered` one is still open at the end.
+    `latency` is an encoded HdrHistogram of the served requests, in microseconds.
     """
 
     sent: int
@@ -205,22 +231,22 @@
 
 
 Totals = HollowTotals | DiscoveryTotals | RelayTotals | NodesTotals | LoadTotals
-Report = Ready | Changed | ChangesEnded | InForceBatch | Totals
+Report = Ready | RevisionPublished | ChangesEnded | ActivationBatch | Totals
 
 _commands = msgspec.json.Decoder(Command)
 _reports = msgspec.json.Decoder(Report)
 
 
 def encode(message: Command | Report) -> bytes:
-    """The message as a line."""
+    """Returns the message as one line, with its end."""
     return msgspec.json.encode(message) + b"\n"
 
 
 def decode_command(line: bytes) -> Command:
-    """Raises `msgspec.MsgspecError`."""
+    """Returns the command of a line. Raises `msgspec.MsgspecError` for any other line."""
     return _commands.decode(line)
 
 
 def decode_report(line: bytes) -> Report:
-    """Raises `msgspec.MsgspecError`."""
+    """Returns the report of a line. Raises `msgspec.MsgspecError` for any other line."""
     return _reports.decode(line)
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -1,26 +1,25 @@
-"""Which proxy is where, what each is told, and what a run will take of the machine. No I/O."""
+"""The placement and the settings of a run's proxies, and an estimate of its memory. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple, cast
 
 from cloverwell.membership.endpoint_list import Endpoint
 from lab.proxy import SETTINGS
-from lab.scale.scenario import World, WorldError
+from lab.scale.scenario import ScaleScenario, ScenarioError
 
-MEMORY_SHARE = 0.5  # of the machine's, that a run may take
-MOST_PROCESSES = 300
-# What processes were measured to take (docs/measurements/scale.md), rounded up.
-# In MB, but for the two by node.
+MEMORY_SHARE = 0.5  # of the machine's memory, which a run may take
+MAX_PROCESSES = 300
+# The memory that processes were measured to take (docs/measurements/scale.md), rounded up.
 PROCESS_MB = 48.0
 HOLLOW_MB = 0.6
-HOLLOW_NODE_MB = 0.018
+HOLLOW_MB_PER_NODE = 0.018
 REAL_MB = 64.0
-LIST_COPY_MB = 0.004  # a node in the lists that the parent, discovery and the hollow processes hold
-HELPERS = 5  # the parent, discovery, the stand-in nodes, the load, the relay
+LIST_MB_PER_NODE = 0.004  # in each list that the parent, discovery and the hollow processes hold
+HELPER_PROCESSES = 5  # the parent, discovery, the stand-in nodes, the load, the relay
 
-# Hollow proxies share a loop: a connect that came up must not fail because neighbours have their turn.
+# Hollow proxies share a reactor, so a connect that succeeded may have to wait until its proxy handles it.
 HOLLOW_CONNECT_TIMEOUT_MS = 2000.0
 
 ORIGIN = "origin"
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyPlace:
-    """A proxy's name and place; `seed` is its own, drawn from the world's."""
+    """A proxy's name and place, and its own seed, which is derived from the scenario's."""
 
     name: str
     region: str
@@ -37,53 +36,66 @@
     seed: int
 
 
-def zones(world: World) -> list[tuple[str, str]]:
-    """Each zone as (region, zone)."""
+class Zone(NamedTuple):
+    """A zone and the region that it is in."""
+
+    region: str
+    name: str
+
+
+def zones(scenario: ScaleScenario) -> list[Zone]:
+    """Returns all zones, region by region."""
     return [
-        (region.name, f"{region.name}-{number}") for region in world.regions for number in range(region.zones)
+        Zone(region.name, f"{region.name}-{number}")
+        for region in scenario.regions
+        for number in range(region.zones)
     ]
 
 
-def place_proxies(world: World, kind: str, count: int) -> list[ProxyPlace]:
-    """Spreads so many proxies over the zones, in turn."""
-    spread = zones(world)
+def place_proxies(scenario: ScaleScenario, kind: str, count: int) -> list[ProxyPlace]:
+    """Spreads `count` proxies over the zones in turn; `kind` begins their names."""
+    spread = zones(scenario)
     places = []
     for number in range(count):
         region, zone = spread[number % len(spread)]
-        places.append(ProxyPlace(f"{kind}-proxy-{number}", region, zone, 1000 * world.seed + number))
+        places.append(ProxyPlace(f"{kind}-proxy-{number}", region, zone, 1000 * scenario.seed + number))
     return places
 
 
-def hollow_groups(world: World) -> list[list[ProxyPlace]]:
-    """The hollow proxies of each process."""
-    places = place_proxies(world, "hollow", world.hollow.count)
-    size = world.hollow.per_process
+def hollow_groups(scenario: ScaleScenario) -> list[list[ProxyPlace]]:
+    """Returns the hollow proxies of each process."""
+    places = place_proxies(scenario, "hollow", scenario.hollow.count)
+    size = scenario.hollow.per_process
     return [places[start : start + size] for start in range(0, len(places), size)]
 
 
-def settings(world: World, place: ProxyPlace, granularity_ms: float) -> dict[str, Any]:
-    """The settings object that the proxy is told."""
-    names = [zone for _, zone in zones(world)]
-    guarantees = SETTINGS["guarantees"] | {"ask-within": 1000.0 * world.ask_within_s}
+def settings(scenario: ScaleScenario, place: ProxyPlace, granularity_ms: float) -> dict[str, Any]:
+    """Returns the settings object of a proxy; `granularity_ms` is that of its timer wheel."""
+    names = [zone for _, zone in zones(scenario)]
+    guarantees = _lab_settings("guarantees") | {"ask-within": 1000.0 * scenario.ask_within_s}
     return SETTINGS | {
         "zones": names,
         "zone": names.index(place.zone),
-        "peers-total": world.proxies,
+        "peers-total": scenario.proxies,
         "granularity": granularity_ms,
         "guarantees": guarantees,
     }
 
 
-def hollow_settings(world: World, place: ProxyPlace) -> dict[str, Any]:
-    """The same for a hollow proxy, which shares its loop."""
-    told = settings(world, place, world.hollow.granularity_ms)
-    limits = told["limits"] | {"connect-timeout": HOLLOW_CONNECT_TIMEOUT_MS}
-    return told | {"limits": limits}
+def hollow_settings(scenario: ScaleScenario, place: ProxyPlace) -> dict[str, Any]:
+    """Returns the settings object of a hollow proxy, which shares its reactor with others."""
+    shared = settings(scenario, place, scenario.hollow.granularity_ms)
+    limits = shared["limits"] | {"connect-timeout": HOLLOW_CONNECT_TIMEOUT_MS}
+    return shared | {"limits": limits}
+
+
+def _lab_settings(section: str) -> dict[str, Any]:
+    return cast("dict[str, Any]", SETTINGS[section])
 
 
-def first_members(world: World, ports: list[int], origin_port: int) -> list[Endpoint]:
-    """Discovery's first list: the cache nodes spread over zones and ports, then the origin."""
-    spread = zones(world)
+def first_members(scenario: ScaleScenario, ports: list[int], origin_port: int) -> list[Endpoint]:
+    """Returns discovery's first list: the cache nodes, spread over zones and ports, then the origin."""
+    spread = zones(scenario)
     members = [
         Endpoint(
             id=f"node-{number}",
@@ -91,30 +103,32 @@
             locality=spread[number % len(spread)][1],
             flavor=CACHE_NODE,
         )
-        for number in range(world.nodes.count)
+        for number in range(scenario.nodes.count)
     ]
     return [*members, Endpoint(ORIGIN, f"127.0.0.1:{origin_port}", spread[0][1], ORIGIN)]
 
 
-def process_count(world: World) -> int:
-    """The processes of a run, with its parent; one hollow process more stands empty, as the yardstick."""
-    return HELPERS + world.hollow_processes + 1 + world.real.count
+def process_count(scenario: ScaleScenario) -> int:
+    """Returns the number of a run's processes, with its parent and a process without hollow proxies."""
+    return HELPER_PROCESSES + scenario.hollow_processes + 1 + scenario.real.count
 
 
-def memory_mb(world: World) -> float:
-    """An estimate of what all processes together will take, from above."""
-    each_hollow = HOLLOW_MB + HOLLOW_NODE_MB * world.nodes.count
-    ours = process_count(world) - world.real.count
-    lists = LIST_COPY_MB * world.nodes.count * (ours + world.real.count)
-    return ours * PROCESS_MB + world.hollow.count * each_hollow + world.real.count * REAL_MB + lists
+def memory_mb(scenario: ScaleScenario) -> float:
+    """Returns an upper estimate of the memory that all processes take together."""
+    hollow_proxy_mb = HOLLOW_MB + HOLLOW_MB_PER_NODE * scenario.nodes.count
+    own_processes = process_count(scenario) - scenario.real.count
+    lists_mb = LIST_MB_PER_NODE * scenario.nodes.count * process_count(scenario)
+    hollow_mb = own_processes * PROCESS_MB + scenario.hollow.count * hollow_proxy_mb
+    return hollow_mb + scenario.real.count * REAL_MB + lists_mb
 
 
-def check_fits(world: World, machine_mb: float, where: str) -> None:
-    """Raises `WorldError` where the run would take too much of the machine."""
-    count = process_count(world)
-    if count > MOST_PROCESSES:
-        raise WorldError(f"{where}: hollow.per_process: {count} processes, at most {MOST_PROCESSES} are run")
-    needed, allowed = memory_mb(world), MEMORY_SHARE * machine_mb
+def check_fits(scenario: ScaleScenario, machine_mb: float, where: str) -> None:
+    """Raises `ScenarioError` if the run would take too much of the machine; `where` names the file."""
+    count = process_count(scenario)
+    if count > MAX_PROCESSES:
+        problem = f"{count} processes, at most {MAX_PROCESSES} are run"
+        raise ScenarioError(f"{where}: hollow.per_process", problem)
+    needed, allowed = memory_mb(scenario), MEMORY_SHARE * machine_mb
     if needed > allowed:
-        text = f"about {needed:.0f} MB would be taken, over half of the machine's ({allowed:.0f} MB)"
-        raise WorldError(f"{where}: hollow.count: {text}")
+        problem = f"about {needed:.0f} MB would be taken, over half of the machine's ({allowed:.0f} MB)"
+        raise ScenarioError(f"{where}: hollow.count", problem)
--- a/lab/scale/result.py
+++ b/lab/scale/result.py
@@ -1,7 +1,7 @@
-"""What a run gave, and its results as JSON Lines.
+"""The result of a run, and its form as JSON Lines.
 
-The format: one object a line, its `kind` first. It is appended to and cut anywhere without being spoilt, and
-read by any language and by eye; a run has a few hundred short lines, which no database is needed for.
+The format is one object a line, its `kind` first. A file stays readable when lines are appended or cut off,
+in any language and by eye; a run has a few hundred short lines, for which no database is needed.
 """
 
 from __future__ import annotations
@@ -12,91 +12,92 @@
 from typing import Any
 
 import msgspec
-from hdrh.histogram import HdrHistogram
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from lab.scale import machine, messages
 from lab.scale.measure import (
+    ActivationMeasure,
+    Comparison,
     HollowCost,
-    InForceMeasure,
-    Orders,
     ProcessCost,
+    RevisionCounts,
     hollow_cost,
     percentiles_ms,
 )
 from lab.scale.membership import MemberList, digest
-from lab.scale.scenario import World
+from lab.scale.scenario import ScaleScenario
 
-LATENCY_SHARES = ("p50", "p99", "p100")
+DELAY_SHARES = ("p50", "p99", "p100")
 
 
 @dataclass(frozen=True)
-class Outcome:
-    """All that was counted and measured, between the first change and the last (`seconds`)."""
+class ScaleResult:
+    """Everything that was counted and measured between the first change and the last, `seconds` later.
 
-    world: World
+    `measures` are by source, `totals` by process, `replica` is discovery's list at the end, `empty_name` the
+    process without hollow proxies, and `faults` describes the scenario's faults in the order they began.
+    """
+
+    scenario: ScaleScenario
     seconds: float
-    measures: dict[str, InForceMeasure]  # by source
-    replica: MemberList  # discovery's list at the end
+    measures: dict[str, ActivationMeasure]
+    replica: MemberList
     totals: dict[str, messages.Totals]
     costs: list[ProcessCost]
     empty_name: str
     faults: list[str]
-    load_before: tuple[float, float, float]
-    load_after: tuple[float, float, float]
+    load_before: machine.LoadAverage
+    load_after: machine.LoadAverage
 
     @property
-    def server_list(self) -> InForceMeasure:
-        """That of discovery's list."""
+    def server_list(self) -> ActivationMeasure:
+        """The measure of discovery's list."""
         return self.measures[messages.SERVER_LIST]
 
+    @property
+    def _hollow_totals(self) -> list[messages.HollowTotals]:
+        return [totals for totals in self.totals.values() if isinstance(totals, messages.HollowTotals)]
+
     @cached_property
-    def _compared(self) -> tuple[HdrHistogram, Orders]:
-        final = {
-            listed.proxy: listed
-            for totals in self.totals.values()
-            if isinstance(totals, messages.HollowTotals)
-            for listed in totals.lists
-        }
+    def _comparison(self) -> Comparison:
+        final = {listed.proxy: listed for totals in self._hollow_totals for listed in totals.lists}
         return self.server_list.compare(final, self.replica.revision, digest(self.replica.members.values()))
 
     @property
-    def in_force(self) -> HdrHistogram:
-        """Delays from a change to its being in force, in us, of each change at each hollow proxy."""
-        return self._compared[0]
+    def activation_delays(self) -> HdrHistogram:
+        """The delay in us from each change to its activation at each hollow proxy."""
+        return self._comparison.delays
 
     @property
-    def orders(self) -> Orders:
-        """Lost, repeated and misplaced revisions."""
-        return self._compared[1]
+    def revision_counts(self) -> RevisionCounts:
+        """The counts of lost, repeated and misplaced revisions."""
+        return self._comparison.counts
 
     @property
     def unexpected(self) -> int:
-        """Exceptions in hollow processes that nothing expected."""
-        hollow = (t for t in self.totals.values() if isinstance(t, messages.HollowTotals))
-        return sum(totals.faults for totals in hollow)
+        """The number of unexpected exceptions in hollow processes."""
+        return sum(totals.faults for totals in self._hollow_totals)
 
     @property
     def most_lag_ms(self) -> float:
-        """The latest that a hollow process's timer came."""
-        hollow = (t for t in self.totals.values() if isinstance(t, messages.HollowTotals))
-        return max((totals.most_lag_ms for totals in hollow), default=0.0)
+        """The greatest delay of a timer of a hollow process."""
+        return max((totals.most_lag_ms for totals in self._hollow_totals), default=0.0)
 
     @property
     def good(self) -> bool:
-        """Nothing was lost, misplaced or unexpected."""
-        return self.orders.kept and not self.unexpected
+        """Whether nothing was lost, misplaced or unexpected."""
+        return self.revision_counts.kept and not self.unexpected
 
     @property
     def hollow_cost(self) -> HollowCost | None:
-        """By difference to the process without proxies."""
+        """The cost of a hollow proxy, by difference to the process without proxies; None if unknown."""
         empty = [cost for cost in self.costs if cost.name == self.empty_name]
         return hollow_cost(self.costs, empty[0], self.seconds) if empty else None
 
     def quantities(self) -> dict[str, float]:
-        """What lines are fitted to, by name with its unit."""
-        found: dict[str, float] = {}
-        latency = percentiles_ms(self.in_force)
-        found |= {f"in_force_{share}_ms": latency[share] for share in LATENCY_SHARES if share in latency}
+        """Returns the quantities that lines are fitted to, by name with its unit."""
+        delays = percentiles_ms(self.activation_delays)
+        found = {f"in_force_{share}_ms": delays[share] for share in DELAY_SHARES if share in delays}
         if (cpu_ms := self.server_list.mean_cpu_ms()) is not None:
             found["take_cpu_mean_ms"] = cpu_ms
         if (cost := self.hollow_cost) is not None:
@@ -104,7 +105,7 @@
         found |= self._discovery_quantities()
         real = [cost for cost in self.costs if cost.name.startswith("real-")]
         if real:
-            found["real_cpu_percent"] = 100.0 * sum(c.cpu_s for c in real) / self.seconds / len(real)
+            found["real_cpu_percent"] = 100.0 * sum(cost.cpu_s for cost in real) / self.seconds / len(real)
             found["real_rss_mb"] = sum(cost.rss_mb for cost in real) / len(real)
         return {name: round(value, 4) for name, value in found.items()}
 
@@ -112,7 +113,7 @@
         totals = self.totals.get("discovery")
         if not isinstance(totals, messages.DiscoveryTotals) or not totals.seconds:
             return {}
-        proxy_seconds = totals.seconds * self.world.proxies
+        proxy_seconds = totals.seconds * self.scenario.proxies
         found = {
             "discovery_calls_per_s": totals.calls / totals.seconds,
             "bytes_to_proxy_per_s": totals.bytes_out / proxy_seconds,
@@ -127,21 +128,26 @@
     # As lines ----------------------------------------------------------------------------------
 
     def lines(self, name: str) -> list[dict[str, Any]]:
-        """The results; `name` is the world's."""
+        """Returns the objects of the lines; `name` is the scenario's."""
         return [
             self._head(name),
             self._summary(),
-            *(_in_force_line(source, histogram) for source, histogram in self._histograms().items()),
-            {"kind": "orders"} | asdict(self.orders),
-            *({"kind": "totals", "process": process} | _told(told) for process, told in self.totals.items()),
+            *(_delays_line(source, histogram) for source, histogram in self._histograms().items()),
+            {"kind": "orders"} | asdict(self.revision_counts),
+            *(
+                {"kind": "totals", "process": process} | _totals_fields(totals)
+                for process, totals in self.totals.items()
+            ),
             *({"kind": "cost"} | asdict(cost) for cost in self.costs),
         ]
 
     def _histograms(self) -> dict[str, HdrHistogram]:
-        """By source; lists at the end are compared for discovery's alone."""
-        others = {source: m for source, m in self.measures.items() if source != messages.SERVER_LIST}
-        found = {source: measure.compare({}, 0, "")[0] for source, measure in others.items()}
-        return {messages.SERVER_LIST: self.in_force} | found
+        """Returns the delays by source; the lists at the end are compared for discovery alone."""
+        histograms = {messages.SERVER_LIST: self.activation_delays}
+        for source, measure in self.measures.items():
+            if source != messages.SERVER_LIST:
+                histograms[source] = measure.compare({}, 0, "").delays
+        return histograms
 
     def _summary(self) -> dict[str, Any]:
         return {
@@ -155,20 +161,20 @@
         return {
             "kind": "run",
             "world": name,
-            "seed": self.world.seed,
+            "seed": self.scenario.seed,
             "git": machine.git_revision(),
             "machine": machine.description(),
             "load_average": {"before": self.load_before, "after": self.load_after},
             "seconds": round(self.seconds, 3),
-            "proxies": {"hollow": self.world.hollow.count, "real": self.world.real.count},
-            "nodes": self.world.nodes.count,
+            "proxies": {"hollow": self.scenario.hollow.count, "real": self.scenario.real.count},
+            "nodes": self.scenario.nodes.count,
             "changes": len(self.server_list.changes),
             "faults": self.faults,
-            "settings": msgspec.to_builtins(self.world),
+            "settings": msgspec.to_builtins(self.scenario),
         }
 
 
-def _in_force_line(source: str, histogram: HdrHistogram) -> dict[str, Any]:
+def _delays_line(source: str, histogram: HdrHistogram) -> dict[str, Any]:
     return {
         "kind": "in-force",
         "source": source,
@@ -178,13 +184,13 @@
     }
 
 
-def _told(totals: messages.Totals) -> dict[str, Any]:
-    told = msgspec.to_builtins(totals)
-    told.pop("type")
-    told.pop("lists", None)  # compared already (`orders`), and long
-    return told
+def _totals_fields(totals: messages.Totals) -> dict[str, Any]:
+    fields: dict[str, Any] = msgspec.to_builtins(totals)
+    del fields["type"]
+    fields.pop("lists", None)  # they are long, and were compared already (`orders`)
+    return fields
 
 
-def write_text(outcome: Outcome, name: str) -> str:
-    """The results as JSON Lines."""
-    return "".join(json.dumps(line) + "\n" for line in outcome.lines(name))
+def write_text(result: ScaleResult, name: str) -> str:
+    """Returns the result as JSON Lines; `name` is the scenario's."""
+    return "".join(json.dumps(line) + "\n" for line in result.lines(name))
--- a/lab/scale/tether.py
+++ b/lab/scale/tether.py
@@ -1,7 +1,8 @@
-"""A process that ends with its parent, whatever ended that: Linux sends it SIGKILL (prctl(2)).
+"""Ends a process together with its parent, however the parent ended: Linux sends it SIGKILL (prctl(2)).
 
-`python -m lab.scale.tether PARENT COMMAND...` becomes the command, which keeps the tether over execve(2) and
-needs no code of its own for it. The processes of `lab.scale.child` see their standard input close besides.
+`python -m lab.scale.tether PARENT COMMAND...` becomes the command by execve(2), which keeps this setting, so
+that the command needs no code of its own for it. A process of `lab.scale.child` also sees its standard input
+close.
 """
 
 import ctypes
@@ -13,7 +14,10 @@
 
 
 def tether(parent: int) -> None:
-    """Ends this process with `parent`, its parent's id; at once where that has ended already."""
+    """Ends this process when the process with the id `parent` ends, and at once if that has ended already.
+
+    Raises OSError if the kernel refuses.
+    """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
         raise OSError(ctypes.get_errno(), "prctl")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,11 +14,11 @@
 from lab.scale import plan
 from lab.scale.call_queue import CallQueue
 from lab.scale.membership import KEPT_REMOVALS, MemberList, digest, next_change
-from lab.scale.scenario import WorldError, load, shipped
+from lab.scale.scenario import ScenarioError, load, shipped
 
 cli.add_command(lab)
 
-# World files ----------------------------------------------------------------------------------
+# ScaleScenario files ----------------------------------------------------------------------------------
 
 BAD = {
     "hollow = 3": "$.hollow",
@@ -50,43 +50,51 @@
 def test_a_bad_world_ends_with_code_2_and_one_line_that_names_the_field(tmp_path, text):
     path = tmp_path / "bad.toml"
     path.write_text(text)
-    told = call(str(path))
-    assert told.exit_code == 2
-    assert told.stderr.count("\n") == 1
-    assert BAD[text] in told.stderr
+    result = call(str(path))
+    assert result.exit_code == 2
+    assert result.stderr.count("\n") == 1
+    assert BAD[text] in result.stderr
 
 
 def test_a_world_that_is_not_there_is_named():
-    told = call("nowhere.toml")
-    assert told.exit_code == 2 and "nowhere.toml" in told.stderr and told.stderr.count("\n") == 1
+    result = call("nowhere.toml")
+    assert result.exit_code == 2
+    assert "nowhere.toml" in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("words", [("--nodes", "0"), ("--hollow", "2001")])
 def test_a_size_out_of_range_is_refused_as_in_a_file(words):
-    told = call("small", *words)
+    result = call("small", *words)
     field = {"--nodes": "$.nodes.count", "--hollow": "$.hollow.count"}[words[0]]
-    assert told.exit_code == 2 and field in told.stderr and told.stderr.count("\n") == 1
+    assert result.exit_code == 2
+    assert field in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 def test_results_with_no_folder_to_go_to_are_refused_before_anything_starts(tmp_path):
-    told = call("small", "--out", str(tmp_path / "missing" / "out.jsonl"))
-    assert told.exit_code == 2 and "--out" in told.stderr and told.stderr.count("\n") == 1
+    result = call("small", "--out", str(tmp_path / "missing" / "out.jsonl"))
+    assert result.exit_code == 2
+    assert "--out" in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 def test_a_world_too_large_for_the_machine_is_refused_before_anything_starts():
     world = load("fleet")
     plan.check_fits(world, 24_000.0, "fleet")
-    with pytest.raises(WorldError, match=r"hollow\.count: about .* MB"):
+    with pytest.raises(ScenarioError, match=r"hollow\.count: about .* MB"):
         plan.check_fits(world, 2_000.0, "fleet")
     crowded = msgspec.structs.replace(world.hollow, count=2000, per_process=1)
-    with pytest.raises(WorldError, match=r"hollow\.per_process"):
+    with pytest.raises(ScenarioError, match=r"hollow\.per_process"):
         plan.check_fits(msgspec.structs.replace(world, hollow=crowded), 1e9, "fleet")
 
 
 def test_the_shipped_worlds_are_good_and_listed():
-    told = call("worlds")
-    assert told.exit_code == 0
-    assert [line.split()[0] for line in told.stdout.splitlines()] == shipped() == ["fleet", "medium", "small"]
+    result = call("worlds")
+    assert result.exit_code == 0
+    assert (
+        [line.split()[0] for line in result.stdout.splitlines()] == shipped() == ["fleet", "medium", "small"]
+    )
     assert load("fleet").hollow.count == 480
 
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -27,7 +27,7 @@
     return HollowProxy(Net(), spec, known, log or io.StringIO(), rows.append, incarnation=2)
 
 
-def test_it_begins_with_the_list_that_it_is_told_and_says_so():
+def test_it_begins_with_the_known_list_and_reports_it():
     rows = []
     proxy = hollow(rows)
     proxy.start()
@@ -72,7 +72,7 @@
 
     def start(self):
         self.calls.append("start")
-        self.context.in_force("settings", 99, False, 3)
+        self.context.record_activation("settings", 99, False, 3)
 
     def stop(self):
         self.calls.append("stop")
@@ -88,7 +88,8 @@
     monkeypatch.setattr(control_clients, "FACTORIES", (factory,))
     proxy = hollow(rows)
     proxy.start()
-    assert made[0].context.name == proxy.name and made[0].context.service is proxy.service
+    assert made[0].context.name == proxy.name
+    assert made[0].context.service is proxy.service
     row = rows[-1]
     assert (row.source, row.revision, row.lines, row.held) == ("settings", 99, 3, False)
     assert {other.source for other in rows[:-1]} == {messages.SERVER_LIST}
@@ -104,5 +105,6 @@
     listing = EndpointList(8, False, [Endpoint("node-2", "127.0.0.1:3", "east-0", "large")])
     proxy.service.endpoint_discovery.answered(200, msgspec.json.encode(listing))
     assert (rows[-1].revision, rows[-1].lines, rows[-1].held) == (8, 1, False)
-    assert rows[-1].cpu_ms > 0.0 and rows[0].cpu_ms == 0.0
+    assert rows[-1].cpu_ms > 0.0
+    assert rows[0].cpu_ms == 0.0
     assert proxy.service.pools.names() == {"node-0", "node-1", "node-2"}
--- a/tests/test_scale_measures.py
+++ b/tests/test_scale_measures.py
@@ -9,9 +9,9 @@
 
 from cloverwell.cli.main import cli
 from lab.cli import lab
-from lab.scale.measure import InForceMeasure, ProcessCost, delays_s, hollow_cost
-from lab.scale.messages import ActivationCount, Changed, FinalList
-from lab.scale.slopes import FitError, fit, miss
+from lab.scale.measure import ActivationMeasure, ProcessCost, activation_delays, hollow_cost
+from lab.scale.messages import Activation, FinalEndpointList, RevisionPublished
+from lab.scale.slopes import FitError, fit, relative_error
 
 cli.add_command(lab)
 
@@ -21,40 +21,44 @@
 
 
 def row(revision, at_s, lines=1, proxy="p", incarnation=0, complete=False):
-    return ActivationCount(proxy, incarnation, revision, at_s, complete, lines, held=revision == 1)
+    return Activation(proxy, incarnation, revision, at_s, complete, lines, held=revision == 1)
 
 
-CHANGES = [Changed(2, 10.0, []), Changed(3, 11.0, []), Changed(4, 12.0, [])]
+CHANGES = [RevisionPublished(2, 10.0, []), RevisionPublished(3, 11.0, []), RevisionPublished(4, 12.0, [])]
 
 
 def test_a_change_is_in_force_with_the_first_list_that_has_it():
-    delays, missing = delays_s(CHANGES, [row(1, 0.0), row(2, 10.5), row(4, 12.25)])
-    assert delays == [0.5, 1.25, 0.25] and missing == 0
+    delays, missing = activation_delays(CHANGES, [row(1, 0.0), row(2, 10.5), row(4, 12.25)])
+    assert delays == [0.5, 1.25, 0.25]
+    assert missing == 0
 
 
 def test_changes_before_a_proxys_start_are_none_to_it_and_those_it_never_had_are_missing():
-    assert delays_s(CHANGES, [row(2, 10.9), row(3, 11.5)]) == ([0.5], 1)
+    assert activation_delays(CHANGES, [row(2, 10.9), row(3, 11.5)]) == ([0.5], 1)
 
 
 def orders_of(rows, final=None):
-    measure = InForceMeasure()
+    measure = ActivationMeasure()
     for change in CHANGES:
-        measure.changed(change)
+        measure.add_revision(change)
     for taken in rows:
-        measure.took(taken)
-    final = FinalList("p", 4, "same") if final is None else final
+        measure.add_activation(taken)
+    final = FinalEndpointList("p", 4, "same") if final is None else final
     return measure.compare({final.proxy: final}, 4, "same")
 
 
 def test_a_run_in_order_has_nothing_to_tell():
     histogram, orders = orders_of([row(1, 0.0), row(2, 10.5), row(2, 10.9, lines=0), row(4, 12.25)])
-    assert orders.kept and (orders.taken, orders.merged) == (2, 1)
+    assert orders.kept
+    assert (orders.taken, orders.merged) == (2, 1)
     assert histogram.get_total_count() == 3
     assert histogram.get_max_value() == pytest.approx(1.25e6, rel=0.001)
 
 
 def test_lost_repeated_misplaced_and_wrong_are_told_apart():
-    _, orders = orders_of([row(1, 0.0), row(3, 11.5), row(2, 11.6), row(2, 11.7)], FinalList("p", 2, "other"))
+    _, orders = orders_of(
+        [row(1, 0.0), row(3, 11.5), row(2, 11.6), row(2, 11.7)], FinalEndpointList("p", 2, "other")
+    )
     assert (orders.out_of_order, orders.repeated, orders.lost) == (1, 1, 1)
     assert (orders.wrong_lists, orders.behind, orders.kept) == (1, ["p"], False)
 
@@ -62,7 +66,8 @@
 def test_what_a_killed_proxy_never_had_is_not_lost():
     rows = [row(1, 0.0), row(2, 10.5), row(4, 13.0, incarnation=1)]
     _, orders = orders_of(rows)
-    assert orders.kept and (orders.lost, orders.not_followed) == (0, 2)
+    assert orders.kept
+    assert (orders.lost, orders.not_followed) == (0, 2)
 
 
 def test_a_hollow_proxys_cost_is_the_difference_to_an_empty_process():
@@ -96,8 +101,8 @@
 
 
 def test_how_far_a_prediction_was_off():
-    assert miss(125.0, 100.0) == pytest.approx(0.25)
-    assert miss(0.0, 0.0) == 0.0
+    assert relative_error(125.0, 100.0) == pytest.approx(0.25)
+    assert relative_error(0.0, 0.0) == 0.0
 
 
 def write_run(path, hollow, value):
@@ -111,22 +116,24 @@
     files = [write_run(tmp_path / f"{size}.jsonl", size, 2.0 * size) for size in (30, 60, 120, 240)]
     measured = write_run(tmp_path / "480.jsonl", 480, 1200.0)
     words = ["--at", "480", "--measured", measured, "--charts", str(tmp_path / "charts"), "--json"]
-    told = call("slopes", *files, *words)
-    assert told.exit_code == 0, told.output
-    line = json.loads(told.stdout)
+    result = call("slopes", *files, *words)
+    assert result.exit_code == 0, result.output
+    line = json.loads(result.stdout)
     assert (line["slope"], line["predicted"], line["measured"], line["off"]) == (2.0, 960.0, 1200.0, -0.2)
     chart = (tmp_path / "charts" / "proxies-in_force_p50_ms.png").read_bytes()
     assert chart.startswith(b"\x89PNG")
 
 
 def test_slopes_of_too_few_sizes_are_refused_in_one_line(tmp_path):
-    told = call("slopes", write_run(tmp_path / "a.jsonl", 30, 1.0))
-    assert told.exit_code == 2 and told.stderr.count("\n") == 1 and "4 different sizes" in told.stderr
+    result = call("slopes", write_run(tmp_path / "a.jsonl", 30, 1.0))
+    assert result.exit_code == 2
+    assert result.stderr.count("\n") == 1
+    assert "4 different sizes" in result.stderr
 
 
 def test_the_cost_of_an_answer_is_a_mean_over_those_with_something_new():
-    measure = InForceMeasure()
+    measure = ActivationMeasure()
     assert measure.mean_cpu_ms() is None
     for lines, held, cpu_ms in ((9, True, 50.0), (1, False, 2.0), (0, False, 70.0), (2, False, 4.0)):
-        measure.took(ActivationCount("p", 0, 2, 1.0, False, lines, held, cpu_ms))
+        measure.add_activation(Activation("p", 0, 2, 1.0, False, lines, held, cpu_ms))
     assert measure.mean_cpu_ms() == 3.0
--- a/tests/test_scale_processes.py
+++ b/tests/test_scale_processes.py
@@ -11,6 +11,7 @@
 import sys
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -35,28 +36,39 @@
 """
 
 
-def stat(pid):
-    """State, parent and start of a process; None where there is none."""
+class ProcessStatus(NamedTuple):
+    """The fields of /proc/PID/stat that the tests read; `started` tells processes of one id apart."""
+
+    state: str
+    parent: int
+    started: str
+
+
+def status(pid):
+    """Returns the status of a process, or None if there is none."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
         return None
-    return fields[0], int(fields[1]), fields[19]
+    return ProcessStatus(fields[0], int(fields[1]), fields[19])
 
 
 def children(pid):
-    """Those that run, with their start: an id may be another's later."""
-    found = {}
+    """Returns the running child processes by their ids, each with its start."""
+    started = {}
     for path in Path("/proc").iterdir():
-        told = stat(path.name) if path.name.isdigit() else None
-        if told is not None and told[1] == pid and told[0] != "Z":
-            found[int(path.name)] = told[2]
-    return found
+        found = status(path.name) if path.name.isdigit() else None
+        if found is not None and found.parent == pid and found.state != "Z":
+            started[int(path.name)] = found.started
+    return started
 
 
 def running(processes):
-    told = {pid: stat(pid) for pid in processes}
-    return [pid for pid, now in told.items() if now and now[0] not in "ZX" and now[2] == processes[pid]]
+    """Returns the ids of those processes of `children` that still run."""
+    found = {pid: status(pid) for pid in processes}
+    return [
+        pid for pid, now in found.items() if now and now.state not in "ZX" and now.started == processes[pid]
+    ]
 
 
 def wait_for(event, what):
@@ -66,6 +78,11 @@
         time.sleep(0.02)
 
 
+def is_stopped(pid):
+    found = status(pid)
+    return found is not None and found.state == "T"
+
+
 def command_of(pid):
     with contextlib.suppress(OSError):
         return Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")
@@ -102,24 +119,29 @@
 
 def test_the_small_world_loses_and_misplaces_nothing(tmp_path):
     out = tmp_path / "small.jsonl"
-    told = run_to_its_end("small", out)
-    assert told.returncode == 0, told.stdout + told.stderr
+    finished = run_to_its_end("small", out)
+    assert finished.returncode == 0, finished.stdout + finished.stderr
     lines = [json.loads(line) for line in out.read_text().splitlines()]
     by_kind = {line["kind"]: line for line in lines}
     totals = {line["process"]: line for line in lines if line["kind"] == "totals"}
     head, orders = by_kind["run"], by_kind["orders"]
-    assert head["seed"] == 1 and head["changes"] > 0 and head["machine"]["cores"]
+    assert head["seed"] == 1
+    assert head["changes"] > 0
+    assert head["machine"]["cores"]
     assert by_kind["summary"]["good"]
     lags = [line["most_lag_ms"] for name, line in totals.items() if name.startswith("hollow")]
-    assert len(lags) == 3 and by_kind["summary"]["most_lag_ms"] == max(lags) > 0.0
+    assert len(lags) == 3
+    assert by_kind["summary"]["most_lag_ms"] == max(lags) > 0.0
     assert (orders["lost"], orders["out_of_order"], orders["repeated"], orders["wrong_lists"]) == (0, 0, 0, 0)
     # Each change at each hollow proxy, whether it came alone or with a later one.
     assert by_kind["in-force"]["count"] == 12 * head["changes"]
     assert orders["taken"] + orders["merged"] == 12 * head["changes"]
     load = totals["load"]
     ends = ("served", "refused", "failed", "lost", "not_connected", "unanswered")
-    assert load["sent"] == sum(load[end] for end in ends) and load["served"] > 0
-    assert totals["nodes"]["asked"] > 0 and totals["relay"]["connections"] > 0
+    assert load["sent"] == sum(load[end] for end in ends)
+    assert load["served"] > 0
+    assert totals["nodes"]["asked"] > 0
+    assert totals["relay"]["connections"] > 0
     costs = {line["name"]: line for line in lines if line["kind"] == "cost"}
     assert {"hollow-0", "hollow-1", "hollow-empty", "real-0", "discovery"} <= set(costs)
 
@@ -138,8 +160,8 @@
         '[[faults]]\nkind = "restart"\nat_s = 3.5\nwhom = ["discovery"]\n'
     )
     out = tmp_path / "faults.jsonl"
-    told = run_to_its_end(path, out)
-    assert told.returncode == 0, told.stdout + told.stderr
+    finished = run_to_its_end(path, out)
+    assert finished.returncode == 0, finished.stdout + finished.stderr
     lines = [json.loads(line) for line in out.read_text().splitlines()]
     head, orders = lines[0], next(line for line in lines if line["kind"] == "orders")
     assert len(head["faults"]) == 6
@@ -164,7 +186,7 @@
 
 def test_a_killed_parent_leaves_nothing_paused(long_run):
     parent, processes = long_run(PAUSES)
-    wait_for(lambda: sum((stat(pid) or "-")[0] == "T" for pid in processes) == 3, "pauses")
+    wait_for(lambda: sum(is_stopped(pid) for pid in processes) == 3, "pauses")
     parent.kill()
     parent.wait(PATIENCE_S)
     wait_for(lambda: not running(processes), "the end of all processes")
@@ -177,8 +199,9 @@
     victim = next(pid for pid in processes if name in command_of(pid))
     os.kill(victim, signal.SIGKILL)
     assert parent.wait(PATIENCE_S) == 1
-    told = parent.stderr.read()
-    assert told.count("\n") == 1 and (b"real-0" if name == b"cloverwell" else name).decode() in told
+    error = parent.stderr.read()
+    assert error.count("\n") == 1
+    assert (b"real-0" if name == b"cloverwell" else name).decode() in error
     assert running(processes) == []
 
 
@@ -191,5 +214,6 @@
 
 def test_a_process_whose_parent_has_gone_before_it_ends_at_once():
     command = [sys.executable, "-m", "lab.scale.tether", "1", sys.executable, "-c", "print('ran')"]
-    told = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=PATIENCE_S)
-    assert told.returncode == 1 and told.stdout == b""
+    finished = subprocess.run(command, cwd=ROOT, capture_output=True, timeout=PATIENCE_S)
+    assert finished.returncode == 1
+    assert finished.stdout == b""
