--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts by themselves: the proxy's pools before stand-in nodes, without clients and decisions."""
+"""Attempts by themselves: the proxy's connection pools and stand-in nodes, without clients and decisions."""
 
 from __future__ import annotations
 
@@ -26,14 +26,18 @@
 
 @dataclass
 class AttemptCount:
-    """How attempts ended, and how long those that were answered took to their first byte out, in ms."""
+    """The outcomes of attempts, and for how long the served ones waited until they were written.
+
+    `dear_lost` counts attempts that must not be retried and were lost after their last byte.
+    """
 
     outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
     waits_ms: list[float] = field(default_factory=list)
-    dear_lost: int = 0  # attempts that may not run twice, lost behind their last byte
+    dear_lost: int = 0
 
     @property
     def attempts(self) -> int:
+        """The number of attempts that have ended."""
         return sum(self.outcomes.values())
 
 
@@ -47,6 +51,7 @@
         idle_close_ms: float = 120_000.0,
         back: Callable[[float, float], NodeConnectionPolicy] | None = None,
     ) -> None:
+        """Makes the nodes and their pools; `back` makes a policy from an idle time and the time."""
         self.net = Net()
         self.now = self.net.now_ms
         self.timer_wheel = TimerWheel(self.net, 5.0, self.now)
@@ -78,12 +83,13 @@
 
     @property
     def stale(self) -> int:
-        """Attempts lost behind their last byte: whatever befell them, none of these nodes fails otherwise."""
+        """The number of attempts that were lost on a stale connection; these nodes fail in no other way."""
         ends = self.tally.outcomes
         return ends[AttemptOutcome.RESET] + ends[AttemptOutcome.TIMED_OUT]
 
     @property
     def handshakes(self) -> int:
+        """The number of connections that all nodes have accepted."""
         return sum(node.handshakes for node in self.nodes)
 
     def attempt(self, place: int, dear: bool = False, timeout_ms: float = 1000.0) -> Attempt:
@@ -114,7 +120,7 @@
             self.tally.dear_lost += 1
 
     def load(self, per_s: float, seconds: float, seed: int = 1, dear_share: float = 0.05) -> None:
-        """Poisson arrivals over all nodes, bursts and lulls among them, so that idle times differ."""
+        """Runs Poisson arrivals over all nodes, with busy and quiet spells, so that idle times differ."""
         rng, end = Random(seed), self.net.seconds() + seconds
         while self.net.seconds() < end:
             slow = 0.2 if int(self.net.seconds() / 7.0) % 3 == 0 else 1.4
@@ -123,15 +129,19 @@
         self.net.run_for(2.0)
 
     def percentile(self, share: float) -> float:
+        """Returns the wait that this share of the served attempts does not exceed; 0 if none was served."""
         waits = sorted(self.tally.waits_ms)
         return waits[min(len(waits) - 1, int(share * len(waits)))] if waits else 0.0
 
 
 class Fixed(NodeConnectionPolicy):
-    """A baseline: one idle time for all nodes, attempts written whole, nothing opened ahead, no caps
-    learnt."""
+    """A baseline policy with one idle time for all nodes.
+
+    It writes each attempt at once, opens no connection ahead, and learns no limits.
+    """
 
     def __init__(self, idle_ms: float, now: float) -> None:
+        """`idle_ms` is the idle time after which a connection is retired."""
         super().__init__(idle_ms, GRACE_MS, now)
 
     def use(self, node: str, age_ms: float | None, dear: bool) -> ConnectionUse:
@@ -142,12 +152,15 @@
         )
 
     def idle_limit_ms(self, node: str) -> float:
+        """Returns the one idle time."""
         return self.limits.most_ms
 
     def ahead(self, node: str, opened: int, now: float) -> int:
+        """Returns 0: no connection is opened ahead."""
         return 0
 
     def may_open(self, node: str, opened: int, now: float) -> bool:
+        """Returns True: the number of connections has no learnt limit."""
         return True
 
 
@@ -178,7 +191,7 @@
         node.says_so = True
 
 
-# What nodes do with idle connections, by name: each sets a rig's nodes up.
+# What nodes do with idle connections, by name; each function sets up the nodes of a rig.
 PATTERNS: dict[str, Callable[[Rig], None]] = {
     "kept for ever": lambda rig: None,
     "silent after 0.5 s": lambda rig: _silently(rig, lambda number: lambda now_s: 0.5),
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -1,8 +1,8 @@
-"""Many whole proxies without traffic before one discovery, in virtual time: who learns what, and when.
+"""Many whole proxies without traffic and one discovery, in virtual time: which proxy learns a change when.
 
-Discovery is the lab's, of fixed capacity. Beyond that it can be down (connections are refused),
-dead (connection attempts never end) and hung (it takes calls and answers none of them, not even later).
-Times are seconds of the virtual clock unless a name ends in `_ms`.
+Discovery is the lab's stand-in, of fixed capacity. Beyond that it can be down (it refuses connections), dead
+(connection attempts never end) or hung (it accepts calls and answers none of them, not even later). Times
+are seconds of the virtual clock unless a name ends in `_ms`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import io
 from collections import Counter
 from copy import deepcopy
-from typing import Any
+from typing import Any, Literal
 
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
@@ -24,13 +24,15 @@
 from lab.world import World
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
-CHANGED = "node-0"  # whose phase is told as changed
+CHANGED = "node-0"  # the node whose phase changes
 EPOCH_MS = -1.0e9  # the virtual clock shows 0 then
 STEP_S = 0.05
 
+DiscoveryFailure = Literal["down", "dead", "hung"]
+
 
 class ListDiscovery(Discovery):
-    """The lab's discovery, which can also swallow calls, and answer with many nodes or indented."""
+    """The lab's stand-in for discovery, which can also be hung."""
 
     hung = False
 
@@ -42,35 +44,39 @@
 
 
 class NoJudge:
-    """The lab's discovery tells the judge what it tells; here nothing is judged by it."""
+    """Takes the place of the invariant checker, which the lab's discovery notifies of its answers."""
 
-    def told(self, *_told: object) -> None:
-        pass
+    def told(self, *_: object) -> None:
+        """Does nothing: no invariant is checked here."""
 
 
 class ProxyReactor:
-    """One proxy's view of the network; its connection attempts to discovery are counted."""
+    """A proxy's reactor, which is its view of the network; it counts connection attempts to discovery."""
 
     alive = True
 
     def __init__(self, fleet: ListFleet, host: str) -> None:
-        self._fleet, self._host = fleet, host
+        """Connects from the address `host`."""
+        self._fleet = fleet
+        self._host = host
         self.seconds = fleet.net.seconds
         self.callLater = fleet.net.callLater
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress: Any = None
     ) -> None:
+        """Begins a connection from this proxy, and counts it if it goes to discovery (`IReactorTCP`)."""
         if (host, port) == DISCOVERY:
             self._fleet.attempts[int(10.0 * self.seconds())] += 1
         self._fleet.net.connectTCP(host, port, factory, timeout, (self._host, self))
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
+        """Listens as this proxy (`IReactorTCP`)."""
         return self._fleet.net.listenTCP(port, factory, backlog, interface, self)
 
 
 class ListFleet:
-    """`number` proxies before a discovery that works through `calls_per_s`."""
+    """`number` proxies and a discovery that answers `calls_per_s`."""
 
     def __init__(
         self,
@@ -82,9 +88,12 @@
         changes: dict[str, Any] | None = None,
         granularity_ms: float = 50.0,
     ) -> None:
-        """`wait_s`: what a call may wait for its turn; `known`: whether proxies start with the list;
-        `changes`: settings in the place of the lab's own; `granularity_ms`: of the proxies' timers, coarse
-        for speed."""
+        """Starts all proxies.
+
+        A call waits for at most `wait_s` until it is answered. If `known` is set, the proxies start with the
+        list of `nodes` cache nodes. `changes` are settings that override the lab's own, and `granularity_ms`
+        is that of the proxies' timers, which is coarse for speed.
+        """
         self.net = Net()
         self.judge = NoJudge()
         self.world = World(discovery=Capacity(calls_per_s=calls_per_s, wait_s=wait_s))
@@ -126,25 +135,28 @@
         service.start()
         self.proxies.append(service)
 
-    # What the lab's discovery asks its world ---------------------------------------------------------
+    # What the lab's discovery needs of the simulation -------------------------------------------------
 
     def members(self) -> list[dict[str, Any]]:
+        """Returns the entries of discovery's list."""
         return self.rows
 
     def as_listed(self, rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """As `members`: no node of it has a wall clock of its own."""
+        """Returns the entries unchanged, since no node here has a wall clock of its own."""
         return rows
 
     def proxy_of(self, web: Web) -> str:
+        """Returns the host of the proxy at the other end."""
         return web.transport.getPeer().host
 
-    # What happens ------------------------------------------------------------------------------------
+    # The course of a test -----------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
+        """Runs the simulation for that long."""
         self.net.run_for(seconds)
 
-    def fail(self, how: str) -> None:
-        """`down`, `dead` or `hung`; what stands ends in the first, and stays silent in the others."""
+    def fail(self, how: DiscoveryFailure) -> None:
+        """Makes discovery fail; open connections end if it is down, and stay silent otherwise."""
         if how == "down":
             self.discovery.die()
         elif how == "dead":
@@ -158,8 +170,8 @@
         for web in list(self.discovery.links):
             web.transport.forget_flow()
 
-    def restore(self, how: str) -> None:
-        """It can be reached again; what was swallowed or is silent stays so."""
+    def restore(self, how: DiscoveryFailure) -> None:
+        """Ends the failure; calls that were not answered and silent connections stay so."""
         if how == "down":
             self.discovery.live()
         elif how == "dead":
@@ -168,18 +180,20 @@
             self.discovery.hung = False
 
     def change(self) -> None:
-        """A node begins to drain."""
+        """Makes the node `CHANGED` drain."""
         self.rows[0]["phase"] = "terminating"
         self.discovery.changed(CHANGED)
 
     def knowing(self) -> int:
-        """How many proxies have discovery's present list."""
+        """Returns how many proxies have discovery's present list."""
         revision = self.discovery.revision
         return sum(proxy.endpoint_discovery.listing().revision == revision for proxy in self.proxies)
 
     def learning_times(self, longest: float) -> list[float]:
-        """After how many seconds from now the first, second.. proxy has the present list; those that do not
-        within `longest` are left out."""
+        """Runs until all proxies have the present list, or for `longest` seconds.
+
+        Returns after how many seconds the first proxy, the second and so on had it.
+        """
         times: list[float] = []
         begun = self.net.seconds()
         while len(times) < len(self.proxies) and self.net.seconds() - begun < longest:
--- a/lab/scale/child.py
+++ b/lab/scale/child.py
@@ -20,7 +20,7 @@
 
 from cloverwell.monotonic_reactor import install_reactor
 from lab.scale import messages
-from lab.scale.reactor import Report, Role, ScaleReactor
+from lab.scale.reactor import ProcessRole, Report, ScaleReactor
 from lab.scale.tether import tether
 
 MAX_LINE_BYTES = 64 * 1024 * 1024
@@ -44,7 +44,7 @@
         print(failure.getTraceback() if failure else formatEvent(event), file=sys.stderr, flush=True)
 
 
-def make_role(reactor: ScaleReactor, start: messages.Command, report: Report) -> Role:
+def make_role(reactor: ScaleReactor, start: messages.Command, report: Report) -> ProcessRole:
     """Returns the role that the first message asks for. Raises ValueError for a message that starts no role.
 
     Only the modules of that role are imported, so that a process's memory is its role's alone.
@@ -85,7 +85,7 @@
         """Waits for the first message."""
         self._reactor = reactor
         self._fault_counter = fault_counter
-        self._role: Role | None = None
+        self._role: ProcessRole | None = None
         self._is_finished = False
 
     def lineReceived(self, line: bytes) -> None:
@@ -101,7 +101,7 @@
     def _report(self, report: messages.Report) -> None:
         self.transport.write(messages.encode(report))
 
-    def _finish(self, role: Role) -> None:
+    def _finish(self, role: ProcessRole) -> None:
         totals = role.finish()
         if isinstance(totals, messages.HollowTotals):
             totals = msgspec.structs.replace(totals, faults=self._fault_counter.faults)
--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -13,7 +13,7 @@
 from cloverwell.cli.main import refuse
 from lab.scale import machine, plan
 from lab.scale.errors import RunInterruptedError, ScaleRunError
-from lab.scale.scenario import ScaleScenario, ScenarioError, check, load, shipped
+from lab.scale.scenario import ScaleScenario, ScaleScenarioError, check, load, shipped
 from lab.scale.slopes import FitError, FittedLine, SizedRun, fit_all, relative_error
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
     try:
         scenario = _with_sizes(load(world), name, seed, hollow, nodes)
         plan.check_fits(scenario, machine.memory_mb(), name)
-    except ScenarioError as error:
+    except ScaleScenarioError as error:
         refuse(str(error))
     if out is not None and not out.parent.is_dir():
         refuse(f"--out: {out.parent} is no folder")
@@ -125,7 +125,7 @@
     try:
         changed = msgspec.convert(raw, ScaleScenario)
     except msgspec.ValidationError as error:
-        raise ScenarioError(where, str(error)) from None
+        raise ScaleScenarioError(where, str(error)) from None
     check(changed, where)
     return changed
 
--- a/lab/scale/discovery.py
+++ b/lab/scale/discovery.py
@@ -16,9 +16,9 @@
 
 from lab.scale import messages
 from lab.scale.call_queue import CallQueue
-from lab.scale.http_server import HttpConnection
+from lab.scale.http_server import HttpServerConnection
 from lab.scale.membership import MemberList, next_change
-from lab.scale.reactor import DelayedCall, Report, ScaleReactor
+from lab.scale.reactor import Report, ScaleReactor, ScheduledCall
 
 LIST_PATH = "/v1/servers"
 MAX_WAIT_S = 60.0  # the longest wait that a watch may ask for
@@ -29,7 +29,7 @@
 class PendingWatch:
     """A call that waits for a revision after `after`, until its time is over."""
 
-    connection: HttpConnection
+    connection: HttpServerConnection
     after: int
 
 
@@ -71,16 +71,16 @@
         self._report = report
         self._list = MemberList(start.known.revision, start.known.members)
         self._queue = CallQueue(start.calls_per_s, start.queue)
-        self._watches: dict[PendingWatch, DelayedCall] = {}  # the value ends the watch's wait
+        self._watches: dict[PendingWatch, ScheduledCall] = {}  # the value ends the watch's wait
         self._counters = DiscoveryCounters()
         self._totals: messages.DiscoveryTotals | None = None  # set once the changes have ended
-        self._next_change: DelayedCall | None = None
+        self._next_change: ScheduledCall | None = None
         reactor.listenTCP(start.port, self, backlog=BACKLOG, interface="127.0.0.1")
         report(messages.Ready())
 
-    def buildProtocol(self, _address: IAddress | None) -> HttpConnection:
+    def buildProtocol(self, _address: IAddress | None) -> HttpServerConnection:
         """Returns the protocol of an accepted connection."""
-        return HttpConnection(self._handle_request, self._count_bytes)
+        return HttpServerConnection(self._handle_request, self._count_bytes)
 
     def _count_bytes(self, bytes_in: int, bytes_out: int) -> None:
         self._counters.bytes_in += bytes_in
@@ -88,7 +88,7 @@
 
     # Calls -------------------------------------------------------------------------------------
 
-    def _handle_request(self, connection: HttpConnection, method: str, target: str) -> None:
+    def _handle_request(self, connection: HttpServerConnection, method: str, target: str) -> None:
         now = time.monotonic()
         self._counters.calls_by_second[int(now)] += 1
         url = urlsplit(target)
@@ -104,7 +104,7 @@
         watch = PendingWatch(connection, after)
         self._watches[watch] = self._reactor.callLater(wait_s, self._end_wait, watch)
 
-    def _enqueue_call(self, connection: HttpConnection, after: int | None, now: float) -> None:
+    def _enqueue_call(self, connection: HttpServerConnection, after: int | None, now: float) -> None:
         due_s = self._queue.offer(now)
         if due_s is None:
             self._counters.refused += 1
@@ -121,7 +121,7 @@
         due_s = self._queue.put(now)
         self._reactor.callLater(due_s - now, self._answer, watch.connection, watch.after)
 
-    def _answer(self, connection: HttpConnection, after: int | None) -> None:
+    def _answer(self, connection: HttpServerConnection, after: int | None) -> None:
         self._counters.answers += 1
         connection.answer(200, msgspec.json.encode(self._list.listing(after)))
 
--- a/lab/scale/http_server.py
+++ b/lab/scale/http_server.py
@@ -10,10 +10,10 @@
 from twisted.python.failure import Failure
 
 # A handler is called with the connection, the method and the target of a request.
-Handler = Callable[["HttpConnection", str, str], None]
+Handler = Callable[["HttpServerConnection", str, str], None]
 
 
-class HttpConnection(Protocol):
+class HttpServerConnection(Protocol):
     """Calls `handler` with each request, which answers it by `answer` at once or later."""
 
     transport: Any  # Twisted sets an `ITCPTransport` before `connectionMade`.
--- a/lab/scale/nodes.py
+++ b/lab/scale/nodes.py
@@ -10,14 +10,14 @@
 from twisted.protocols.basic import LineReceiver
 
 from lab.scale import messages
-from lab.scale.http_server import HttpConnection
+from lab.scale.http_server import HttpServerConnection
 from lab.scale.reactor import Report, ScaleReactor
 
 BACKLOG = 1024
 VALUE = b"v" * 100
 
 
-class NodeConnection(LineReceiver):
+class StandInNodeConnection(LineReceiver):
     """A connection to a cache node: memcache meta gets, answered by a fixed value or by a miss."""
 
     transport: Any  # Twisted sets an `ITCPTransport` before `connectionMade`.
@@ -47,9 +47,9 @@
         """Takes the answers from `nodes`."""
         self._nodes = nodes
 
-    def buildProtocol(self, _address: IAddress | None) -> NodeConnection:
+    def buildProtocol(self, _address: IAddress | None) -> StandInNodeConnection:
         """Returns the protocol of an accepted connection."""
-        return NodeConnection(self._nodes)
+        return StandInNodeConnection(self._nodes)
 
 
 class OriginFactory(Factory):
@@ -61,9 +61,9 @@
         """Takes the answers from `nodes`."""
         self._nodes = nodes
 
-    def buildProtocol(self, _address: IAddress | None) -> HttpConnection:
+    def buildProtocol(self, _address: IAddress | None) -> HttpServerConnection:
         """Returns the protocol of an accepted connection."""
-        return HttpConnection(self._nodes.answer_origin_request, lambda *_: None)
+        return HttpServerConnection(self._nodes.answer_origin_request, lambda *_: None)
 
 
 class NodesProcess:
@@ -86,7 +86,7 @@
             return b"EN " + opaque + b"\r\n"
         return b"VA %d %s\r\n%s\r\n" % (len(VALUE), opaque, VALUE)
 
-    def answer_origin_request(self, connection: HttpConnection, _method: str, _target: str) -> None:
+    def answer_origin_request(self, connection: HttpServerConnection, _method: str, _target: str) -> None:
         """Answers a request to the origin, which has every key."""
         self._origin_requests += 1
         connection.answer(200, VALUE)
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -7,7 +7,7 @@
 
 from cloverwell.membership.endpoint_list import Endpoint
 from lab.proxy import SETTINGS
-from lab.scale.scenario import ScaleScenario, ScenarioError
+from lab.scale.scenario import ScaleScenario, ScaleScenarioError
 
 MEMORY_SHARE = 0.5  # of the machine's memory, which a run may take
 MAX_PROCESSES = 300
@@ -123,12 +123,12 @@
 
 
 def check_fits(scenario: ScaleScenario, machine_mb: float, where: str) -> None:
-    """Raises `ScenarioError` if the run would take too much of the machine; `where` names the file."""
+    """Raises `ScaleScenarioError` if the run would take too much of the machine; `where` names the file."""
     count = process_count(scenario)
     if count > MAX_PROCESSES:
         problem = f"{count} processes, at most {MAX_PROCESSES} are run"
-        raise ScenarioError(f"{where}: hollow.per_process", problem)
+        raise ScaleScenarioError(f"{where}: hollow.per_process", problem)
     needed, allowed = memory_mb(scenario), MEMORY_SHARE * machine_mb
     if needed > allowed:
         problem = f"about {needed:.0f} MB would be taken, over half of the machine's ({allowed:.0f} MB)"
-        raise ScenarioError(f"{where}: hollow.count", problem)
+        raise ScaleScenarioError(f"{where}: hollow.count", problem)
--- a/lab/scale/reactor.py
+++ b/lab/scale/reactor.py
@@ -13,7 +13,7 @@
 Report = Callable[[messages.Report], None]  # sends a message to the parent process
 
 
-class DelayedCall(Protocol):
+class ScheduledCall(Protocol):
     """A call that the reactor will make later (`twisted.internet.interfaces.IDelayedCall`)."""
 
     def cancel(self) -> None:
@@ -23,7 +23,7 @@
 class ScaleReactor(Protocol):
     """The methods of `IReactorTCP` and `IReactorTime` that a role calls, under Twisted's own names."""
 
-    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> DelayedCall:
+    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> ScheduledCall:
         """Calls `call` with the arguments after `delay` seconds."""
 
     def listenTCP(
@@ -35,7 +35,7 @@
         """Begins a TCP connection; `timeout` is in seconds."""
 
 
-class Role(Protocol):
+class ProcessRole(Protocol):
     """What a child process does; its constructor takes the reactor, the start message and a `Report`."""
 
     def command(self, command: messages.Command) -> None:
--- a/lab/scale/scenario.py
+++ b/lab/scale/scenario.py
@@ -1,7 +1,7 @@
 """The scenario of a scale run, as its TOML file describes it. No I/O but reading the file.
 
 Times are seconds unless a name ends in `_ms`. A file with an unknown field, or with a value out of its
-range, is refused with the field's path (`ScenarioError`). The field names are those of the files.
+range, is refused with the field's path (`ScaleScenarioError`). The field names are those of the files.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 SCENARIO_FOLDER = Path(__file__).parent / "worlds"
 
 
-class ScenarioError(Exception):
+class ScaleScenarioError(Exception):
     """The scenario can't be run; the text names the file and the field.
 
     `where` is the file, with the field's path behind it, and `problem` says what is wrong there.
@@ -78,7 +78,7 @@
     sockets: Annotated[int, Meta(ge=64, le=100_000)] = 512
 
 
-class CacheNodes(Struct, forbid_unknown_fields=True):
+class CacheNodeSet(Struct, forbid_unknown_fields=True):
     """The cache nodes in discovery's list; the stand-ins that answer for them share some ports.
 
     Requests for `miss_share` of the keys miss, and go on to the origin.
@@ -89,7 +89,7 @@
     miss_share: Share = 0.05
 
 
-class DiscoveryCapacity(Struct, forbid_unknown_fields=True):
+class DiscoveryLimits(Struct, forbid_unknown_fields=True):
     """The region and the capacity of the stand-in for discovery.
 
     An empty `region` stands for the first one. A call that finds `queue` calls waiting is answered with 503.
@@ -150,8 +150,8 @@
     links: list[LinkDelay] = []
     hollow: HollowProxies = field(default_factory=HollowProxies)
     real: RealProxies = field(default_factory=RealProxies)
-    nodes: CacheNodes = field(default_factory=CacheNodes)
-    discovery: DiscoveryCapacity = field(default_factory=DiscoveryCapacity)
+    nodes: CacheNodeSet = field(default_factory=CacheNodeSet)
+    discovery: DiscoveryLimits = field(default_factory=DiscoveryLimits)
     changes: ListChanges = field(default_factory=ListChanges)
     faults: list[ScheduledFault] = []
 
@@ -177,36 +177,36 @@
 
 
 def load(name: str) -> ScaleScenario:
-    """Returns the scenario of a file, or the shipped one of that name. Raises `ScenarioError`."""
+    """Returns the scenario of a file, or the shipped one of that name. Raises `ScaleScenarioError`."""
     path = Path(name)
     if not path.exists() and (SCENARIO_FOLDER / f"{name}.toml").exists():
         path = SCENARIO_FOLDER / f"{name}.toml"
     try:
         scenario = msgspec.toml.decode(path.read_bytes(), type=ScaleScenario)
     except OSError as error:
-        raise ScenarioError(name, f"{error.strerror}; shipped are {', '.join(shipped())}") from None
+        raise ScaleScenarioError(name, f"{error.strerror}; shipped are {', '.join(shipped())}") from None
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise ScenarioError(path.name, str(error)) from None
+        raise ScaleScenarioError(path.name, str(error)) from None
     check(scenario, path.name)
     return scenario
 
 
 def check(scenario: ScaleScenario, where: str) -> None:
-    """Raises `ScenarioError` for the first field that does not fit the others; `where` names the file."""
+    """Raises `ScaleScenarioError` for the first field that contradicts another; `where` names the file."""
     names = [region.name for region in scenario.regions]
     if not names:
-        raise ScenarioError(f"{where}: regions", "at least one is needed")
+        raise ScaleScenarioError(f"{where}: regions", "at least one is needed")
     for place, name in enumerate(names):
         if name in names[:place]:
-            raise ScenarioError(f"{where}: regions[{place}].name", f"{name!r} stands there twice")
+            raise ScaleScenarioError(f"{where}: regions[{place}].name", f"{name!r} stands there twice")
     if scenario.discovery.region and scenario.discovery.region not in names:
-        raise ScenarioError(f"{where}: discovery.region", f"{scenario.discovery.region!r} is no region")
+        raise ScaleScenarioError(f"{where}: discovery.region", f"{scenario.discovery.region!r} is no region")
     if not scenario.proxies:
-        raise ScenarioError(f"{where}: hollow.count", "with real.count 0 there is no proxy")
+        raise ScaleScenarioError(f"{where}: hollow.count", "with real.count 0 there is no proxy")
     for place, link in enumerate(scenario.links):
         _check_pair(link.between, names, f"{where}: links[{place}].between")
     if scenario.changes.nodes > scenario.nodes.count:
-        raise ScenarioError(
+        raise ScaleScenarioError(
             f"{where}: changes.nodes", f"must not be over nodes.count ({scenario.nodes.count})"
         )
     for place, fault in enumerate(scenario.faults):
@@ -216,46 +216,46 @@
 def _check_pair(pair: tuple[str, str], names: list[str], where: str) -> None:
     for name in pair:
         if name not in names:
-            raise ScenarioError(where, f"{name!r} is no region")
+            raise ScaleScenarioError(where, f"{name!r} is no region")
     if pair[0] == pair[1]:
-        raise ScenarioError(where, "must be two regions")
+        raise ScaleScenarioError(where, "must be two regions")
 
 
 def _check_fault(scenario: ScaleScenario, fault: ScheduledFault, regions: list[str], where: str) -> None:
     if fault.at_s + fault.for_s > scenario.run_s:
-        raise ScenarioError(f"{where}.at_s", f"with for_s it must end within run_s ({scenario.run_s:g})")
+        raise ScaleScenarioError(f"{where}.at_s", f"with for_s it must end within run_s ({scenario.run_s:g})")
     if fault.kind in LINK_FAULTS:
         _check_link_fault(scenario, fault, regions, where)
         return
     if fault.between is not None:
-        raise ScenarioError(f"{where}.between", "is for links alone")
+        raise ScaleScenarioError(f"{where}.between", "is for links alone")
     if not fault.whom:
-        raise ScenarioError(f"{where}.whom", "must name a process")
+        raise ScaleScenarioError(f"{where}.whom", "must name a process")
     allowed = process_names(scenario)
     for name in fault.whom:
         if name not in allowed:
             text = f"{name!r} is not there; allowed: {', '.join(allowed)}"
-            raise ScenarioError(f"{where}.whom", text[: MAX_MESSAGE - len(f"{where}.whom: ")])
+            raise ScaleScenarioError(f"{where}.whom", text[: MAX_MESSAGE - len(f"{where}.whom: ")])
     if fault.kind == "pause" and not fault.for_s:
-        raise ScenarioError(f"{where}.for_s", "must be over 0")
+        raise ScaleScenarioError(f"{where}.for_s", "must be over 0")
 
 
 def _check_link_fault(scenario: ScaleScenario, fault: ScheduledFault, regions: list[str], where: str) -> None:
     if fault.whom:
-        raise ScenarioError(f"{where}.whom", "is for processes alone")
+        raise ScaleScenarioError(f"{where}.whom", "is for processes alone")
     if fault.between is None:
-        raise ScenarioError(f"{where}.between", "must name two regions")
+        raise ScaleScenarioError(f"{where}.between", "must name two regions")
     _check_pair(fault.between, regions, f"{where}.between")
     if scenario.discovery_region not in fault.between:
-        raise ScenarioError(
+        raise ScaleScenarioError(
             f"{where}.between", f"nothing runs there; one must be {scenario.discovery_region!r}"
         )
     if not fault.for_s:
-        raise ScenarioError(f"{where}.for_s", "must be over 0")
+        raise ScaleScenarioError(f"{where}.for_s", "must be over 0")
     if fault.kind == "delay" and not fault.extra_ms:
-        raise ScenarioError(f"{where}.extra_ms", "must be over 0")
+        raise ScaleScenarioError(f"{where}.extra_ms", "must be over 0")
     if fault.kind == "loss" and not fault.share:
-        raise ScenarioError(f"{where}.share", "must be over 0")
+        raise ScaleScenarioError(f"{where}.share", "must be over 0")
 
 
 def process_names(scenario: ScaleScenario) -> list[str]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from lab.scale import plan
 from lab.scale.call_queue import CallQueue
 from lab.scale.membership import KEPT_REMOVALS, MemberList, digest, next_change
-from lab.scale.scenario import ScenarioError, load, shipped
+from lab.scale.scenario import ScaleScenarioError, load, shipped
 
 cli.add_command(lab)
 
@@ -82,10 +82,10 @@
 def test_a_world_too_large_for_the_machine_is_refused_before_anything_starts():
     world = load("fleet")
     plan.check_fits(world, 24_000.0, "fleet")
-    with pytest.raises(ScenarioError, match=r"hollow\.count: about .* MB"):
+    with pytest.raises(ScaleScenarioError, match=r"hollow\.count: about .* MB"):
         plan.check_fits(world, 2_000.0, "fleet")
     crowded = msgspec.structs.replace(world.hollow, count=2000, per_process=1)
-    with pytest.raises(ScenarioError, match=r"hollow\.per_process"):
+    with pytest.raises(ScaleScenarioError, match=r"hollow\.per_process"):
         plan.check_fits(msgspec.structs.replace(world, hollow=crowded), 1e9, "fleet")
 
 
