--- a/benchmarks/origin_lockouts.py
+++ b/benchmarks/origin_lockouts.py
@@ -1,4 +1,4 @@
-"""Counts the windows in which a proxy refused most of its misses though the origin was asked next to nothing.
+"""Counts the windows in which a proxy refused most of its misses though it sent the origin next to nothing.
 
     python benchmarks/origin_lockouts.py FOLDER...
 
@@ -13,47 +13,50 @@
 import re
 import sys
 from collections import Counter
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 
-REFUSED_MIN = 30  # requests refused as `queue` in a window
-OUTCOMES_PART = 0.2  # of them: at least so many outcomes at the origin, or it is a lock-out
+MIN_REFUSED = 30  # requests that were refused as `queue` in a window
+MIN_OUTCOMES_SHARE = 0.2  # of these; with fewer outcomes at the origin the window is a lock-out
 COUNT = re.compile(r"([\w.]+)=(\d+)")
 
 
 @dataclass
 class Day:
-    """The sums over all proxies of one day."""
+    """The sums over all proxies of one day.
+
+    `windows` counts the lock-outs, and `locked` the requests that were taken in them.
+    """
 
     windows: int = 0
-    locked: int = 0  # requests taken in those windows
+    locked: int = 0
     counts: Counter[str] = field(default_factory=Counter)
 
     def add(self, line: dict[str, int]) -> None:
-        """One line of counts: what one proxy counted in one window."""
+        """Adds one line of counts, which is one proxy's window."""
         self.counts.update(line)
         refused = line.get("refused.queue", 0)
         outcomes = sum(count for name, count in line.items() if name.startswith("origin."))
-        if refused >= REFUSED_MIN and outcomes < OUTCOMES_PART * refused:
+        if refused >= MIN_REFUSED and outcomes < MIN_OUTCOMES_SHARE * refused:
             self.windows += 1
             self.locked += line.get("taken", 0)
 
     def __str__(self) -> str:
-        reasons = sorted(
-            (
-                (count, name)
-                for name, count in self.counts.items()
-                if name.startswith(("refused.", "failed."))
-            ),
-            reverse=True,
-        )
-        told = ", ".join(f"{name} {count}" for count, name in reasons)
+        """Returns the line that is printed for the day."""
+        reasons = sorted(self._reasons(), reverse=True)
+        listed = ", ".join(f"{name} {count}" for count, name in reasons)
         taken = self.counts["taken"]
-        return f"{self.windows} windows, {self.locked} of {taken} requests in them; {told}"
+        return f"{self.windows} windows, {self.locked} of {taken} requests in them; {listed}"
+
+    def _reasons(self) -> Iterator[tuple[int, str]]:
+        for name, count in self.counts.items():
+            if name.startswith(("refused.", "failed.")):
+                yield count, name
 
 
 def read(folder: Path) -> Day:
-    """The logs of one day. Raises OSError if a file can't be read."""
+    """Returns the sums of the logs in a folder. Raises OSError if a file can't be read."""
     day = Day()
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text(errors="replace").splitlines():
@@ -63,6 +66,7 @@
 
 
 def main() -> None:
+    """Prints a line for each folder, or ends with code 2 if one is missing."""
     folders = [Path(name) for name in sys.argv[1:]]
     if not folders or not all(folder.is_dir() for folder in folders):
         print("origin_lockouts.py: FOLDER: at least one is needed, each a folder of logs", file=sys.stderr)
