--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -152,7 +152,6 @@
         )
 
     def idle_limit_ms(self, node: str) -> float:
-        """Returns the one idle time."""
         return self.limits.most_ms
 
     def ahead(self, node: str, opened: int, now: float) -> int:
