--- a/lab/processes.py
+++ b/lab/processes.py
@@ -136,6 +136,7 @@
         """Waits until its log has the text, and fails if the process ends without it."""
 
         def is_logged() -> bool:
+            """Returns whether the log has the text."""
             assert self.popen.poll() is None or text in self.log.read_text(), self.log.read_text()
             return text in self.log.read_text()
 
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -9,7 +9,7 @@
 import io
 import time
 from collections.abc import Callable
-from typing import TextIO, cast
+from typing import Any, TextIO, cast
 
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
@@ -76,9 +76,11 @@
         self._on_activation = on_activation
         self._activation: messages.Activation | None = None  # of the answer that is being handled
         stream = cast(TextIO, NamedLog(spec.name, log))
-        self.service = Proxy(
-            reactor, _configuration(spec, known), Log(monotonic_ms, stream), monotonic_ms, read_epoch_ms
-        )
+        config = _configuration(spec, known)
+        log_of_proxy = Log(monotonic_ms, stream)
+        # The process's reactor has all of a proxy's interface; `ScaleReactor` declares what the roles call.
+        proxy_reactor = cast(Any, reactor)
+        self.service = Proxy(proxy_reactor, config, log_of_proxy, monotonic_ms, read_epoch_ms)
         self._observe_discovery()
         context = control_clients.ProxyContext(spec.name, self.service, reactor, self._record)
         self._control_clients = [factory(context) for factory in control_clients.FACTORIES]
@@ -92,7 +94,8 @@
 
     def start(self) -> None:
         """Applies the list known at the start, and begins to follow discovery."""
-        self.service.start(listen=open_no_port)
+        # A closed port has only the one method of a listening port that a proxy calls.
+        self.service.start(listen=cast(Any, open_no_port))
         for client in self._control_clients:
             client.start()
 
