--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -38,7 +38,7 @@
 from process_usage import cpu_s, rss_mb
 
 from lab.fit import Line, fit
-from lab.processes import CacheNode, Place, Server, free_port
+from lab.processes import CacheNodeHandler, CacheNodeServer, ProxyFixture, free_port
 
 CLIENT_PROCESSES = 4
 DEADLINE_S = 2.0
@@ -236,16 +236,16 @@
 
 def serve_node(port: int, value_bytes: int) -> None:
     """Runs a cache node; in a process of its own it does not share the interpreter with the clients."""
-    server = Server(("127.0.0.1", port), CacheNode)
+    server = CacheNodeServer(("127.0.0.1", port), CacheNodeHandler)
     server.value = b"v" * value_bytes
     server.serve_forever()
 
 
 @contextlib.contextmanager
-def proxy_with_nodes(value_bytes: int, nodes: int) -> Iterator[tuple[Place, int]]:
+def proxy_with_nodes(value_bytes: int, nodes: int) -> Iterator[tuple[ProxyFixture, int]]:
     """Runs a proxy and its nodes in processes of their own; yields its place and its process id."""
     with tempfile.TemporaryDirectory() as folder:
-        place = Place(Path(folder), sockets=1024)
+        place = ProxyFixture(Path(folder), sockets=1024)
         place.node.shutdown()
         place.node.server_close()
         ports = [free_port() for _ in range(nodes)]
@@ -267,7 +267,7 @@
                 node_process.join()
 
 
-def _list_nodes(place: Place, ports: list[int]) -> None:
+def _list_nodes(place: ProxyFixture, ports: list[int]) -> None:
     """Puts nodes at these ports into the proxy's configuration."""
     config = json.loads(place.config.read_text())
     config["known"]["members"] = [
@@ -276,7 +276,7 @@
     place.config.write_text(json.dumps(config))
 
 
-def run_load(place: Place, clients: int, per_s: float, seconds: float) -> LoadResult:
+def run_load(place: ProxyFixture, clients: int, per_s: float, seconds: float) -> LoadResult:
     """Runs clients in `CLIENT_PROCESSES` processes, and returns their common result."""
     results: Queue[LoadResult] = multiprocessing.Queue()
     load = ClientLoad(place.listen, max(1, clients // CLIENT_PROCESSES), per_s / CLIENT_PROCESSES, seconds)
--- a/benchmarks/long_values.py
+++ b/benchmarks/long_values.py
@@ -20,7 +20,7 @@
 from process_usage import rss_mb
 
 from cloverwell.streamed_value import LONGEST
-from lab.processes import Place
+from lab.processes import ProxyFixture
 
 RECEIVE_BYTES = 16 * 1024
 TIMEOUT_S = 60.0
@@ -56,7 +56,7 @@
     """Measures a proxy with that many readers; `memory_mb` is its memory limit."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        contextlib.closing(Place(Path(folder), b"v" * LONGEST, 1024, memory_mb)) as place,
+        contextlib.closing(ProxyFixture(Path(folder), b"v" * LONGEST, 1024, memory_mb)) as place,
     ):
         proxy = place.start().ready().popen
         before_mb = max_mb = rss_mb(proxy.pid)
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -93,6 +93,7 @@
         return sum(node.handshakes for node in self.nodes)
 
     def attempt(self, place: int, costly: bool = False, timeout_ms: float = 1000.0) -> Attempt:
+        """Starts an attempt at the node with this index, and returns it."""
         self._count += 1
         name, now = f"r{self._count}", self.now()
         request = SimpleNamespace(
@@ -145,6 +146,7 @@
         super().__init__(idle_ms, GRACE_MS)
 
     def use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
+        """Retires a connection that was idle for too long, and writes attempts at once otherwise."""
         return (
             ConnectionUse.RETIRE
             if age_ms is not None and age_ms >= self.limits.max_ms
@@ -152,6 +154,7 @@
         )
 
     def idle_limit_ms(self, node: str) -> float:
+        """Returns the one idle time."""
         return self.limits.max_ms
 
     def ahead(self, node: str, opened: int, now: float) -> int:
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -37,6 +37,7 @@
     hung = False
 
     def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
+        """Counts and drops a call while discovery is hung, and handles it otherwise."""
         if self.hung:
             self.calls[int(self.now)] += 1
             return
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -32,10 +32,10 @@
 _ports = iter(random.sample(PORTS, len(PORTS)))
 
 
-class CacheNode(socketserver.StreamRequestHandler):
+class CacheNodeHandler(socketserver.StreamRequestHandler):
     """Answers each get with its opaque token, or with the server's value if there is one."""
 
-    server: Server
+    server: CacheNodeServer
 
     def handle(self) -> None:
         """Answers the gets of a connection until it ends."""
@@ -45,7 +45,7 @@
             self.wfile.write(b"VA %d %s\r\n%s\r\n" % (len(value), opaque, value))
 
 
-class Server(socketserver.ThreadingTCPServer):
+class CacheNodeServer(socketserver.ThreadingTCPServer):
     """Serves connections in a thread each; an empty `value` stands for the opaque token of each get."""
 
     daemon_threads = True
@@ -73,7 +73,7 @@
     _ports = iter(random.sample(own, len(own)))
 
 
-class Place:
+class ProxyFixture:
     """An address to serve at, a cache node, and the proxies that are started there."""
 
     def __init__(
@@ -82,12 +82,12 @@
         """Starts the node, and writes the proxies' configuration file into the folder."""
         self.folder = folder
         self.listen = ("127.0.0.1", free_port())
-        self.node = Server(("127.0.0.1", 0), CacheNode)
+        self.node = CacheNodeServer(("127.0.0.1", 0), CacheNodeHandler)
         self.node.value = value
         threading.Thread(target=self.node.serve_forever, daemon=True).start()
         self.config = folder / "config.json"
         self.config.write_text(json.dumps(self._configuration(sockets, memory_mb)))
-        self.processes: list[Process] = []
+        self.processes: list[LoopbackProxy] = []
         self.path = handover_socket_path(str(folder), self.listen)
 
     def _configuration(self, sockets: int, memory_mb: float) -> dict[str, object]:
@@ -101,9 +101,9 @@
             "known": {"revision": 1, "complete": True, "members": members},
         }
 
-    def start(self) -> Process:
+    def start(self) -> LoopbackProxy:
         """Starts a proxy, without waiting until it is ready."""
-        process = Process(self)
+        process = LoopbackProxy(self)
         self.processes.append(process)
         return process
 
@@ -116,10 +116,10 @@
         self.node.server_close()
 
 
-class Process:
+class LoopbackProxy:
     """One proxy, started by `python -m cloverwell` as in production."""
 
-    def __init__(self, place: Place) -> None:
+    def __init__(self, place: ProxyFixture) -> None:
         """Starts the proxy with the place's configuration; its log goes into the place's folder."""
         self.operator = ("127.0.0.1", free_port())
         self.log = place.folder / f"log-{len(place.processes)}"
@@ -132,7 +132,7 @@
         with self.log.open("w") as log:
             self.popen = subprocess.Popen(command, cwd=ROOT, env=environ, stderr=log)
 
-    def says(self, text: str) -> None:
+    def wait_for_log(self, text: str) -> None:
         """Waits until its log has the text, and fails if the process ends without it."""
 
         def is_logged() -> bool:
@@ -154,7 +154,7 @@
         finally:
             connection.close()
 
-    def ready(self) -> Process:
+    def ready(self) -> LoopbackProxy:
         """Waits until the proxy is ready, and returns it."""
         wait_for(lambda: self.call("GET", "/ready") == 200, "/ready")
         return self
@@ -173,7 +173,7 @@
         time.sleep(CHECK_INTERVAL_S)
 
 
-class Clients:
+class SteadyClients:
     """Clients that send steadily, each on a connection that it keeps.
 
     A request that is sent while the proxy closes the connection is sent once more on a new one, and counted
@@ -229,7 +229,7 @@
         if answer != served and not answer.startswith(b"SERVER_ERROR busy"):
             self.wrong.append(answer)
 
-    def more(self, number: int = 200) -> None:
+    def wait_for_answers(self, number: int = 200) -> None:
         """Waits for so many further answers, or until something is wrong."""
         wanted = self.answered + number
         wait_for(lambda: self.answered >= wanted or bool(self.wrong), "answers")
--- a/tests/control_fleet_rig.py
+++ b/tests/control_fleet_rig.py
@@ -6,7 +6,7 @@
 from http.client import HTTPConnection
 
 from lab.control_node_processes import COMMAND, ControlNodes
-from lab.processes import PATIENCE_S, ROOT, Clients, Place, free_port, wait_for
+from lab.processes import PATIENCE_S, ROOT, ProxyFixture, SteadyClients, free_port, wait_for
 from lab.proxy import SETTINGS
 
 REGIONS = ("north", "south", "west")
@@ -19,7 +19,7 @@
     def __init__(self, folder, name, nodes, region):
         folder.mkdir()
         self.name = name
-        self.place = Place(folder)
+        self.place = ProxyFixture(folder)
         self.nodes = nodes
         self.write(control=nodes.section(region), name=name, settings=OWN)
         self.process = None
@@ -54,8 +54,8 @@
         return last[0]
 
     def serves(self):
-        clients = Clients(self.place.listen, 2)
-        clients.more(10)
+        clients = SteadyClients(self.place.listen, 2)
+        clients.wait_for_answers(10)
         clients.stop()
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -29,8 +29,8 @@
     version = fleet.commit(follower, discovery() | peers(480))
     for proxy in fleet.proxies:
         fields = proxy.comes_to(version=version, position=version, refused=0, current="yes")
-        proxy.process.says(f"version: {version} in force, digest {fields['digest']}")
-        proxy.process.says("480 proxies")
+        proxy.process.wait_for_log(f"version: {version} in force, digest {fields['digest']}")
+        proxy.process.wait_for_log("480 proxies")
     assert len({proxy.configuration()["digest"] for proxy in fleet.proxies}) == 1
     answer = fleet.nodes.wait_for_status(
         leader, lambda a: a.activation is not None and a.activation.applied == 3, "in force at three proxies"
@@ -223,7 +223,7 @@
     alone.process.end(signal.SIGKILL)
     alone.start()
     alone.process.ready()
-    alone.process.says("serves without being caught up")
+    alone.process.wait_for_log("serves without being caught up")
     alone.serves()
     for node in fleet.nodes.others(leader):
         node.start()
@@ -275,9 +275,9 @@
     replaced.start()
     replaced.process.ready()
     assert replaced.configuration()["version"] == str(first)
-    before.says("the successor serves")
+    before.wait_for_log("the successor serves")
     assert before.end(signal.SIGTERM) == 0
-    replaced.process.says("the predecessor has gone")
+    replaced.process.wait_for_log("the predecessor has gone")
     last = fleet.commit(fleet.nodes.leader(), discovery())
     for proxy in fleet.proxies:
         proxy.comes_to(version=last)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,27 +26,27 @@
 from cloverwell.membership.node_starts import KnownStarts, NodeStart
 from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
-from lab.processes import PATIENCE_S, Clients, Place
+from lab.processes import PATIENCE_S, ProxyFixture, SteadyClients
 
 
 @pytest.fixture
 def place(tmp_path):
-    here = Place(tmp_path)
+    here = ProxyFixture(tmp_path)
     yield here
     here.close()
 
 
 def test_a_successor_takes_over_under_load_and_nothing_is_lost(place):
     old = place.start().ready()
-    clients = Clients(place.listen)
-    clients.more()
+    clients = SteadyClients(place.listen)
+    clients.wait_for_answers()
     for _ in range(2):  # and is succeeded in its turn
         new = place.start().ready()
-        old.says("the successor serves")
-        clients.more()
+        old.wait_for_log("the successor serves")
+        clients.wait_for_answers()
         assert old.end(signal.SIGTERM) == 0
-        new.says("the predecessor has gone: 256 descriptors")
-        clients.more()
+        new.wait_for_log("the predecessor has gone: 256 descriptors")
+        clients.wait_for_answers()
         old = new
     clients.stop()
     # At most the one request that crosses its connection's close, for each client and replacement.
@@ -58,24 +58,24 @@
 def test_the_old_process_killed_leaves_the_port_to_the_new(place):
     old, new = place.start().ready(), place.start().ready()
     old.end(signal.SIGKILL)
-    new.says("the predecessor has gone")
-    clients = Clients(place.listen)
-    clients.more()
+    new.wait_for_log("the predecessor has gone")
+    clients = SteadyClients(place.listen)
+    clients.wait_for_answers()
     clients.stop()
 
 
 def test_the_old_process_serves_on_when_its_successor_dies(place):
     old, new = place.start().ready(), place.start().ready()
-    old.says("the successor serves")
+    old.wait_for_log("the successor serves")
     new.end(signal.SIGKILL)
-    old.says("the successor has gone")
-    clients = Clients(place.listen)
-    clients.more()
+    old.wait_for_log("the successor has gone")
+    clients = SteadyClients(place.listen)
+    clients.wait_for_answers()
     third = place.start().ready()
-    old.says("the successor serves")
+    old.wait_for_log("the successor serves")
     assert old.end(signal.SIGTERM) == 0
-    third.says("the predecessor has gone")
-    clients.more()
+    third.wait_for_log("the predecessor has gone")
+    clients.wait_for_answers()
     clients.stop()
 
 
@@ -100,8 +100,8 @@
         new = place.start().ready()
     assert new.log.read_text().count("nothing is taken over") == 1
     assert old.end(signal.SIGTERM) == 0
-    clients = Clients(place.listen)
-    clients.more()
+    clients = SteadyClients(place.listen)
+    clients.wait_for_answers()
     clients.stop()
 
 
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lab.processes import PATIENCE_S, CacheNode, Place, Server, wait_for
+from lab.processes import PATIENCE_S, CacheNodeHandler, CacheNodeServer, ProxyFixture, wait_for
 from lab.web import serving
 
 DESCRIPTORS = 64  # the fewest that a site may allow
@@ -88,7 +88,7 @@
 
 @pytest.fixture
 def place(tmp_path):
-    made = Place(tmp_path, sockets=DESCRIPTORS)
+    made = ProxyFixture(tmp_path, sockets=DESCRIPTORS)
     yield made
     made.close()
 
@@ -96,7 +96,7 @@
 @pytest.fixture
 def second_node():
     """A cache node that only the restarted discovery lists."""
-    node = Server(("127.0.0.1", 0), CacheNode)
+    node = CacheNodeServer(("127.0.0.1", 0), CacheNodeHandler)
     node.value = b"of-the-second"
     threading.Thread(target=node.serve_forever, daemon=True).start()
     yield node
@@ -153,7 +153,7 @@
 
 def test_the_watch_reopens_and_requests_are_served_while_idle_clients_hold_all_places(proxy, second_node):
     # Full, and calls to discovery made and failed while it is.
-    proxy.process.says(FULL)
+    proxy.process.wait_for_log(FULL)
     before = proxy.failed_calls()
     wait_for(lambda: proxy.failed_calls() >= before + 2, "two more failed calls")
     assert max(proxy.descriptor_counts) <= DESCRIPTORS - RESERVED, "idle clients have what the others need"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from lab.processes import PATIENCE_S, CacheNode, Clients, Place
+from lab.processes import PATIENCE_S, CacheNodeHandler, ProxyFixture, SteadyClients
 
 FLEET = 6
 READY_S = 10.0  # nine in ten of those that come back have so long
 
 
-class Hanging(CacheNode):
+class Hanging(CacheNodeHandler):
     """Takes what asks for a key in `h`, and never answers it."""
 
     def handle(self):
@@ -32,7 +32,7 @@
         for _ in range(number):
             folder = tmp_path / str(len(made))
             folder.mkdir()
-            made.append(here := Place(folder))
+            made.append(here := ProxyFixture(folder))
             if discovery is not None:
                 document = json.loads(here.config.read_text()) | {"discovery": "{}:{}".format(*discovery)}
                 here.config.write_text(json.dumps(document))
@@ -98,8 +98,8 @@
             time.sleep(0.01)
         assert not waiting
         for place in fleet:
-            clients = Clients(place.listen, 2)
-            clients.more(10)
+            clients = SteadyClients(place.listen, 2)
+            clients.wait_for_answers(10)
             clients.stop()
 
 
@@ -114,7 +114,7 @@
     piped.sendall(b"".join(read("h" if n % 3 == 0 else "k", f"p{n}", 900) for n in range(9)))
     half.sendall(read("k", "half")[:-9])
     process.popen.send_signal(signal.SIGTERM)
-    process.says("draining")
+    process.wait_for_log("draining")
     resting.sendall(read("k", "late"))  # on an open connection, after the signal
     new = connect(place)
     new.sendall(read("k", "new"))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,7 +16,7 @@
 from cloverwell.proxy import Proxy
 from lab.judge import RULES
 from lab.play import Play
-from lab.processes import PATIENCE_S, Clients, Place
+from lab.processes import PATIENCE_S, ProxyFixture, SteadyClients
 from lab.web import serving
 from lab.world import Discovery
 
@@ -153,7 +153,7 @@
     for number in range(FEW):
         folder = tmp_path / str(number)
         folder.mkdir()
-        instances.append(Place(folder))
+        instances.append(ProxyFixture(folder))
     yield instances
     for place in instances:
         place.close()
@@ -181,12 +181,12 @@
             time.sleep(0.01)
         assert not waiting
         for place in places:
-            clients = Clients(place.listen, 1)
-            clients.more(5)
+            clients = SteadyClients(place.listen, 1)
+            clients.wait_for_answers(5)
             clients.stop()
         if known == "none":  # requests were rejected until the list arrived; after that nodes answer
             for place in places:
-                place.processes[-1].says("serves on")
+                place.processes[-1].wait_for_log("serves on")
                 assert eventually_served(place)
 
 
