--- a/lab/cli.py
+++ b/lab/cli.py
@@ -7,8 +7,8 @@
 import click
 
 from cloverwell.cli.main import refuse
-from lab.play import Play
 from lab.scale.cli import scale
+from lab.simulation import Play
 from lab.world import WorldError, load, names
 
 BROKEN = 1  # exit code where a rule broke
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 from balancer.balancer import COLD_SPILL, Balancer
 from balancer.hash_ring import point
 from lab.judge import Judge
-from lab.play import Play
+from lab.simulation import Play
 from lab.world import Rules, load
 
 START = 0.14  # what a server can do at its start: the least that a site has named
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,8 +23,8 @@
 from cloverwell.streamed_value import StreamedValue
 from lab.cli import lab
 from lab.judge import RULES
-from lab.play import Play
 from lab.server import Keys, Server
+from lab.simulation import Play
 from lab.world import Fault, Rules, WorldError, load, names
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -99,7 +99,7 @@
 
 def test_one_seed_gives_one_trace_in_any_process():
     code = (
-        "import sys; sys.path.insert(0, 'tests'); from test_lab import short; from lab.play import Play;"
+        "import sys; sys.path.insert(0, 'tests'); from test_lab import short; from lab.simulation import Play;"
         "print(Play(short('hang', 2.0), 5).run()['trace_sha256'])"
     )
     traces = {
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -9,10 +9,10 @@
 
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
 from cloverwell.proxy import Proxy
-from lab import play
+from lab import simulation
 from lab.judge import RULES
-from lab.play import Play
 from lab.proxies import Inside
+from lab.simulation import Play
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
 from lab.world import Fault, load
 
@@ -209,7 +209,7 @@
             starts.append((config.name, now(), read_epoch_ms()))
             super().__init__(reactor, config, log, now, read_epoch_ms, left)
 
-    monkeypatch.setattr(play, "Proxy", Recorded)
+    monkeypatch.setattr(simulation, "Proxy", Recorded)
     faults = [
         Fault("clock_step", 1.0, whom=["proxy-1"], by_s=3600.0),
         Fault("proxy_crash", 1.5, 0.5, 1.0),
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -21,7 +21,7 @@
 from cloverwell.front.port import REST_S
 from lab.judge import RULES
 from lab.net import Net
-from lab.play import Play
+from lab.simulation import Play
 from lab.system_call_faults import SystemCalls
 from lab.world import Fault, load
 
@@ -136,7 +136,7 @@
 import sys
 sys.path.insert(0, "tests")
 from test_lab_system_calls import short
-from lab.play import Play
+from lab.simulation import Play
 for name, seconds in (("failing-calls", 3.0), ("no-buffers", 3.0), ("clock-steps", 3.0)):
     print(name, Play(short(name, seconds, None, 40.0), 5).run()["trace_sha256"])
 """
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -7,7 +7,7 @@
 
 from lab.judge import RULES
 from lab.nodes import Origin
-from lab.play import Play
+from lab.simulation import Play
 from lab.world import load
 
 CUT_S = (4.0, 8.0)  # as the world has it
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -15,8 +15,8 @@
 
 from cloverwell.proxy import Proxy
 from lab.judge import RULES
-from lab.play import Play
 from lab.processes import PATIENCE_S, Clients, Place
+from lab.simulation import Play
 from lab.web import serving
 from lab.world import Discovery
 
