--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -8,9 +8,9 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
+from lab.client_population import People
 from lab.judge import Judge
 from lab.net import Net
-from lab.people import People
 from lab.proxies import SimulatedProxy
 
 ASK_S = 0.1
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
+from lab.client_population import People, Till
 from lab.net import Net
-from lab.people import People, Till
 from lab.proxies import SimulatedProxy
 from lab.wall_clock import WallClocks
 from lab.world import Fault
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -15,12 +15,12 @@
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
+from lab.client_population import People
 from lab.front_layer import Watch
 from lab.judge import RULES, Judge
 from lab.machine_faults import befall
 from lab.net import Address, Net
 from lab.nodes import CacheNode, Discovery, Origin
-from lab.people import People
 from lab.proxies import Inside, Left, SimulatedProxy
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
