--- a/lab/client_population.py
+++ b/lab/client_population.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.streamed_value import LONG
-from lab.judge import Case, Judge
+from lab.invariant_checker import Case, Judge
 from lab.net import Net
 from lab.proxies import SimulatedProxy
 from lab.world import Class, World
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from lab.client_population import People
-from lab.judge import Judge
+from lab.invariant_checker import Judge
 from lab.net import Net
 from lab.proxies import SimulatedProxy
 
--- a/lab/node_play.py
+++ b/lab/node_play.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from lab.judge import Judge
+from lab.invariant_checker import Judge
 from lab.net import Net
 from lab.world import World
 
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -17,7 +17,7 @@
 from cloverwell.proxy import Proxy
 from lab.client_population import People
 from lab.front_layer import Watch
-from lab.judge import RULES, Judge
+from lab.invariant_checker import RULES, Judge
 from lab.machine_faults import befall
 from lab.net import Address, Net
 from lab.nodes import CacheNode, Discovery, Origin
--- a/tests/fleet_clients.py
+++ b/tests/fleet_clients.py
@@ -12,7 +12,7 @@
 from event_time import EventTime
 from fleet_nodes import receipt_for, value_for
 
-from lab.judge import Case, Judge
+from lab.invariant_checker import Case, Judge
 
 KINDS = {"key": 5, "hang": 3, "miss": 1, "slow": 1}  # how often each is asked for
 EFFECTS = {"page": "retryable", "adjust": "dedup", "order": "fragile"}
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -15,7 +15,7 @@
 
 from event_time import EventTime
 
-from lab.judge import Judge
+from lab.invariant_checker import Judge
 
 SLOW_S = 0.15
 
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -20,7 +20,7 @@
 from fleet_nodes import CacheNode, Discovery, Origin
 from stepped_start import DOUBLE, SEEN_AT, SIZE, STEP_AT
 
-from lab.judge import Judge
+from lab.invariant_checker import Judge
 from lab.processes import PATIENCE_S, ROOT, free_port
 from lab.proxy import SETTINGS
 from lab.world import Rules
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,7 +6,7 @@
 from balancer import balancer as decide
 from balancer.balancer import COLD_SPILL, Balancer
 from balancer.hash_ring import point
-from lab.judge import Judge
+from lab.invariant_checker import Judge
 from lab.simulation import Play
 from lab.world import Rules, load
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from cloverwell.serving import Serving
 from cloverwell.streamed_value import StreamedValue
 from lab.cli import lab
-from lab.judge import RULES
+from lab.invariant_checker import RULES
 from lab.server import Keys, Server
 from lab.simulation import Play
 from lab.world import Fault, Rules, WorldError, load, names
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -10,7 +10,7 @@
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
 from cloverwell.proxy import Proxy
 from lab import simulation
-from lab.judge import RULES
+from lab.invariant_checker import RULES
 from lab.proxies import Inside
 from lab.simulation import Play
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -19,7 +19,7 @@
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.front.port import REST_S
-from lab.judge import RULES
+from lab.invariant_checker import RULES
 from lab.net import Net
 from lab.simulation import Play
 from lab.system_call_faults import SystemCalls
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from lab.judge import RULES
+from lab.invariant_checker import RULES
 from lab.nodes import Origin
 from lab.simulation import Play
 from lab.world import load
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,7 +14,7 @@
 from test_processes import says_mn
 
 from cloverwell.proxy import Proxy
-from lab.judge import RULES
+from lab.invariant_checker import RULES
 from lab.processes import PATIENCE_S, Clients, Place
 from lab.simulation import Play
 from lab.web import serving
