--- a/lab/cli.py
+++ b/lab/cli.py
@@ -8,8 +8,8 @@
 
 from cloverwell.cli.main import refuse
 from lab.scale.cli import scale
+from lab.scenario import WorldError, load, names
 from lab.simulation import Play
-from lab.world import WorldError, load, names
 
 BROKEN = 1  # exit code where a rule broke
 
--- a/lab/invariant_checker.py
+++ b/lab/invariant_checker.py
@@ -20,7 +20,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from lab.world import Rules
+from lab.scenario import Rules
 
 SLACK_S = 0.07  # 20 ms of the rule and 50 ms of sockets
 DRAIN_SLACK_S = 0.05
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -20,8 +20,8 @@
 from lab.net import Address, Net
 from lab.nodes import Discovery, Web
 from lab.proxy import SETTINGS
-from lab.world import Discovery as Capacity
-from lab.world import World
+from lab.scenario import Discovery as Capacity
+from lab.scenario import World
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
 CHANGED = "node-0"  # whose phase is told as changed
--- a/lab/node_play.py
+++ b/lab/node_play.py
@@ -6,7 +6,7 @@
 
 from lab.invariant_checker import Judge
 from lab.net import Net
-from lab.world import World
+from lab.scenario import World
 
 
 class PlayForNodes(Protocol):
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from lab.world import World
+from lab.scenario import World
 
 ORIGIN = "origin"
 
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -22,11 +22,11 @@
 from lab.net import Address, Net
 from lab.nodes import CacheNode, Discovery, Origin
 from lab.proxies import Inside, Left, SimulatedProxy
+from lab.scenario import ON_MACHINES, ON_NODES, Class, Fault, World
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import EPOCH_S, WallClocks
-from lab.world import ON_MACHINES, ON_NODES, Class, Fault, World
 
 KILL_S = 4.0  # what a planned end may take
 
--- a/lab/system_call_faults.py
+++ b/lab/system_call_faults.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.error import ConnectBindError, ConnectError, getConnectError
 
-from lab.world import Fault
+from lab.scenario import Fault
 
 TURN_S = 0.0002  # a turn of a program's loop: what a call did not do is tried again in the next
 NO_SOCKET = (errno.ENFILE, errno.EMFILE)  # these fail `socket`, before `connect`
@@ -31,7 +31,7 @@
 
 
 class SystemCalls:
-    """The calls of one machine's programs; `lab.world.SYSTEM_CALLS` has the kinds that may fail."""
+    """The calls of one machine's programs; `lab.scenario.SYSTEM_CALLS` has the kinds that may fail."""
 
     def __init__(self, name: str, seed: int) -> None:
         self._rng = Random(f"system calls {seed} {name}")
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -17,8 +17,8 @@
 from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
 from cloverwell.timer_wheel import STALL_MS
 from lab.proxy import SETTINGS
+from lab.scenario import load
 from lab.simulation import Play
-from lab.world import load
 
 GONE_MS = 100.0  # the page's: an attempt that begins later than that behind the close is a break
 LEAVE = pytest.mark.parametrize("leave", [socket.socket.close, reset])
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,8 +7,8 @@
 from balancer.balancer import COLD_SPILL, Balancer
 from balancer.hash_ring import point
 from lab.invariant_checker import Judge
+from lab.scenario import Rules, load
 from lab.simulation import Play
-from lab.world import Rules, load
 
 START = 0.14  # what a server can do at its start: the least that a site has named
 WARM_UP_MS = 20_000.0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,9 +23,9 @@
 from cloverwell.streamed_value import StreamedValue
 from lab.cli import lab
 from lab.invariant_checker import RULES
+from lab.scenario import Fault, Rules, WorldError, load, names
 from lab.server import Keys, Server
 from lab.simulation import Play
-from lab.world import Fault, Rules, WorldError, load, names
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_lab_bad_faults.py
+++ b/tests/test_lab_bad_faults.py
@@ -4,7 +4,7 @@
 from click.testing import CliRunner
 
 from lab.cli import lab
-from lab.world import SYSTEM_CALLS, load
+from lab.scenario import SYSTEM_CALLS, load
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -12,9 +12,9 @@
 from lab import simulation
 from lab.invariant_checker import RULES
 from lab.proxies import Inside
+from lab.scenario import Fault, load
 from lab.simulation import Play
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
-from lab.world import Fault, load
 
 
 def short(name, seconds, faults=None, per_s=200.0):
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -21,9 +21,9 @@
 from cloverwell.front.port import REST_S
 from lab.invariant_checker import RULES
 from lab.net import Net
+from lab.scenario import Fault, load
 from lab.simulation import Play
 from lab.system_call_faults import SystemCalls
-from lab.world import Fault, load
 
 ROOT = Path(__file__).resolve().parent.parent
 ADDRESS = ("10.1.0.1", 11211)
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -7,8 +7,8 @@
 
 from lab.invariant_checker import RULES
 from lab.nodes import Origin
+from lab.scenario import load
 from lab.simulation import Play
-from lab.world import load
 
 CUT_S = (4.0, 8.0)  # as the world has it
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,9 +16,9 @@
 from cloverwell.proxy import Proxy
 from lab.invariant_checker import RULES
 from lab.processes import PATIENCE_S, Clients, Place
+from lab.scenario import Discovery
 from lab.simulation import Play
 from lab.web import serving
-from lab.world import Discovery
 
 READY_S = 10.0  # the page's, for nine in ten
 READY_SHARE = 0.9
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,8 +19,8 @@
 from cloverwell.connections.client_policy import ClientStage
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS
 from lab.proxy import SETTINGS
+from lab.scenario import load
 from lab.simulation import Play
-from lab.world import load
 
 SLACK_MS = 150.0  # the page's, of the time that a node is told
 HIT = b"VA 1 O%d\r\nx\r\n"
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -18,7 +18,7 @@
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 from lab.proxy import SETTINGS
-from lab.world import World
+from lab.scenario import World
 
 NODES = 1024
 PROXIES = 1024
