--- a/lab/client_population.py
+++ b/lab/client_population.py
@@ -21,8 +21,8 @@
 from cloverwell.streamed_value import LONG
 from lab.invariant_checker import Case, Judge
 from lab.net import Net
-from lab.proxies import SimulatedProxy
 from lab.scenario import Class, World
+from lab.simulated_proxy import SimulatedProxy
 
 NOTICE_S = 2.0  # after which the front layer sends no more to a proxy that refuses
 WINDOW_S = 10.0
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -11,7 +11,7 @@
 from lab.client_population import People
 from lab.invariant_checker import Judge
 from lab.net import Net
-from lab.proxies import SimulatedProxy
+from lab.simulated_proxy import SimulatedProxy
 
 ASK_S = 0.1
 HEARD_S = 0.2  # after a no, until new connections stop
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -7,8 +7,8 @@
 
 from lab.client_population import People, Till
 from lab.net import Net
-from lab.proxies import SimulatedProxy
 from lab.scenario import Fault
+from lab.simulated_proxy import SimulatedProxy
 from lab.wall_clock import WallClocks
 
 
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -21,10 +21,10 @@
 from lab.machine_faults import befall
 from lab.net import Address, Net
 from lab.nodes import CacheNode, Discovery, Origin
-from lab.proxies import Inside, Left, SimulatedProxy
 from lab.scenario import ON_MACHINES, ON_NODES, Class, Fault, World
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
+from lab.simulated_proxy import Inside, Left, SimulatedProxy
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import EPOCH_S, WallClocks
 
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -11,8 +11,8 @@
 from cloverwell.proxy import Proxy
 from lab import simulation
 from lab.invariant_checker import RULES
-from lab.proxies import Inside
 from lab.scenario import Fault, load
+from lab.simulated_proxy import Inside
 from lab.simulation import Play
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
 
