--- a/lab/answers.py
+++ b/lab/answers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lab.node_play import PlayForNodes
+from lab.node_environment import PlayForNodes
 
 
 def told_ms(info: str) -> float:
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -15,7 +15,7 @@
 from cloverwell.streamed_value import LONG
 from lab.answers import in_pieces, told_ms
 from lab.net import Address
-from lab.node_play import PlayForNodes
+from lab.node_environment import PlayForNodes
 from lab.server import Job, Keys, Server
 
 
