--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -78,7 +78,7 @@
 def measure(nodes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
     from cloverwell.membership.endpoint_list import Endpoint, EndpointList
-    from lab.proxy import World
+    from lab.proxy_testbed import World
 
     gc.collect()
     before_mb, begun = rss_mb(), time.process_time()
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -19,7 +19,7 @@
 from cloverwell.proxy import Proxy
 from lab.net import Address, Net
 from lab.nodes import Discovery, Web
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scenario import Discovery as Capacity
 from lab.scenario import World
 
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from cloverwell.handover.messages import place
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 30.0
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from cloverwell.membership.endpoint_list import Endpoint
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scale.world import World, WorldError
 
 MEMORY_SHARE = 0.5  # of the machine's, that a run may take
--- a/tests/control_fleet_rig.py
+++ b/tests/control_fleet_rig.py
@@ -7,7 +7,7 @@
 
 from lab.control_node_processes import COMMAND, ControlNodes
 from lab.processes import PATIENCE_S, ROOT, Clients, Place, free_port, wait_for
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 REGIONS = ("north", "south", "west")
 OWN = SETTINGS | {"peers-total": 40}  # the settings in the proxies' own files
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -22,7 +22,7 @@
 
 from lab.invariant_checker import Judge
 from lab.processes import PATIENCE_S, ROOT, free_port
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scenario import Rules
 
 START = Path(__file__).with_name("stepped_start.py")
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -20,7 +20,7 @@
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
 from cloverwell.timer_wheel import monotonic_ms
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 PATIENCE_S = 5.0
 RESET = struct.pack("ii", 1, 0)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -31,7 +31,7 @@
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 HTTP = ("origin", "discovery", "discovery2")
 NOBODY = os.eventfd(0)  # a descriptor on which nothing ever happens
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -16,7 +16,7 @@
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS, MAX_ERRORS
 from cloverwell.front.client_connections import CLIENT_LOOK_MS, ClientConnections
 from cloverwell.timer_wheel import STALL_MS
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scenario import load
 from lab.simulation import Play
 
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -13,7 +13,7 @@
 
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.metrics import ConnectionEvent
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 CONNECT = [errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -7,7 +7,7 @@
 
 from cloverwell.config import ConfigError, parse_config, read_config
 from cloverwell.control.configuration import ConfigurationChange, check_document, digest, read_change
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 NODES = [
     {"name": "north-1", "address": "127.0.0.1:7401", "region": "north"},
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -12,7 +12,7 @@
 from cloverwell.control.proxy.proxy_control import LOOK_MS, ProxyControl
 from cloverwell.front.operators import Operators
 from cloverwell.timer_wheel import TimerWheel
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 OWN = {
     "name": "proxy-1",
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 )
 from cloverwell.connections.metrics import ConnectionEvent
 from lab.clients import Clients, Silent
-from lab.proxy import World
+from lab.proxy_testbed import World
 
 
 class Guests(RuleBasedStateMachine):
--- a/tests/test_list_retry.py
+++ b/tests/test_list_retry.py
@@ -14,7 +14,7 @@
     TOLD_MS,
     ListRetry,
 )
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 
 def retry_of(seed, proxies=1, **changes):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -211,10 +211,10 @@
 @pytest.mark.parametrize("grace_ms", [500.0, 1000.0])
 def test_a_leaving_node_gets_no_new_attempt_past_the_sites_own_drain_time(monkeypatch, grace_ms):
     # Held at the first site by luck: its 1 s was built in, where another site's rule is 500 ms.
-    import lab.proxy
+    import lab.proxy_testbed
 
-    monkeypatch.setattr(lab.proxy, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
-    back, now = lab.proxy.World().service.back, 1000.0
+    monkeypatch.setattr(lab.proxy_testbed, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
+    back, now = lab.proxy_testbed.World().service.back, 1000.0
     back.left("s0", now)
     assert not back.late("s0", now + grace_ms - 210.0)
     assert back.late("s0", now + grace_ms - 200.0)
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -35,7 +35,7 @@
 from cloverwell.membership.list_retry import ListRetry
 from cloverwell.streamed_value import LONG
 from cloverwell.timer_wheel import TimerWheel
-from lab.proxy import SETTINGS as SITE
+from lab.proxy_testbed import SETTINGS as SITE
 
 FIGURES = GossipTiming()
 SETTINGS = Driver().settings
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,7 +11,7 @@
 from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
 from cloverwell.connections.client_policy import RESERVE
 from cloverwell.request import Request
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,7 +10,7 @@
 from cloverwell.config import ConfigError, read_config
 from cloverwell.front.operators import CALLERS, MAX_BODY, MAX_HEAD
 from cloverwell.serving import DRAIN, Serving, ServingState, stop_plan
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 CALLS = st.lists(
     st.tuples(st.sampled_from(["serve", "drain", "undrain", "stop"]), st.floats(0.0, 5000.0)), max_size=12
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 
 from balancer.settings import check_whole, read_settings
 from cloverwell.config import ConfigError, read_config
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 CONFIG = {
     "listen": "127.0.0.1:1",
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -6,7 +6,7 @@
 from rig import read, reset, write
 
 from cloverwell.front.client_connection import AHEAD, ClientConnection
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 
 def served(rig, conn, node, number, value=b"x"):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,7 +14,7 @@
 from cloverwell.codec import lines
 from cloverwell.codec.lines import hung_up, readable
 from cloverwell.connections.node_policy import ConnectionUse
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 PASSING = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
 BROKEN = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.client_policy import ClientStage
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scenario import load
 from lab.simulation import Play
 
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -17,7 +17,7 @@
 from cloverwell.proxy import Proxy
 from lab.cache_nodes import CacheNode
 from lab.net import Net
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scenario import World
 
 NODES = 1024
--- a/tests/test_told_change.py
+++ b/tests/test_told_change.py
@@ -8,7 +8,7 @@
 
 from cloverwell.membership import list_retry
 from lab.list_fleet import CHANGED, ListFleet
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 TOLD_S = 6.0  # the page's
 MARGIN_S = 0.4  # less is too near: a proxy's loop may be held up
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -13,7 +13,7 @@
 
 from cloverwell.connections.node_policy import ConnectionUse
 from cloverwell.facade import AttemptOutcome
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 WHOLE = re.compile(rb"mg [^\r]*\r\n|GET .*?\r\n\r\n|PUT .*?\r\n\r\na", re.S)
 ID = re.compile(rb"(?: O|Request-Id: )(\d+)")
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -9,7 +9,7 @@
 from scenario import Player
 
 from cloverwell.facade import AttemptOutcome
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 
 def late(player, ms):
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -6,7 +6,7 @@
 
 from fleet_rig import Fleet
 
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 HOUR_S = 3600.0
 STEPS = [-HOUR_S, -5.0, 5.0, HOUR_S]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -5,7 +5,7 @@
 import pytest
 from scenario import Player
 
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 TOLD_MS = 6000  # silent for so long, a watch counts as having told what it misses
 DRAINS = '{"revision":42,"complete":false,"members":[{"id":"s1","host_port":"127.0.0.9:201",'
