--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -78,11 +78,11 @@
 def measure(nodes: int) -> dict[str, float]:
     import cloverwell.__main__  # what a real proxy holds, its reactor included
     from cloverwell.membership.endpoint_list import Endpoint, EndpointList
-    from lab.proxy_testbed import World
+    from lab.proxy_testbed import ProxyTestbed
 
     gc.collect()
     before_mb, begun = rss_mb(), time.process_time()
-    world = World(nodes)
+    world = ProxyTestbed(nodes)
     start_ms = 1000.0 * (time.process_time() - begun)
     cloverwell.__main__.collect_garbage()
 
--- a/lab/answers.py
+++ b/lab/answers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lab.node_environment import PlayForNodes
+from lab.node_environment import NodeEnvironment
 
 
 def told_ms(info: str) -> float:
@@ -13,7 +13,7 @@
     return float(values["d"])
 
 
-def in_pieces(play: PlayForNodes, transport: Any, data: bytes, done: Any) -> None:
+def in_pieces(play: NodeEnvironment, transport: Any, data: bytes, done: Any) -> None:
     """A long answer, a piece now and then."""
     size = int(1024 * play.world.nodes.piece_kb)
     if transport.closed:
--- a/lab/cli.py
+++ b/lab/cli.py
@@ -8,8 +8,8 @@
 
 from cloverwell.cli.main import refuse
 from lab.scale.cli import scale
-from lab.scenario import WorldError, load, names
-from lab.simulation import Play
+from lab.scenario import ScenarioError, load, names
+from lab.simulation import Simulation
 
 BROKEN = 1  # exit code where a rule broke
 
@@ -49,9 +49,9 @@
     """
     try:
         read = load(world)
-    except WorldError as error:
+    except ScenarioError as error:
         refuse(str(error))
-    play = Play(read, seed)
+    play = Simulation(read, seed)
     summary = {"world": world} | play.run()
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
--- a/lab/client_population.py
+++ b/lab/client_population.py
@@ -19,9 +19,9 @@
 from twisted.python.failure import Failure
 
 from cloverwell.streamed_value import LONG
-from lab.invariant_checker import Case, Judge
+from lab.invariant_checker import InvariantChecker, RequestHistory
 from lab.net import Net
-from lab.scenario import Class, World
+from lab.scenario import Scenario, TrafficClass
 from lab.simulated_proxy import SimulatedProxy
 
 NOTICE_S = 2.0  # after which the front layer sends no more to a proxy that refuses
@@ -31,15 +31,15 @@
 CROSSED_S = 0.05  # a request that is younger may have crossed the close of its connection
 
 
-class PlayForPeople(Protocol):
+class ClientEnvironment(Protocol):
     """What the clients need of the play."""
 
-    world: World
+    world: Scenario
     seed: int
     net: Net
-    judge: Judge
+    judge: InvariantChecker
     proxies: list[SimulatedProxy]
-    requests: dict[str, tuple[Class, float, str]]  # name -> class, work in s, key
+    requests: dict[str, tuple[TrafficClass, float, str]]  # name -> class, work in s, key
 
     def body_of(self, name: str) -> str: ...
 
@@ -49,10 +49,10 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class PlannedRequest:
     """What a client wants, over all its tries."""
 
-    cls: Class
+    cls: TrafficClass
     tenant: str
     key: str
     work_s: float
@@ -64,12 +64,12 @@
     end: str = ""
 
 
-class Till(LineReceiver):
+class SimulatedClient(LineReceiver):
     delimiter = b"\r\n"
 
-    def __init__(self, people: People, proxy: SimulatedProxy) -> None:
+    def __init__(self, people: ClientPopulation, proxy: SimulatedProxy) -> None:
         self.people, self.proxy = people, proxy
-        self.try_: tuple[str, Wish] | None = None
+        self.try_: tuple[str, PlannedRequest] | None = None
         self._value = bytearray()
         self._left = 0  # bytes of a value that is coming
         self.began_s: float | None = None  # when it began
@@ -131,11 +131,11 @@
 class _Opener(ClientFactory):
     noisy = False
 
-    def __init__(self, people: People, proxy: SimulatedProxy, wish: Wish) -> None:
+    def __init__(self, people: ClientPopulation, proxy: SimulatedProxy, wish: PlannedRequest) -> None:
         self.people, self.proxy, self.wish = people, proxy, wish
 
-    def buildProtocol(self, addr: Any) -> Till:
-        till = Till(self.people, self.proxy)
+    def buildProtocol(self, addr: Any) -> SimulatedClient:
+        till = SimulatedClient(self.people, self.proxy)
         self.people.opening[till] = self.wish
         return till
 
@@ -143,19 +143,19 @@
         self.people.refused(self.proxy, self.wish)
 
 
-class People:
-    def __init__(self, play: PlayForPeople, zone: int) -> None:
+class ClientPopulation:
+    def __init__(self, play: ClientEnvironment, zone: int) -> None:
         self.play, self.zone = play, zone
         self.rng = Random(f"people {play.seed} {zone}")
         self.traffic = play.world.traffic
         shares = self.traffic.zone_shares or [1.0 / play.world.zones] * play.world.zones
         self._per_s = self.traffic.per_s * shares[zone]  # arrivals in this zone
         self._shares = self._draw_shares()
-        self.wishes: list[Wish] = []
+        self.wishes: list[PlannedRequest] = []
         self.hot = 0.0  # share of the traffic that asks for one key
-        self.opening: dict[Till, Wish] = {}
-        self.tills: list[Till] = []
-        self._idle: dict[str, list[Till]] = defaultdict(list)
+        self.opening: dict[SimulatedClient, PlannedRequest] = {}
+        self.tills: list[SimulatedClient] = []
+        self._idle: dict[str, list[SimulatedClient]] = defaultdict(list)
         self._dead: dict[str, float] = {}  # proxy -> since when it refuses
         self._count = 0
         self._weights = list(
@@ -203,7 +203,7 @@
         key = "k-hot" if self.rng.random() < self.hot else f"k{self._draw(self._weights)}"
         mean = self.rng.uniform(*cls.work_ms) / 1000.0
         work = min(8.0 * mean, self.rng.expovariate(1.0 / mean))
-        wish = Wish(cls, tenant, key, work, self.now, len(self.wishes))
+        wish = PlannedRequest(cls, tenant, key, work, self.now, len(self.wishes))
         self.wishes.append(wish)
         self._try(wish)
         self.play.net.callLater(self._gap(), self._arrive)
@@ -224,7 +224,7 @@
             or choice
         )
 
-    def _try(self, wish: Wish) -> None:
+    def _try(self, wish: PlannedRequest) -> None:
         left = wish.asked_s + wish.cls.deadline_ms / 1000.0 - self.now
         if left <= 0.02 or wish.tries > self.traffic.retries:
             wish.end = wish.end or "gave up"
@@ -239,11 +239,11 @@
             host = f"10.{1 + self.zone}.200.1"
             self.play.net.connectTCP(*address, _Opener(self, proxy, wish), 1.0, (host, None))
 
-    def up(self, till: Till) -> None:
+    def up(self, till: SimulatedClient) -> None:
         self._dead.pop(till.proxy.name, None)
         self._send(till, self.opening.pop(till))
 
-    def _send(self, till: Till, wish: Wish) -> None:
+    def _send(self, till: SimulatedClient, wish: PlannedRequest) -> None:
         self._count += 1
         name, cls = f"z{self.zone}r{self._count}", wish.cls
         left = wish.asked_s + cls.deadline_ms / 1000.0 - self.now
@@ -254,7 +254,9 @@
             return
         self.play.requests[name] = (cls, wish.work_s, wish.key)
         self.play.judge.taken(
-            Case(name, till.proxy.name, cls.effect, self.now, self.now + left, cls.window_ms / 1000.0)
+            RequestHistory(
+                name, till.proxy.name, cls.effect, self.now, self.now + left, cls.window_ms / 1000.0
+            )
         )
         self.play.record("ask", name, cls.name, wish.key, till.proxy.name)
         till.try_ = (name, wish)
@@ -277,26 +279,26 @@
             if self.rng.random() < part:
                 self._leave(till, till.try_[0])
 
-    def _leave(self, till: Till, name: str) -> None:
+    def _leave(self, till: SimulatedClient, name: str) -> None:
         if till.try_ is None or till.try_[0] != name or till.began_s is not None:
             return
         self._give_up(till)
         till.transport.loseConnection()
 
-    def cut_off(self, till: Till) -> None:
+    def cut_off(self, till: SimulatedClient) -> None:
         """Its connection has broken."""
         if till.try_ is not None:
             self._give_up(till)
         till.transport.abortConnection()
 
-    def _give_up(self, till: Till) -> None:
+    def _give_up(self, till: SimulatedClient) -> None:
         (name, wish), till.try_ = till.try_, None
         till.left = True
         self.play.judge.left(self.now, name)
         self.play.record("left", name)
         self._done(name, wish, LEFT)
 
-    def _overdue(self, till: Till, name: str, wish: Wish) -> None:
+    def _overdue(self, till: SimulatedClient, name: str, wish: PlannedRequest) -> None:
         if till.try_ is not None and till.try_[0] == name:
             if till.began_s is not None and self.now - till.heard_s < HELD_S:  # the rest of a long value
                 self.play.net.callLater(0.5, self._overdue, till, name, wish)
@@ -306,7 +308,15 @@
             till.try_ = None
             till.transport.abortConnection()
 
-    def ended(self, till: Till, name: str, wish: Wish, how: str, text: str, began_s: float | None) -> None:
+    def ended(
+        self,
+        till: SimulatedClient,
+        name: str,
+        wish: PlannedRequest,
+        how: str,
+        text: str,
+        began_s: float | None,
+    ) -> None:
         play, cls = self.play, wish.cls
         long = len(text) > LONG
         at_s = began_s if long else self.now  # a long value counts from its first byte
@@ -325,7 +335,7 @@
                 play.net.callLater(wait + 0.001 + 0.02 * self.rng.random(), self._try, wish)
         self._done(name, wish, how)
 
-    def _done(self, name: str, wish: Wish, how: str) -> None:
+    def _done(self, name: str, wish: PlannedRequest, how: str) -> None:
         wish.end = how
         # What is out at a node for it may still come in: it is known a while longer.
         self.play.net.callLater(8.0, self._forget, name)
@@ -334,12 +344,12 @@
         self.play.requests.pop(name, None)
         self.play.judge.forget(name)
 
-    def refused(self, proxy: SimulatedProxy, wish: Wish) -> None:
+    def refused(self, proxy: SimulatedProxy, wish: PlannedRequest) -> None:
         self._dead.setdefault(proxy.name, self.now)
         wish.end = "connect_refused"
         self.play.net.callLater(0.05, self._try, wish)
 
-    def down(self, till: Till) -> None:
+    def down(self, till: SimulatedClient) -> None:
         if till in self.tills:
             self.tills.remove(till)
         if till in self.opening:
@@ -361,12 +371,12 @@
     # Figures ------------------------------------------------------------------------------------
 
     @staticmethod
-    def metrics(everybody: list[People], world: World) -> dict[str, Any]:
+    def metrics(everybody: list[ClientPopulation], world: Scenario) -> dict[str, Any]:
         """Shares of the worth asked for that was answered in time: whole, worst window, class and tenant."""
         everything = [wish for people in everybody for wish in people.wishes]
         wishes = [wish for wish in everything if wish.end != LEFT]
 
-        def share(some: list[Wish]) -> float:
+        def share(some: list[PlannedRequest]) -> float:
             asked = sum(wish.cls.worth for wish in some)
             return sum(wish.worth for wish in some) / asked if asked else 1.0
 
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -8,8 +8,8 @@
 from twisted.protocols.basic import LineReceiver
 from twisted.python.failure import Failure
 
-from lab.client_population import People
-from lab.invariant_checker import Judge
+from lab.client_population import ClientPopulation
+from lab.invariant_checker import InvariantChecker
 from lab.net import Net
 from lab.simulated_proxy import SimulatedProxy
 
@@ -19,18 +19,18 @@
 BACK_S = 2.0  # after the end of a drain it has to say yes
 
 
-class PlayForFrontLayer(Protocol):
+class FrontLayerEnvironment(Protocol):
     """What the front layer needs of the play."""
 
     net: Net
-    judge: Judge
-    people: list[People]
+    judge: InvariantChecker
+    people: list[ClientPopulation]
 
 
 class _Question(LineReceiver):
     delimiter = b"\r\n"
 
-    def __init__(self, watch: Watch) -> None:
+    def __init__(self, watch: ReadinessWatch) -> None:
         self._watch = watch
 
     def connectionMade(self) -> None:
@@ -44,12 +44,12 @@
         """Whoever ends it, it is asked again on another."""
 
 
-class Watch(ClientFactory):
+class ReadinessWatch(ClientFactory):
     """One proxy's. A proxy that can't be asked is left to the clients, who see it refuse."""
 
     noisy = False
 
-    def __init__(self, play: PlayForFrontLayer, proxy: SimulatedProxy) -> None:
+    def __init__(self, play: FrontLayerEnvironment, proxy: SimulatedProxy) -> None:
         self._play, self._proxy = play, proxy
         self.wanted = True
         self._no_s: float | None = None
--- a/lab/invariant_checker.py
+++ b/lab/invariant_checker.py
@@ -20,7 +20,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from lab.scenario import Rules
+from lab.scenario import InvariantLimits
 
 SLACK_S = 0.07  # 20 ms of the rule and 50 ms of sockets
 DRAIN_SLACK_S = 0.05
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Case:
+class RequestHistory:
     """One request as it crossed the sockets."""
 
     name: str
@@ -51,12 +51,12 @@
 
 
 @dataclass
-class Judge:
+class InvariantChecker:
     send_cap: int = 3
     copies: bool = True  # whether a request may have two attempts out together
-    rules: Rules = field(default_factory=Rules)
+    rules: InvariantLimits = field(default_factory=InvariantLimits)
     slack_s: float = 0.0  # added to each bound of time: none in virtual time, some for real processes
-    cases: dict[str, Case] = field(default_factory=dict)
+    cases: dict[str, RequestHistory] = field(default_factory=dict)
     breaches: list[dict] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
     fullest: float = 0.0  # the most that a cold node was sent, as a part of what makes it fall
@@ -71,7 +71,7 @@
 
     # What crosses the sockets -------------------------------------------------------------------
 
-    def taken(self, case: Case) -> None:
+    def taken(self, case: RequestHistory) -> None:
         self.cases[case.name] = case
 
     def attempt(self, now: float, name: str, node: str, told_ms: float) -> None:
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -18,10 +18,9 @@
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
 from lab.net import Address, Net
-from lab.nodes import Discovery, Web
+from lab.nodes import HttpConnection, SimulatedDiscovery
 from lab.proxy_testbed import SETTINGS
-from lab.scenario import Discovery as Capacity
-from lab.scenario import World
+from lab.scenario import DiscoveryCapacity, Scenario
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
 CHANGED = "node-0"  # whose phase is told as changed
@@ -29,12 +28,14 @@
 STEP_S = 0.05
 
 
-class ListDiscovery(Discovery):
+class ListDiscovery(SimulatedDiscovery):
     """The lab's discovery, which can also swallow calls, and answer with many nodes or indented."""
 
     hung = False
 
-    def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
+    def asked(
+        self, web: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes
+    ) -> None:
         if self.hung:
             self.calls[int(self.now)] += 1
             return
@@ -87,7 +88,7 @@
         for speed."""
         self.net = Net()
         self.judge = NoJudge()
-        self.world = World(discovery=Capacity(calls_per_s=calls_per_s, wait_s=wait_s))
+        self.world = Scenario(discovery=DiscoveryCapacity(calls_per_s=calls_per_s, wait_s=wait_s))
         self.rows = [self._row(place, "large") for place in range(nodes)]
         self.rows.append(self._row(nodes, "origin"))
         self.attempts: Counter[int] = Counter()  # connection attempts to discovery, by tenth of a second
@@ -135,7 +136,7 @@
         """As `members`: no node of it has a wall clock of its own."""
         return rows
 
-    def proxy_of(self, web: Web) -> str:
+    def proxy_of(self, web: HttpConnection) -> str:
         return web.transport.getPeer().host
 
     # What happens ------------------------------------------------------------------------------------
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -5,25 +5,25 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from lab.client_population import People, Till
+from lab.client_population import ClientPopulation, SimulatedClient
 from lab.net import Net
 from lab.scenario import Fault
 from lab.simulated_proxy import SimulatedProxy
 from lab.wall_clock import WallClocks
 
 
-class PlayForMachines(Protocol):
+class MachineEnvironment(Protocol):
     """What these faults need of the play."""
 
     net: Net
     proxies: list[SimulatedProxy]
-    people: list[People]
+    people: list[ClientPopulation]
     wall_clocks: WallClocks
 
     def note(self, text: str) -> None: ...
 
 
-def befall(play: PlayForMachines, fault: Fault, machines: Sequence[str]) -> None:
+def befall(play: MachineEnvironment, fault: Fault, machines: Sequence[str]) -> None:
     """The fault happens now, on the machines of these names."""
     if fault.kind == "clock_step":
         step_s = play.wall_clocks.step(machines, fault.by_s)
@@ -38,7 +38,7 @@
             play.net.callLater(fault.for_s, proxy.system_calls.end, fault.kind)
 
 
-def _break_connections(play: PlayForMachines, proxy: SimulatedProxy, fault: Fault) -> None:
+def _break_connections(play: MachineEnvironment, proxy: SimulatedProxy, fault: Fault) -> None:
     """Some of the proxy's connections break, to its clients and to nodes; the other sides hear nothing."""
     if proxy.service is None:
         return
@@ -47,5 +47,5 @@
         end = ends[place]
         till = end.other.protocol
         end.break_with(proxy.system_calls.break_error(fault))
-        if isinstance(till, Till):
+        if isinstance(till, SimulatedClient):
             till.people.cut_off(till)
--- a/lab/node_environment.py
+++ b/lab/node_environment.py
@@ -4,17 +4,17 @@
 
 from typing import Any, Protocol
 
-from lab.invariant_checker import Judge
+from lab.invariant_checker import InvariantChecker
 from lab.net import Net
-from lab.scenario import World
+from lab.scenario import Scenario
 
 
-class PlayForNodes(Protocol):
+class NodeEnvironment(Protocol):
     """`name`: a request's id. The nodes and the connections themselves are of `lab.nodes`."""
 
-    world: World
+    world: Scenario
     net: Net
-    judge: Judge
+    judge: InvariantChecker
 
     def attempt(self, name: str, node: Any, told_ms: float) -> None:
         """A whole command has come to a cache node, which it told to work for so long at most."""
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -15,16 +15,16 @@
 from cloverwell.streamed_value import LONG
 from lab.answers import in_pieces, told_ms
 from lab.net import Address
-from lab.node_environment import PlayForNodes
+from lab.node_environment import NodeEnvironment
 from lab.server import Job, Keys, Server
 
 
-class Node(Factory):
+class SimulatedNode(Factory):
     """What cache nodes and the origin have in common: jobs on a server, and trouble."""
 
     noisy = False
 
-    def __init__(self, play: PlayForNodes, name: str, address: Address, server: Server) -> None:
+    def __init__(self, play: NodeEnvironment, name: str, address: Address, server: Server) -> None:
         self.play, self.name, self.address, self.server = play, name, address, server
         self.links: dict[Any, None] = {}  # in the order they came: a set's differs from run to run
         self.hung = False  # takes requests, answers none
@@ -81,10 +81,10 @@
         self.play.net.listenTCP(self.address[1], self, interface=self.address[0])
 
 
-class CacheNode(Node):
+class SimulatedCacheNode(SimulatedNode):
     """A cache node: hits, misses, load reports, a bound on connections, an idle time."""
 
-    def __init__(self, play: PlayForNodes, name: str, address: Address, server: Server, zone: int) -> None:
+    def __init__(self, play: NodeEnvironment, name: str, address: Address, server: Server, zone: int) -> None:
         super().__init__(play, name, address, server)
         settings = play.world.nodes
         self.keys = Keys(settings.keys)
@@ -93,10 +93,10 @@
         self._hits, self._latency_ms = 0.5, 0.0
         self._report, self._reported_s = "", -1e9
 
-    def buildProtocol(self, addr: Any) -> CacheNodeLink | None:
+    def buildProtocol(self, addr: Any) -> CacheNodeConnection | None:
         if len(self.links) >= self.play.world.nodes.connections:
             return None
-        return CacheNodeLink(self)
+        return CacheNodeConnection(self)
 
     def served(self, hit: bool, latency_s: float) -> None:
         self._hits += 0.05 * (hit - self._hits)
@@ -111,11 +111,11 @@
         return self._report
 
 
-class CacheNodeLink(LineReceiver):
+class CacheNodeConnection(LineReceiver):
     delimiter = b"\r\n"
     MAX_LENGTH = 8192
 
-    def __init__(self, node: CacheNode) -> None:
+    def __init__(self, node: SimulatedCacheNode) -> None:
         self.node = node
         self._fresh_s = node.play.world.nodes.handshake_ms / 1000.0
         self._order: list[list[Any]] = []  # [job, answer or None, name], answered in order
@@ -213,7 +213,7 @@
                 self.node.call_off(job)
 
 
-class Web(Protocol):
+class HttpConnection(Protocol):
     """HTTP/1.1 on a node, through h11: one request at a time."""
 
     def __init__(self, node: Any) -> None:
@@ -281,19 +281,21 @@
         self.node.links.pop(self, None)
 
 
-class Origin(Node):
+class SimulatedOrigin(SimulatedNode):
     """The one slow origin: reads and writes by HTTP, stops for a while when it is overloaded."""
 
-    def __init__(self, play: PlayForNodes, address: Address, server: Server) -> None:
+    def __init__(self, play: NodeEnvironment, address: Address, server: Server) -> None:
         super().__init__(play, "origin", address, server)
         self._window: list[tuple[float, float]] = []
         self.stopped_until_s = -1.0
         self.stops = 0
 
-    def buildProtocol(self, addr: Any) -> Web:
-        return Web(self)
+    def buildProtocol(self, addr: Any) -> HttpConnection:
+        return HttpConnection(self)
 
-    def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
+    def asked(
+        self, web: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes
+    ) -> None:
         play, name, key = self.play, headers["request-id"], target[1:]
         play.judge.attempt(self.now, name, "origin", told_ms(headers["request-info"]))
         web.name = name
@@ -326,23 +328,25 @@
             self.play.note("origin stops")
 
 
-class Discovery(Node):
+class SimulatedDiscovery(SimulatedNode):
     """The list, whole or as a watch that waits for what is newer."""
 
-    def __init__(self, play: PlayForNodes, address: Address) -> None:
+    def __init__(self, play: NodeEnvironment, address: Address) -> None:
         super().__init__(play, "discovery", address, Server(1, 1.0, 1))
         self.revision = 1
-        self._waiting: list[tuple[Web, str, int]] = []
+        self._waiting: list[tuple[HttpConnection, str, int]] = []
         self._changed: dict[str, int] = {}
         self._free_s = 0.0  # when all calls that have come are worked through
         self.calls: Counter[int] = Counter()  # by second
         self.begun: Counter[int] = Counter()  # on new connections, by tenth of a second
         self.failed = 0
 
-    def buildProtocol(self, addr: Any) -> Web:
-        return Web(self)
+    def buildProtocol(self, addr: Any) -> HttpConnection:
+        return HttpConnection(self)
 
-    def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
+    def asked(
+        self, web: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes
+    ) -> None:
         settings, now = self.play.world.discovery, self.now
         self.calls[int(now)] += 1
         if not web.used:
@@ -355,7 +359,7 @@
         self._free_s = max(now, self._free_s) + 1.0 / settings.calls_per_s
         self.play.net.callLater(self._free_s - now, self._work, web, target, headers)
 
-    def _work(self, web: Web, target: str, headers: dict[str, str]) -> None:
+    def _work(self, web: HttpConnection, target: str, headers: dict[str, str]) -> None:
         proxy = headers.get("host", "")
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if "=" in part)
         if "after" not in query:
@@ -367,12 +371,12 @@
             self._waiting.append(entry)
             self.play.net.callLater(int(query.get("wait_ms", 0)) / 1000.0, self._give_up, entry)
 
-    def _give_up(self, entry: tuple[Web, str, int]) -> None:
+    def _give_up(self, entry: tuple[HttpConnection, str, int]) -> None:
         if entry in self._waiting:
             self._waiting.remove(entry)
             self._tell(*entry)
 
-    def _tell(self, web: Web, proxy: str, after: int | None) -> None:
+    def _tell(self, web: HttpConnection, proxy: str, after: int | None) -> None:
         members = self.play.members()
         if after is not None:
             members = [member for member in members if self._changed.get(member["id"], 0) > after]
--- a/lab/proxy_testbed.py
+++ b/lab/proxy_testbed.py
@@ -37,7 +37,7 @@
 }
 
 
-class World:
+class ProxyTestbed:
     """One proxy and its nodes; discovery refuses, so that the list known at the start stays."""
 
     def __init__(self, nodes: int = 4, sockets: int = 384, listen: Address = LISTEN) -> None:
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -70,11 +70,11 @@
 MOST_REPEATS = 10_000  # of one fault
 
 
-class WorldError(Exception):
+class ScenarioError(Exception):
     """The text names the field, and what is allowed."""
 
 
-class Model(Struct, forbid_unknown_fields=True):
+class MachineModel(Struct, forbid_unknown_fields=True):
     """A kind of machine among the nodes."""
 
     name: str
@@ -83,9 +83,9 @@
     speed: tuple[Positive, Positive] = (1.0, 1.0)  # range, the yardstick is 1
 
 
-class CacheNodes(Struct, forbid_unknown_fields=True):
+class CacheNodeFleet(Struct, forbid_unknown_fields=True):
     count: Annotated[int, Meta(ge=1, le=5000)] = 12
-    models: list[Model] = field(default_factory=lambda: [Model("large")])
+    models: list[MachineModel] = field(default_factory=lambda: [MachineModel("large")])
     room: Count = 64  # requests that wait
     keys: Count = 4000  # that one node keeps
     cold_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.32
@@ -98,7 +98,7 @@
     piece_ms: Positive = 1.0
 
 
-class Origin(Struct, forbid_unknown_fields=True):
+class OriginCapacity(Struct, forbid_unknown_fields=True):
     cores: Count = 8
     room: Count = 128
     work_factor: Positive = 1.0  # of a request's work at a node
@@ -107,7 +107,7 @@
     down_s: Positive = 5.0
 
 
-class Class(Struct, forbid_unknown_fields=True):
+class TrafficClass(Struct, forbid_unknown_fields=True):
     name: str
     share: Share
     work_ms: tuple[Positive, Positive]  # range of the mean; each request's is exponential about it
@@ -125,18 +125,18 @@
     share: Share
 
 
-def _classes() -> list[Class]:
+def _classes() -> list[TrafficClass]:
     return [
-        Class("page", 0.5, (20.0, 30.0), 500.0, 1500.0, 1.0),
-        Class("price", 0.42, (8.0, 12.0), 250.0, 700.0, 2.0),
-        Class("adjust", 0.045, (12.0, 18.0), 250.0, 700.0, 3.0, 0.2, "dedup", 700.0, True),
-        Class("order", 0.035, (12.0, 18.0), 300.0, 1000.0, 2.0, 0.2, "fragile", 1500.0, True),
+        TrafficClass("page", 0.5, (20.0, 30.0), 500.0, 1500.0, 1.0),
+        TrafficClass("price", 0.42, (8.0, 12.0), 250.0, 700.0, 2.0),
+        TrafficClass("adjust", 0.045, (12.0, 18.0), 250.0, 700.0, 3.0, 0.2, "dedup", 700.0, True),
+        TrafficClass("order", 0.035, (12.0, 18.0), 300.0, 1000.0, 2.0, 0.2, "fragile", 1500.0, True),
     ]
 
 
 class Traffic(Struct, forbid_unknown_fields=True):
     per_s: Positive = 360.0
-    classes: list[Class] = field(default_factory=_classes)
+    classes: list[TrafficClass] = field(default_factory=_classes)
     tenants: list[Tenant] = field(default_factory=lambda: [Tenant("north", 0.6), Tenant("south", 0.4)])
     keys: Count = 20_000
     zipf: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.95
@@ -151,7 +151,7 @@
     leave_ms: tuple[Positive, Positive] = (5.0, 300.0)  # so long after it has sent
 
 
-class Discovery(Struct, forbid_unknown_fields=True):
+class DiscoveryCapacity(Struct, forbid_unknown_fields=True):
     lag_s: NotNegative = 1.0
     calls_per_s: Positive = 1000.0  # worked through in turn, for all proxies
     wait_s: Positive = 1.0  # a call that would wait longer fails
@@ -180,7 +180,7 @@
         return [self.at_s + repeat * self.every_s for repeat in range(repeats + 1)]
 
 
-class Rules(Struct, forbid_unknown_fields=True):
+class InvariantLimits(Struct, forbid_unknown_fields=True):
     """The figures of the rules that sites state for themselves; the proxies are told them too."""
 
     drain_s: Positive = 1.0  # how long a node that is told to go may still be sent something new
@@ -189,7 +189,7 @@
     fall_asked_times: Positive = 3.0  # the same of what it is asked for, where a miss counts as a hit
 
 
-class World(Struct, forbid_unknown_fields=True):
+class Scenario(Struct, forbid_unknown_fields=True):
     about: str = ""
     seconds: Annotated[float, Meta(gt=0.0, le=3600.0)] = 20.0
     proxies: Annotated[int, Meta(ge=1, le=5000)] = 2
@@ -199,11 +199,11 @@
     zone_ms: NotNegative = 10.0  # one way between zones
     cross_price: Share = 0.0  # a crossing's price, as the settings tell the proxy; none: one ring
     second_copies: bool = True  # whether a request may have two attempts out together
-    nodes: CacheNodes = field(default_factory=CacheNodes)
-    origin: Origin = field(default_factory=Origin)
+    nodes: CacheNodeFleet = field(default_factory=CacheNodeFleet)
+    origin: OriginCapacity = field(default_factory=OriginCapacity)
     traffic: Traffic = field(default_factory=Traffic)
-    discovery: Discovery = field(default_factory=Discovery)
-    rules: Rules = field(default_factory=Rules)
+    discovery: DiscoveryCapacity = field(default_factory=DiscoveryCapacity)
+    rules: InvariantLimits = field(default_factory=InvariantLimits)
     faults: list[Fault] = []
 
 
@@ -212,24 +212,24 @@
     return sorted(path.stem for path in WORLDS.glob("*.toml"))
 
 
-def load(name: str) -> World:
-    """A shipped world by its name, or a file by its path. Raises `WorldError`."""
+def load(name: str) -> Scenario:
+    """A shipped world by its name, or a file by its path. Raises `ScenarioError`."""
     path = WORLDS / f"{name}.toml"
     if not path.exists():
         path = Path(name)
     try:
         text = path.read_bytes()
     except OSError as error:
-        raise WorldError(f"{name}: {error.strerror}; shipped are {', '.join(names())}") from None
+        raise ScenarioError(f"{name}: {error.strerror}; shipped are {', '.join(names())}") from None
     try:
-        world = msgspec.toml.decode(text, type=World)
+        world = msgspec.toml.decode(text, type=Scenario)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise WorldError(f"{path.name}: {error}".replace("\n", " ")) from None
+        raise ScenarioError(f"{path.name}: {error}".replace("\n", " ")) from None
     _check(world, path.name)
     return world
 
 
-def _check(world: World, name: str) -> None:
+def _check(world: Scenario, name: str) -> None:
     for place, fault in enumerate(world.faults):
         where = f"{name}: faults[{place}]"
         nodes = {f"node-{number}" for number in range(world.nodes.count)}
@@ -241,38 +241,40 @@
         for who in fault.whom:
             if who not in allowed:
                 kinds = f"node-0 to node-{world.nodes.count - 1}" if allowed is nodes else "see its kind"
-                raise WorldError(f"{where}.whom: {who!r} is not there; allowed: {kinds}")
+                raise ScenarioError(f"{where}.whom: {who!r} is not there; allowed: {kinds}")
         somebody = fault.kind in ON_NODES or fault.kind in ON_PROXIES
         if somebody and not (fault.whom or fault.part):
-            raise WorldError(f"{where}.part: must be over 0, or whom must name somebody")
+            raise ScenarioError(f"{where}.part: must be over 0, or whom must name somebody")
         if fault.kind == "clients_leave" and not fault.part:
-            raise WorldError(f"{where}.part: must be over 0")
+            raise ScenarioError(f"{where}.part: must be over 0")
         _check_system_call(fault, where)
         if fault.by_s == 0.0:
-            raise WorldError(f"{where}.by_s: must not be 0")
+            raise ScenarioError(f"{where}.by_s: must not be 0")
         if fault.every_s and fault.for_s / fault.every_s > MOST_REPEATS:
-            raise WorldError(f"{where}.every_s: more than {MOST_REPEATS} repeats in for_s")
+            raise ScenarioError(f"{where}.every_s: more than {MOST_REPEATS} repeats in for_s")
         if fault.kind == "origin_slow" and not fault.size:
-            raise WorldError(f"{where}.size: must be over 0")
+            raise ScenarioError(f"{where}.size: must be over 0")
         if fault.at_s >= world.seconds:
-            raise WorldError(f"{where}.at_s: must be under seconds ({world.seconds:g})")
+            raise ScenarioError(f"{where}.at_s: must be under seconds ({world.seconds:g})")
     shares = world.traffic.zone_shares
     if shares and (len(shares) != world.zones or not 0.999 <= sum(shares) <= 1.001):
-        raise WorldError(f"{name}: traffic.zone_shares: one a zone, summing to 1")
+        raise ScenarioError(f"{name}: traffic.zone_shares: one a zone, summing to 1")
     if not 0.999 <= sum(cls.share for cls in world.traffic.classes) <= 1.001:
-        raise WorldError(f"{name}: traffic.classes.share: must sum to 1")
+        raise ScenarioError(f"{name}: traffic.classes.share: must sum to 1")
     if not 0.999 <= sum(tenant.share for tenant in world.traffic.tenants) <= 1.001:
-        raise WorldError(f"{name}: traffic.tenants.share: must sum to 1")
+        raise ScenarioError(f"{name}: traffic.tenants.share: must sum to 1")
 
 
 def _check_system_call(fault: Fault, where: str) -> None:
     if fault.kind not in SYSTEM_CALLS:
         return
     if not fault.for_s and fault.kind != "connections_break":
-        raise WorldError(f"{where}.for_s: must be over 0")
+        raise ScenarioError(f"{where}.for_s: must be over 0")
     if not fault.rate:
-        raise WorldError(f"{where}.rate: must be over 0")
+        raise ScenarioError(f"{where}.rate: must be over 0")
     allowed = SYSTEM_CALLS[fault.kind]
     for name in fault.errors:
         if name not in allowed:
-            raise WorldError(f"{where}.errors: {name} is none of {fault.kind}; allowed: {', '.join(allowed)}")
+            raise ScenarioError(
+                f"{where}.errors: {name} is none of {fault.kind}; allowed: {', '.join(allowed)}"
+            )
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from lab.scenario import World
+from lab.scenario import Scenario
 
 ORIGIN = "origin"
 
 
-def proxy_settings(world: World, number: int) -> dict[str, Any]:
+def proxy_settings(world: Scenario, number: int) -> dict[str, Any]:
     """`number`: the proxy's own."""
     classes = [
         {
--- a/lab/simulated_proxy.py
+++ b/lab/simulated_proxy.py
@@ -14,15 +14,15 @@
 from lab.wall_clock import WallClock
 
 
-class PlayForProxies(Protocol):
+class ProxyEnvironment(Protocol):
     """What a proxy needs of the play."""
 
     net: Net
 
-    def ended(self, proxy: SimulatedProxy, inside: Inside) -> None: ...
+    def ended(self, proxy: SimulatedProxy, inside: SimulatedReactor) -> None: ...
 
 
-class FrontLayerWatch(Protocol):
+class ReadinessProbe(Protocol):
     """The front layer's watch over a proxy."""
 
     wanted: bool
@@ -44,14 +44,14 @@
     starts: int = 0
     draining: bool = False
     back_s: float = 0.0  # after a planned end, until it is started again
-    watch: FrontLayerWatch = None  # the front layer's
+    watch: ReadinessProbe = None  # the front layer's
     old: Proxy | None = None  # ends beside the one that has replaced it
 
 
-class Inside:
+class SimulatedReactor:
     """A proxy's own view of the network: its reactor, which dies with it."""
 
-    def __init__(self, play: PlayForProxies, proxy: SimulatedProxy) -> None:
+    def __init__(self, play: ProxyEnvironment, proxy: SimulatedProxy) -> None:
         self._net, self._play, self._proxy = play.net, play, proxy
         self.alive = True
         self.ends: list[Any] = []
@@ -82,12 +82,12 @@
         self._play.ended(self._proxy, self)
 
 
-class Left:
+class SimulatedPredecessor:
     """What a process that is replaced leaves its successor, as `handover.successor.Predecessor` has it."""
 
     def __init__(self, old: Proxy) -> None:
         self._old = old
         self.handover_state, self.listening = old.hand_over()
 
-    def watch(self, reactor: Inside, gone: Any) -> None:
+    def watch(self, reactor: SimulatedReactor, gone: Any) -> None:
         self._old.succeeded()
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -15,35 +15,35 @@
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
-from lab.client_population import People
-from lab.front_layer import Watch
-from lab.invariant_checker import RULES, Judge
+from lab.client_population import ClientPopulation
+from lab.front_layer import ReadinessWatch
+from lab.invariant_checker import RULES, InvariantChecker
 from lab.machine_faults import befall
 from lab.net import Address, Net
-from lab.nodes import CacheNode, Discovery, Origin
-from lab.scenario import ON_MACHINES, ON_NODES, Class, Fault, World
+from lab.nodes import SimulatedCacheNode, SimulatedDiscovery, SimulatedOrigin
+from lab.scenario import ON_MACHINES, ON_NODES, Fault, Scenario, TrafficClass
 from lab.server import Server
 from lab.settings import ORIGIN, proxy_settings
-from lab.simulated_proxy import Inside, Left, SimulatedProxy
+from lab.simulated_proxy import SimulatedPredecessor, SimulatedProxy, SimulatedReactor
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import EPOCH_S, WallClocks
 
 KILL_S = 4.0  # what a planned end may take
 
 
-class Play:
-    def __init__(self, world: World, seed: int) -> None:
+class Simulation:
+    def __init__(self, world: Scenario, seed: int) -> None:
         self.world, self.seed = world, seed
         self.rng = Random(f"world {seed}")
         self.net = Net()
-        self.judge = Judge(copies=world.second_copies, rules=world.rules)
+        self.judge = InvariantChecker(copies=world.second_copies, rules=world.rules)
         self.trace = hashlib.sha256()
         self.notes: list[tuple[float, str]] = []
-        self.requests: dict[str, tuple[Class, float, str]] = {}  # name -> class, work in s, key
-        self._missed: dict[str, list[CacheNode]] = {}
+        self.requests: dict[str, tuple[TrafficClass, float, str]] = {}  # name -> class, work in s, key
+        self._missed: dict[str, list[SimulatedCacheNode]] = {}
         self.counts: Counter[str] = Counter()
         self.mean_work_s = sum(c.share * sum(c.work_ms) / 2000.0 for c in world.traffic.classes)
-        self.nodes: dict[str, CacheNode] = {}
+        self.nodes: dict[str, SimulatedCacheNode] = {}
         self.phases: dict[str, str] = {}
         self.wall_clocks = WallClocks(self.net.seconds, seed)
         # Of a node's name and start by the virtual clock: what its wall clock showed then, in ms.
@@ -61,19 +61,19 @@
             server.cold_share, server.warm_s = settings.cold_share, settings.warm_s
             name, zone = f"node-{number}", number % self.world.zones
             address = (f"10.{1 + zone}.{number // 250}.{number % 250 + 1}", 11211)
-            self.nodes[name] = CacheNode(self, name, address, server, zone)
+            self.nodes[name] = SimulatedCacheNode(self, name, address, server, zone)
             self.phases[name] = "in_service"
         origin = self.world.origin
-        self.origin = Origin(self, ("10.1.255.1", 80), Server(origin.cores, 1.0, origin.room))
-        self.discovery = Discovery(self, ("10.1.255.2", 8500))
+        self.origin = SimulatedOrigin(self, ("10.1.255.1", 80), Server(origin.cores, 1.0, origin.room))
+        self.discovery = SimulatedDiscovery(self, ("10.1.255.2", 8500))
         self.net.delay = self._delay
         self.proxies = [self._proxy(number) for number in range(self.world.proxies)]
         self._zone_of = {proxy.name: proxy.zone for proxy in self.proxies}
         for proxy in self.proxies:
-            proxy.watch = Watch(self, proxy)
+            proxy.watch = ReadinessWatch(self, proxy)
             self.start(proxy)
             proxy.watch.ask()
-        self.people = [People(self, zone) for zone in range(self.world.zones)]
+        self.people = [ClientPopulation(self, zone) for zone in range(self.world.zones)]
         self._warm()
         for fault in self.world.faults:
             for at_s in fault.instants():
@@ -93,14 +93,16 @@
             _, owner = next(ring.clockwise(point(key)))
             self.nodes[owner].keys.store(key)
 
-    def attempt(self, name: str, node: CacheNode, told_ms: float) -> None:
+    def attempt(self, name: str, node: SimulatedCacheNode, told_ms: float) -> None:
         """A whole command at a node: the judge sees it, and whether it came from another zone is counted."""
         self.judge.attempt(node.now, name, node.name, told_ms)
         case = self.judge.cases.get(name)
         self.counts["node_attempts"] += 1
         self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != node.zone
 
-    def judge_work(self, node: CacheNode, name: str, work_s: float, done_s: float, cold: bool) -> None:
+    def judge_work(
+        self, node: SimulatedCacheNode, name: str, work_s: float, done_s: float, cold: bool
+    ) -> None:
         """A request counts as what it asks for: who sends does not know what the node holds."""
         case = self.judge.cases.get(name)
         told = case is None or self.judge.knows_start(case.proxy, node.name, self._up_ms(node))
@@ -131,7 +133,7 @@
         return listed
 
     @staticmethod
-    def _up_ms(node: CacheNode) -> int:
+    def _up_ms(node: SimulatedCacheNode) -> int:
         """When it started, as the judge has it; 0: before the day."""
         return int(1000 * (node.server.born_s + EPOCH_S)) if node.server.born_s > 0 else 0
 
@@ -142,10 +144,10 @@
 
     # Proxies ------------------------------------------------------------------------------------
 
-    def start(self, proxy: SimulatedProxy, left: Left | None = None) -> None:
+    def start(self, proxy: SimulatedProxy, left: SimulatedPredecessor | None = None) -> None:
         proxy.starts += 1
         proxy.draining = False
-        inside = Inside(self, proxy)
+        inside = SimulatedReactor(self, proxy)
         self.judge.starts_with(proxy.name, rows := self.members())
         known = [Endpoint(**row) for row in self.as_listed(rows)]
         number = self.proxies.index(proxy) if hasattr(self, "proxies") else 0
@@ -163,7 +165,7 @@
     def replace(self, proxy: SimulatedProxy, for_s: float) -> None:
         """Another process starts beside it, and takes over; the old one is asked to end after `for_s`."""
         old = proxy.service
-        self.start(proxy, Left(old))
+        self.start(proxy, SimulatedPredecessor(old))
         self.net.callLater(for_s, old.stop)
         self.net.callLater(for_s + KILL_S, self._gone, proxy, old, "did not end by itself")
 
@@ -188,7 +190,7 @@
         proxy.service = None
         self.judge.restarted(proxy.name)
 
-    def ended(self, proxy: SimulatedProxy, inside: Inside) -> None:
+    def ended(self, proxy: SimulatedProxy, inside: SimulatedReactor) -> None:
         """It has answered all and stops by itself."""
         if proxy.old is not None and proxy.old.inside is inside:
             self._gone(proxy, proxy.old)
@@ -223,7 +225,7 @@
     def receipt_of(self, name: str) -> str:
         return f"receipt-{name}"
 
-    def missed(self, name: str, node: CacheNode) -> None:
+    def missed(self, name: str, node: SimulatedCacheNode) -> None:
         self.counts["misses"] += 1
         self._missed.setdefault(name, []).append(node)
 
@@ -313,21 +315,21 @@
     def _restore(self, size: float) -> None:
         self.origin.server.speed /= size
 
-    def _hang(self, node: CacheNode, fault: Fault) -> None:
+    def _hang(self, node: SimulatedCacheNode, fault: Fault) -> None:
         node.hung = True
         self.net.callLater(fault.for_s, setattr, node, "hung", False)
 
-    def _crash(self, node: CacheNode, fault: Fault) -> None:
+    def _crash(self, node: SimulatedCacheNode, fault: Fault) -> None:
         node.die()
         self._list_later(node, "terminated")
         self.net.callLater(fault.for_s, self._return, node)
 
-    def _drain(self, node: CacheNode, fault: Fault) -> None:
+    def _drain(self, node: SimulatedCacheNode, fault: Fault) -> None:
         """A planned replacement: told, drained, gone, and back cold."""
         self._list(node, "terminating")
         self.net.callLater(3.0, self._crash, node, Fault("crash", 0.0, 0.5))
 
-    def _return(self, node: CacheNode) -> None:
+    def _return(self, node: SimulatedCacheNode) -> None:
         node.keys.clear()
         node.server.born_s = self.net.seconds()
         wall_ms = int(1000 * self.wall_clocks.of(node.name).seconds())
@@ -335,10 +337,10 @@
         node.live()
         self._list_later(node, "in_service")
 
-    def _list_later(self, node: CacheNode, phase: str) -> None:
+    def _list_later(self, node: SimulatedCacheNode, phase: str) -> None:
         self.net.callLater(self.world.discovery.lag_s, self._list, node, phase)
 
-    def _list(self, node: CacheNode, phase: str) -> None:
+    def _list(self, node: SimulatedCacheNode, phase: str) -> None:
         self.phases[node.name] = phase
         self.discovery.changed(node.name)
 
@@ -370,7 +372,7 @@
         return self.summary(time.perf_counter() - begun)
 
     def summary(self, wall_s: float) -> dict[str, Any]:
-        metrics = People.metrics(self.people, self.world)
+        metrics = ClientPopulation.metrics(self.people, self.world)
         return {
             "seed": self.seed,
             "requests": metrics["requests"],
--- a/tests/fleet_clients.py
+++ b/tests/fleet_clients.py
@@ -12,7 +12,7 @@
 from event_time import EventTime
 from fleet_nodes import receipt_for, value_for
 
-from lab.invariant_checker import Case, Judge
+from lab.invariant_checker import InvariantChecker, RequestHistory
 
 KINDS = {"key": 5, "hang": 3, "miss": 1, "slow": 1}  # how often each is asked for
 EFFECTS = {"page": "retryable", "adjust": "dedup", "order": "fragile"}
@@ -54,7 +54,7 @@
     """Steady load on one proxy until `stop`; each of them has one request out at a time."""
 
     def __init__(
-        self, proxy: str, address: tuple[str, int], judge: Judge, event_time: EventTime, seed: int
+        self, proxy: str, address: tuple[str, int], judge: InvariantChecker, event_time: EventTime, seed: int
     ) -> None:
         self._proxy = proxy
         self._address = address
@@ -88,7 +88,7 @@
         now = time.monotonic()
         effect = EFFECTS[request.class_name]
         deadline_s = now + request.wait_ms / 1000.0
-        self._judge.taken(Case(request.name, self._proxy, effect, now, deadline_s, WINDOW_S))
+        self._judge.taken(RequestHistory(request.name, self._proxy, effect, now, deadline_s, WINDOW_S))
         self.asked += 1
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
--- a/tests/fleet_nodes.py
+++ b/tests/fleet_nodes.py
@@ -15,7 +15,7 @@
 
 from event_time import EventTime
 
-from lab.invariant_checker import Judge
+from lab.invariant_checker import InvariantChecker
 
 SLOW_S = 0.15
 
@@ -77,7 +77,7 @@
 class CacheNode(StandIn):
     """Reads alone come here: writes are the origin's."""
 
-    def __init__(self, name: str, judge: Judge, event_time: EventTime) -> None:
+    def __init__(self, name: str, judge: InvariantChecker, event_time: EventTime) -> None:
         super().__init__(event_time)
         self.name = name
         self.attempts = 0
@@ -114,7 +114,7 @@
 
     name = "origin"
 
-    def __init__(self, judge: Judge, event_time: EventTime) -> None:
+    def __init__(self, judge: InvariantChecker, event_time: EventTime) -> None:
         super().__init__(event_time)
         self._judge = judge
 
@@ -135,7 +135,9 @@
 class Discovery(StandIn):
     """One proxy's view of the list. What is written to it is what it has been told."""
 
-    def __init__(self, proxy: str, members: list[dict], judge: Judge, event_time: EventTime) -> None:
+    def __init__(
+        self, proxy: str, members: list[dict], judge: InvariantChecker, event_time: EventTime
+    ) -> None:
         super().__init__(event_time)
         self.proxy = proxy
         self.revision = 1
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -20,10 +20,10 @@
 from fleet_nodes import CacheNode, Discovery, Origin
 from stepped_start import DOUBLE, SEEN_AT, SIZE, STEP_AT
 
-from lab.invariant_checker import Judge
+from lab.invariant_checker import InvariantChecker
 from lab.processes import PATIENCE_S, ROOT, free_port
 from lab.proxy_testbed import SETTINGS
-from lab.scenario import Rules
+from lab.scenario import InvariantLimits
 
 START = Path(__file__).with_name("stepped_start.py")
 # Beyond each bound: a machine that is busy with other tests. What is wrong on a stepped clock is wrong by the
@@ -140,7 +140,7 @@
     def __init__(self, folder: Path, settings: dict | None = None) -> None:
         self.folder = folder
         self.settings = settings or SETTINGS
-        self.judge = Judge(rules=Rules(drain_s=DRAIN_S), slack_s=SLACK_S)
+        self.judge = InvariantChecker(rules=InvariantLimits(drain_s=DRAIN_S), slack_s=SLACK_S)
         self.event_time = EventTime()
         self.nodes: list[CacheNode] = []
         self.origin = Origin(self.judge, self.event_time)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -18,7 +18,7 @@
 from cloverwell.timer_wheel import STALL_MS
 from lab.proxy_testbed import SETTINGS
 from lab.scenario import load
-from lab.simulation import Play
+from lab.simulation import Simulation
 
 GONE_MS = 100.0  # the page's: an attempt that begins later than that behind the close is a break
 LEAVE = pytest.mark.parametrize("leave", [socket.socket.close, reset])
@@ -258,7 +258,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_clients_that_leave_alone_and_by_hundreds_have_nothing_sent_later(seed):
-    summary = Play(load("leave"), seed).run()
+    summary = Simulation(load("leave"), seed).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["ends"]["left"] > 150 and summary["service"] > 0.8, summary["ends"]
 
@@ -279,4 +279,4 @@
 @pytest.mark.parametrize("late_ms, breaks", [(None, True), (150.0, True), (60.0, False)])
 def test_the_judge_holds_clients_that_left_to_a_tenth_of_a_second(monkeypatch, late_ms, breaks):
     forgets_nobody(monkeypatch) if late_ms is None else knows_late(monkeypatch, late_ms)
-    assert bool(left(Play(load("leave"), 1).run())) == breaks
+    assert bool(left(Simulation(load("leave"), 1).run())) == breaks
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,9 +6,9 @@
 from balancer import balancer as decide
 from balancer.balancer import COLD_SPILL, Balancer
 from balancer.hash_ring import point
-from lab.invariant_checker import Judge
-from lab.scenario import Rules, load
-from lab.simulation import Play
+from lab.invariant_checker import InvariantChecker
+from lab.scenario import InvariantLimits, load
+from lab.simulation import Simulation
 
 START = 0.14  # what a server can do at its start: the least that a site has named
 WARM_UP_MS = 20_000.0
@@ -89,7 +89,7 @@
     mean_s = 0.02
     allowed = 3.0 * capacity * 2.0 / mean_s
     page = allowed + 2.0 * allowed**0.5 + 2.0
-    judge = Judge(rules=Rules(0.5, 2.0, 3.0))
+    judge = InvariantChecker(rules=InvariantLimits(0.5, 2.0, 3.0))
     for number in range(int(page) + 1):
         judge.work(1.0 + number * 1e-5, "node", mean_s, capacity, True, mean_s)
     assert judge.counts["cold"] == 1
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("knowing, breaks", [(0.6, False), (0.7, True)])
 def test_the_judge_asks_who_had_been_told_of_the_start(knowing, breaks):
-    judge = Judge(rules=Rules(0.5, 2.0, 3.0))
+    judge = InvariantChecker(rules=InvariantLimits(0.5, 2.0, 3.0))
     for number in range(400):
         judge.work(1.0, "node", 0.02, 0.5, True, 0.02, told=number % 10 < 10 * knowing, done_s=0.0)
     assert bool(judge.counts["cold"]) == breaks
@@ -105,16 +105,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_thirty_proxies_do_not_push_a_zone_over_that_comes_back_cold(seed):
-    summary = Play(load("throng"), seed).run()
+    summary = Simulation(load("throng"), seed).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["coldest_load"] < 0.95 and summary["service"] > 0.8, summary["ends"]
 
 
 def test_a_zone_that_comes_back_after_its_clock_was_stepped_back_is_not_pushed_over(monkeypatch):
     """Seen: told as an hour old, its nodes were taken for warm, and seven of them fell."""
-    up_ms = Play._up_ms
-    monkeypatch.setattr(Play, "_up_ms", staticmethod(lambda node: max(0, up_ms(node) - 3_600_000)))
-    summary = Play(load("throng"), 1).run()
+    up_ms = Simulation._up_ms
+    monkeypatch.setattr(Simulation, "_up_ms", staticmethod(lambda node: max(0, up_ms(node) - 3_600_000)))
+    summary = Simulation(load("throng"), 1).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["service"] > 0.8, summary["ends"]
 
@@ -123,4 +123,4 @@
 def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch, seed):
     monkeypatch.setattr(decide, "COLD_SPILL", 1 << 30)
     monkeypatch.setattr(decide, "COLD_MOST", 1 << 30)
-    assert Play(load("throng"), seed).run()["rules"]["cold"] >= 2
+    assert Simulation(load("throng"), seed).run()["rules"]["cold"] >= 2
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 )
 from cloverwell.connections.metrics import ConnectionEvent
 from lab.clients import Clients, Silent
-from lab.proxy_testbed import World
+from lab.proxy_testbed import ProxyTestbed
 
 
 class Guests(RuleBasedStateMachine):
@@ -178,7 +178,7 @@
 
 
 def played(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
-    world = World(nodes=14 if sockets == 256 else 4, sockets=sockets)
+    world = ProxyTestbed(nodes=14 if sockets == 256 else 4, sockets=sockets)
     clients = Clients(world.net, world.listen, sockets // 3, stay=stay)
     crowd = Silent(world.net, world.listen, silent) if silent else None
     if often:
@@ -212,7 +212,7 @@
 
 def test_the_survivor_of_a_restart_takes_all():
     # Half of the proxies restart: those clients come over at once, each on a new connection.
-    world = World(sockets=384)
+    world = ProxyTestbed(sockets=384)
     clients = Clients(world.net, world.listen, 128, stay=True)
     Silent(world.net, world.listen, 200)
     clients.load(140.0, 8.0)
@@ -232,7 +232,7 @@
 
 def test_requests_that_cross_a_close_are_not_lost():
     # Our side is closed with the answer long out; what the client had sent by then must be read, not reset.
-    world = World(sockets=64)
+    world = ProxyTestbed(sockets=64)
     clients = Clients(world.net, world.listen, 21)
     clients.load(300.0, 5.0)
     world.net.run_for(7.0)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,9 +23,9 @@
 from cloverwell.streamed_value import StreamedValue
 from lab.cli import lab
 from lab.invariant_checker import RULES
-from lab.scenario import Fault, Rules, WorldError, load, names
+from lab.scenario import Fault, InvariantLimits, ScenarioError, load, names
 from lab.server import Keys, Server
-from lab.simulation import Play
+from lab.simulation import Simulation
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -43,7 +43,7 @@
 
 
 def test_a_calm_day_keeps_the_rules_and_serves_nearly_all():
-    summary = Play(short("calm"), 1).run()
+    summary = Simulation(short("calm"), 1).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.98 and summary["requests"] > 800
 
@@ -52,7 +52,7 @@
 def test_rules_hold_through_each_fault(kind):
     part = 0.0 if kind == "discovery_down" else 0.25
     world = short("calm", 7.0, [Fault(kind, 1.0, 1.5, part)], proxies=4)
-    summary = Play(world, 3).run()
+    summary = Simulation(world, 3).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.85, summary["ends"]
     assert any(kind.split("_")[0] in text for _, text in summary["notes"])
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("seed", [2, 3, 4])
 def test_rules_hold_while_the_proxies_are_operated(name, seconds, seed):
     world = operated(name, seconds)
-    play = Play(world, seed)
+    play = Simulation(world, seed)
     summary = play.run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.9, summary["ends"]
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("name", ["herd", "zone", "join"])
 @pytest.mark.parametrize("seed", [2, 3])
 def test_rules_hold_for_a_fleet(name, seed):
-    summary = Play(operated(name, 11.0), seed).run()
+    summary = Simulation(operated(name, 11.0), seed).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.85, summary["ends"]
     assert summary["list_starts_peak"] <= STARTS and not summary["origin_stops"]
@@ -88,7 +88,7 @@
 
 def test_proxies_that_start_in_step_are_seen(monkeypatch):
     monkeypatch.setattr(decide, "LIST_PACE_MS", 0.0)
-    assert Play(operated("herd", 4.0), 2).run()["list_starts_peak"] > STARTS
+    assert Simulation(operated("herd", 4.0), 2).run()["list_starts_peak"] > STARTS
 
 
 def operated(name, seconds):
@@ -99,8 +99,8 @@
 
 def test_one_seed_gives_one_trace_in_any_process():
     code = (
-        "import sys; sys.path.insert(0, 'tests'); from test_lab import short; from lab.simulation import Play;"
-        "print(Play(short('hang', 2.0), 5).run()['trace_sha256'])"
+        "import sys; sys.path.insert(0, 'tests'); from test_lab import Simulation, short;"
+        "print(Simulation(short('hang', 2.0), 5).run()['trace_sha256'])"
     )
     traces = {
         subprocess.run(
@@ -113,8 +113,8 @@
         ).stdout.strip()
         for seed in ("0", "77")
     }
-    assert traces == {Play(short("hang", 2.0), 5).run()["trace_sha256"]}
-    assert traces != {Play(short("hang", 2.0), 6).run()["trace_sha256"]}
+    assert traces == {Simulation(short("hang", 2.0), 5).run()["trace_sha256"]}
+    assert traces != {Simulation(short("hang", 2.0), 6).run()["trace_sha256"]}
 
 
 def test_virtual_time_lets_no_wall_clock_in(monkeypatch):
@@ -126,7 +126,7 @@
     def escaped(*_args, **_kw):
         raise AssertionError("escaped from virtual time")
 
-    play = Play(short("calm", 1.0), 1)
+    play = Simulation(short("calm", 1.0), 1)
     for owner, name in ((time, "time"), (time, "monotonic"), (random, "random"), (threading, "Thread")):
         monkeypatch.setattr(owner, name, escaped)
     play.net.run_for(1.0)
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
 def test_no_attempt_leaves_while_one_that_was_closed_is_out_at_a_far_node(seed):
-    summary = Play(short("far-hang", 8.0), seed).run()
+    summary = Simulation(short("far-hang", 8.0), seed).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.95, summary["ends"]
 
@@ -250,7 +250,7 @@
     # Seen at Teorifart: an attempt called off at a node 10 ms away, and the next one at a node nearby 0.2 ms
     # later.
     sends_on_while_its_close_is_on_the_way(monkeypatch)
-    summary = Play(short("far-hang", 8.0), 2).run()
+    summary = Simulation(short("far-hang", 8.0), 2).run()
     assert "once" in broken(summary), summary["rules"]
 
 
@@ -262,7 +262,7 @@
 
 
 def zones(seed, seconds=11.0, **more):
-    return Play(short("zones", seconds, **more), seed).run()
+    return Simulation(short("zones", seconds, **more), seed).run()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -294,7 +294,7 @@
 
 def test_a_zone_that_comes_back_cold_is_not_pushed_over(monkeypatch):
     # Stricter than any site: 1.1 times what a cold node can do, from all proxies together.
-    strict = {"seconds": 15.0, "rules": Rules(0.5, 1.5, 1.1)}
+    strict = {"seconds": 15.0, "rules": InvariantLimits(0.5, 1.5, 1.1)}
     summary = zones(1, **strict)
     assert not broken(summary), summary["breaches"]
     asks_cold_nodes_as_if_warm(monkeypatch)
@@ -323,7 +323,7 @@
 @pytest.mark.parametrize("mutant, faults, rule", MUTANTS, ids=lambda what: getattr(what, "__name__", None))
 def test_the_judge_catches_each_defect(monkeypatch, mutant, faults, rule):
     mutant(monkeypatch)
-    summary = Play(short("calm", 6.0, faults), 2).run()
+    summary = Simulation(short("calm", 6.0, faults), 2).run()
     assert rule in broken(summary), summary["rules"]
 
 
@@ -341,7 +341,7 @@
 )
 def test_the_judge_catches_what_operators_would(monkeypatch, mutant, name, seconds):
     mutant(monkeypatch)
-    assert "answered" in broken(Play(operated(name, seconds), 2).run())
+    assert "answered" in broken(Simulation(operated(name, seconds), 2).run())
 
 
 # Worlds and the command line --------------------------------------------------------------------
@@ -370,7 +370,7 @@
     assert len(names()) >= 12
     for name in names():
         assert load(name).about
-    with pytest.raises(WorldError, match="calm"):
+    with pytest.raises(ScenarioError, match="calm"):
         load("nowhere")
 
 
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -12,8 +12,8 @@
 from lab import simulation
 from lab.invariant_checker import RULES
 from lab.scenario import Fault, load
-from lab.simulated_proxy import Inside
-from lab.simulation import Play
+from lab.simulated_proxy import SimulatedReactor
+from lab.simulation import Simulation
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
 
 
@@ -65,7 +65,7 @@
 
 def loops_on_the_wall_clock(patch):
     timers = {}
-    step, connect = WallClock.step, Inside.connectTCP
+    step, connect = WallClock.step, SimulatedReactor.connectTCP
 
     def timers_of(inside):
         if inside not in timers:
@@ -81,10 +81,12 @@
             if inside.wall_clock is self:
                 own.arm()
 
-    patch.setattr(Inside, "callLater", call_later)
-    patch.setattr(Inside, "seconds", lambda self: self.wall_clock.seconds())
+    patch.setattr(SimulatedReactor, "callLater", call_later)
+    patch.setattr(SimulatedReactor, "seconds", lambda self: self.wall_clock.seconds())
     patch.setattr(
-        Inside, "connectTCP", lambda self, *args, **kw: self.callLater(0, connect, self, *args, **kw)
+        SimulatedReactor,
+        "connectTCP",
+        lambda self, *args, **kw: self.callLater(0, connect, self, *args, **kw),
     )
     patch.setattr(WallClock, "step", stepped)
 
@@ -101,21 +103,21 @@
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_the_judge_catches_a_loop_on_the_wall_clock(monkeypatch, step_s):
     world = short("calm", 4.0, step_and_back(step_s), 120.0)
-    assert not broken(Play(world, 2).run())
+    assert not broken(Simulation(world, 2).run())
     loops_on_the_wall_clock(monkeypatch)
-    assert broken(Play(world, 2).run()).get("answered", 0) >= 3
+    assert broken(Simulation(world, 2).run()).get("answered", 0) >= 3
 
 
 def test_a_loop_on_the_wall_clock_keeps_the_rules_while_no_clock_is_stepped(monkeypatch):
     # Why no world without steps could show it: the judge's breaches above come from the steps alone.
     loops_on_the_wall_clock(monkeypatch)
-    summary = Play(short("calm", 4.0, [Fault("hang", 0.5, 3.0, 0.25)], 120.0), 2).run()
+    summary = Simulation(short("calm", 4.0, [Fault("hang", 0.5, 3.0, 0.25)], 120.0), 2).run()
     assert not broken(summary), summary["breaches"]
 
 
 @pytest.mark.parametrize("seed", [2, 3])
 def test_rules_hold_while_wall_clocks_are_stepped(seed):
-    summary = Play(short("clock-steps", 10.0, per_s=100.0), seed).run()
+    summary = Simulation(short("clock-steps", 10.0, per_s=100.0), seed).run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.95, summary["ends"]
     assert sum("clock_step" in text for _, text in summary["notes"]) == 7
@@ -123,7 +125,7 @@
 
 def test_the_judge_catches_a_loop_on_the_wall_clock_in_the_shipped_world(monkeypatch):
     loops_on_the_wall_clock(monkeypatch)
-    assert "answered" in broken(Play(short("clock-steps", 8.0, first_steps(), 100.0), 1).run())
+    assert "answered" in broken(Simulation(short("clock-steps", 8.0, first_steps(), 100.0), 1).run())
 
 
 def first_steps():
@@ -146,7 +148,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_nodes_that_start_after_a_step_back_are_held_to_what_cold_nodes_can_do(seed):
-    summary = Play(soon_cold(7.6), seed).run()
+    summary = Simulation(soon_cold(7.6), seed).run()
     assert not broken(summary), summary["breaches"]
     assert len(summary["notes"]) >= 3 and summary["requests"] > 1000
 
@@ -161,7 +163,7 @@
         for fault in world.faults
         if fault.kind in begins
     ]
-    summary = Play(msgspec.structs.replace(world, seconds=6.0, faults=faults), seed).run()
+    summary = Simulation(msgspec.structs.replace(world, seconds=6.0, faults=faults), seed).run()
     assert not broken(summary), summary["breaches"]
 
 
@@ -172,7 +174,7 @@
         }
 
     monkeypatch.setattr(NodeStarts, "take", as_told)
-    assert "cold" in broken(Play(soon_cold(7.1), 3).run())
+    assert "cold" in broken(Simulation(soon_cold(7.1), 3).run())
 
 
 # What a machine shows -------------------------------------------------------------------------------
@@ -214,7 +216,7 @@
         Fault("clock_step", 1.0, whom=["proxy-1"], by_s=3600.0),
         Fault("proxy_crash", 1.5, 0.5, 1.0),
     ]
-    Play(short("calm", 3.0, faults, 20.0), 1).run()
+    Simulation(short("calm", 3.0, faults, 20.0), 1).run()
     sound = -1000.0 * EPOCH_S
     assert starts[:2] == [("proxy-0", 1_000_000.0, sound), ("proxy-1", 1_000_000.0, sound)]
     assert [(name, round(now)) for name, now, _ in starts[2:]] == [
@@ -229,7 +231,7 @@
         Fault("clock_step", 0.5, whom=["node-1"], by_s=-5.0),
         Fault("crash", 1.0, 0.5, whom=["node-1", "node-2"]),
     ]
-    played = Play(short("calm", 3.0, faults, 20.0), 1)
+    played = Simulation(short("calm", 3.0, faults, 20.0), 1)
     played.run()
     listed = {row["id"]: row["up_since_ms"] for row in played.as_listed(played.members())}
     started_ms = int(1000 * (EPOCH_S + 1001.5))
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -22,7 +22,7 @@
 from lab.invariant_checker import RULES
 from lab.net import Net
 from lab.scenario import Fault, load
-from lab.simulation import Play
+from lab.simulation import Simulation
 from lab.system_call_faults import SystemCalls
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", [2, 3])
 def test_rules_hold_while_calls_fail_and_connections_break(seed):
-    play = Play(short("failing-calls", 10.0), seed)
+    play = Simulation(short("failing-calls", 10.0), seed)
     summary = play.run()
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.95, summary["ends"]
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_rules_hold_and_no_answer_is_lost_for_want_of_buffers(seed):
-    play = Play(short("no-buffers", 10.0), seed)
+    play = Simulation(short("no-buffers", 10.0), seed)
     summary = play.run()
     assert not broken(summary), summary["breaches"]
     assert not summary["ends"].get("lost") and summary["service"] > 0.99, summary["ends"]
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", [1, 3])  # 2 is played beside the defect below
 def test_no_node_is_told_the_time_that_a_connection_waited_to_be_accepted(seed):
-    play = Play(short("calm", 4.0, ACCEPTS_FAIL), seed)
+    play = Simulation(short("calm", 4.0, ACCEPTS_FAIL), seed)
     summary = play.run()
     assert not broken(summary), summary["breaches"]
     assert failed_calls(play)["accept_fails"] >= 80
@@ -125,9 +125,9 @@
 @pytest.mark.parametrize("mutant, faults, rule", MUTANTS, ids=lambda what: getattr(what, "__name__", None))
 def test_the_judge_catches_each_defect(monkeypatch, mutant, faults, rule):
     world = short("calm", 3.0, faults)
-    assert not broken(Play(world, 2).run())
+    assert not broken(Simulation(world, 2).run())
     mutant(monkeypatch)
-    assert rule in broken(Play(world, 2).run())
+    assert rule in broken(Simulation(world, 2).run())
 
 
 # One seed, one trace --------------------------------------------------------------------------------
@@ -136,9 +136,9 @@
 import sys
 sys.path.insert(0, "tests")
 from test_lab_system_calls import short
-from lab.simulation import Play
+from lab.simulation import Simulation
 for name, seconds in (("failing-calls", 3.0), ("no-buffers", 3.0), ("clock-steps", 3.0)):
-    print(name, Play(short(name, seconds, None, 40.0), 5).run()["trace_sha256"])
+    print(name, Simulation(short(name, seconds, None, 40.0), 5).run()["trace_sha256"])
 """
 
 
@@ -155,7 +155,7 @@
     ]
     first, second = (run.communicate()[0] for run in runs)
     assert first == second and first.count("\n") == 3
-    other = Play(short("failing-calls", 3.0, None, 40.0), 6).run()["trace_sha256"]
+    other = Simulation(short("failing-calls", 3.0, None, 40.0), 6).run()["trace_sha256"]
     assert other not in first
 
 
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lab.invariant_checker import RULES
-from lab.nodes import Origin
+from lab.nodes import SimulatedOrigin
 from lab.scenario import load
-from lab.simulation import Play
+from lab.simulation import Simulation
 
 CUT_S = (4.0, 8.0)  # as the world has it
 
@@ -16,16 +16,16 @@
 def fetches_by_proxy(monkeypatch, seed, between):
     """What each proxy asked of the origin between two times of the day, and the day's summary."""
     asked = Counter()
-    real = Origin.asked
+    real = SimulatedOrigin.asked
 
     def counted(origin, web, *more):
         if between[0] <= origin.now - 1000.0 < between[1]:
             asked[origin.play.proxy_of(web)] += 1
         real(origin, web, *more)
 
-    monkeypatch.setattr(Origin, "asked", counted)
+    monkeypatch.setattr(SimulatedOrigin, "asked", counted)
     world = msgspec.structs.replace(load("origin-cut"), seconds=10.0)
-    return asked, Play(world, seed).run()
+    return asked, Simulation(world, seed).run()
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -214,7 +214,7 @@
     import lab.proxy_testbed
 
     monkeypatch.setattr(lab.proxy_testbed, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
-    back, now = lab.proxy_testbed.World().service.back, 1000.0
+    back, now = lab.proxy_testbed.ProxyTestbed().service.back, 1000.0
     back.left("s0", now)
     assert not back.late("s0", now + grace_ms - 210.0)
     assert back.late("s0", now + grace_ms - 200.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,8 +16,8 @@
 from cloverwell.proxy import Proxy
 from lab.invariant_checker import RULES
 from lab.processes import PATIENCE_S, Clients, Place
-from lab.scenario import Discovery
-from lab.simulation import Play
+from lab.scenario import DiscoveryCapacity
+from lab.simulation import Simulation
 from lab.web import serving
 
 READY_S = 10.0  # the page's, for nine in ten
@@ -26,14 +26,14 @@
 KILLED_S, DEAD_S, BACK_S = 1.0, 0.5, 5.0  # when all are killed, for how long, and discovery is back
 TOLD_S = 6.0
 DISCOVERIES = {
-    "up": Discovery(),
-    "down": Discovery(),
-    "slow": Discovery(calls_per_s=5.0, wait_s=30.0),  # the last call is answered 6 s after the first
-    "overbooked": Discovery(calls_per_s=2.0, wait_s=1.0),  # nearly all calls are refused
+    "up": DiscoveryCapacity(),
+    "down": DiscoveryCapacity(),
+    "slow": DiscoveryCapacity(calls_per_s=5.0, wait_s=30.0),  # the last call is answered 6 s after the first
+    "overbooked": DiscoveryCapacity(calls_per_s=2.0, wait_s=1.0),  # nearly all calls are refused
 }
 
 
-class Restarts(Play):
+class Restarts(Simulation):
     """All proxies are killed at once; what they then start with can be chosen."""
 
     known_rows = None  # None: the list as it is
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -20,7 +20,7 @@
 from cloverwell.front.client_connection import AHEAD, FREE_ERRORS
 from lab.proxy_testbed import SETTINGS
 from lab.scenario import load
-from lab.simulation import Play
+from lab.simulation import Simulation
 
 SLACK_MS = 150.0  # the page's, of the time that a node is told
 HIT = b"VA 1 O%d\r\nx\r\n"
@@ -274,14 +274,14 @@
 
 
 def test_a_handful_of_proxies_keeps_the_budget_of_cold_nodes():
-    summary = Play(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()
+    summary = Simulation(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["coldest_load"] < 0.95 and summary["service"] > 0.9, summary["ends"]
 
 
 def test_the_judge_catches_a_handful_that_takes_cold_nodes_for_warm_ones(monkeypatch):
     monkeypatch.setattr(Server, "warmth", lambda server, now, start, warm_up_ms: 1.0)
-    assert Play(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()["rules"]["cold"]
+    assert Simulation(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()["rules"]["cold"]
 
 
 def test_no_small_write_is_held_back_by_the_machine(rig):
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -18,7 +18,7 @@
 from lab.cache_nodes import CacheNode
 from lab.net import Net
 from lab.proxy_testbed import SETTINGS
-from lab.scenario import World
+from lab.scenario import Scenario
 
 NODES = 1024
 PROXIES = 1024
@@ -126,7 +126,7 @@
 
 
 def test_the_lab_plays_as_many_proxies():
-    world = msgspec.convert({"proxies": PROXIES, "nodes": {"count": NODES}}, World)
+    world = msgspec.convert({"proxies": PROXIES, "nodes": {"count": NODES}}, Scenario)
     assert world.proxies == PROXIES
 
 
