--- a/lab/clock.py
+++ b/lab/clock.py
@@ -9,12 +9,14 @@
 from twisted.internet.interfaces import IReactorTime
 from zope.interface import implementer
 
+START_S = 1000.0  # what virtual clocks show when a simulation begins
+
 
 @implementer(IReactorTime)
 class VirtualTime:
     """Twisted's own `task.Clock` sorts all calls at each new one; this one is a heap."""
 
-    def __init__(self, start_s: float = 1000.0) -> None:
+    def __init__(self, start_s: float = START_S) -> None:
         self._now = start_s
         self._heap: list[tuple[float, int, DelayedCall]] = []
         self._order = itertools.count()
--- a/lab/invariant_checker.py
+++ b/lab/invariant_checker.py
@@ -56,7 +56,7 @@
     copies: bool = True  # whether a request may have two attempts out together
     rules: InvariantLimits = field(default_factory=InvariantLimits)
     slack_s: float = 0.0  # added to each bound of time: none in virtual time, some for real processes
-    cases: dict[str, RequestHistory] = field(default_factory=dict)
+    histories: dict[str, RequestHistory] = field(default_factory=dict)
     breaches: list[dict] = field(default_factory=list)
     counts: Counter = field(default_factory=Counter)
     fullest: float = 0.0  # the most that a cold node was sent, as a part of what makes it fall
@@ -72,12 +72,12 @@
     # What crosses the sockets -------------------------------------------------------------------
 
     def taken(self, case: RequestHistory) -> None:
-        self.cases[case.name] = case
+        self.histories[case.name] = case
 
     def attempt(self, now: float, name: str, node: str, told_ms: float) -> None:
         """A whole command has come in at a cache node or the origin, which it told to work for so long at
         most."""
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is None:
             return self.breach("answered", now, name, f"{node} was sent a request that no client sent")
         case.attempts += 1
@@ -105,19 +105,19 @@
 
     def left(self, now: float, name: str) -> None:
         """The client closes its connection, with no answer yet."""
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is not None:
             case.left_s = now
 
     def settled(self, name: str) -> None:
         """A node has written its answer to an attempt, or seen the attempt's connection close."""
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is not None and case.out:
             case.out -= 1
 
     def never_ran(self, name: str) -> None:
         """The last attempt was turned away unseen, or missed."""
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is not None:
             case.doubtful -= 1
             if not case.doubtful:
@@ -125,7 +125,7 @@
 
     def answered(self, now: float, name: str, how: str, right: bool = True) -> None:
         """A final answer has reached the client: served, refused or failed."""
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is None:
             return
         case.answers += 1
@@ -140,10 +140,10 @@
 
     def forget(self, name: str) -> None:
         """Long over: nothing that was sent for it can still come in."""
-        self.cases.pop(name, None)
+        self.histories.pop(name, None)
 
     def lost(self, now: float, name: str, why: str) -> None:
-        case = self.cases.get(name)
+        case = self.histories.get(name)
         if case is not None and not case.answers:
             self.breach("answered", now, name, why)
 
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -17,10 +17,11 @@
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
+from lab.http_connection import HttpConnection, HttpRequest
 from lab.net import Address, Net
-from lab.nodes import HttpConnection, SimulatedDiscovery
 from lab.proxy_testbed import SETTINGS
 from lab.scenario import DiscoveryCapacity, Scenario
+from lab.simulated_discovery import SimulatedDiscovery
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
 CHANGED = "node-0"  # whose phase is told as changed
@@ -33,13 +34,11 @@
 
     hung = False
 
-    def asked(
-        self, web: HttpConnection, method: str, target: str, headers: dict[str, str], body: bytes
-    ) -> None:
+    def handle(self, connection: HttpConnection, request: HttpRequest) -> None:
         if self.hung:
             self.calls[int(self.now)] += 1
             return
-        super().asked(web, method, target, headers, body)
+        super().handle(connection, request)
 
 
 class NoJudge:
@@ -87,8 +86,8 @@
         `changes`: settings in the place of the lab's own; `granularity_ms`: of the proxies' timers, coarse
         for speed."""
         self.net = Net()
-        self.judge = NoJudge()
-        self.world = Scenario(discovery=DiscoveryCapacity(calls_per_s=calls_per_s, wait_s=wait_s))
+        self.checker = NoJudge()
+        self.scenario = Scenario(discovery=DiscoveryCapacity(calls_per_s=calls_per_s, wait_s=wait_s))
         self.rows = [self._row(place, "large") for place in range(nodes)]
         self.rows.append(self._row(nodes, "origin"))
         self.attempts: Counter[int] = Counter()  # connection attempts to discovery, by tenth of a second
@@ -156,7 +155,7 @@
             self._forget_flows()
 
     def _forget_flows(self) -> None:
-        for web in list(self.discovery.links):
+        for web in list(self.discovery.connections):
             web.transport.forget_flow()
 
     def restore(self, how: str) -> None:
--- a/lab/net.py
+++ b/lab/net.py
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from lab.clock import VirtualTime
+from lab.clock import START_S, VirtualTime
 from lab.connection_end import End
 from lab.listener import Address, Listener
 
@@ -34,7 +34,7 @@
 class Net(VirtualTime):
     """The reactor of everything in the world."""
 
-    def __init__(self, start_s: float = 1000.0) -> None:
+    def __init__(self, start_s: float = START_S) -> None:
         super().__init__(start_s)
         self.listeners: dict[Address, Listener] = {}
         self.paths: dict[Address, Path] = {}
--- a/lab/node_environment.py
+++ b/lab/node_environment.py
@@ -1,50 +1,62 @@
-"""What the nodes of a world need of the play that they are part of."""
+"""What the simulated nodes need of the simulation that they are part of."""
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
 from lab.invariant_checker import InvariantChecker
+from lab.member_row import MemberRow
 from lab.net import Net
+from lab.request_catalog import RequestCatalog
 from lab.scenario import Scenario
 
 
 class NodeEnvironment(Protocol):
-    """`name`: a request's id. The nodes and the connections themselves are of `lab.nodes`."""
+    """What every node needs: the network, the scenario's settings, and the invariant checker."""
 
-    world: Scenario
     net: Net
-    judge: InvariantChecker
+    scenario: Scenario
+    checker: InvariantChecker
 
-    def attempt(self, name: str, node: Any, told_ms: float) -> None:
-        """A whole command has come to a cache node, which it told to work for so long at most."""
 
-    def judge_work(self, node: Any, name: str, work_s: float, done_s: float, cold: bool) -> None:
-        """Work has come in at a cache node: asked for, and done."""
+class CacheNodeEnvironment(NodeEnvironment, Protocol):
+    """What a cache node needs. `request_id` is the id that the client gave the request."""
 
-    def missed(self, name: str, node: Any) -> None:
-        """The cache node has not the request's key."""
+    catalog: RequestCatalog
 
-    def fetched(self, name: str, key: str) -> None:
+    def attempt(self, request_id: str, node: Any, deadline_ms: float) -> None:
+        """A whole command has come in at a cache node, with so much time to answer it."""
+
+    def record_work(self, node: Any, request_id: str, work_s: float, done_s: float) -> None:
+        """Work has come in at a node, in core seconds: what was asked for, and what it costs the node."""
+
+    def missed(self, request_id: str, node: Any) -> None:
+        """The cache node does not have the request's key."""
+
+
+class OriginEnvironment(NodeEnvironment, Protocol):
+    """What the origin needs."""
+
+    catalog: RequestCatalog
+
+    def fetched(self, request_id: str, key: str) -> None:
         """The origin has answered a read."""
 
     def written(self, key: str) -> None:
-        """The origin has taken a write."""
+        """The origin has done a write."""
 
-    def work_of(self, name: str) -> float:
-        """In core seconds."""
+    def note(self, text: str) -> None:
+        """Adds a line to the notes of the summary."""
 
-    def body_of(self, name: str) -> str: ...
 
-    def receipt_of(self, name: str) -> str: ...
+class DiscoveryEnvironment(NodeEnvironment, Protocol):
+    """What discovery needs."""
 
-    def members(self) -> list[dict[str, Any]]:
-        """The list of servers, with their starts by the virtual clock."""
+    def members(self) -> list[MemberRow]:
+        """All endpoints, with their starts by the virtual clock."""
 
-    def as_listed(self, rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """As discovery tells them: each start is what the machine's wall clock showed then."""
+    def as_listed(self, rows: list[MemberRow]) -> list[MemberRow]:
+        """The rows as discovery sends them, with the starts that the machines' wall clocks showed."""
 
     def proxy_of(self, web: Any) -> str:
-        """The name of the proxy at the other end."""
-
-    def note(self, text: str) -> None: ...
+        """The name of the proxy at the other end of this connection."""
--- a/lab/simulated_proxy.py
+++ b/lab/simulated_proxy.py
@@ -1,25 +1,28 @@
-"""A proxy of a world: its processes in the course of a day, and what each sees of the network."""
+"""A proxy of the simulation: its machine, the processes that run there, and their view of the network."""
 
 from __future__ import annotations
 
 import io
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
 from twisted.python.failure import Failure
 
 from cloverwell.proxy import Proxy
-from lab.net import Address, Net
+from lab.listener import Address
+from lab.net import Net
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import WallClock
 
 
 class ProxyEnvironment(Protocol):
-    """What a proxy needs of the play."""
+    """What a proxy process needs of the simulation."""
 
     net: Net
 
-    def ended(self, proxy: SimulatedProxy, inside: SimulatedReactor) -> None: ...
+    def ended(self, proxy: SimulatedProxy, reactor: SimulatedReactor) -> None:
+        """The process with this reactor has answered all its requests and ends by itself."""
 
 
 class ReadinessProbe(Protocol):
@@ -27,48 +30,70 @@
 
     wanted: bool
 
-    def ask(self) -> None: ...
+    def ask(self) -> None:
+        """Starts to ask the proxy at regular intervals whether it takes connections."""
 
-    def drain(self, for_s: float) -> None: ...
+    def drain(self, for_s: float) -> None:
+        """Drains the proxy for so long, and checks that it is empty and comes back."""
+
+
+@dataclass
+class ProxyProcess:
+    """One process: the program, its reactor, and what it took over if it replaced another."""
+
+    proxy: Proxy
+    reactor: SimulatedReactor
+    inheritance: SimulatedPredecessor | None = None
 
 
 @dataclass
 class SimulatedProxy:
+    """A proxy by its name, through all processes that serve for it in the course of a simulation."""
+
     name: str
     address: Address
     zone: int
     wall_clock: WallClock  # of its machine, for all its processes
     system_calls: SystemCalls
     log: io.StringIO = field(default_factory=io.StringIO)
-    service: Proxy | None = None
+    process: ProxyProcess | None = None  # None while the proxy is down
+    predecessor: ProxyProcess | None = None  # ends beside the process that has replaced it
     starts: int = 0
-    draining: bool = False
     back_s: float = 0.0  # after a planned end, until it is started again
-    watch: ReadinessProbe = None  # the front layer's
-    old: Proxy | None = None  # ends beside the one that has replaced it
+    watch: ReadinessProbe | None = None  # set before the first start
+
+    @property
+    def ready(self) -> bool:
+        """Whether new connections may go to the proxy, as the front layer knows it."""
+        return self.watch is None or self.watch.wanted
 
 
 class SimulatedReactor:
-    """A proxy's own view of the network: its reactor, which dies with it."""
+    """One process's view of the network: its calls and connections end with the process."""
 
-    def __init__(self, play: ProxyEnvironment, proxy: SimulatedProxy) -> None:
-        self._net, self._play, self._proxy = play.net, play, proxy
+    def __init__(self, environment: ProxyEnvironment, proxy: SimulatedProxy) -> None:
+        self._net, self._environment, self._proxy = environment.net, environment, proxy
         self.alive = True
-        self.ends: list[Any] = []
         self.wall_clock = proxy.wall_clock
         self.system_calls = proxy.system_calls
 
     def seconds(self) -> float:
+        """The virtual time in seconds, as `IReactorTime` has it."""
         return self._net.seconds()
 
-    def callLater(self, delay: float, call: Any, *args: Any, **kw: Any) -> Any:
-        return self._net.callLater(delay, self._guarded, call, args, kw)
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any, **kw: Any) -> Any:
+        """As `IReactorTime.callLater`; the call is dropped when the process has ended by then."""
+        return self._net.callLater(delay, self.call_if_alive, call, args, kw)
 
-    def _guarded(self, call: Any, args: tuple, kw: dict) -> None:
+    def call_if_alive(self, call: Callable[..., Any], args: tuple[Any, ...], kw: dict[str, Any]) -> None:
+        """Makes the call, unless the process has ended."""
         if self.alive:
             call(*args, **kw)
 
-    def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress=None) -> None:
+    def connectTCP(
+        self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress: object = None
+    ) -> None:
+        """As `IReactorTCP.connectTCP`, from the proxy's own address; fails where a fault says so."""
         error = self.system_calls.connect_error()
         if error is not None:
             self.callLater(0, factory.clientConnectionFailed, None, Failure(error))
@@ -76,10 +101,12 @@
         self._net.connectTCP(host, port, factory, timeout, (self._proxy.address[0], self))
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
+        """As `IReactorTCP.listenTCP`."""
         return self._net.listenTCP(port, factory, backlog, interface, self)
 
     def stop(self) -> None:
-        self._play.ended(self._proxy, self)
+        """The program ends its process, as it ends Twisted's reactor by `stop`."""
+        self._environment.ended(self._proxy, self)
 
 
 class SimulatedPredecessor:
@@ -88,6 +115,14 @@
     def __init__(self, old: Proxy) -> None:
         self._old = old
         self.handover_state, self.listening = old.hand_over()
+        self._on_end: Callable[[], None] | None = None
 
-    def watch(self, reactor: SimulatedReactor, gone: Any) -> None:
+    def watch(self, reactor: object, gone: Callable[[], None]) -> None:
+        """The successor serves from now on; `gone` is called when this process has ended."""
+        self._on_end = gone
         self._old.succeeded()
+
+    def end(self) -> None:
+        """The process has ended: its successor is told."""
+        if self._on_end is not None:
+            self._on_end()
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -1,398 +1,244 @@
-"""One world played in virtual time: whole proxies, their neighbours, faults, the judge, the figures."""
+"""One scenario in virtual time: whole proxies, their neighbours, faults, invariants and figures."""
 
 from __future__ import annotations
 
 import hashlib
 import time
-from collections import Counter
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
 from balancer.hash_ring import Ring, point
 from balancer.rings import TOKENS
-from balancer.settings import read_settings
-from cloverwell.config import Config, Limits
-from cloverwell.log import Log
-from cloverwell.membership.endpoint_list import Endpoint, EndpointList
-from cloverwell.proxy import Proxy
 from lab.client_population import ClientPopulation
+from lab.clock import START_S
+from lab.endpoint_registry import EndpointRegistry
+from lab.fault_injector import FaultInjector
 from lab.front_layer import ReadinessWatch
+from lab.http_connection import HttpConnection
 from lab.invariant_checker import RULES, InvariantChecker
-from lab.machine_faults import befall
-from lab.net import Address, Net
-from lab.nodes import SimulatedCacheNode, SimulatedDiscovery, SimulatedOrigin
-from lab.scenario import ON_MACHINES, ON_NODES, Fault, Scenario, TrafficClass
+from lab.listener import Address
+from lab.member_row import MemberRow
+from lab.net import Net
+from lab.node_lifecycle import NodeLifecycle
+from lab.proxy_lifecycle import ProxyLifecycle
+from lab.request_catalog import RequestCatalog
+from lab.scenario import MachineModel, Scenario
 from lab.server import Server
-from lab.settings import ORIGIN, proxy_settings
+from lab.service_metrics import measure_service
+from lab.simulated_cache_node import SimulatedCacheNode
+from lab.simulated_discovery import SimulatedDiscovery
+from lab.simulated_origin import SimulatedOrigin
 from lab.simulated_proxy import SimulatedPredecessor, SimulatedProxy, SimulatedReactor
 from lab.system_call_faults import SystemCalls
-from lab.wall_clock import EPOCH_S, WallClocks
+from lab.wall_clock import WallClocks
 
-KILL_S = 4.0  # what a planned end may take
+ORIGIN_ADDRESS: Address = ("10.1.255.1", 80)
+DISCOVERY_ADDRESS: Address = ("10.1.255.2", 8500)
+MEMCACHE_PORT = 11211
+FIRST_PROXY_NET = 100  # third number of the proxies' addresses, apart from the nodes'
+IN_ZONE_S = 0.0002  # one way between two hosts of one zone
+AFTER_S = 6.0  # the simulation goes on so long after the last arrival
+MOST_FILLS = 2  # nodes that keep a value which the origin has answered
+
+
+@dataclass(slots=True)
+class TrafficCounts:
+    """What crossed between proxies, nodes and the origin."""
+
+    node_attempts: int = 0
+    zone_crossings: int = 0
+    misses: int = 0
+    fetches: int = 0
 
 
 class Simulation:
-    def __init__(self, world: Scenario, seed: int) -> None:
-        self.world, self.seed = world, seed
+    """All parts of one scenario on one virtual network; one seed always gives the same run."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario, self.seed = scenario, seed
         self.rng = Random(f"world {seed}")
         self.net = Net()
-        self.judge = InvariantChecker(copies=world.second_copies, rules=world.rules)
-        self.trace = hashlib.sha256()
-        self.notes: list[tuple[float, str]] = []
-        self.requests: dict[str, tuple[TrafficClass, float, str]] = {}  # name -> class, work in s, key
-        self._missed: dict[str, list[SimulatedCacheNode]] = {}
-        self.counts: Counter[str] = Counter()
-        self.mean_work_s = sum(c.share * sum(c.work_ms) / 2000.0 for c in world.traffic.classes)
-        self.nodes: dict[str, SimulatedCacheNode] = {}
-        self.phases: dict[str, str] = {}
+        self.checker = InvariantChecker(copies=scenario.second_copies, rules=scenario.rules)
+        self.catalog = RequestCatalog(scenario.traffic, seed)
         self.wall_clocks = WallClocks(self.net.seconds, seed)
-        # Of a node's name and start by the virtual clock: what its wall clock showed then, in ms.
-        self.wall_starts: dict[tuple[str, int], int] = {}
-        self._build()
-
-    # What there is ------------------------------------------------------------------------------
-
-    def _build(self) -> None:
-        settings = self.world.nodes
+        self.counts = TrafficCounts()
+        self.notes: list[tuple[float, str]] = []
+        self._trace = hashlib.sha256()
+        self._missed_at: dict[str, list[SimulatedCacheNode]] = {}  # by request id
+        self._mean_work_s = sum(each.share * sum(each.work_ms) / 2000.0 for each in scenario.traffic.classes)
+        self.nodes = self._make_nodes()
+        origin = scenario.origin
+        self.origin = SimulatedOrigin(self, ORIGIN_ADDRESS, Server(origin.cores, 1.0, origin.room))
+        self.discovery = SimulatedDiscovery(self, DISCOVERY_ADDRESS)
+        self.registry = EndpointRegistry(
+            self.nodes,
+            ORIGIN_ADDRESS,
+            scenario.nodes.models[0].name,
+            self.wall_clocks,
+            self.discovery.changed,
+        )
+        self.node_lifecycle = NodeLifecycle(self.net, self.registry, scenario.discovery.lag_s)
+        self.proxy_lifecycle = ProxyLifecycle(self)
+        self.net.delay = self._delay_s
+        self.proxies = [self._make_proxy(number) for number in range(scenario.proxies)]
+        self._zones = {proxy.name: proxy.zone for proxy in self.proxies}
+        self._start_proxies()
+        self.populations = [ClientPopulation(self, zone) for zone in range(scenario.zones)]
+        self._fill_caches()
+        FaultInjector(self).schedule()
+
+    # Assembly -----------------------------------------------------------------------------------
+
+    def _make_nodes(self) -> dict[str, SimulatedCacheNode]:
+        settings = self.scenario.nodes
         models = [model for model in settings.models for _ in range(round(100 * model.share))]
-        for number in range(settings.count):
-            model = self.rng.choice(models)
-            server = Server(model.cores, self.rng.uniform(*model.speed), settings.room)
-            server.cold_share, server.warm_s = settings.cold_share, settings.warm_s
-            name, zone = f"node-{number}", number % self.world.zones
-            address = (f"10.{1 + zone}.{number // 250}.{number % 250 + 1}", 11211)
-            self.nodes[name] = SimulatedCacheNode(self, name, address, server, zone)
-            self.phases[name] = "in_service"
-        origin = self.world.origin
-        self.origin = SimulatedOrigin(self, ("10.1.255.1", 80), Server(origin.cores, 1.0, origin.room))
-        self.discovery = SimulatedDiscovery(self, ("10.1.255.2", 8500))
-        self.net.delay = self._delay
-        self.proxies = [self._proxy(number) for number in range(self.world.proxies)]
-        self._zone_of = {proxy.name: proxy.zone for proxy in self.proxies}
+        nodes = [self._make_node(number, models) for number in range(settings.count)]
+        return {node.name: node for node in nodes}
+
+    def _make_node(self, number: int, models: list[MachineModel]) -> SimulatedCacheNode:
+        settings = self.scenario.nodes
+        model = self.rng.choice(models)
+        server = Server(model.cores, self.rng.uniform(*model.speed), settings.room)
+        server.cold_share, server.warm_s = settings.cold_share, settings.warm_s
+        zone = number % self.scenario.zones
+        address = (f"10.{1 + zone}.{number // 250}.{number % 250 + 1}", MEMCACHE_PORT)
+        return SimulatedCacheNode(self, f"node-{number}", address, server, zone)
+
+    def _make_proxy(self, number: int) -> SimulatedProxy:
+        name, zone = f"proxy-{number}", number % self.scenario.zones
+        host = f"10.{1 + zone}.{FIRST_PROXY_NET + number // 250}.{number % 250 + 1}"
+        system_calls = SystemCalls(name, self.seed)
+        return SimulatedProxy(name, (host, MEMCACHE_PORT), zone, self.wall_clocks.of(name), system_calls)
+
+    def _start_proxies(self) -> None:
         for proxy in self.proxies:
-            proxy.watch = ReadinessWatch(self, proxy)
+            watch = ReadinessWatch(self, proxy)
+            proxy.watch = watch
             self.start(proxy)
-            proxy.watch.ask()
-        self.people = [ClientPopulation(self, zone) for zone in range(self.world.zones)]
-        self._warm()
-        for fault in self.world.faults:
-            for at_s in fault.instants():
-                self.net.callLater(at_s, self._happen, fault)
-
-    def _proxy(self, number: int) -> SimulatedProxy:
-        name, zone = f"proxy-{number}", number % self.world.zones
-        address = (f"10.{1 + zone}.{100 + number // 250}.{number % 250 + 1}", 11211)
-        return SimulatedProxy(name, address, zone, self.wall_clocks.of(name), SystemCalls(name, self.seed))
-
-    def _warm(self) -> None:
-        """Nodes that run when the day begins hold what the ring has long asked them for."""
+            watch.ask()
+
+    def _fill_caches(self) -> None:
+        """Nodes that run when the simulation begins have the keys that the ring gives them."""
         ring: Ring[str] = Ring()
         for name in sorted(self.nodes):
             ring.put(name, name, TOKENS)
-        for key in self.people[0].popular():
+        for key in self.populations[0].popular_keys():
             _, owner = next(ring.clockwise(point(key)))
             self.nodes[owner].keys.store(key)
 
-    def attempt(self, name: str, node: SimulatedCacheNode, told_ms: float) -> None:
-        """A whole command at a node: the judge sees it, and whether it came from another zone is counted."""
-        self.judge.attempt(node.now, name, node.name, told_ms)
-        case = self.judge.cases.get(name)
-        self.counts["node_attempts"] += 1
-        self.counts["crossings"] += case is not None and self._zone_of[case.proxy] != node.zone
-
-    def judge_work(
-        self, node: SimulatedCacheNode, name: str, work_s: float, done_s: float, cold: bool
-    ) -> None:
-        """A request counts as what it asks for: who sends does not know what the node holds."""
-        case = self.judge.cases.get(name)
-        told = case is None or self.judge.knows_start(case.proxy, node.name, self._up_ms(node))
-        capacity = node.server.capacity(node.now)
-        self.judge.work(node.now, node.name, work_s, capacity, cold, self.mean_work_s, told, done_s)
-
-    def _delay(self, near: str, far: str) -> float:
-        """One way between two hosts: their second number is their zone."""
-        same = near.split(".")[1] == far.split(".")[1]
-        return 0.0002 if same else self.world.zone_ms / 1000.0
-
-    def members(self) -> list[dict[str, Any]]:
-        """The list of servers, with their starts by the virtual clock."""
-        rows = []
-        for name, node in self.nodes.items():
-            kind = self.world.nodes.models[0].name
-            rows.append(self._row(name, node.address, f"zone-{node.zone}", kind, self._up_ms(node)))
-            rows[-1]["phase"] = self.phases[name]
-        rows.append(self._row(ORIGIN, self.origin.address, "zone-0", ORIGIN, 0))
-        return rows
-
-    def as_listed(self, rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """As discovery tells them: each start is what the machine's wall clock showed then."""
-        listed = []
-        for row in rows:
-            start_ms = row["up_since_ms"]
-            listed.append(row | {"up_since_ms": self.wall_starts.get((row["id"], start_ms), start_ms)})
-        return listed
-
-    @staticmethod
-    def _up_ms(node: SimulatedCacheNode) -> int:
-        """When it started, as the judge has it; 0: before the day."""
-        return int(1000 * (node.server.born_s + EPOCH_S)) if node.server.born_s > 0 else 0
-
-    @staticmethod
-    def _row(name: str, address: Address, zone: str, kind: str, up_ms: int) -> dict[str, Any]:
-        return {"id": name, "host_port": f"{address[0]}:{address[1]}", "locality": zone, "flavor": kind,
-                "cell": 0, "phase": "in_service", "size": 1.0, "up_since_ms": up_ms}  # fmt: skip
-
-    # Proxies ------------------------------------------------------------------------------------
-
-    def start(self, proxy: SimulatedProxy, left: SimulatedPredecessor | None = None) -> None:
-        proxy.starts += 1
-        proxy.draining = False
-        inside = SimulatedReactor(self, proxy)
-        self.judge.starts_with(proxy.name, rows := self.members())
-        known = [Endpoint(**row) for row in self.as_listed(rows)]
-        number = self.proxies.index(proxy) if hasattr(self, "proxies") else 0
-        config = Config(
-            proxy.name, proxy.address, self.discovery.address, self.seed * 1000 + number * 10 + proxy.starts,
-            Limits(sockets=self.world.sockets), EndpointList(self.discovery.revision, True, known),
-            read_settings(proxy_settings(self.world, number)),
-        )  # fmt: skip
-        now = self.net.now_ms
-        service = Proxy(inside, config, Log(now, proxy.log), now, proxy.wall_clock.epoch_ms, left)
-        service.inside = inside
-        proxy.service, proxy.old = service, proxy.service
-        service.start(adopt=lambda _, listening, factory: self.net.adopt(listening, factory, inside))
-
-    def replace(self, proxy: SimulatedProxy, for_s: float) -> None:
-        """Another process starts beside it, and takes over; the old one is asked to end after `for_s`."""
-        old = proxy.service
-        self.start(proxy, SimulatedPredecessor(old))
-        self.net.callLater(for_s, old.stop)
-        self.net.callLater(for_s + KILL_S, self._gone, proxy, old, "did not end by itself")
-
-    def _gone(self, proxy: SimulatedProxy, service: Proxy, text: str = "") -> None:
-        """The process that has been replaced ends."""
-        if not service.inside.alive:
-            return
-        if text:
-            self.note(f"{proxy.name} {text}")
-        service.inside.alive = False
-        self.net.kill(service.inside)
-        if proxy.old is service:
-            proxy.old = None
-            proxy.service._alone()
-
-    def kill(self, proxy: SimulatedProxy) -> None:
-        if proxy.service is None:
-            return
-        inside = proxy.service.inside
-        inside.alive = False
-        self.net.kill(inside)
-        proxy.service = None
-        self.judge.restarted(proxy.name)
-
-    def ended(self, proxy: SimulatedProxy, inside: SimulatedReactor) -> None:
-        """It has answered all and stops by itself."""
-        if proxy.old is not None and proxy.old.inside is inside:
-            self._gone(proxy, proxy.old)
-            return
-        self.kill(proxy)
-        self.net.callLater(proxy.back_s, self.start, proxy)
-
-    def _kill_late(self, proxy: SimulatedProxy, service: Proxy) -> None:
-        """It has not ended in the time that a planned end may take."""
-        if proxy.service is service:
-            self.note(f"{proxy.name} did not end by itself")
-            self.ended(proxy, service.inside)
-
-    def proxy_of(self, web: Any) -> str:
-        host = web.transport.getPeer().host
-        return next((proxy.name for proxy in self.proxies if proxy.address[0] == host), "")
-
-    # Requests -----------------------------------------------------------------------------------
-
-    def work_of(self, name: str) -> float:
-        return self.requests[name][1] if name in self.requests else 0.01
+    def _delay_s(self, near: str, far: str) -> float:
+        """One way between two hosts: the second number of an address is the zone."""
+        same_zone = near.split(".")[1] == far.split(".")[1]
+        return IN_ZONE_S if same_zone else self.scenario.zone_ms / 1000.0
 
-    def body_of(self, name: str) -> str:
-        """The same each time, and another for each request; some are long."""
-        traffic = self.world.traffic
-        rng = Random(f"value {self.seed} {name}") if traffic.long_share else None
-        if rng is None or rng.random() >= traffic.long_share:
-            return f"value of {name}"
-        size = int(1024 * rng.uniform(*traffic.long_kb)) + 1
-        return (f"value of {name} " * (1 + size // len(name)))[:size]
+    # What proxies need --------------------------------------------------------------------------
 
-    def receipt_of(self, name: str) -> str:
-        return f"receipt-{name}"
+    def start(self, proxy: SimulatedProxy, predecessor: SimulatedPredecessor | None = None) -> None:
+        """Starts a process for the proxy, which takes over from the predecessor if there is one."""
+        self.proxy_lifecycle.start(proxy, predecessor)
 
-    def missed(self, name: str, node: SimulatedCacheNode) -> None:
-        self.counts["misses"] += 1
-        self._missed.setdefault(name, []).append(node)
-
-    def fetched(self, name: str, key: str) -> None:
-        """The origin has answered a read: the nodes that missed for it keep the value."""
-        self.counts["fetches"] += 1
-        for node in self._missed.pop(name, [])[:2]:
+    def kill(self, proxy: SimulatedProxy) -> None:
+        """Ends the proxy's process at once."""
+        self.proxy_lifecycle.kill(proxy)
+
+    def ended(self, proxy: SimulatedProxy, reactor: SimulatedReactor) -> None:
+        """The process with this reactor ends by itself."""
+        self.proxy_lifecycle.ended(proxy, reactor)
+
+    # What nodes and discovery need --------------------------------------------------------------
+
+    def attempt(self, request_id: str, node: SimulatedCacheNode, deadline_ms: float) -> None:
+        """A whole command has come in at a cache node: it is checked, and counted if it crossed zones."""
+        self.checker.attempt(node.now, request_id, node.name, deadline_ms)
+        history = self.checker.histories.get(request_id)
+        self.counts.node_attempts += 1
+        if history is not None and self._zones[history.proxy] != node.zone:
+            self.counts.zone_crossings += 1
+
+    def record_work(self, node: SimulatedCacheNode, request_id: str, work_s: float, done_s: float) -> None:
+        """Work has come in at a node. Counted as what was asked for: senders do not know the keys."""
+        history = self.checker.histories.get(request_id)
+        start_ms = self.registry.start_ms(node)
+        told = history is None or self.checker.knows_start(history.proxy, node.name, start_ms)
+        capacity = node.server.capacity(node.now)
+        mean_s = self._mean_work_s
+        self.checker.work(node.now, node.name, work_s, capacity, node.cold, mean_s, told, done_s)
+
+    def missed(self, request_id: str, node: SimulatedCacheNode) -> None:
+        """The node does not have the request's key, and stores it when the origin has answered."""
+        self.counts.misses += 1
+        self._missed_at.setdefault(request_id, []).append(node)
+
+    def fetched(self, request_id: str, key: str) -> None:
+        """The origin has answered a read: the nodes that missed for it store the value."""
+        self.counts.fetches += 1
+        for node in self._missed_at.pop(request_id, [])[:MOST_FILLS]:
             if not node.down:
                 node.keys.store(key)
 
     def written(self, key: str) -> None:
+        """The origin has done a write: no node's value for the key is valid any more."""
         for node in self.nodes.values():
             node.keys.void(key)
 
+    def members(self) -> list[MemberRow]:
+        """All endpoints, with their starts by the virtual clock."""
+        return self.registry.members()
+
+    def as_listed(self, rows: list[MemberRow]) -> list[MemberRow]:
+        """The rows as discovery sends them, with the starts that the machines' wall clocks showed."""
+        return self.registry.as_listed(rows)
+
+    def proxy_of(self, connection: HttpConnection) -> str:
+        """The name of the proxy at the other end; empty if it is none."""
+        host = connection.transport.getPeer().host
+        return next((proxy.name for proxy in self.proxies if proxy.address[0] == host), "")
+
+    # The run and its record ---------------------------------------------------------------------
+
     def record(self, *what: object) -> None:
-        """One line of the trace, at the virtual time."""
-        self.trace.update(f"{self.net.seconds():.6f} {' '.join(map(str, what))}\n".encode())
+        """Adds a line to the trace, at the virtual time."""
+        self._trace.update(f"{self.net.seconds():.6f} {' '.join(map(str, what))}\n".encode())
 
     def note(self, text: str) -> None:
-        self.notes.append((round(self.net.seconds() - 1000.0, 3), text))
+        """Adds a line to the notes of the summary, and to the trace."""
+        self.notes.append((round(self.net.seconds() - START_S, 3), text))
         self.record("note", text)
 
-    # What goes wrong ----------------------------------------------------------------------------
-
-    def _whom(self, fault: Fault, all_names: list[str]) -> list[str]:
-        if fault.whom:
-            return fault.whom
-        return sorted(self.rng.sample(all_names, max(1, round(fault.part * len(all_names)))))
-
-    def _happen(self, fault: Fault) -> None:
-        proxies = [proxy.name for proxy in self.proxies]
-        names = sorted(self.nodes) if fault.kind in ON_NODES else proxies
-        if fault.kind == "clock_step":
-            names = sorted(self.nodes) + proxies
-        later = self.net.callLater
-        match fault.kind:
-            case "hang" | "crash" | "drain":
-                whom = self._whom(fault, names)
-                self.note(f"{fault.kind} {' '.join(whom)}")
-                # One after the other over the time, as a rolling deploy goes.
-                step = fault.for_s / len(whom) if fault.kind == "drain" else 0.0
-                for place, name in enumerate(whom):
-                    later(place * step, getattr(self, f"_{fault.kind}"), self.nodes[name], fault)
-            case "proxy_crash" | "proxy_restart" | "proxy_drain" | "proxy_replace" | "origin_cut":
-                whom = self._whom(fault, names)
-                self.note(f"{fault.kind} {' '.join(whom)}")
-                for proxy in self.proxies:
-                    if proxy.name in whom:
-                        self._befall(proxy, fault)
-            case kind if kind in ON_MACHINES:
-                befall(self, fault, self._whom(fault, names) if fault.whom or fault.part else names)
-            case "flush":
-                self.note("flush")
-                for node in self.nodes.values():
-                    node.keys.void_some([key for key in node.keys.all() if self.rng.random() < fault.size])
-            case "hot_key":
-                self.note("hot key")
-                for people in self.people:
-                    people.hot = fault.size
-                    later(fault.for_s, setattr, people, "hot", 0.0)
-            case "zone_lost":
-                zones = [f"zone-{zone}" for zone in range(self.world.zones)]
-                lost = fault.whom or [self.rng.choice(zones)]
-                self.note(f"{' '.join(lost)} lost")
-                for node in self.nodes.values():
-                    if zones[node.zone] in lost:
-                        self._hang(node, fault)  # a machine that is cut off says nothing
-                        later(fault.for_s, self._crash, node, Fault("crash", 0.0, 0.5))
-            case "origin_slow":
-                self.note("origin slow")
-                self.origin.server.speed *= fault.size
-                later(fault.for_s, self._restore, fault.size)
-            case "clients_leave":
-                self.note("clients leave")
-                for people in self.people:
-                    people.burst(fault.part)
-            case "burst":
-                self.note("burst")
-                for people in self.people:
-                    people.speed_up(fault.times)
-                    later(fault.for_s, people.speed_up, 1.0 / fault.times)
-            case "discovery_down":
-                self.note("discovery down")
-                self.discovery.die()
-                later(fault.for_s, self.discovery.live)
-
-    def _restore(self, size: float) -> None:
-        self.origin.server.speed /= size
-
-    def _hang(self, node: SimulatedCacheNode, fault: Fault) -> None:
-        node.hung = True
-        self.net.callLater(fault.for_s, setattr, node, "hung", False)
-
-    def _crash(self, node: SimulatedCacheNode, fault: Fault) -> None:
-        node.die()
-        self._list_later(node, "terminated")
-        self.net.callLater(fault.for_s, self._return, node)
-
-    def _drain(self, node: SimulatedCacheNode, fault: Fault) -> None:
-        """A planned replacement: told, drained, gone, and back cold."""
-        self._list(node, "terminating")
-        self.net.callLater(3.0, self._crash, node, Fault("crash", 0.0, 0.5))
-
-    def _return(self, node: SimulatedCacheNode) -> None:
-        node.keys.clear()
-        node.server.born_s = self.net.seconds()
-        wall_ms = int(1000 * self.wall_clocks.of(node.name).seconds())
-        self.wall_starts[node.name, self._up_ms(node)] = wall_ms
-        node.live()
-        self._list_later(node, "in_service")
-
-    def _list_later(self, node: SimulatedCacheNode, phase: str) -> None:
-        self.net.callLater(self.world.discovery.lag_s, self._list, node, phase)
-
-    def _list(self, node: SimulatedCacheNode, phase: str) -> None:
-        self.phases[node.name] = phase
-        self.discovery.changed(node.name)
-
-    def _befall(self, proxy: SimulatedProxy, fault: Fault) -> None:
-        match fault.kind:
-            case "proxy_restart" if proxy.service is not None:
-                proxy.draining, proxy.back_s = True, fault.for_s
-                proxy.service.stop()
-                self.net.callLater(KILL_S, self._kill_late, proxy, proxy.service)
-            case "proxy_crash" | "proxy_restart":
-                self.kill(proxy)
-                self.net.callLater(fault.for_s, self.start, proxy)
-            case "proxy_drain" if proxy.service is not None:
-                proxy.watch.drain(fault.for_s)
-            case "proxy_replace" if proxy.service is not None:
-                self.replace(proxy, fault.for_s)
-            case "origin_cut" if proxy.service is not None:
-                pair = proxy.address[0], self.origin.address[0]
-                self.net.cut(proxy.service.inside, *pair)
-                self.net.callLater(fault.for_s, self.net.cuts.discard, pair)
-
-    # The day ------------------------------------------------------------------------------------
-
     def run(self) -> dict[str, Any]:
+        """Runs the scenario from its begin to its end, and gives the summary."""
         begun = time.perf_counter()
-        for people in self.people:
-            people.start()
-        self.net.run_for(self.world.seconds + 6.0)
+        for population in self.populations:
+            population.start()
+        self.net.run_for(self.scenario.seconds + AFTER_S)
         return self.summary(time.perf_counter() - begun)
 
     def summary(self, wall_s: float) -> dict[str, Any]:
-        metrics = ClientPopulation.metrics(self.people, self.world)
+        """The figures so far, in the form in which the command prints them as JSON."""
+        requests = [request for population in self.populations for request in population.requests]
+        metrics = measure_service(requests, self.scenario)
+        counts, discovery = self.counts, self.discovery
         return {
             "seed": self.seed,
-            "requests": metrics["requests"],
-            "service": metrics["service"],
-            "classes": metrics["classes"],
-            "worst_window": metrics["worst_window"],
-            "ends": metrics["ends"],
-            "rules": {rule: self.judge.counts[rule] for rule in RULES},
-            "breaches": self.judge.breaches,
+            "requests": metrics.requests,
+            "service": metrics.service,
+            "classes": metrics.classes,
+            "worst_window": metrics.worst_window,
+            "ends": metrics.ends,
+            "rules": {rule: self.checker.counts[rule] for rule in RULES},
+            "breaches": self.checker.breaches,
             "notes": self.notes,
-            "coldest_load": round(self.judge.fullest, 3),
-            "misses": self.counts["misses"],
-            "fetches": self.counts["fetches"],
-            "crossed": round(self.counts["crossings"] / max(1, self.counts["node_attempts"]), 4),
+            "coldest_load": round(self.checker.fullest, 3),
+            "misses": counts.misses,
+            "fetches": counts.fetches,
+            "crossed": round(counts.zone_crossings / max(1, counts.node_attempts), 4),
             "origin_stops": self.origin.stops,
-            "list_calls": sum(self.discovery.calls.values()),
-            "list_calls_peak": max(self.discovery.calls.values(), default=0),
-            "list_starts_peak": max(self.discovery.begun.values(), default=0),
-            "list_calls_failed": self.discovery.failed,
-            "trace_sha256": self.trace.hexdigest(),
+            "list_calls": sum(discovery.calls.values()),
+            "list_calls_peak": max(discovery.calls.values(), default=0),
+            "list_starts_peak": max(discovery.first_calls.values(), default=0),
+            "list_calls_failed": discovery.failed,
+            "trace_sha256": self._trace.hexdigest(),
             "wall_s": round(wall_s, 3),
-            "simulated_s": self.world.seconds,
+            "simulated_s": self.scenario.seconds,
         }
--- a/tests/fleet_clients.py
+++ b/tests/fleet_clients.py
@@ -141,7 +141,7 @@
         self._judge.answered(self._event_time.came_s(), request.name, how, right)
 
     def _is_lost(self, request: Request, why: str) -> bool:
-        if self.ending and why != NEVER and not self._judge.cases[request.name].attempts:
+        if self.ending and why != NEVER and not self._judge.histories[request.name].attempts:
             self.crossed += 1  # it was not read: a client would send it once more on a new connection
             self._judge.forget(request.name)
             return False
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,6 +6,7 @@
 from balancer import balancer as decide
 from balancer.balancer import COLD_SPILL, Balancer
 from balancer.hash_ring import point
+from lab.endpoint_registry import EndpointRegistry
 from lab.invariant_checker import InvariantChecker
 from lab.scenario import InvariantLimits, load
 from lab.simulation import Simulation
@@ -112,8 +113,9 @@
 
 def test_a_zone_that_comes_back_after_its_clock_was_stepped_back_is_not_pushed_over(monkeypatch):
     """Seen: told as an hour old, its nodes were taken for warm, and seven of them fell."""
-    up_ms = Simulation._up_ms
-    monkeypatch.setattr(Simulation, "_up_ms", staticmethod(lambda node: max(0, up_ms(node) - 3_600_000)))
+    start_ms = EndpointRegistry.start_ms
+    earlier_ms = staticmethod(lambda node: max(0, start_ms(node) - 3_600_000))
+    monkeypatch.setattr(EndpointRegistry, "start_ms", earlier_ms)
     summary = Simulation(load("throng"), 1).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["service"] > 0.8, summary["ends"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -70,7 +70,7 @@
     assert not broken(summary), summary["breaches"]
     assert summary["service"] > 0.9, summary["ends"]
     if name == "upgrade":  # each process has been replaced, and the old ones have gone by themselves
-        assert all(proxy.starts == 2 and proxy.old is None for proxy in play.proxies)
+        assert all(proxy.starts == 2 and proxy.predecessor is None for proxy in play.proxies)
         assert not [text for _, text in summary["notes"] if "did not end" in text]
 
 
@@ -130,8 +130,8 @@
     for owner, name in ((time, "time"), (time, "monotonic"), (random, "random"), (threading, "Thread")):
         monkeypatch.setattr(owner, name, escaped)
     play.net.run_for(1.0)
-    for people in play.people:
-        people.start()
+    for population in play.populations:
+        population.start()
     play.net.run_for(1.0)
 
 
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -9,7 +9,7 @@
 
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
 from cloverwell.proxy import Proxy
-from lab import simulation
+from lab import proxy_lifecycle
 from lab.invariant_checker import RULES
 from lab.scenario import Fault, load
 from lab.simulated_proxy import SimulatedReactor
@@ -73,7 +73,7 @@
         return timers[inside]
 
     def call_later(self, delay, call, *args, **kw):
-        timers_of(self).add(delay, partial(self._guarded, call, args, kw))
+        timers_of(self).add(delay, partial(self.call_if_alive, call, args, kw))
 
     def stepped(self, by_s):
         step(self, by_s)
@@ -211,7 +211,7 @@
             starts.append((config.name, now(), read_epoch_ms()))
             super().__init__(reactor, config, log, now, read_epoch_ms, left)
 
-    monkeypatch.setattr(simulation, "Proxy", Recorded)
+    monkeypatch.setattr(proxy_lifecycle, "Proxy", Recorded)
     faults = [
         Fault("clock_step", 1.0, whom=["proxy-1"], by_s=3600.0),
         Fault("proxy_crash", 1.5, 0.5, 1.0),
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -6,8 +6,8 @@
 import pytest
 
 from lab.invariant_checker import RULES
-from lab.nodes import SimulatedOrigin
 from lab.scenario import load
+from lab.simulated_origin import SimulatedOrigin
 from lab.simulation import Simulation
 
 CUT_S = (4.0, 8.0)  # as the world has it
@@ -16,14 +16,14 @@
 def fetches_by_proxy(monkeypatch, seed, between):
     """What each proxy asked of the origin between two times of the day, and the day's summary."""
     asked = Counter()
-    real = SimulatedOrigin.asked
+    real = SimulatedOrigin.handle
 
-    def counted(origin, web, *more):
+    def counted(origin, connection, request):
         if between[0] <= origin.now - 1000.0 < between[1]:
-            asked[origin.play.proxy_of(web)] += 1
-        real(origin, web, *more)
+            asked[origin.environment.proxy_of(connection)] += 1
+        real(origin, connection, request)
 
-    monkeypatch.setattr(SimulatedOrigin, "asked", counted)
+    monkeypatch.setattr(SimulatedOrigin, "handle", counted)
     world = msgspec.structs.replace(load("origin-cut"), seconds=10.0)
     return asked, Simulation(world, seed).run()
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -43,16 +43,16 @@
         self.started_s, self.ready_s = {}, {}
         super().__init__(world, seed)
 
-    def start(self, proxy, left=None):
+    def start(self, proxy, predecessor=None):
         self._starting = True
-        super().start(proxy, left)
+        super().start(proxy, predecessor)
         self._starting = False
         self.started_s[proxy.name] = self.net.seconds()
         self.ready_s.pop(proxy.name, None)
         heard = proxy.watch.heard
 
         def first_heard(yes):
-            if yes and proxy.service is not None:
+            if yes and proxy.process is not None:
                 self.ready_s.setdefault(proxy.name, self.net.seconds())
             heard(yes)
 
@@ -80,7 +80,7 @@
 
     def knowing(self):
         return sum(
-            proxy.service.endpoint_discovery.listing().revision >= self.discovery.revision
+            proxy.process.proxy.endpoint_discovery.listing().revision >= self.discovery.revision
             for proxy in self.proxies
         )
 
@@ -110,8 +110,8 @@
 @pytest.mark.parametrize("discovery", DISCOVERIES)
 def test_thirty_that_never_had_a_list_are_ready_in_time_refuse_and_then_serve(discovery):
     play = restarted(discovery, known_rows=[])
-    for people in play.people:
-        people.start()
+    for population in play.populations:
+        population.start()
     # However slow discovery is, it answers each call in its turn: so long after all the calls it has come.
     from_s = {"down": BACK_S, "slow": KILLED_S + DEAD_S + PROXIES / 5.0}.get(discovery, KILLED_S + DEAD_S)
     play.net.run_for(from_s + TOLD_S - 0.4)
@@ -119,7 +119,7 @@
     if discovery != "overbooked":  # there some calls are refused again and again
         assert play.knowing() == PROXIES
     play.net.run_for(5.0)
-    assert not any(play.judge.counts[rule] for rule in RULES), play.judge.breaches
+    assert not any(play.checker.counts[rule] for rule in RULES), play.checker.breaches
 
 
 def assert_ready(play):
--- a/tests/test_wall_clock_slow_start.py
+++ b/tests/test_wall_clock_slow_start.py
@@ -38,7 +38,7 @@
             await fleet.told(line)
             for node in fleet.nodes:
                 node.arrived = lambda name, node=node: arrived.update(
-                    [(fleet.judge.cases[name].proxy, node is joined)]
+                    [(fleet.judge.histories[name].proxy, node is joined)]
                 )
             await asyncio.sleep(COUNTED_S)
             await fleet.quiet()
