--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from test_lab import broken, short
+from short_scenarios import broken, short
 from test_processes import says_mn
 
 from cloverwell.proxy import Proxy
