--- a/lab/cli.py
+++ b/lab/cli.py
@@ -1,4 +1,4 @@
-"""`cloverwell lab`: the worlds, played in virtual time."""
+"""`cloverwell lab`: lists the shipped scenarios and runs them in virtual time."""
 
 import json
 from pathlib import Path
@@ -8,7 +8,8 @@
 
 from cloverwell.cli.main import refuse
 from lab.scale.cli import scale
-from lab.scenario import ScenarioError, load, names
+from lab.scenario import load, names
+from lab.scenario_error import ScenarioError
 from lab.simulation import Simulation
 
 BROKEN = 1  # exit code where a rule broke
@@ -48,23 +49,23 @@
     Example: cloverwell lab run hang --seed 7 --out /tmp/hang
     """
     try:
-        read = load(world)
+        scenario = load(world)
     except ScenarioError as error:
         refuse(str(error))
-    play = Simulation(read, seed)
-    summary = {"world": world} | play.run()
+    simulation = Simulation(scenario, seed)
+    summary = {"world": world} | simulation.run()
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         (out / "summary.json").write_text(json.dumps(summary, indent=1) + "\n")
-        for proxy in play.proxies:
+        for proxy in simulation.proxies:
             (out / f"{proxy.name}.log").write_text(proxy.log.getvalue())
-    click.echo(json.dumps(summary) if as_json else told(summary))
+    click.echo(json.dumps(summary) if as_json else format_summary(summary))
     if any(summary["rules"].values()):
         raise SystemExit(BROKEN)
 
 
-def told(summary: dict[str, Any]) -> str:
-    """The summary for a person."""
+def format_summary(summary: dict[str, Any]) -> str:
+    """The summary as text, for a person to read."""
     lines = [f"{summary['world']}, seed {summary['seed']}: service {summary['service']:.3f}"]
     span = f"{summary['simulated_s']:g} s ({summary['wall_s']:.1f} s here)"
     lines.append(f"  {summary['requests']} requests in {span}")
--- a/lab/client_population.py
+++ b/lab/client_population.py
@@ -58,6 +58,7 @@
     """All clients of one zone."""
 
     def __init__(self, environment: ClientEnvironment, zone: int) -> None:
+        """Draws the zone's share of the traffic by the seed; nothing arrives before `start`."""
         self._environment, self._zone = environment, zone
         self.net, self.checker = environment.net, environment.checker
         self.traffic = environment.scenario.traffic
--- a/lab/clock.py
+++ b/lab/clock.py
@@ -17,20 +17,24 @@
     """Twisted's own `task.Clock` sorts all calls at each new one; this one is a heap."""
 
     def __init__(self, start_s: float = START_S) -> None:
+        """`start_s`: what the clock shows at first."""
         self._now = start_s
         self._heap: list[tuple[float, int, DelayedCall]] = []
         self._order = itertools.count()
         self.steps = 0  # calls made so far
 
     def seconds(self) -> float:
+        """The virtual time in seconds."""
         return self._now
 
     def now_ms(self) -> float:
+        """The virtual time in ms."""
         return self._now * 1000.0
 
     def callLater(
         self, delay: float, callable: Callable[..., Any], *args: object, **kw: object
     ) -> DelayedCall:
+        """As `IReactorTime.callLater`; a delay below 0 counts as 0."""
         call = DelayedCall(
             self._now + max(0.0, delay), callable, args, kw, lambda _call: None, self._again, self.seconds
         )
@@ -41,6 +45,7 @@
         heapq.heappush(self._heap, (call.getTime(), next(self._order), call))
 
     def getDelayedCalls(self) -> list[DelayedCall]:
+        """The calls that are not made yet, in their order."""
         return [call for _, _, call in sorted(self._heap, key=lambda entry: entry[:2]) if call.active()]
 
     def run_until(self, end_s: float) -> None:
@@ -56,4 +61,5 @@
         self._now = max(self._now, end_s)
 
     def run_for(self, seconds: float) -> None:
+        """Makes all calls that are due within so many seconds from now."""
         self.run_until(self._now + seconds)
--- a/lab/endpoint_registry.py
+++ b/lab/endpoint_registry.py
@@ -22,6 +22,7 @@
         wall_clocks: WallClocks,
         on_change: Callable[[str], None],
     ) -> None:
+        """All nodes are in service at first; the origin always is."""
         self._nodes = nodes
         self._origin_address = origin_address
         self._machine_type = machine_type
--- a/lab/fault_injector.py
+++ b/lab/fault_injector.py
@@ -7,11 +7,12 @@
 from typing import Protocol
 
 from lab.client_population import ClientPopulation
+from lab.fault import ON_MACHINES, ON_NODES, Fault
 from lab.machine_faults import inject_machine_fault
 from lab.net import Net
 from lab.node_lifecycle import NodeLifecycle
 from lab.proxy_lifecycle import ProxyLifecycle
-from lab.scenario import ON_MACHINES, ON_NODES, Fault, Scenario
+from lab.scenario import Scenario
 from lab.simulated_cache_node import SimulatedCacheNode
 from lab.simulated_discovery import SimulatedDiscovery
 from lab.simulated_origin import SimulatedOrigin
@@ -45,6 +46,7 @@
     """The faults of one simulation."""
 
     def __init__(self, environment: FaultEnvironment) -> None:
+        """Nothing happens before `schedule`."""
         self._environment = environment
         self._call_later = environment.net.callLater
         self._handlers: dict[str, Callable[[Fault], None]] = {
--- a/lab/fit.py
+++ b/lab/fit.py
@@ -21,6 +21,7 @@
         return self.at_zero + self.slope * x
 
     def as_dict(self) -> dict[str, float]:
+        """The fields by their names, for JSON."""
         return asdict(self)
 
 
--- a/lab/front_layer.py
+++ b/lab/front_layer.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
@@ -33,6 +34,7 @@
     """One question on a connection of its own."""
 
     def __init__(self, watch: ReadinessWatch) -> None:
+        """`watch`: it is given the answer."""
         self._watch = watch
 
     def connectionMade(self) -> None:
@@ -51,6 +53,7 @@
     noisy = False
 
     def __init__(self, environment: FrontLayerEnvironment, proxy: SimulatedProxy) -> None:
+        """Nothing is asked before `ask`."""
         self._environment, self._proxy = environment, proxy
         self._net, self._checker = environment.net, environment.checker
         self.wanted = True  # whether new connections may go to the proxy
@@ -61,11 +64,11 @@
         self._net.connectTCP(*self._proxy.address, self, ASK_S, OWN_ADDRESS)
         self._net.callLater(ASK_S, self.ask)
 
-    def buildProtocol(self, addr: Any) -> ReadinessQuestion:
+    def buildProtocol(self, _addr: IAddress | None) -> ReadinessQuestion:
         """The connection for one question is up."""
         return ReadinessQuestion(self)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, _connector: IConnector, _reason: Failure) -> None:
         """Does nothing: the clients notice by themselves that the proxy refuses."""
 
     def heard(self, yes: bool) -> None:
--- a/lab/http_connection.py
+++ b/lab/http_connection.py
@@ -40,6 +40,7 @@
     transport: Any  # an `End` of the simulated network, which has more than `ITransport`
 
     def __init__(self, node: HttpNode, environment: NodeEnvironment) -> None:
+        """`node`: it handles the requests."""
         self._node = node
         self._environment = environment
         self._http = h11.Connection(h11.SERVER)
@@ -107,7 +108,7 @@
             self._environment.checker.settled(self.request_id)
             self.request_id = None
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """The connection has ended; its open request gets no answer."""
         self._open = False
         self._settle()
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
+from lab.fault import Fault
 from lab.net import Net
-from lab.scenario import Fault
 from lab.simulated_client import SimulatedClient
 from lab.simulated_proxy import SimulatedProxy
 from lab.wall_clock import WallClocks
--- a/lab/node_answers.py
+++ b/lab/node_answers.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
+from lab.connection_end import End
 from lab.net import Net
 from lab.scenario import CacheNodeFleet
 
@@ -16,7 +16,7 @@
 
 
 def write_in_pieces(
-    net: Net, settings: CacheNodeFleet, transport: Any, data: bytes, done: Callable[[], None]
+    net: Net, settings: CacheNodeFleet, transport: End, data: bytes, done: Callable[[], None]
 ) -> None:
     """Writes a long answer piece by piece, as the settings say, and calls `done` after the last piece."""
     size = int(1024 * settings.piece_kb)
--- a/lab/node_lifecycle.py
+++ b/lab/node_lifecycle.py
@@ -15,6 +15,7 @@
     """Starts and ends cache nodes. Discovery learns of an end or a start `list_lag_s` later."""
 
     def __init__(self, net: Net, registry: EndpointRegistry, list_lag_s: float) -> None:
+        """`list_lag_s`: how late discovery learns of a change."""
         self._net = net
         self._registry = registry
         self._list_lag_s = list_lag_s
--- a/lab/proxy_lifecycle.py
+++ b/lab/proxy_lifecycle.py
@@ -62,6 +62,7 @@
     """The processes of all proxies."""
 
     def __init__(self, environment: LifecycleEnvironment) -> None:
+        """No process runs before `start`."""
         self._environment = environment
         self._net = environment.net
 
--- a/lab/request_catalog.py
+++ b/lab/request_catalog.py
@@ -23,6 +23,7 @@
     """The requests that may still come in at a node, by their ids. Answers are drawn by seed and id alone."""
 
     def __init__(self, traffic: Traffic, seed: int) -> None:
+        """`traffic`: says how many values are long, and how long they are."""
         self._traffic = traffic
         self._seed = seed
         self._requests: dict[str, RequestContent] = {}
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,4 +1,4 @@
-"""A world, as its TOML file describes it: what there is, what is asked of it, and what goes wrong in it.
+"""A scenario, as its TOML file describes it: what there is, what is asked of it, and what goes wrong in it.
 
 All times are seconds unless a name ends in `_ms`. Every field has a default and a range; a file with an
 unknown field, or a value out of its range, is refused with the field's path.
@@ -6,72 +6,21 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from pathlib import Path
 from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta, Struct, field
 
-Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Positive = Annotated[float, Meta(gt=0.0)]
-NotNegative = Annotated[float, Meta(ge=0.0)]
-Count = Annotated[int, Meta(ge=1, le=100_000)]
-Effect = Literal["retryable", "dedup", "fragile"]
-Kind = Literal[
-    "hang",
-    "crash",
-    "drain",
-    "proxy_crash",
-    "proxy_restart",
-    "proxy_drain",
-    "proxy_replace",
-    "flush",
-    "hot_key",
-    "discovery_down",
-    "zone_lost",
-    "origin_slow",
-    "origin_cut",
-    "clients_leave",
-    "burst",
-    "clock_step",
-    "connect_fails",
-    "accept_fails",
-    "send_fails",
-    "receive_fails",
-    "short_calls",
-    "connections_break",
-]
-ErrorName = Literal[
-    "EADDRNOTAVAIL",
-    "ECONNABORTED",
-    "EHOSTUNREACH",
-    "EMFILE",
-    "ENETUNREACH",
-    "ENFILE",
-    "ENOBUFS",
-    "ENOMEM",
-    "ETIMEDOUT",
-]
+from lab.fault import Fault
+from lab.fault_check import FaultTargets, check_fault
+from lab.field_types import Count, NotNegative, Positive, Share
+from lab.scenario_error import ScenarioError
 
+Effect = Literal["retryable", "dedup", "fragile"]
 WORLDS = Path(__file__).parent / "worlds"
-ON_NODES = ("hang", "crash", "drain")
-# Kinds of failing system calls, each with the errors that it may fail by.
-SYSTEM_CALLS: dict[str, tuple[ErrorName, ...]] = {
-    "connect_fails": ("ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH", "ENFILE", "EMFILE"),
-    "accept_fails": ("ECONNABORTED", "ENFILE", "ENOBUFS", "ENOMEM"),
-    "send_fails": ("ENOBUFS", "ENOMEM"),
-    "receive_fails": ("ENOBUFS", "ENOMEM"),
-    "short_calls": (),
-    "connections_break": ("ETIMEDOUT", "EHOSTUNREACH"),
-}
-ON_MACHINES = ("clock_step", *SYSTEM_CALLS)
-ON_PROXIES = ("proxy_crash", "proxy_restart", "proxy_drain", "proxy_replace", "origin_cut", *SYSTEM_CALLS)
-MOST_STEP_S = 86_400.0  # of a wall clock
-MOST_REPEATS = 10_000  # of one fault
-
-
-class ScenarioError(Exception):
-    """The text names the field, and what is allowed."""
+LEAST_SUM, MOST_SUM = 0.999, 1.001  # of shares that should sum to 1
 
 
 class MachineModel(Struct, forbid_unknown_fields=True):
@@ -80,10 +29,12 @@
     name: str
     share: Share = 1.0
     cores: Count = 4
-    speed: tuple[Positive, Positive] = (1.0, 1.0)  # range, the yardstick is 1
+    speed: tuple[Positive, Positive] = (1.0, 1.0)  # range; work is stated for a machine of speed 1
 
 
 class CacheNodeFleet(Struct, forbid_unknown_fields=True):
+    """The cache nodes: how many, on which machines, and how each of them behaves."""
+
     count: Annotated[int, Meta(ge=1, le=5000)] = 12
     models: list[MachineModel] = field(default_factory=lambda: [MachineModel("large")])
     room: Count = 64  # requests that wait
@@ -99,6 +50,8 @@
 
 
 class OriginCapacity(Struct, forbid_unknown_fields=True):
+    """What the origin can do, and when it stops under overload."""
+
     cores: Count = 8
     room: Count = 128
     work_factor: Positive = 1.0  # of a request's work at a node
@@ -108,6 +61,8 @@
 
 
 class TrafficClass(Struct, forbid_unknown_fields=True):
+    """A class of requests; the proxies are told of it by its name."""
+
     name: str
     share: Share
     work_ms: tuple[Positive, Positive]  # range of the mean; each request's is exponential about it
@@ -121,6 +76,8 @@
 
 
 class Tenant(Struct, forbid_unknown_fields=True):
+    """A tenant, by its share of the requests."""
+
     name: str
     share: Share
 
@@ -135,6 +92,8 @@
 
 
 class Traffic(Struct, forbid_unknown_fields=True):
+    """What the clients ask for, and how they behave."""
+
     per_s: Positive = 360.0
     classes: list[TrafficClass] = field(default_factory=_classes)
     tenants: list[Tenant] = field(default_factory=lambda: [Tenant("north", 0.6), Tenant("south", 0.4)])
@@ -152,34 +111,13 @@
 
 
 class DiscoveryCapacity(Struct, forbid_unknown_fields=True):
+    """How fast discovery answers, and how late it learns of a change."""
+
     lag_s: NotNegative = 1.0
     calls_per_s: Positive = 1000.0  # worked through in turn, for all proxies
     wait_s: Positive = 1.0  # a call that would wait longer fails
 
 
-class Fault(Struct, forbid_unknown_fields=True):
-    kind: Kind
-    at_s: NotNegative
-    for_s: NotNegative = 0.0
-    part: Share = 0.0  # of the nodes, the proxies or the clients that wait, drawn by the seed
-    whom: list[str] = []  # or these by name: node-3, proxy-0, zone-1
-    size: Share = 0.2  # of the traffic (hot_key), of the keys (flush), of its speed left (origin_slow)
-    times: Positive = 1.5  # the traffic (burst)
-    by_s: Annotated[float, Meta(ge=-MOST_STEP_S, le=MOST_STEP_S)] | None = None  # the step; none: drawn
-    every_s: NotNegative = 0.0  # in `for_s` it happens so often (clock_step, connections_break); 0: once
-    rate: Share = 0.0  # of the calls that fail, or of the connections that break
-    errors: list[ErrorName] = []  # that they fail by; none: all of its kind
-    most_bytes: Count = 1  # that a short read or write takes (short_calls)
-
-    def error_names(self) -> list[ErrorName]:
-        return self.errors or list(SYSTEM_CALLS[self.kind])
-
-    def instants(self) -> list[float]:
-        """When it happens, in s."""
-        repeats = int(self.for_s / self.every_s) if self.every_s else 0
-        return [self.at_s + repeat * self.every_s for repeat in range(repeats + 1)]
-
-
 class InvariantLimits(Struct, forbid_unknown_fields=True):
     """The figures of the rules that sites state for themselves; the proxies are told them too."""
 
@@ -190,6 +128,8 @@
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
+    """All that one run is made of, but for its seed."""
+
     about: str = ""
     seconds: Annotated[float, Meta(gt=0.0, le=3600.0)] = 20.0
     proxies: Annotated[int, Meta(ge=1, le=5000)] = 2
@@ -208,73 +148,55 @@
 
 
 def names() -> list[str]:
-    """The worlds that are shipped."""
+    """The names of the scenarios that are shipped."""
     return sorted(path.stem for path in WORLDS.glob("*.toml"))
 
 
 def load(name: str) -> Scenario:
-    """A shipped world by its name, or a file by its path. Raises `ScenarioError`."""
+    """A shipped scenario by its name, or a file by its path; raises `ScenarioError`."""
     path = WORLDS / f"{name}.toml"
     if not path.exists():
         path = Path(name)
     try:
         text = path.read_bytes()
     except OSError as error:
-        raise ScenarioError(f"{name}: {error.strerror}; shipped are {', '.join(names())}") from None
+        raise ScenarioError(name, f"{error.strerror}; shipped are {', '.join(names())}") from None
     try:
-        world = msgspec.toml.decode(text, type=Scenario)
+        scenario = msgspec.toml.decode(text, type=Scenario)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise ScenarioError(f"{path.name}: {error}".replace("\n", " ")) from None
-    _check(world, path.name)
-    return world
-
-
-def _check(world: Scenario, name: str) -> None:
-    for place, fault in enumerate(world.faults):
-        where = f"{name}: faults[{place}]"
-        nodes = {f"node-{number}" for number in range(world.nodes.count)}
-        proxies = {f"proxy-{number}" for number in range(world.proxies)}
-        zones = {f"zone-{number}" for number in range(world.zones)} if fault.kind == "zone_lost" else set()
-        allowed = nodes if fault.kind in ON_NODES else proxies if fault.kind in ON_PROXIES else zones
-        if fault.kind == "clock_step":
-            allowed = nodes | proxies
-        for who in fault.whom:
-            if who not in allowed:
-                kinds = f"node-0 to node-{world.nodes.count - 1}" if allowed is nodes else "see its kind"
-                raise ScenarioError(f"{where}.whom: {who!r} is not there; allowed: {kinds}")
-        somebody = fault.kind in ON_NODES or fault.kind in ON_PROXIES
-        if somebody and not (fault.whom or fault.part):
-            raise ScenarioError(f"{where}.part: must be over 0, or whom must name somebody")
-        if fault.kind == "clients_leave" and not fault.part:
-            raise ScenarioError(f"{where}.part: must be over 0")
-        _check_system_call(fault, where)
-        if fault.by_s == 0.0:
-            raise ScenarioError(f"{where}.by_s: must not be 0")
-        if fault.every_s and fault.for_s / fault.every_s > MOST_REPEATS:
-            raise ScenarioError(f"{where}.every_s: more than {MOST_REPEATS} repeats in for_s")
-        if fault.kind == "origin_slow" and not fault.size:
-            raise ScenarioError(f"{where}.size: must be over 0")
-        if fault.at_s >= world.seconds:
-            raise ScenarioError(f"{where}.at_s: must be under seconds ({world.seconds:g})")
-    shares = world.traffic.zone_shares
-    if shares and (len(shares) != world.zones or not 0.999 <= sum(shares) <= 1.001):
-        raise ScenarioError(f"{name}: traffic.zone_shares: one a zone, summing to 1")
-    if not 0.999 <= sum(cls.share for cls in world.traffic.classes) <= 1.001:
-        raise ScenarioError(f"{name}: traffic.classes.share: must sum to 1")
-    if not 0.999 <= sum(tenant.share for tenant in world.traffic.tenants) <= 1.001:
-        raise ScenarioError(f"{name}: traffic.tenants.share: must sum to 1")
-
-
-def _check_system_call(fault: Fault, where: str) -> None:
-    if fault.kind not in SYSTEM_CALLS:
-        return
-    if not fault.for_s and fault.kind != "connections_break":
-        raise ScenarioError(f"{where}.for_s: must be over 0")
-    if not fault.rate:
-        raise ScenarioError(f"{where}.rate: must be over 0")
-    allowed = SYSTEM_CALLS[fault.kind]
-    for name in fault.errors:
-        if name not in allowed:
-            raise ScenarioError(
-                f"{where}.errors: {name} is none of {fault.kind}; allowed: {', '.join(allowed)}"
-            )
+        raise ScenarioError(path.name, str(error)) from None
+    _check(scenario, path.name)
+    return scenario
+
+
+def _check(scenario: Scenario, name: str) -> None:
+    """Raises `ScenarioError` where fields do not go together."""
+    targets = FaultTargets(
+        _numbered("node", scenario.nodes.count),
+        _numbered("proxy", scenario.proxies),
+        _numbered("zone", scenario.zones),
+        scenario.seconds,
+    )
+    for place, fault in enumerate(scenario.faults):
+        check_fault(fault, targets, f"{name}: faults[{place}]")
+    _check_shares(scenario, name)
+
+
+def _numbered(kind: str, count: int) -> frozenset[str]:
+    return frozenset(f"{kind}-{number}" for number in range(count))
+
+
+def _check_shares(scenario: Scenario, name: str) -> None:
+    traffic = scenario.traffic
+    shares = traffic.zone_shares
+    if shares and (len(shares) != scenario.zones or not _is_whole(shares)):
+        raise ScenarioError(f"{name}: traffic.zone_shares", "one a zone, summing to 1")
+    if not _is_whole(each.share for each in traffic.classes):
+        raise ScenarioError(f"{name}: traffic.classes.share", "must sum to 1")
+    if not _is_whole(tenant.share for tenant in traffic.tenants):
+        raise ScenarioError(f"{name}: traffic.tenants.share", "must sum to 1")
+
+
+def _is_whole(shares: Iterable[float]) -> bool:
+    """Whether the shares sum to 1, but for what rounding in a file leaves."""
+    return LEAST_SUM <= sum(shares) <= MOST_SUM
--- a/lab/server.py
+++ b/lab/server.py
@@ -13,14 +13,18 @@
 
 @dataclass(slots=True)
 class Job:
+    """One request's work; it waits until it has begun."""
+
     name: str
     work_s: float  # on a core of speed 1
-    begun_s: float | None = None
+    begun_s: float = 0.0
     ends_s: float = 0.0
 
 
 @dataclass(slots=True)
 class Server:
+    """The cores of one machine and the requests that run or wait there."""
+
     cores: int
     speed: float
     room: int
@@ -41,7 +45,7 @@
         return self.cores * self.pace(now)
 
     def offer(self, now: float, name: str, work_s: float) -> list[Job] | None:
-        """Takes the request: those jobs that begin now (it alone, or none); None: turned away."""
+        """Takes the request and returns the jobs that begin now, it or none; None: there is no room."""
         job = Job(name, work_s)
         if len(self.running) < self.cores:
             return [self._begin(now, job)]
@@ -51,7 +55,7 @@
         return []
 
     def finish(self, now: float, name: str) -> list[Job]:
-        """A job has ended, or is called off: those that begin in its place."""
+        """Ends or cancels a job, and returns the jobs that begin in its place."""
         job = self.running.pop(name, None)
         if job is None:
             self.waiting = deque(other for other in self.waiting if other.name != name)
@@ -65,6 +69,7 @@
         return job
 
     def clear(self) -> None:
+        """Drops all jobs, as at the end of the process."""
         self.running.clear()
         self.waiting.clear()
 
@@ -73,33 +78,41 @@
     """The keys that a node keeps, least recently used out first."""
 
     def __init__(self, most: int) -> None:
+        """`most`: keys that are kept."""
         self.most = most
         self._kept: OrderedDict[str, None] = OrderedDict()
 
     def __len__(self) -> int:
+        """How many keys are kept."""
         return len(self._kept)
 
     def hit(self, key: str) -> bool:
+        """Whether the key is kept; if so, it is the one used last."""
         if key not in self._kept:
             return False
         self._kept.move_to_end(key)
         return True
 
     def store(self, key: str) -> None:
+        """Keeps the key, and drops the one used longest ago if there are too many."""
         self._kept[key] = None
         self._kept.move_to_end(key)
         if len(self._kept) > self.most:
             self._kept.popitem(last=False)
 
     def void(self, key: str) -> None:
+        """Drops the key."""
         self._kept.pop(key, None)
 
     def void_some(self, wanted: list[str]) -> None:
+        """Drops these keys."""
         for key in wanted:
             self.void(key)
 
     def all(self) -> list[str]:
+        """The keys, the one used longest ago first."""
         return list(self._kept)
 
     def clear(self) -> None:
+        """Drops all keys."""
         self._kept.clear()
--- a/lab/settings.py
+++ b/lab/settings.py
@@ -1,4 +1,4 @@
-"""The settings object that a world's proxies are told, as a site states it."""
+"""The settings object that a scenario's proxies are given, as a site states it."""
 
 from typing import Any
 
@@ -7,37 +7,37 @@
 ORIGIN = "origin"
 
 
-def proxy_settings(world: Scenario, number: int) -> dict[str, Any]:
-    """`number`: the proxy's own."""
+def proxy_settings(scenario: Scenario, number: int) -> dict[str, Any]:
+    """The settings of one proxy; `number`: the proxy's own."""
     classes = [
         {
-            "name": c.name,
-            "objective": c.aim_ms,
-            "deadline": c.deadline_ms,
-            "effect": c.effect,
-            "window": c.window_ms,
-            "importance": c.worth,
-            "late-value": c.late_worth,
+            "name": each.name,
+            "objective": each.aim_ms,
+            "deadline": each.deadline_ms,
+            "effect": each.effect,
+            "window": each.window_ms,
+            "importance": each.worth,
+            "late-value": each.late_worth,
             "group": "all",
         }
-        for c in world.traffic.classes
+        for each in scenario.traffic.classes
     ]
     return {
         "classes": classes,
-        "tenants": [{"name": t.name, "share": t.share} for t in world.traffic.tenants],
-        "zones": [f"zone-{zone}" for zone in range(world.zones)],
-        "machine-types": [model.name for model in world.nodes.models] + [ORIGIN],
-        "peers-total": world.proxies_told or world.proxies,
+        "tenants": [{"name": tenant.name, "share": tenant.share} for tenant in scenario.traffic.tenants],
+        "zones": [f"zone-{zone}" for zone in range(scenario.zones)],
+        "machine-types": [model.name for model in scenario.nodes.models] + [ORIGIN],
+        "peers-total": scenario.proxies_told or scenario.proxies,
         "my-number": number,
         "membership-mode": "on_request",
         "granularity": 5.0,
-        "guarantees": {"ask-within": 10000.0, "cold": 1000.0 * world.nodes.warm_s,
-                       "start-capacity": world.nodes.cold_share,
-                       "drain-grace": 1000.0 * world.rules.drain_s,
-                       "fall": 1000.0 * world.rules.fall_s, "fall-multiple": world.rules.fall_times},
-        "limits": {"cancel": True, "second-copies": world.second_copies, "send-cap": 3,
-                   "connect-timeout": 250.0, "idle-close": 1000.0 * world.nodes.idle_close_s,
+        "guarantees": {"ask-within": 10000.0, "cold": 1000.0 * scenario.nodes.warm_s,
+                       "start-capacity": scenario.nodes.cold_share,
+                       "drain-grace": 1000.0 * scenario.rules.drain_s,
+                       "fall": 1000.0 * scenario.rules.fall_s, "fall-multiple": scenario.rules.fall_times},
+        "limits": {"cancel": True, "second-copies": scenario.second_copies, "send-cap": 3,
+                   "connect-timeout": 250.0, "idle-close": 1000.0 * scenario.nodes.idle_close_s,
                    "streams-per-conn": 8, "retry-after": True, "max-retry-after": 2000.0},
-        "specifics": {"mode": "aside", "origin-kind": len(world.nodes.models)},
-        "prices": {"cross-zone": world.cross_price},
+        "specifics": {"mode": "aside", "origin-kind": len(scenario.nodes.models)},
+        "prices": {"cross-zone": scenario.cross_price},
     }  # fmt: skip
--- a/lab/simulated_cache_node.py
+++ b/lab/simulated_cache_node.py
@@ -6,8 +6,9 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Protocol
 
+from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
@@ -15,7 +16,8 @@
 from lab.line_connection import LineConnection
 from lab.listener import Address
 from lab.node_answers import deadline_ms_of, write_in_pieces
-from lab.node_environment import CacheNodeEnvironment
+from lab.node_environment import NodeEnvironment
+from lab.request_catalog import RequestCatalog
 from lab.server import Keys, Server
 from lab.simulated_node import SimulatedNode
 
@@ -24,6 +26,21 @@
 IDLE_CHECK_S = (0.05, 1.0)  # bounds of the time between two looks at an idle connection
 
 
+class CacheNodeEnvironment(NodeEnvironment, Protocol):
+    """What a cache node needs. `request_id` is the id that the client gave the request."""
+
+    catalog: RequestCatalog
+
+    def attempt(self, request_id: str, node: SimulatedCacheNode, deadline_ms: float) -> None:
+        """A whole command has come in at a cache node, with so much time to answer it."""
+
+    def record_work(self, node: SimulatedCacheNode, request_id: str, work_s: float, done_s: float) -> None:
+        """Work has come in at a node, in core seconds: what was asked for, and what it costs the node."""
+
+    def missed(self, request_id: str, node: SimulatedCacheNode) -> None:
+        """The cache node does not have the request's key."""
+
+
 @dataclass(slots=True)
 class PendingCommand:
     """A command that was not answered yet; answers go out in the order of the commands."""
@@ -49,6 +66,7 @@
     def __init__(
         self, environment: CacheNodeEnvironment, name: str, address: Address, server: Server, zone: int
     ) -> None:
+        """The node listens at once, with no keys."""
         super().__init__(environment, name, address, server)
         self.environment = environment
         self.settings = environment.scenario.nodes
@@ -62,7 +80,7 @@
         """Whether the node started so recently that it is not at its full speed."""
         return self.now - self.server.born_s < self.server.warm_s
 
-    def buildProtocol(self, addr: Any) -> CacheNodeConnection | None:
+    def buildProtocol(self, _addr: IAddress | None) -> CacheNodeConnection | None:
         """A connection, unless the node has as many as it takes."""
         if len(self.connections) >= self.settings.connections:
             return None
@@ -88,6 +106,7 @@
     MAX_LENGTH = 8192
 
     def __init__(self, node: SimulatedCacheNode) -> None:
+        """`node`: it does the work."""
         self._node = node
         self._environment = node.environment
         self._handshake_s = node.settings.handshake_ms / 1000.0  # before the first request only
@@ -191,7 +210,7 @@
         self._writing_long = False
         self._write_answers()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """Cancels the commands that are still open."""
         self._node.connections.pop(self, None)
         for command in self._pending:
--- a/lab/simulated_client.py
+++ b/lab/simulated_client.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any, Protocol
+from typing import Protocol
 
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory, connectionDone
 from twisted.python.failure import Failure
 
@@ -94,6 +95,7 @@
     """A client's connection, which reads values no faster than the scenario's `read_kb_s`."""
 
     def __init__(self, owner: ClientOwner, proxy: SimulatedProxy, first_request: PlannedRequest) -> None:
+        """`first_request`: it is sent when the connection is up."""
         self._owner = owner
         self.proxy = proxy
         self.attempt: ClientAttempt | None = None
@@ -183,7 +185,7 @@
             self._closed = True
             self._owner.abandoned(attempt)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, _reason: Failure = connectionDone) -> None:
         """Tells the population, with the attempt that is still open."""
         attempt, self.attempt = self.attempt, None
         self._owner.disconnected(self, attempt)
@@ -201,12 +203,13 @@
         request: PlannedRequest,
         refused: Callable[[SimulatedProxy, PlannedRequest], None],
     ) -> None:
+        """`refused`: it is called where no connection comes up."""
         self._owner, self._proxy, self._request, self._refused = owner, proxy, request, refused
 
-    def buildProtocol(self, addr: Any) -> SimulatedClient:
+    def buildProtocol(self, _addr: IAddress | None) -> SimulatedClient:
         """The connection is up."""
         return SimulatedClient(self._owner, self._proxy, self._request)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, _connector: IConnector, _reason: Failure) -> None:
         """The proxy refused the connection, or did not answer in time."""
         self._refused(self._proxy, self._request)
--- a/lab/simulated_discovery.py
+++ b/lab/simulated_discovery.py
@@ -5,16 +5,31 @@
 import json
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any
+from typing import Protocol
+
+from twisted.internet.interfaces import IAddress
 
 from lab.http_connection import HttpConnection, HttpRequest
 from lab.listener import Address
-from lab.member_row import TERMINATED
-from lab.node_environment import DiscoveryEnvironment
+from lab.member_row import TERMINATED, MemberRow
+from lab.node_environment import NodeEnvironment
 from lab.server import Server
 from lab.simulated_node import SimulatedNode
 
 
+class DiscoveryEnvironment(NodeEnvironment, Protocol):
+    """What discovery needs."""
+
+    def members(self) -> list[MemberRow]:
+        """All endpoints, with their starts by the virtual clock."""
+
+    def as_listed(self, rows: list[MemberRow]) -> list[MemberRow]:
+        """The rows as discovery sends them, with the starts that the machines' wall clocks showed."""
+
+    def proxy_of(self, connection: HttpConnection) -> str:
+        """The name of the proxy at the other end of this connection."""
+
+
 @dataclass(frozen=True, slots=True, eq=False)
 class Watcher:
     """A call that waits for a revision after the one that it knows."""
@@ -27,6 +42,7 @@
     """Discovery, which works through calls in turn and fails those that would wait too long."""
 
     def __init__(self, environment: DiscoveryEnvironment, address: Address) -> None:
+        """Discovery listens at once."""
         super().__init__(environment, "discovery", address, Server(1, 1.0, 1))
         self.environment = environment
         self.revision = 1
@@ -37,7 +53,7 @@
         self.first_calls: Counter[int] = Counter()  # on new connections, by tenth of a second
         self.failed = 0
 
-    def buildProtocol(self, addr: Any) -> HttpConnection:
+    def buildProtocol(self, _addr: IAddress | None) -> HttpConnection:
         """A connection is up."""
         return HttpConnection(self, self.environment)
 
--- a/lab/simulated_node.py
+++ b/lab/simulated_node.py
@@ -20,6 +20,7 @@
     noisy = False
 
     def __init__(self, environment: NodeEnvironment, name: str, address: Address, server: Server) -> None:
+        """The node listens at once on its address."""
         self._net = environment.net
         self.name, self.address, self.server = name, address, server
         self.connections: dict[Any, None] = {}  # in their order: a set's order differs from run to run
--- a/lab/simulated_origin.py
+++ b/lab/simulated_origin.py
@@ -3,20 +3,39 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Any
+from typing import Protocol
+
+from twisted.internet.interfaces import IAddress
 
 from lab.http_connection import HttpConnection, HttpRequest
 from lab.listener import Address
 from lab.node_answers import deadline_ms_of
-from lab.node_environment import OriginEnvironment
+from lab.node_environment import NodeEnvironment
+from lab.request_catalog import RequestCatalog
 from lab.server import Server
 from lab.simulated_node import SimulatedNode
 
 
+class OriginEnvironment(NodeEnvironment, Protocol):
+    """What the origin needs."""
+
+    catalog: RequestCatalog
+
+    def fetched(self, request_id: str, key: str) -> None:
+        """The origin has answered a read."""
+
+    def written(self, key: str) -> None:
+        """The origin has done a write."""
+
+    def note(self, text: str) -> None:
+        """Adds a line to the notes of the summary."""
+
+
 class SimulatedOrigin(SimulatedNode):
     """The origin with its overload protection."""
 
     def __init__(self, environment: OriginEnvironment, address: Address, server: Server) -> None:
+        """The origin listens at once."""
         super().__init__(environment, "origin", address, server)
         self.environment = environment
         self._settings = environment.scenario.origin
@@ -24,7 +43,7 @@
         self._stopped_until_s = -1.0
         self.stops = 0
 
-    def buildProtocol(self, addr: Any) -> HttpConnection:
+    def buildProtocol(self, _addr: IAddress | None) -> HttpConnection:
         """A connection is up."""
         return HttpConnection(self, self.environment)
 
--- a/lab/simulated_proxy.py
+++ b/lab/simulated_proxy.py
@@ -5,12 +5,14 @@
 import io
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import Protocol
 
+from twisted.internet.base import DelayedCall
+from twisted.internet.protocol import ClientFactory, Factory
 from twisted.python.failure import Failure
 
 from cloverwell.proxy import Proxy
-from lab.listener import Address
+from lab.listener import Address, Listener
 from lab.net import Net
 from lab.system_call_faults import SystemCalls
 from lab.wall_clock import WallClock
@@ -72,6 +74,7 @@
     """One process's view of the network: its calls and connections end with the process."""
 
     def __init__(self, environment: ProxyEnvironment, proxy: SimulatedProxy) -> None:
+        """`proxy`: the machine that the process runs on."""
         self._net, self._environment, self._proxy = environment.net, environment, proxy
         self.alive = True
         self.wall_clock = proxy.wall_clock
@@ -81,18 +84,20 @@
         """The virtual time in seconds, as `IReactorTime` has it."""
         return self._net.seconds()
 
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any, **kw: Any) -> Any:
+    def callLater(
+        self, delay: float, call: Callable[..., object], *args: object, **kw: object
+    ) -> DelayedCall:
         """As `IReactorTime.callLater`; the call is dropped when the process has ended by then."""
         return self._net.callLater(delay, self.call_if_alive, call, args, kw)
 
-    def call_if_alive(self, call: Callable[..., Any], args: tuple[Any, ...], kw: dict[str, Any]) -> None:
+    def call_if_alive(
+        self, call: Callable[..., object], args: tuple[object, ...], kw: dict[str, object]
+    ) -> None:
         """Makes the call, unless the process has ended."""
         if self.alive:
             call(*args, **kw)
 
-    def connectTCP(
-        self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress: object = None
-    ) -> None:
+    def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float = 30.0) -> None:
         """As `IReactorTCP.connectTCP`, from the proxy's own address; fails where a fault says so."""
         error = self.system_calls.connect_error()
         if error is not None:
@@ -100,7 +105,7 @@
             return
         self._net.connectTCP(host, port, factory, timeout, (self._proxy.address[0], self))
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Any:
+    def listenTCP(self, port: int, factory: Factory, backlog: int = 50, interface: str = "") -> Listener:
         """As `IReactorTCP.listenTCP`."""
         return self._net.listenTCP(port, factory, backlog, interface, self)
 
@@ -113,11 +118,12 @@
     """What a process that is replaced leaves its successor, as `handover.successor.Predecessor` has it."""
 
     def __init__(self, old: Proxy) -> None:
+        """Asks the old process to hand over, and keeps what it leaves."""
         self._old = old
         self.handover_state, self.listening = old.hand_over()
         self._on_end: Callable[[], None] | None = None
 
-    def watch(self, reactor: object, gone: Callable[[], None]) -> None:
+    def watch(self, _reactor: object, gone: Callable[[], None]) -> None:
         """The successor serves from now on; `gone` is called when this process has ended."""
         self._on_end = gone
         self._old.succeeded()
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -56,6 +56,7 @@
     """All parts of one scenario on one virtual network; one seed always gives the same run."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
+        """Builds everything and starts the proxies; no client sends before `run`."""
         self.scenario, self.seed = scenario, seed
         self.rng = Random(f"world {seed}")
         self.net = Net()
--- a/lab/system_call_faults.py
+++ b/lab/system_call_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail on a proxy's machine, or do less than they were asked to, as faults of a world.
+"""System calls that fail on a proxy's machine, or do less than they were asked to, as faults of a scenario.
 
 They come to the proxy as Twisted reports them: a connect that fails is a `ConnectError`, or a
 `ConnectBindError` where no socket could be had; a connection that breaks is a `ConnectionLost`, whatever its
@@ -15,7 +15,7 @@
 
 from twisted.internet.error import ConnectBindError, ConnectError, getConnectError
 
-from lab.scenario import Fault
+from lab.fault import Fault
 
 TURN_S = 0.0002  # a turn of a program's loop: what a call did not do is tried again in the next
 NO_SOCKET = (errno.ENFILE, errno.EMFILE)  # these fail `socket`, before `connect`
@@ -31,18 +31,21 @@
 
 
 class SystemCalls:
-    """The calls of one machine's programs; `lab.scenario.SYSTEM_CALLS` has the kinds that may fail."""
+    """The calls of one machine's programs; `lab.fault.SYSTEM_CALLS` has the kinds that may fail."""
 
     def __init__(self, name: str, seed: int) -> None:
+        """No call fails before `begin`."""
         self._rng = Random(f"system calls {seed} {name}")
         self._failing: dict[str, FailingCall] = {}
         self.failed: Counter[str] = Counter()  # by kind: calls that failed or were short, broken connections
 
     def begin(self, fault: Fault) -> None:
+        """From now on calls fail as the fault says."""
         numbers = tuple(getattr(errno, name) for name in fault.error_names())
         self._failing[fault.kind] = FailingCall(fault.rate, numbers, fault.most_bytes)
 
     def end(self, kind: str) -> None:
+        """Calls do not fail any more by faults of this kind."""
         self._failing.pop(kind, None)
 
     def connect_error(self) -> ConnectError | None:
@@ -52,7 +55,8 @@
             return None
         if number in NO_SOCKET:
             return ConnectBindError(number, os.strerror(number))
-        return getConnectError((number, os.strerror(number)))
+        error: ConnectError = getConnectError((number, os.strerror(number)))
+        return error
 
     def accept_error_number(self, waited: bool) -> int | None:
         """How the accept that is made now fails, if it does.
@@ -82,6 +86,7 @@
         return hit
 
     def break_error(self, fault: Fault) -> OSError:
+        """The error by which a connection breaks, drawn by the seed."""
         number = getattr(errno, self._rng.choice(fault.error_names()))
         return OSError(number, os.strerror(number))
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,7 @@
 from short_scenarios import broken, operated, short, zones
 
 from balancer import balancer as decide
-from lab.scenario import Fault
+from lab.fault import Fault
 from lab.simulation import Simulation
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_lab_bad_faults.py
+++ b/tests/test_lab_bad_faults.py
@@ -4,7 +4,8 @@
 from click.testing import CliRunner
 
 from lab.cli import lab
-from lab.scenario import SYSTEM_CALLS, load
+from lab.fault import SYSTEM_CALLS
+from lab.scenario import load
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -10,8 +10,9 @@
 from cloverwell.membership.node_starts import LONG_AGO, NodeStarts
 from cloverwell.proxy import Proxy
 from lab import proxy_lifecycle
+from lab.fault import Fault
 from lab.invariant_checker import RULES
-from lab.scenario import Fault, load
+from lab.scenario import load
 from lab.simulated_proxy import SimulatedReactor
 from lab.simulation import Simulation
 from lab.wall_clock import EPOCH_S, STEPS_S, WallClock, WallClocks
--- a/tests/test_lab_command.py
+++ b/tests/test_lab_command.py
@@ -8,7 +8,8 @@
 
 from cloverwell.cli.main import cli
 from lab.cli import lab
-from lab.scenario import ScenarioError, load, names
+from lab.scenario import load, names
+from lab.scenario_error import ScenarioError
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -12,7 +12,8 @@
 from cloverwell.request import Attempt, Request, Served
 from cloverwell.serving import Serving
 from cloverwell.streamed_value import StreamedValue
-from lab.scenario import Fault, InvariantLimits
+from lab.fault import Fault
+from lab.scenario import InvariantLimits
 from lab.simulation import Simulation
 
 
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -19,9 +19,10 @@
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.front.port import REST_S
+from lab.fault import Fault
 from lab.invariant_checker import RULES
 from lab.net import Net
-from lab.scenario import Fault, load
+from lab.scenario import load
 from lab.simulation import Simulation
 from lab.system_call_faults import SystemCalls
 
