--- a/lab/proxy_testbed.py
+++ b/lab/proxy_testbed.py
@@ -8,7 +8,8 @@
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
 from lab.cache_nodes import CacheNode
-from lab.net import Address, Net
+from lab.listener import Address
+from lab.net import Net
 
 LISTEN: Address = ("127.0.0.1", 11211)
 SETTINGS = {
@@ -41,6 +42,7 @@
     """One proxy and its nodes; discovery refuses, so that the list known at the start stays."""
 
     def __init__(self, nodes: int = 4, sockets: int = 384, listen: Address = LISTEN) -> None:
+        """Starts the proxy at once, with `nodes` stand-ins and an origin that refuses."""
         self.net = Net()
         self.log = io.StringIO()
         self.nodes = [CacheNode(self.net, (f"127.0.1.{n}", 1000 + n), seed=n) for n in range(nodes)]
--- a/lab/web.py
+++ b/lab/web.py
@@ -20,7 +20,8 @@
     request_queue_size = 64
 
     def __init__(self, address: Address, members: list[dict[str, Any]], delay_s: float = 0.0) -> None:
-        self.listing = {"revision": 2, "complete": True, "members": members}
+        """`members`: rows of the endpoint list that discovery sends."""
+        self.listing: dict[str, Any] = {"revision": 2, "complete": True, "members": members}
         self.calls = 0
         self.ending = threading.Event()
         self.delay_s = delay_s
@@ -31,6 +32,8 @@
 
 
 class Handler(BaseHTTPRequestHandler):
+    """Answers as discovery, or as the origin."""
+
     protocol_version = "HTTP/1.1"
     server: WebServer
 
@@ -61,13 +64,14 @@
         self.wfile.write(body)
 
     def log_message(self, *_line: object) -> None:
-        pass
+        """Writes nothing."""
 
 
 @contextlib.contextmanager
 def serving(
     address: Address, members: list[dict[str, Any]] | None = None, delay_s: float = 0.0
 ) -> Iterator[WebServer]:
+    """Serves on the address, in a thread of its own, until the block ends."""
     server = WebServer(address, members or [], delay_s)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
