--- a/lab/connection_end.py
+++ b/lab/connection_end.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import ConnectionAborted, ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from lab.listener import Address
+from lab.listener import Address, SocketOwner
 from lab.system_call_faults import TURN_S, SystemCalls, calls_of
 
 WINDOW = 256 * 1024  # bytes on the way or unread, beyond which a write is not taken whole
@@ -25,22 +25,26 @@
 class NetForEnd(Protocol):
     """What an end needs of its network."""
 
-    def seconds(self) -> float: ...
+    def seconds(self) -> float:
+        """The virtual time in seconds."""
 
-    def callLater(self, delay: float, call: Callable[..., None], *args: object) -> Any: ...
+    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> object:
+        """As `IReactorTime.callLater`."""
 
-    def freed(self, end: Any) -> None:
+    def freed(self, end: End) -> None:
         """The end's descriptor is free."""
 
 
 class End:
     """One end of a connection: a Twisted transport, and the socket under it."""
 
+    other: End  # set by the network as soon as both ends are made
+
     def __init__(self, net: NetForEnd, latency_s: float, host: Address, peer: Address) -> None:
+        """`latency_s`: one way; `host`: this side's address. `other` is set before anything is sent."""
         self.net = net
-        self.other: End | None = None
         self.protocol: Any = None
-        self.owner: object = None  # the process that holds it, if that can die
+        self.owner: SocketOwner | None = None  # the process that holds it, if that can end
         self.latency_s = latency_s
         self._addresses = (IPv4Address("TCP", *host), IPv4Address("TCP", *peer))
         self.closed = False  # this side's descriptor is free
@@ -67,8 +71,8 @@
 
     # Sending -----------------------------------------------------------------------------------
 
-    def _deliver(self, call: Callable[[], None]) -> None:
-        """At the other end, behind all that is on its way."""
+    def deliver(self, call: Callable[[], None]) -> None:
+        """Makes the call at the other end, behind all that is on its way."""
         if self.dead_flow:
             return
         self._arrival_s = max(self._arrival_s, self.net.seconds() + self.latency_s)
@@ -88,10 +92,11 @@
         self._on_way += len(data)
         if not self.dead_flow:
             other = self.other
-            self._deliver(lambda: other.arrive(data, self))
+            self.deliver(lambda: other.arrive(data, self))
         return len(data)
 
     def write(self, data: bytes) -> None:
+        """Sends the data, as far as there is room in the window, and keeps the rest."""
         if self.closed or self.shut:
             return
         self._waiting += data
@@ -138,54 +143,59 @@
     # Receiving ---------------------------------------------------------------------------------
 
     def arrive(self, data: bytes, sender: End) -> None:
+        """Data has come from the other end."""
         if self.closed:
             # Nobody is there: the machine answers with a reset.
-            self._deliver(sender.reset)
+            self.deliver(sender.reset)
             return
         self.unread += data
-        self.net.callLater(0, self._read)
+        self.net.callLater(0, self.read)
 
-    def _read(self) -> None:
+    def read(self) -> None:
+        """Passes to the protocol what has come, if it is not paused."""
         if self.closed or self.paused or self.protocol is None:
             return
         if self.unread:
             try:
                 data = self.socket.recv(len(self.unread))
             except BlockingIOError:
-                self.net.callLater(TURN_S, self._read)
+                self.net.callLater(TURN_S, self.read)
                 return
             except OSError:
                 self._lose()
                 return
             if self.unread:
-                self.net.callLater(TURN_S, self._read)
+                self.net.callLater(TURN_S, self.read)
             self.protocol.dataReceived(data)
         if self.eof and not self.unread and not self.closed:
             self.close_with(ConnectionDone())
 
-    def _taken(self, number: int) -> None:
+    def taken(self, number: int) -> None:
+        """The other side has read so many bytes: there is room for more."""
         self._on_way -= number
         self._push()
 
     def end_of_file(self) -> None:
+        """The other side's close has come."""
         self.eof = True
         self._tell_look()
-        self.net.callLater(0, self._read)
+        self.net.callLater(0, self.read)
 
     def reset(self) -> None:
+        """A reset has come from the other side."""
         if not self.closed:
             self._tell_look()
             self.close_with(ConnectionLost())
 
     def _lose(self) -> None:
         """A call has failed: the transport gives the connection up, and the machine resets it."""
-        self._deliver(self.other.reset)
+        self.deliver(self.other.reset)
         self.net.callLater(0, self.close_with, ConnectionLost())
 
     def turn_away(self) -> None:
         """It is reset before any program has had it."""
         self.closed = True
-        self._deliver(self.other.reset)
+        self.deliver(self.other.reset)
 
     def break_with(self, error: OSError) -> None:
         """The machine gives the connection up: calls fail from now on, the loop sees it in its next turn, and
@@ -195,17 +205,19 @@
         self.net.callLater(0, self.close_with, ConnectionLost())
 
     def close_with(self, error: Exception) -> None:
+        """Closes this end and tells its protocol why."""
         if self.closed:
             return
         self.closed = True
         if not isinstance(error, ConnectionAborted | ConnectionLost) and not self.shut:
-            self._deliver(self.other.end_of_file)
+            self.deliver(self.other.end_of_file)
         self.net.freed(self)
         self.protocol.connectionLost(Failure(error))
 
     # Twisted's transport -----------------------------------------------------------------------
 
     def loseConnection(self) -> None:
+        """Closes when all that was written has left."""
         self.disconnecting = True
         self._close_behind()
 
@@ -217,36 +229,43 @@
             self.net.callLater(0, self.close_with, ConnectionDone())
 
     def abortConnection(self) -> None:
+        """Resets the connection."""
         if not self.closed:
-            self._deliver(self.other.reset)
+            self.deliver(self.other.reset)
             self.net.callLater(0, self.close_with, ConnectionAborted())
 
     def loseWriteConnection(self) -> None:
+        """Closes the way out when all that was written has left."""
         if self._waiting and not self.closed:
             self.net.callLater(TURN_S, self.loseWriteConnection)
         else:
             self.shutdown(socket.SHUT_WR)
 
     def shutdown(self, how: int) -> None:
+        """Closes the way out; the way in stays open."""
         if not self.shut and not self.closed:
             self.shut = True
-            self._deliver(self.other.end_of_file)
+            self.deliver(self.other.end_of_file)
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:
+        """The producer is asked for more when all that was written has left."""
         self._producer = (producer, streaming)
 
     def unregisterProducer(self) -> None:
+        """No producer is asked any more."""
         self._producer = None
 
     def pauseProducing(self) -> None:
+        """Reads nothing until `resumeProducing`."""
         self.paused = True
 
     def resumeProducing(self) -> None:
+        """Reads again."""
         self.paused = False
-        self.net.callLater(0, self._read)
+        self.net.callLater(0, self.read)
 
     def setTcpNoDelay(self, on: bool) -> None:
-        pass
+        """Does nothing: no write waits for another here."""
 
     def fileno(self) -> int:
         """For a look whether the other side has closed: one of a pair whose other goes with it."""
@@ -260,13 +279,16 @@
         if self._look is not None:
             self._look[1].close()
 
-    def getHandle(self) -> Any:
+    def getHandle(self) -> object:
+        """The socket under this transport."""
         return self.socket
 
     def getHost(self) -> IPv4Address:
+        """The address of this side."""
         return self._addresses[0]
 
     def getPeer(self) -> IPv4Address:
+        """The address of the other side."""
         return self._addresses[1]
 
     def recv(self, number: int, flags: int = 0) -> bytes:
@@ -279,7 +301,7 @@
         if self.unread:
             number = self._calls.length(min(number, len(self.unread)))
             data, self.unread = bytes(self.unread[:number]), self.unread[number:]
-            self.other._taken(len(data))
+            self.other.taken(len(data))
             return data
         if self.eof:
             return b""
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -18,7 +18,8 @@
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
 from lab.http_connection import HttpConnection, HttpRequest
-from lab.net import Address, Net
+from lab.listener import Address
+from lab.net import Net
 from lab.proxy_testbed import SETTINGS
 from lab.scenario import DiscoveryCapacity, Scenario
 from lab.simulated_discovery import SimulatedDiscovery
--- a/lab/listener.py
+++ b/lab/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket of the lab's network, which several processes may share."""
+"""A listening socket of the simulated network, which several processes may share."""
 
 from __future__ import annotations
 
@@ -13,6 +13,12 @@
 Address = tuple[str, int]
 
 
+class SocketOwner(Protocol):
+    """A process that can end, and its sockets with it."""
+
+    alive: bool
+
+
 class FarEnd(Protocol):
     """The listening side's end of a connection."""
 
@@ -25,9 +31,11 @@
 
     listeners: dict[Address, Any]
 
-    def seconds(self) -> float: ...
+    def seconds(self) -> float:
+        """The virtual time in seconds."""
 
-    def callLater(self, delay: float, call: Callable[[], None]) -> Any: ...
+    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> object:
+        """As `IReactorTime.callLater`."""
 
     def accepted(self, listener: Listener, far: Any) -> None:
         """The listener's program takes the connection."""
@@ -36,11 +44,14 @@
 class Listener:
     """As `port.BoundedPort`, with the machine's queue of connections that are not accepted yet."""
 
-    def __init__(self, net: NetForListener, address: Address, factory: Any, owner: object = None) -> None:
+    def __init__(
+        self, net: NetForListener, address: Address, factory: Any, owner: SocketOwner | None = None
+    ) -> None:
+        """`owner`: the process that accepts, if it can end; `factory`: makes its protocols."""
         self.net, self.address, self.factory, self.owner = net, address, factory, owner
         self.disconnecting = False  # an accept that fails is tried again at once, and starts no rest
         self.shares: list[Listener] = [self]  # of one socket, the latest last
-        self._queue: list[FarEnd] = []  # connections that wait to be accepted, first come first served
+        self.queue: list[FarEnd] = []  # connections that wait to be accepted, first come first served
         self._paused = False
         self._resting = False
         self._told_s: float | None = None  # when the factory heard last why accepts fail
@@ -52,30 +63,32 @@
 
     def waits(self) -> bool:
         """A connection waits in the machine's queue."""
-        return bool(self._queue)
+        return bool(self.queue)
 
     def pauseProducing(self) -> None:
+        """Accepts nothing until `resumeProducing`."""
         self._paused = True
 
     def resumeProducing(self) -> None:
+        """Accepts again, first what waits."""
         self._paused = False
         self._accept_waiting()
 
     def accept(self, far: FarEnd) -> None:
         """The connection whose end here is `far` is taken by the program, or waits until it can be."""
-        self._queue.append(far)
+        self.queue.append(far)
         self._accept_waiting(arriving=far)
 
     def _accept_waiting(self, arriving: FarEnd | None = None) -> None:
         """`arriving`: the one that has not waited, if that is in the queue."""
-        while self._queue and (taker := self._taker()) is not None:
-            far = self._queue[0]
+        while self.queue and (taker := self._taker()) is not None:
+            far = self.queue[0]
             error_number = calls_of(taker.owner).accept_error_number(waited=far is not arriving)
             if error_number is None:
-                del self._queue[0]
+                del self.queue[0]
                 self.net.accepted(taker, far)
             elif error_number == errno.ECONNABORTED:
-                del self._queue[0]
+                del self.queue[0]
                 far.turn_away()
             else:
                 taker.accept_failed(error_number)
@@ -113,7 +126,7 @@
             self.shares.remove(self)
         if not self.shares:
             self.net.listeners.pop(self.address, None)
-            queue, self._queue[:] = self._queue[:], []
+            queue, self.queue[:] = self.queue[:], []
             for far in queue:
                 far.turn_away()
         elif self.net.listeners.get(self.address) is self:
--- a/lab/machine_faults.py
+++ b/lab/machine_faults.py
@@ -43,10 +43,10 @@
     if proxy.process is None:
         return
     ends = net.ends_of(proxy.process.reactor)
-    taken = [end for end in ends if end.other is not None and end.other.protocol is not None]
+    taken = [end for end in ends if end.other.protocol is not None]
     for place in proxy.system_calls.broken(len(taken), fault):
         end = taken[place]
-        peer = end.other.protocol if end.other is not None else None
+        peer = end.other.protocol
         end.break_with(proxy.system_calls.break_error(fault))
         if isinstance(peer, SimulatedClient):
             peer.cut_off()
--- a/lab/net.py
+++ b/lab/net.py
@@ -18,7 +18,7 @@
 
 from lab.clock import START_S, VirtualTime
 from lab.connection_end import End
-from lab.listener import Address, Listener
+from lab.listener import Address, Listener, SocketOwner
 
 
 @dataclass
@@ -32,9 +32,10 @@
 
 @implementer(IReactorTCP)
 class Net(VirtualTime):
-    """The reactor of everything in the world."""
+    """The reactor of everything in a simulation."""
 
     def __init__(self, start_s: float = START_S) -> None:
+        """`start_s`: the virtual time at first."""
         super().__init__(start_s)
         self.listeners: dict[Address, Listener] = {}
         self.paths: dict[Address, Path] = {}
@@ -45,19 +46,26 @@
         self.stopped = False
 
     def path(self, address: Address) -> Path:
+        """The path to this listening address, which may be changed."""
         return self.paths.setdefault(address, Path())
 
     def listenTCP(
-        self, port: int, factory: Any, backlog: int = 50, interface: str = "", owner: object = None
+        self,
+        port: int,
+        factory: Any,
+        backlog: int = 50,
+        interface: str = "",
+        owner: SocketOwner | None = None,
     ) -> Listener:
+        """As `IReactorTCP.listenTCP`; `owner`: the process that listens, if it can end."""
         listener = self.listeners[interface, port] = Listener(self, (interface, port), factory, owner)
         return listener
 
-    def adopt(self, listening: Listener, factory: Any, owner: object) -> Listener:
+    def adopt(self, listening: Listener, factory: Any, owner: SocketOwner) -> Listener:
         """Another process listens on the same socket."""
         listener = Listener(self, listening.address, factory, owner)
         listening.shares.append(listener)
-        listener.shares, listener._queue = listening.shares, listening._queue
+        listener.shares, listener.queue = listening.shares, listening.queue
         self.listeners[listening.address] = listener
         return listener
 
@@ -68,7 +76,7 @@
                 listener.stopListening()
         for end in self._owned.pop(owner, {}):
             if not end.closed:
-                end._deliver(end.other.reset)
+                end.deliver(end.other.reset)
                 end.closed = True
                 self.open -= 1
 
@@ -84,6 +92,7 @@
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float = 30.0, bindAddress: Any = None
     ) -> None:
+        """As `IReactorTCP.connectTCP`; `bindAddress`: the own host and the process that connects."""
         path = self.path((host, port))
         near, owner = bindAddress or ("127.0.0.1", None)
         if self.delay is not None:
@@ -96,7 +105,9 @@
     def _fail(self, factory: Any, error: Exception) -> None:
         factory.clientConnectionFailed(None, Failure(error))
 
-    def _arrive(self, address: Address, factory: Any, path: Path, host: str, owner: object) -> None:
+    def _arrive(
+        self, address: Address, factory: Any, path: Path, host: str, owner: SocketOwner | None
+    ) -> None:
         listener = self.listeners.get(address)
         if listener is None or path.refuse:
             self.callLater(path.latency_s, self._fail, factory, ConnectionRefusedError())
@@ -110,6 +121,7 @@
         listener.accept(far)
 
     def accepted(self, listener: Listener, far: End) -> None:
+        """The listener's program takes the connection."""
         far.owner = listener.owner
         self._connect(far, listener.factory.buildProtocol(far.getPeer()))
 
@@ -126,16 +138,18 @@
             self._owned.setdefault(end.owner, {})[end] = None
         protocol.transport = end
         protocol.makeConnection(end)
-        self.callLater(0, end._read)
+        self.callLater(0, end.read)
 
     def ends_of(self, owner: object) -> list[End]:
         """The connections that the process has, in the order they came."""
         return list(self._owned.get(owner, {}))
 
     def freed(self, end: End) -> None:
+        """The end's descriptor is free."""
         self.open -= 1
         if end.owner is not None:
             self._owned.get(end.owner, {}).pop(end, None)
 
     def stop(self) -> None:
+        """The program asks its reactor to stop."""
         self.stopped = True
