--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -30,7 +30,7 @@
 from cloverwell.codec.http import encode_request
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from lab.fit import Line, fit
-from lab.proxy import World
+from lab.proxy_testbed import ProxyTestbed
 
 SIZES = [24, 48, 96, 190, 480, 1000]
 IDLE_S = 20
@@ -110,7 +110,7 @@
     return len(poll) + len(headers) + len(body)
 
 
-def idle_ms_per_s(world: World) -> float:
+def idle_ms_per_s(world: ProxyTestbed) -> float:
     """Return the CPU time that a second without traffic takes."""
     world.net.run_for(1.0)
     began_s = time.process_time()
@@ -118,7 +118,7 @@
     return 1000.0 * (time.process_time() - began_s) / IDLE_S
 
 
-def change_ms(world: World) -> float:
+def change_ms(world: ProxyTestbed) -> float:
     """Return the CPU time of a change, where one node is added and removed in turn."""
     endpoint = Endpoint("fresh", "127.0.9.9:99", flavor="large")
     began_s = time.process_time()
@@ -129,7 +129,7 @@
     return 1000.0 * (time.process_time() - began_s) / CHANGES
 
 
-def open_connections(world: World, nodes: int) -> None:
+def open_connections(world: ProxyTestbed, nodes: int) -> None:
     """Open a connection to each node, up to `MAX_CONNECTED_NODES`."""
     for number in range(min(nodes, MAX_CONNECTED_NODES)):
         world.service.pools.pool_of(f"s{number}")._opening.open()
@@ -140,7 +140,7 @@
     gc.collect()
     before_mb = resident_mb()
     began_s = time.process_time()
-    world = World(nodes)
+    world = ProxyTestbed(nodes)
     start_ms = 1000.0 * (time.process_time() - began_s)
     cloverwell.__main__.tune_garbage_collector()
     idle_ms = idle_ms_per_s(world)
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -17,11 +17,12 @@
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
 from cloverwell.proxy import Proxy
-from lab.net import Address, Net
-from lab.nodes import Discovery, Web
-from lab.proxy import SETTINGS
-from lab.world import Discovery as Capacity
-from lab.world import World
+from lab.http_connection import HttpConnection, HttpRequest
+from lab.listener import Address
+from lab.net import Net
+from lab.proxy_testbed import SETTINGS
+from lab.scenario import DiscoveryCapacity, Scenario
+from lab.simulated_discovery import SimulatedDiscovery
 
 DISCOVERY: Address = ("10.1.255.2", 8500)
 CHANGED = "node-0"  # the node whose phase changes
@@ -31,17 +32,17 @@
 DiscoveryFailure = Literal["down", "dead", "hung"]
 
 
-class ListDiscovery(Discovery):
+class ListDiscovery(SimulatedDiscovery):
     """The lab's stand-in for discovery, which can also be hung."""
 
     hung = False
 
-    def asked(self, web: Web, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
+    def handle(self, connection: HttpConnection, request: HttpRequest) -> None:
         """Counts and drops a call while discovery is hung, and handles it otherwise."""
         if self.hung:
             self.calls[int(self.now)] += 1
             return
-        super().asked(web, method, target, headers, body)
+        super().handle(connection, request)
 
 
 class NoJudge:
@@ -96,8 +97,8 @@
         is that of the proxies' timers, which is coarse for speed.
         """
         self.net = Net()
-        self.judge = NoJudge()
-        self.world = World(discovery=Capacity(calls_per_s=calls_per_s, wait_s=wait_s))
+        self.checker = NoJudge()
+        self.scenario = Scenario(discovery=DiscoveryCapacity(calls_per_s=calls_per_s, wait_s=wait_s))
         self.rows = [self._row(place, "large") for place in range(nodes)]
         self.rows.append(self._row(nodes, "origin"))
         self.attempts: Counter[int] = Counter()  # connection attempts to discovery, by tenth of a second
@@ -146,7 +147,7 @@
         """Returns the entries unchanged, since no node here has a wall clock of its own."""
         return rows
 
-    def proxy_of(self, web: Web) -> str:
+    def proxy_of(self, web: HttpConnection) -> str:
         """Returns the host of the proxy at the other end."""
         return web.transport.getPeer().host
 
@@ -168,7 +169,7 @@
             self._forget_flows()
 
     def _forget_flows(self) -> None:
-        for web in list(self.discovery.links):
+        for web in list(self.discovery.connections):
             web.transport.forget_flow()
 
     def restore(self, how: DiscoveryFailure) -> None:
--- a/lab/processes.py
+++ b/lab/processes.py
@@ -21,7 +21,7 @@
 from typing import BinaryIO, cast
 
 from cloverwell.handover.messages import handover_socket_path
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE_S = 30.0
--- a/lab/scale/plan.py
+++ b/lab/scale/plan.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple, cast
 
 from cloverwell.membership.endpoint_list import Endpoint
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 from lab.scale.scenario import ScaleScenario, ScaleScenarioError
 
 MEMORY_SHARE = 0.5  # of the machine's memory, which a run may take
--- a/tests/test_change_propagation.py
+++ b/tests/test_change_propagation.py
@@ -9,7 +9,7 @@
 
 from cloverwell.membership import poll_backoff
 from lab.list_fleet import CHANGED, ListFleet
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 MAX_CHANGE_DELAY_S = 6.0  # required
 MARGIN_S = 0.4  # for a stall of a proxy's event loop
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -20,9 +20,9 @@
 )
 from cloverwell.front.client_connections import DISCONNECT_CHECK_INTERVAL_MS, ClientConnections
 from cloverwell.timer_wheel import STALL_MS
-from lab.play import Play
-from lab.proxy import SETTINGS
-from lab.world import load
+from lab.proxy_testbed import SETTINGS
+from lab.scenario import load
+from lab.simulation import Simulation
 
 DISCONNECT_LIMIT_MS = 100.0  # an attempt that begins later than that after the close breaks the rule
 LEAVE = pytest.mark.parametrize("leave", [socket.socket.close, reset])
@@ -280,7 +280,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_clients_that_leave_alone_and_by_hundreds_have_nothing_sent_later(seed):
-    summary = Play(load("leave"), seed).run()
+    summary = Simulation(load("leave"), seed).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["ends"]["left"] > 150, summary["ends"]
     assert summary["service"] > 0.8, summary["ends"]
@@ -302,4 +302,4 @@
 @pytest.mark.parametrize(("late_ms", "breaks"), [(None, True), (150.0, True), (60.0, False)])
 def test_the_checker_allows_a_tenth_of_a_second_after_a_client_left(monkeypatch, late_ms, breaks):
     ignore_disconnects(monkeypatch) if late_ms is None else detect_late(monkeypatch, late_ms)
-    assert bool(left(Play(load("leave"), 1).run())) == breaks
+    assert bool(left(Simulation(load("leave"), 1).run())) == breaks
--- a/tests/test_config_failures.py
+++ b/tests/test_config_failures.py
@@ -11,7 +11,7 @@
 from cloverwell import config as proxy_config
 from cloverwell.config import ConfigError, parse_config, read_config
 from cloverwell.proxy import Proxy
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 ERRORS = [errno.EIO, errno.ENOENT, errno.EACCES, errno.EISDIR, errno.EMFILE, errno.ESTALE]
 
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -15,7 +15,7 @@
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.metrics import ConnectionEvent
 from cloverwell.connections.unsent_retry import MARGIN_TICKS, RETRY_DELAY_MS, UnsentRequest, retry_at_ms
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 CONNECT = [errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
--- a/tests/test_origin_cut.py
+++ b/tests/test_origin_cut.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from lab.judge import RULES
-from lab.nodes import Origin
-from lab.play import Play
-from lab.world import load
+from lab.invariant_checker import RULES
+from lab.scenario import load
+from lab.simulated_origin import SimulatedOrigin
+from lab.simulation import Simulation
 
 CUT_S = (4.0, 8.0)  # as the world has it
 
@@ -16,16 +16,16 @@
 def fetches_by_proxy(monkeypatch, seed, between):
     """What each proxy asked of the origin between two times of the day, and the day's summary."""
     asked = Counter()
-    real = Origin.asked
+    real = SimulatedOrigin.handle
 
-    def counted(origin, web, *more):
+    def counted(origin, connection, request):
         if between[0] <= origin.now - 1000.0 < between[1]:
-            asked[origin.play.proxy_of(web)] += 1
-        real(origin, web, *more)
+            asked[origin.environment.proxy_of(connection)] += 1
+        real(origin, connection, request)
 
-    monkeypatch.setattr(Origin, "asked", counted)
+    monkeypatch.setattr(SimulatedOrigin, "handle", counted)
     world = msgspec.structs.replace(load("origin-cut"), seconds=10.0)
-    return asked, Play(world, seed).run()
+    return asked, Simulation(world, seed).run()
 
 
 @pytest.mark.parametrize("seed", [2, 3, 4])
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -17,7 +17,7 @@
     RETRY_TIMEOUT_MS,
     PollBackoff,
 )
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 
 def backoff_of(seed, proxies=1, **changes):
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -36,7 +36,7 @@
 from cloverwell.membership.poll_backoff import PollBackoff
 from cloverwell.streamed_value import LONG
 from cloverwell.timer_wheel import TimerWheel
-from lab.proxy import SETTINGS as SITE
+from lab.proxy_testbed import SETTINGS as SITE
 
 GOSSIP_TIMING = GossipTiming()
 SETTINGS = Driver().settings
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,15 +10,15 @@
 import time
 
 import pytest
-from test_lab import broken, short
+from short_scenarios import broken, short
 from test_processes import says_mn
 
 from cloverwell.proxy import Proxy
-from lab.judge import RULES
-from lab.play import Play
+from lab.invariant_checker import RULES
 from lab.processes import PATIENCE_S, ProxyFixture, SteadyClients
+from lab.scenario import DiscoveryCapacity
+from lab.simulation import Simulation
 from lab.web import serving
-from lab.world import Discovery
 
 READY_S = 10.0  # required of nine in ten
 READY_SHARE = 0.9
@@ -26,14 +26,14 @@
 KILLED_S, DEAD_S, BACK_S = 1.0, 0.5, 5.0  # when all are killed, for how long, and discovery is back
 MAX_CHANGE_DELAY_S = 6.0
 DISCOVERIES = {
-    "up": Discovery(),
-    "down": Discovery(),
-    "slow": Discovery(calls_per_s=5.0, wait_s=30.0),  # the last call is answered 6 s after the first
-    "overbooked": Discovery(calls_per_s=2.0, wait_s=1.0),  # nearly all calls are refused
+    "up": DiscoveryCapacity(),
+    "down": DiscoveryCapacity(),
+    "slow": DiscoveryCapacity(calls_per_s=5.0, wait_s=30.0),  # the last call is answered 6 s after the first
+    "overbooked": DiscoveryCapacity(calls_per_s=2.0, wait_s=1.0),  # nearly all calls are refused
 }
 
 
-class Restarts(Play):
+class Restarts(Simulation):
     """A simulation that kills all proxies at once, and chooses the list with which they start again."""
 
     known_rows = None  # None: the list as it is
@@ -43,16 +43,16 @@
         self.started_s, self.ready_s = {}, {}
         super().__init__(world, seed)
 
-    def start(self, proxy, left=None):
+    def start(self, proxy, predecessor=None):
         self._starting = True
-        super().start(proxy, left)
+        super().start(proxy, predecessor)
         self._starting = False
         self.started_s[proxy.name] = self.net.seconds()
         self.ready_s.pop(proxy.name, None)
         on_answer = proxy.watch.heard
 
         def on_first_answer(ready):
-            if ready and proxy.service is not None:
+            if ready and proxy.process is not None:
                 self.ready_s.setdefault(proxy.name, self.net.seconds())
             on_answer(ready)
 
@@ -80,7 +80,7 @@
 
     def knowing(self):
         return sum(
-            proxy.service.endpoint_discovery.listing().revision >= self.discovery.revision
+            proxy.process.proxy.endpoint_discovery.listing().revision >= self.discovery.revision
             for proxy in self.proxies
         )
 
@@ -119,7 +119,7 @@
     if discovery != "overbooked":  # there some polls are refused each time
         assert play.knowing() == PROXIES
     play.net.run_for(5.0)
-    assert not any(play.judge.counts[rule] for rule in RULES), play.judge.breaches
+    assert not any(play.checker.counts[rule] for rule in RULES), play.checker.breaches
 
 
 def assert_ready(play):
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,7 +10,7 @@
 from cloverwell.config import ConfigError, read_config
 from cloverwell.front.operators import MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_OPERATOR_CONNECTIONS
 from cloverwell.serving import DRAIN_SCHEDULE, Serving, ServingState, shutdown_schedule
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 CALLS = st.lists(
     st.tuples(st.sampled_from(["serve", "drain", "undrain", "stop"]), st.floats(0.0, 5000.0)), max_size=12
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -5,7 +5,7 @@
 import pytest
 from scenario import Player
 
-from lab.proxy import SETTINGS
+from lab.proxy_testbed import SETTINGS
 
 MAX_CHANGE_DELAY_MS = 6000  # after which a change counts as known, also one that a silent watch missed
 DRAINS = '{"revision":42,"complete":false,"members":[{"id":"s1","host_port":"127.0.0.9:201",'
