--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -8,12 +8,12 @@
 from dataclasses import replace
 from random import Random
 
-from balancer import api, places
+from balancer import api, origin_slots
 from balancer.api import Effect, Group, ListKind, ServerState, Status
 from balancer.hash_ring import point
-from balancer.rings import Rings
 from balancer.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
 from balancer.timers import Timers
+from balancer.zone_rings import Rings
 
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
 WAKE, RESUBSCRIBE = 0, 1  # timer tokens
@@ -544,7 +544,7 @@
 
     def _fill_origin(self, now: float) -> None:
         while self._queue and self._origins:
-            origin = places.vacant(self._origins, self._origin_pace.mean_ms, now)
+            origin = origin_slots.vacant(self._origins, self._origin_pace.mean_ms, now)
             if origin is None:
                 return
             rec = self._queue.pop(0)[3]
--- a/balancer/rings.py
+++ b/balancer/zone_rings.py
@@ -5,7 +5,7 @@
 from balancer import api
 from balancer.hash_ring import Ring
 from balancer.state import Server
-from balancer.weights import Weights
+from balancer.zone_weights import Weights
 
 TOKENS = 128  # S of the largest server, the others in proportion: the RFC cites a spread near 10% at 100
 ZONE_PEERS = 4  # balancers a zone from which on each asks the servers of its own zone first
--- a/lab/play.py
+++ b/lab/play.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from balancer.hash_ring import Ring, point
-from balancer.rings import TOKENS
 from balancer.settings import read_settings
+from balancer.zone_rings import TOKENS
 from cloverwell.config import Config, Limits
 from cloverwell.log import Log
 from cloverwell.membership.endpoint_list import Endpoint, EndpointList
--- a/tests/test_places.py
+++ b/tests/test_origin_slots.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer import api, places
+from balancer import api, origin_slots
 from balancer.api import Status
-from balancer.places import OVERDUE, TRIAL_MS
+from balancer.origin_slots import OVERDUE, TRIAL_MS
 from balancer.state import Pace, Server
 
 READ = api.RequestClass(aim_ms=800.0, deadline_ms=2000.0)
@@ -76,14 +76,14 @@
 def test_an_origin_that_grows_slow_gets_no_trial(drive, monkeypatch):
     d = learnt(drive)
     hang_writes(d)
-    vacant = places.vacant
+    vacant = origin_slots.vacant
 
     def within_bounds(origins, usual_ms, now):
         origin = vacant(origins, usual_ms, now)
         assert origin is None or len(origin.out) < origin.limit
         return origin
 
-    monkeypatch.setattr(places, "vacant", within_bounds)
+    monkeypatch.setattr(origin_slots, "vacant", within_bounds)
     origin = d.balancer._servers["origin"]
     served = 0
     for number in range(200):  # first come, first served, one each 300 ms: many seconds for each
@@ -112,12 +112,12 @@
 ):
     now = 100_000.0
     server = server_with(ages, now, limit, now - heard_ago, -math.inf)
-    sent = places.may_take(server, usual, now)
+    sent = origin_slots.may_take(server, usual, now)
     if len(ages) < limit:
         assert sent
     elif sent:
         assert heard_ago >= OVERDUE * usual and min(ages) >= OVERDUE * usual
-        assert not places.may_take(server, usual, now + TRIAL_MS / 2)  # and not at once again
+        assert not origin_slots.may_take(server, usual, now + TRIAL_MS / 2)  # and not at once again
     else:
         assert heard_ago < OVERDUE * usual or min(ages) < OVERDUE * usual
 
@@ -129,4 +129,4 @@
     lost = [age for age in ages if age > OVERDUE * usual and age > overtaken_ago + usual]
     # Floating point: an age right at the edge may fall either way.
     edge = [a for a in ages if min(abs(a - OVERDUE * usual), abs(a - overtaken_ago - usual)) < 1e-6]
-    assert abs(places.held(server, usual, now) - (len(ages) - len(lost))) <= len(edge)
+    assert abs(origin_slots.held(server, usual, now) - (len(ages) - len(lost))) <= len(edge)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -4,7 +4,7 @@
 
 from balancer import api
 from balancer.hash_ring import point, tokens
-from balancer.rings import TOKENS
+from balancer.zone_rings import TOKENS
 
 KEYS = [f"key-{i}" for i in range(600)]
 
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -10,9 +10,9 @@
 from balancer.api import ListKind, ServerState
 from balancer.balancer import Balancer
 from balancer.hash_ring import Ring, tokens
-from balancer.rings import TOKENS, Rings
 from balancer.state import Pace, Server
-from balancer.weights import Weights
+from balancer.zone_rings import TOKENS, Rings
+from balancer.zone_weights import Weights
 
 NAMES = [f"node-{number}" for number in range(9)]
 WEIGHTS = (0.0, 0.1, 0.3, 0.7, 1.0, 2.5)
