--- /dev/null
+++ b/balancer/actions.py
@@ -0,0 +1,74 @@
+"""The actions that the balancer returns: what its caller is to do. All times are in milliseconds."""
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class Send:
+    """Send an attempt of the request to the server."""
+
+    request: str
+    server: str
+    timeout_ms: float
+
+
+@dataclass(slots=True)
+class Cancel:
+    """Cancel an attempt of the request that is in flight."""
+
+    request: str
+    attempt: int
+
+
+@dataclass(slots=True)
+class Probe:
+    """Check the health of the server, outside of requests."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class Close:
+    """Close this balancer's idle connections to the server."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class Reject:
+    """Reject the request: nothing of it can run, so the client may retry it."""
+
+    request: str
+    retry_after_ms: float = 0.0
+    reason: str = ""  # counted as `refused.REASON`
+
+
+@dataclass(slots=True)
+class Fail:
+    """Fail the request: an attempt of it may have run or may still run."""
+
+    request: str
+    reason: str = ""
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Report `TimerDue` with the token after the delay."""
+
+    delay_ms: float
+    token: int
+
+
+@dataclass(slots=True)
+class Subscribe:
+    """Follow the changes of the endpoint list from now on; one EndpointListChanged event is the response."""
+
+
+@dataclass(slots=True)
+class Log:
+    """Write a line to the decision log."""
+
+    text: str
+
+
+Action = Send | Cancel | Probe | Close | Reject | Fail | SetTimer | Subscribe | Log
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -9,11 +9,13 @@
 from random import Random
 
 from balancer import api, origin_slots
-from balancer.api import Effect, Group, ListKind, ServerState, Status
+from balancer.api import Group, Idempotency, ListKind, ServerState, Status
 from balancer.hash_ring import point
-from balancer.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
+from balancer.latency import FRESH, RATE_MS, LatencyEstimate, UsualTimeout
+from balancer.request_state import KeyQueue, RequestState, Server
+from balancer.tenant_quota import TokenBucket
 from balancer.timers import Timers
-from balancer.zone_rings import Rings
+from balancer.zone_rings import ZoneRings
 
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
 WAKE, RESUBSCRIBE = 0, 1  # timer tokens
@@ -64,19 +66,21 @@
         self._set = settings
         self._rng = Random(seed)
         self._servers: dict[str, Server] = {}
-        self._rings = Rings(settings)
+        self._rings = ZoneRings(settings)
         self._home, self._abroad, self._few = self._rings.home, self._rings.abroad, self._rings.few
         self._origins: list[Server] = []
-        self._records: dict[str, Record] = {}
-        self._fetches: dict[str, list[Record]] = {}  # key -> requests that wait for its fetch
-        self._turns: dict[str, Turn] = {}  # key -> its in-turn requests
-        self._queue: list[tuple[float, float, str, Record]] = []  # for a place at the origin: dearest first
+        self._records: dict[str, RequestState] = {}
+        self._fetches: dict[str, list[RequestState]] = {}  # key -> requests that wait for its fetch
+        self._turns: dict[str, KeyQueue] = {}  # key -> its in-turn requests
+        self._queue: list[
+            tuple[float, float, str, RequestState]
+        ] = []  # for a place at the origin: dearest first
         self._timers = Timers()
-        self._quotas = [Quota(SHARE_CLUMP) for _ in settings.tenants]
+        self._quotas = [TokenBucket(SHARE_CLUMP) for _ in settings.tenants]
         self._idle_ms = settings.idle_close_ms  # connections unused for longer are not trusted
         self._full = self._crammed = self._torn = 0.0  # shares of attempts: full, refused, broken
-        self._spans = [Span() for _ in settings.classes]
-        self._paces = [Pace(cls.aim_ms * CROWD_AIM) for cls in settings.classes]
+        self._spans = [UsualTimeout() for _ in settings.classes]
+        self._paces = [LatencyEstimate(cls.aim_ms * CROWD_AIM) for cls in settings.classes]
         self._late, self._late_room = LATE, LATE_CLUMP
         self._keys: deque[str] = deque(maxlen=HEAT_WINDOW)  # of the last reads
         self._taken: deque[float] = deque(maxlen=None if settings.resend_window_ms else 0)  # in the window
@@ -84,18 +88,18 @@
         self._margin_ms = MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
         self._reads = {number: c.aim_ms for number, c in enumerate(settings.classes)}  # no write seen of it
         self._aim_ms = self._read_ms = min(self._reads.values())  # the shortest, and of what caches answer
-        self._pace = Pace(self._aim_ms * CROWD_AIM)  # of answers at cache servers
-        self._kinds: dict[int, Pace] = {}  # the same by kind of machine
-        self._origin_pace = Pace(self._aim_ms * CROWD_AIM / 2)
-        self._probe_pace = Pace(self._aim_ms * CROWD_AIM)
+        self._pace = LatencyEstimate(self._aim_ms * CROWD_AIM)  # of answers at cache servers
+        self._kinds: dict[int, LatencyEstimate] = {}  # the same by kind of machine
+        self._origin_pace = LatencyEstimate(self._aim_ms * CROWD_AIM / 2)
+        self._probe_pace = LatencyEstimate(self._aim_ms * CROWD_AIM)
         self._backoff_ms = RESUBSCRIBE_MS
         self._acts: list[api.Action] = []
         self._handlers = {
             api.Request: self._on_request,
-            api.Outcome: self._on_outcome,
+            api.AttemptEnded: self._on_outcome,
             api.Probed: self._on_probed,
             api.TimerDue: self._on_timer,
-            api.ServerList: self._on_list,
+            api.EndpointListChanged: self._on_list,
             api.ClientGone: lambda now, e: (
                 e.request in self._records and self._end(now, self._records[e.request])
             ),
@@ -122,7 +126,7 @@
         for what, whom in self._timers.due(now):
             what(now, whom)
 
-    def _on_list(self, now: float, event: api.ServerList) -> None:
+    def _on_list(self, now: float, event: api.EndpointListChanged) -> None:
         if event.kind is ListKind.CACHED and not self._set.list_pushed:
             # Hundreds that begin at once would fail together: the first calls are spread out.
             spread = min(self._set.ask_within_ms / 2, LIST_PACE_MS * self._set.peers_total)
@@ -153,14 +157,14 @@
             origin = entry.kind == self._set.origin_kind
             least = max(ORIGIN_MIN if origin else LIMIT_MIN, LIMIT_CORES / self._set.peers_total)
             limit = max(2 * least, LIMIT_START / self._set.peers_total)
-            pace = self._origin_pace if origin else Pace(self._pace.mean_ms)
-            kin = self._kinds.setdefault(entry.kind, Pace(self._pace.mean_ms))
-            server = Server(entry, origin, pace, kin, limit, least)
+            pace = self._origin_pace if origin else LatencyEstimate(self._pace.mean_ms)
+            machine_type_latency = self._kinds.setdefault(entry.kind, LatencyEstimate(self._pace.mean_ms))
+            server = Server(entry, origin, pace, machine_type_latency, limit, least)
             self._servers[entry.server] = server
             self._origins += [server] * origin
         if started:  # it is cold, unless that is long ago, and worth a try at once
             server.warm_from_ms = entry.started_ms or -math.inf
-            server.missed_ms, server.probed_ms = None, None
+            server.ejected_ms, server.probed_ms = None, None
         server.entry = entry
 
     def _leave(self, now: float, server: Server) -> None:
@@ -174,9 +178,9 @@
         """The part of its tokens that is active: misses and load rise with what it can do."""
         warm = server.warmth(now, self._set.start_capacity, self._set.warm_up_ms)
         # Registered sizes flatter old machines: a kind that answers slower than all keeps fewer tokens.
-        kin_ms, room = server.kin.mean_ms, 1.0
+        kin_ms, room = server.machine_type_latency.mean_ms, 1.0
         if warm < 1.0:  # what slow kinds leave, and a storm of repeats at full servers, is not for a cold one
-            kin_ms, room = max(kin.mean_ms for kin in self._kinds.values()), (1.0 - self._full) ** 2
+            kin_ms, room = max(kind.mean_ms for kind in self._kinds.values()), (1.0 - self._full) ** 2
         return warm * room * min(1.0, max(self._pace.mean_ms, CROWD_AIM * self._aim_ms) / kin_ms) ** 2
 
     def _warm(self, now: float, server: Server) -> bool:
@@ -215,24 +219,26 @@
                     passed += not warm
         yield from later
 
-    def _choose(self, now: float, rec: Record) -> Server | None:
+    def _choose(self, now: float, request: RequestState) -> Server | None:
         """The first member of the preference set with no reason to skip it."""
         last, members, jammed = None, 0, 0
         # No balancer sees what a hot key does to its owner, but all see how much of their traffic it is.
-        spread = max(1, math.ceil(rec.heat / HEAT_MAX))
+        spread = max(1, math.ceil(request.hot_key_load / HEAT_MAX))
         passed = self._rng.randrange(spread)
-        for place, server in enumerate(self._walk(now, rec.point, spread)):
-            if server in rec.tried or not self._drops(rec, server):
+        for place, server in enumerate(self._walk(now, request.point, spread)):
+            if server in request.tried or not self._drops(request, server):
                 continue
             # What jammed and dead servers leave, or a hot key, would push a cold one over.
-            if not self._warm(now, server) and (place or rec.heat > HEAT_MAX * self._share(now, server)):
+            if not self._warm(now, server) and (
+                place or request.hot_key_load > HEAT_MAX * self._share(now, server)
+            ):
                 continue
-            if server.missed_ms is not None or self._drop_early(now, server.pace):
+            if server.ejected_ms is not None or self._drop_early(now, server.pace):
                 # In a large fleet most requests to a dead server would be trials: a probe, where permitted.
-                due = server.missed_ms is not None and now >= server.trial_ms
-                if due and not self._probe(now, server) and rec.cls.effect is Effect.SAFE:
+                due = server.ejected_ms is not None and now >= server.next_probe_ms
+                if due and not self._probe(now, server) and request.cls.effect is Idempotency.SAFE:
                     return server
-                jammed += server.missed_ms is None
+                jammed += server.ejected_ms is None
                 if self._few and jammed >= MEMBERS:
                     return None
                 last = last or server
@@ -240,18 +246,18 @@
             members += 1
             if members <= passed:
                 last = server
-            elif len(server.out) < server.limit * (EXCESS_ROOM if rec.excess else 1.0):
+            elif len(server.out) < server.limit * (EXCESS_ROOM if request.excess else 1.0):
                 return server
             elif members >= passed + MEMBERS:
                 break
         return last if members <= passed else None
 
     def _probe(self, now: float, server: Server) -> bool:
-        server.trial_ms, may = now + TRIAL_MS, self._set.may_probe and not server.left
+        server.next_probe_ms, may = now + TRIAL_MS, self._set.may_probe and not server.left
         self._acts += [api.Probe(server.entry.server)] * may
         return may
 
-    def _drop_early(self, now: float, pace: Pace, excess: bool = False) -> bool:
+    def _drop_early(self, now: float, pace: LatencyEstimate, excess: bool = False) -> bool:
         """Random early detection: hundreds of balancers, each blind to the rest, drop the right part."""
         aim, ratio = (CROWD_AIM, CROWD_RATIO) if excess else (EARLY_AIM, EARLY_RATIO)
         short = self._aim_ms if pace is self._origin_pace else self._read_ms
@@ -270,20 +276,20 @@
         aim = now + cls.aim_ms - self._spent(event) - self._margin_ms
         use = deadline if cls.late_worth or event.write else min(aim, deadline)
         excess, pace = excess or aim < now, self._paces[event.request_class]
-        rec = Record(event.request, cls, event.key, place, event.write, use, deadline, excess, pace)
+        request = RequestState(event.request, cls, event.key, place, event.write, use, deadline, excess, pace)
         self._late_room = min(LATE_CLUMP, self._late_room + LATE_SHARE)
-        self._records[rec.id] = rec
+        self._records[request.id] = request
         if cls.in_turn and event.key is not None:
-            rec.turn = self._turns.setdefault(event.key, Turn())
-            rec.turn.line.append(rec)
+            request.turn = self._turns.setdefault(event.key, KeyQueue())
+            request.turn.line.append(request)
         if event.key is not None and not event.write:
             self._keys.append(event.key)
-            rec.heat = (self._keys.count(event.key) - 1) / HEAT_WINDOW * len(self._rings)
+            request.hot_key_load = (self._keys.count(event.key) - 1) / HEAT_WINDOW * len(self._rings)
         # With few balancers zones differ, so each member of the preference set is judged instead.
-        crowded = not (event.write or self._few) and self._drop_early(now, self._pace, rec.excess)
+        crowded = not (event.write or self._few) and self._drop_early(now, self._pace, request.excess)
         if use <= now or crowded:
-            return self._finish(now, rec, "late" if use <= now else "crowded", RATE_MS)
-        self._route(now, rec)
+            return self._finish(now, request, "late" if use <= now else "crowded", RATE_MS)
+        self._route(now, request)
 
     def _spent(self, event: api.Request) -> float:
         """What the client's earlier tries took: a try has the usual time of its class, or what is left."""
@@ -296,39 +302,42 @@
         pace = SHARE_SLACK * self._set.tenants[tenant].quota_per_s / self._set.peers_total
         return not self._quotas[tenant].spend(now, pace, max(SHARE_CLUMP, pace))  # a second's worth at most
 
-    def _route(self, now: float, rec: Record) -> None:
+    def _route(self, now: float, request: RequestState) -> None:
         """Sends a request to whom the ring names, or holds or ends it."""
         # Every request comes by here before its first attempt, so none with its key overtakes another.
-        if rec.turn is not None and not rec.attempts:
-            rec.held = rec.turn.line[0] is not rec or now < rec.turn.rest_ms
-            if rec.held:
-                return self._wait(now, rec, rec.turn.line.index(rec))
-        if rec.write and self._origins:
-            return self._ask_origin(now, rec)
-        if not self._may_send(now, rec):
-            return self._finish(now, rec, "spent")
-        if rec.key in self._fetches and not rec.write:
-            return self._park(now, rec)
-        server = self._choose(now, rec)
+        if request.turn is not None and not request.attempts:
+            request.held = request.turn.line[0] is not request or now < request.turn.rest_ms
+            if request.held:
+                return self._wait(now, request, request.turn.line.index(request))
+        if request.write and self._origins:
+            return self._ask_origin(now, request)
+        if not self._may_send(now, request):
+            return self._finish(now, request, "spent")
+        if request.key in self._fetches and not request.write:
+            return self._park(now, request)
+        server = self._choose(now, request)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
             full = all(self._warm(now, s) for s in self._servers.values()) and len(self._rings)
-            return self._finish(now, rec, "bounds", RATE_MS) if full else self._ask_origin(now, rec)
+            return self._finish(now, request, "bounds", RATE_MS) if full else self._ask_origin(now, request)
         # Where cancels are permitted `_look` frees it, and a busy server does no work twice.
-        self._send(now, rec, server, (rec.use_ms - now) / (1 if self._set.may_cancel else 2))
+        self._send(now, request, server, (request.use_ms - now) / (1 if self._set.may_cancel else 2))
 
-    def _may_send(self, now: float, rec: Record) -> bool:
-        paid = not rec.attempts or rec.prepaid or self._spare(now) >= 1
-        if not paid or rec.attempts >= self._set.max_attempts or now >= rec.use_ms or rec.begun:
+    def _may_send(self, now: float, request: RequestState) -> bool:
+        paid = not request.attempts or request.prepaid or self._spare(now) >= 1
+        if not paid or request.attempts >= self._set.max_attempts or now >= request.use_ms or request.begun:
             return False
-        if rec.ran_ms is None or rec.cls.effect is Effect.SAFE:
+        if request.ran_ms is None or request.cls.effect is Idempotency.SAFE:
             return True
         # A keyed repeat is dropped only while the servers remember the first; leave two rounds for the way.
-        return rec.cls.effect is Effect.KEYED and now - rec.ran_ms + self._margin_ms < rec.cls.window_ms
+        return (
+            request.cls.effect is Idempotency.KEYED
+            and now - request.ran_ms + self._margin_ms < request.cls.window_ms
+        )
 
-    def _drops(self, rec: Record, server: Server) -> bool:
+    def _drops(self, request: RequestState, server: Server) -> bool:
         """A repeat of a keyed request that may have run goes only to the group of servers that drops it."""
-        group, ran_at = rec.cls.group, rec.ran_at if rec.cls.effect is Effect.KEYED else None
+        group, ran_at = request.cls.group, request.ran_at if request.cls.effect is Idempotency.KEYED else None
         return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
 
     def _spare(self, now: float) -> float:
@@ -341,48 +350,52 @@
                 times.popleft()
         return self._set.free_resends + self._set.resend_share * len(self._taken) - len(self._resends)
 
-    def _send(self, now: float, rec: Record, server: Server, timeout: float) -> None:
-        if not (self._may_send(now, rec) and self._drops(rec, server)):  # the one gate of all sends
-            return self._finish(now, rec, "spent")
-        if rec.attempts and not rec.prepaid:
+    def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
+        if not (self._may_send(now, request) and self._drops(request, server)):  # the one gate of all sends
+            return self._finish(now, request, "spent")
+        if request.attempts and not request.prepaid:
             self._resends.append(now)
-        rec.prepaid = False
-        rec.out[rec.attempts] = (server, now)
-        rec.attempts += 1
-        rec.waiting = False
+        request.prepaid = False
+        request.out[request.attempts] = (server, now)
+        request.attempts += 1
+        request.waiting = False
         if not server.out:
-            server.heard_ms = now
+            server.last_response_ms = now
             if server.used_ms + self._idle_ms < now < server.used_ms + self._set.idle_close_ms:
                 self._close(now, server)
-        server.out[rec.id, rec.attempts - 1] = (rec, now)
+        server.out[request.id, request.attempts - 1] = (request, now)
         if not server.watched:
             server.watched = True
             self._timers.at(now + QUIET_FACTOR * self._pace.mean_ms, self._look, server)
-        self._acts.append(api.Send(rec.id, server.entry.server, max(timeout, self._set.granularity_ms)))
+        self._acts.append(api.Send(request.id, server.entry.server, max(timeout, self._set.granularity_ms)))
 
-    def _finish(self, now: float, rec: Record, why: str, retry_after: float = SLACK_MS) -> None:
+    def _finish(self, now: float, request: RequestState, why: str, retry_after: float = SLACK_MS) -> None:
         """The single final answer: a refusal where the rules permit it, since a client may then try again."""
-        dropped = rec.cls.effect is Effect.KEYED and rec.cls.group is Group.ALL  # a repeat is, by all servers
-        harmless = rec.ran_ms is None or rec.cls.effect is Effect.SAFE or dropped  # nothing is out by now
+        dropped = (
+            request.cls.effect is Idempotency.KEYED and request.cls.group is Group.ALL
+        )  # a repeat is, by all servers
+        harmless = (
+            request.ran_ms is None or request.cls.effect is Idempotency.SAFE or dropped
+        )  # nothing is out by now
         wait = min(retry_after, self._set.max_retry_after_ms)
-        self._acts.append(api.Refuse(rec.id, wait, why) if harmless else api.Fail(rec.id, why))
-        self._end(now, rec)
-
-    def _end(self, now: float, rec: Record) -> None:
-        rec.done = True
-        if not rec.out:
-            self._records.pop(rec.id, None)
-            if rec.turn is not None and rec in rec.turn.line:
-                rec.turn.line.remove(rec)
-                self._next_turn(now, rec.key)
-        if not rec.out and rec.fetching:
-            rec.fetching = False  # those who waited for its fetch ask the server that now keeps the key
-            for other in self._fetches.pop(rec.key, ()):
+        self._acts.append(api.Reject(request.id, wait, why) if harmless else api.Fail(request.id, why))
+        self._end(now, request)
+
+    def _end(self, now: float, request: RequestState) -> None:
+        request.done = True
+        if not request.out:
+            self._records.pop(request.id, None)
+            if request.turn is not None and request in request.turn.line:
+                request.turn.line.remove(request)
+                self._next_turn(now, request.key)
+        if not request.out and request.fetching:
+            request.fetching = False  # those who waited for its fetch ask the server that now keeps the key
+            for other in self._fetches.pop(request.key, ()):
                 self._resume(now, other)
 
     def _next_turn(self, now: float, key: str) -> None:
         """A key's next request runs once the one before and all its attempts are over and the key rested."""
-        turn = self._turns.get(key) or Turn()
+        turn = self._turns.get(key) or KeyQueue()
         if now < turn.rest_ms:
             self._timers.at(turn.rest_ms, self._next_turn, key)
         elif not turn.line:
@@ -391,38 +404,40 @@
             self._resume(now, turn.line[0])
 
     def _on_stream(self, now: float, event: api.StreamBegun) -> None:
-        rec = self._records.get(event.request)
-        if rec is not None and event.attempt in rec.out:
-            rec.begun = True
-            self._heard(now, rec.out[event.attempt][0])
-
-    def _on_outcome(self, now: float, event: api.Outcome) -> None:
-        rec = self._records.get(event.request)
-        if rec is None or event.attempt not in rec.out:
+        request = self._records.get(event.request)
+        if request is not None and event.attempt in request.out:
+            request.begun = True
+            self._heard(now, request.out[event.attempt][0])
+
+    def _on_outcome(self, now: float, event: api.AttemptEnded) -> None:
+        request = self._records.get(event.request)
+        if request is None or event.attempt not in request.out:
             return
-        server, sent = rec.out.pop(event.attempt)
-        server.out.pop((rec.id, event.attempt), None)
+        server, sent = request.out.pop(event.attempt)
+        server.out.pop((request.id, event.attempt), None)
         if server.left:
             self._leave(now, server)
-        if rec.again and event.status in (Status.OK, Status.MISS):
-            self._settle_copies(rec, event.attempt)
-        if event.status not in api.NEVER_RAN and (rec.ran_ms is None or sent < rec.ran_ms):
-            rec.ran_ms, rec.ran_at = sent, server
-        if rec.turn is not None and self._set.settle_ms and event.status in api.IN_DOUBT:
-            rec.turn.rest_ms = now + self._set.settle_ms + MARGIN_MS
-        rec.prepaid |= event.status is Status.MISS
-        stale = self._judge(now, server, event.status, sent, rec)
-        last = rec.attempts == self._set.max_attempts - 1  # a third node would rather miss, and leave none
-        if event.closed or rec.done:
-            self._end(now, rec)
-        elif not rec.out and (server.origin or (self._origins and (rec.prepaid or last))):
-            self._ask_origin(now, rec)
-        elif not rec.out:
-            rec.tried += [server] * (not stale)  # a fresh connection will do
-            if len(rec.tried) >= MEMBERS:
-                self._finish(now, rec, "tried")
+        if request.hedge_number and event.status in (Status.OK, Status.MISS):
+            self._settle_copies(request, event.attempt)
+        if event.status not in api.NEVER_RAN and (request.ran_ms is None or sent < request.ran_ms):
+            request.ran_ms, request.ran_at = sent, server
+        if request.turn is not None and self._set.settle_ms and event.status in api.IN_DOUBT:
+            request.turn.rest_ms = now + self._set.settle_ms + MARGIN_MS
+        request.prepaid |= event.status is Status.MISS
+        stale = self._judge(now, server, event.status, sent, request)
+        last = (
+            request.attempts == self._set.max_attempts - 1
+        )  # a third node would rather miss, and leave none
+        if event.closed or request.done:
+            self._end(now, request)
+        elif not request.out and (server.origin or (self._origins and (request.prepaid or last))):
+            self._ask_origin(now, request)
+        elif not request.out:
+            request.tried += [server] * (not stale)  # a fresh connection will do
+            if len(request.tried) >= MEMBERS:
+                self._finish(now, request, "tried")
             else:
-                self._route(now, rec)
+                self._route(now, request)
         if server.origin:
             self._fill_origin(now)
 
@@ -430,7 +445,7 @@
         server.used_ms = -math.inf
         self._acts.append(api.Close(server.entry.server))
 
-    def _judge(self, now: float, server: Server, status: Status, sent: float, rec: Record) -> bool:
+    def _judge(self, now: float, server: Server, status: Status, sent: float, request: RequestState) -> bool:
         """Health and load from outcomes; tells whether just a connection broke that had not been used."""
         took, unused = now - sent, sent - server.used_ms
         # It was dropped on the way, no server died. Harm: handshakes after a death within a few ms of a send.
@@ -454,7 +469,7 @@
         # One that was given less time than answers take, or that later ones overtook, tells nothing of it.
         usual = QUIET_FACTOR * max(server.pace.mean_ms, self._pace.mean_ms)
         alone = status is Status.TIMEOUT and (took < usual or sent + usual < server.overtaken_ms)
-        silent = status is Status.TIMEOUT and not (server.origin or alone) and server.heard_ms <= sent
+        silent = status is Status.TIMEOUT and not (server.origin or alone) and server.last_response_ms <= sent
         breaks = 1 if self._set.may_probe else BREAKS + (self._torn > TORN)
         broken = status is Status.CONNECT_FAILED or (status is Status.RESET and server.breaks >= breaks)
         if not server.origin and (silent or broken):
@@ -465,12 +480,12 @@
         took = max(took, {Status.FULL: self._aim_ms, Status.TIMEOUT: server.pace.mean_ms}.get(status, 0.0))
         if status is Status.TIMEOUT:  # of many in a row the mean rises all the same
             took = min(took, JAM_CAP * max(self._pace.mean_ms, server.origin * server.pace.mean_ms))
-        if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (rec.write or silent):
+        if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (request.write or silent):
             server.pace.learn(now, took)
         if status in (Status.OK, Status.TIMEOUT) and not server.origin:  # in a jam few answers come
             self._pace.learn(now, took)
-            server.kin.learn(now, took)
-            rec.pace.learn(now, took)
+            server.machine_type_latency.learn(now, took)
+            request.pace.learn(now, took)
         if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not alone:
             self._bound(now, server, status is not Status.OK or server.pace.mean_ms > self._crowd_ms(server))
         return status is Status.RESET and not broken  # its server still answers others
@@ -488,80 +503,90 @@
             server.limit = max(server.least, server.limit * LIMIT_CUT)
 
     def _heard(self, now: float, server: Server) -> None:
-        server.heard_ms, server.probed_ms = now, None
-        if server.missed_ms is None:
+        server.last_response_ms, server.probed_ms = now, None
+        if server.ejected_ms is None:
             return
-        if now - server.missed_ms >= LONG_MARK_MS:  # it may have restarted empty, the list is late
+        if now - server.ejected_ms >= LONG_MARK_MS:  # it may have restarted empty, the list is late
             server.warm_from_ms = max(server.warm_from_ms, now)
-        server.missed_ms = None
+        server.ejected_ms = None
         self._acts.append(api.Log(f"{server.entry.server} cleared"))
 
     def _mark(self, now: float, server: Server, rescue: bool = True) -> None:
-        if server.missed_ms is None:
-            server.missed_ms, server.trial_ms = now, now + TRIAL_MS
+        if server.ejected_ms is None:
+            server.ejected_ms, server.next_probe_ms = now, now + TRIAL_MS
             self._acts.append(api.Log(f"{server.entry.server} marked missed"))
         if rescue and self._set.may_cancel:  # a silent server must not hold its keys until each times out
             # Nothing is called off that the budget could not send elsewhere; dear requests come first.
-            stuck = [(rec, n) for (_, n), (rec, _) in server.out.items() if not rec.begun and not rec.done]
+            stuck = [
+                (request, n)
+                for (_, n), (request, _) in server.out.items()
+                if not request.begun and not request.done
+            ]
             paid = heapq.nlargest(int(min(len(stuck), self._spare(now))), stuck, lambda one: one[0].cls.worth)
-            self._acts += [api.Cancel(rec.id, number) for rec, number in paid]
-
-    def _ask_origin(self, now: float, rec: Record) -> None:
-        if not self._may_send(now, rec) or not any(self._drops(rec, origin) for origin in self._origins):
-            return self._finish(now, rec, "spent")  # also after a time-out at the deadline
-        if rec.key is not None and not rec.write and not rec.fetching:
-            if rec.key in self._fetches:
-                return self._park(now, rec)
-            self._fetches[rec.key] = []
-            rec.fetching = True
-        if rec.cls.late_worth and not rec.write and self._drop_early(now, self._origin_pace, rec.excess):
-            return self._finish(now, rec, "origin", RATE_MS)  # the queue alone holds it till its deadline
-        worth = rec.cls.worth * (self._set.over_share_worth if rec.excess else 1.0)
-        worth *= 1.0 + HEAT_WORTH * rec.heat  # what is fetched serves those after it
+            self._acts += [api.Cancel(request.id, number) for request, number in paid]
+
+    def _ask_origin(self, now: float, request: RequestState) -> None:
+        if not self._may_send(now, request) or not any(
+            self._drops(request, origin) for origin in self._origins
+        ):
+            return self._finish(now, request, "spent")  # also after a time-out at the deadline
+        if request.key is not None and not request.write and not request.fetching:
+            if request.key in self._fetches:
+                return self._park(now, request)
+            self._fetches[request.key] = []
+            request.fetching = True
+        if (
+            request.cls.late_worth
+            and not request.write
+            and self._drop_early(now, self._origin_pace, request.excess)
+        ):
+            return self._finish(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
+        worth = request.cls.worth * (self._set.over_share_worth if request.excess else 1.0)
+        worth *= 1.0 + HEAT_WORTH * request.hot_key_load  # what is fetched serves those after it
         self._queue = [one for one in self._queue if not one[3].done]
-        ahead = bisect(self._queue, entry := (-worth, now, rec.id, rec))
+        ahead = bisect(self._queue, entry := (-worth, now, request.id, request))
         self._queue.insert(ahead, entry)
         self._fill_origin(now)
-        if not rec.out and not rec.done:
-            self._wait(now, rec, ahead / sum(origin.limit for origin in self._origins))
+        if not request.out and not request.done:
+            self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
 
-    def _park(self, now: float, rec: Record) -> None:
+    def _park(self, now: float, request: RequestState) -> None:
         """Another request's fetch of the key is out: waits for it, then asks the server that keeps it."""
-        self._fetches[rec.key].append(rec)
-        self._wait(now, rec)
+        self._fetches[request.key].append(request)
+        self._wait(now, request)
 
-    def _wait(self, now: float, rec: Record, ahead: float = 0.0) -> None:
+    def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
         """Holds a request, at most until waiting on would make its answer worthless."""
-        rec.waiting = True
-        until = rec.use_ms - self._origin_pace.mean_ms - SLACK_MS
+        request.waiting = True
+        until = request.use_ms - self._origin_pace.mean_ms - SLACK_MS
         if ahead > HEAT_WINDOW or until <= now + ahead * self._origin_pace.mean_ms:  # its turn comes too late
-            return self._finish(now, rec, "queue")
-        self._timers.at(until, self._expire, rec)
+            return self._finish(now, request, "queue")
+        self._timers.at(until, self._expire, request)
 
-    def _expire(self, now: float, rec: Record) -> None:
-        if rec.waiting and not rec.done:
-            self._finish(now, rec, "waited")
+    def _expire(self, now: float, request: RequestState) -> None:
+        if request.waiting and not request.done:
+            self._finish(now, request, "waited")
 
     def _fill_origin(self, now: float) -> None:
         while self._queue and self._origins:
             origin = origin_slots.vacant(self._origins, self._origin_pace.mean_ms, now)
             if origin is None:
                 return
-            rec = self._queue.pop(0)[3]
+            request = self._queue.pop(0)[3]
             # What would come too late keeps the origin from what it can still do in time.
-            left = min(rec.use_ms - now, math.inf if rec.cls.late_worth else rec.cls.aim_ms)
-            if not rec.done and left < self._origin_pace.fading_ms(now):
-                self._finish(now, rec, "origin", RATE_MS)
-            elif not rec.done:
-                self._send(now, rec, origin, rec.deadline_ms - now)
+            left = min(request.use_ms - now, math.inf if request.cls.late_worth else request.cls.aim_ms)
+            if not request.done and left < self._origin_pace.fading_ms(now):
+                self._finish(now, request, "origin", RATE_MS)
+            elif not request.done:
+                self._send(now, request, origin, request.deadline_ms - now)
 
-    def _resume(self, now: float, rec: Record) -> None:
-        if rec.waiting and not rec.done:
-            self._route(now, rec)
+    def _resume(self, now: float, request: RequestState) -> None:
+        if request.waiting and not request.done:
+            self._route(now, request)
 
     def _look(self, now: float, server: Server) -> None:
         """Sends again what is long overdue, and marks a server that gives no sign of life."""
-        server.watched = bool(server.out) and server.missed_ms is None
+        server.watched = bool(server.out) and server.ejected_ms is None
         if not server.watched:
             return
         self._timers.at(now + LOOK_MS, self._look, server)
@@ -575,38 +600,40 @@
         if server.origin:
             return self._fill_origin(now)  # what hangs gives way in time
         # Its own latency, so that a slow server is not taken for a dead one and its work sent twice.
-        usual, quiet = max(server.pace.mean_ms, self._pace.mean_ms), now - server.heard_ms
-        if quiet >= QUIET_FACTOR * usual and server.probed_ms is None and now >= server.trial_ms:
+        usual, quiet = max(server.pace.mean_ms, self._pace.mean_ms), now - server.last_response_ms
+        if quiet >= QUIET_FACTOR * usual and server.probed_ms is None and now >= server.next_probe_ms:
             server.probed_ms = now if self._probe(now, server) else None
         # All that is out there without an answer is evidence, in its mean latencies.
         odds = quiet * len(server.out) / usual
         if server.probed_ms is not None:
             odds += (now - server.probed_ms) / max(PROBE_MIN_MS, self._probe_pace.mean_ms)
         if odds >= QUIET_ODDS:
-            marked = sum(s.missed_ms is not None for s in self._servers.values())
+            marked = sum(s.ejected_ms is not None for s in self._servers.values())
             if marked + 1 <= max(1, QUIET_SHARE * len(self._rings)):
                 self._mark(now, server)
 
     def _send_again(self, now: float, server: Server) -> None:
         """A connection may fall silent while its server answers others on theirs: a read goes there again."""
-        for (name, number), (rec, sent) in list(server.out.items()):
-            usual = max(server.pace.mean_ms, self._origin_pace.mean_ms if server.origin else rec.pace.mean_ms)
+        for (name, number), (request, sent) in list(server.out.items()):
+            usual = max(
+                server.pace.mean_ms, self._origin_pace.mean_ms if server.origin else request.pace.mean_ms
+            )
             overdue = sent + usual < server.overtaken_ms and now - sent > self._late * usual
-            alone = len(rec.out) == 1 and not (rec.done or rec.begun or rec.write)
-            safe = rec.cls.effect is Effect.SAFE  # a read may be of any effect
-            if overdue and alone and safe and self._late_room >= 1.0 and self._may_send(now, rec):
+            alone = len(request.out) == 1 and not (request.done or request.begun or request.write)
+            safe = request.cls.effect is Idempotency.SAFE  # a read may be of any effect
+            if overdue and alone and safe and self._late_room >= 1.0 and self._may_send(now, request):
                 self._late_room -= 1.0
                 del server.out[name, number]  # it holds no place that others could have
-                rec.again = rec.attempts
-                self._send(now, rec, server, rec.use_ms - now)
+                request.hedge_number = request.attempts
+                self._send(now, request, server, request.use_ms - now)
 
-    def _settle_copies(self, rec: Record, attempt: int) -> None:
+    def _settle_copies(self, request: RequestState, attempt: int) -> None:
         """One copy has its answer: the other is called off, and tells whether to ask sooner or later next."""
-        factor = LATE_STEP if attempt == rec.again else 1.0 / LATE_STEP
-        self._late_room += attempt == rec.again  # it pays for the next
+        factor = LATE_STEP if attempt == request.hedge_number else 1.0 / LATE_STEP
+        self._late_room += attempt == request.hedge_number  # it pays for the next
         self._late = min(LATE_MAX, max(LATE_MIN, self._late * factor))
-        self._acts += [api.Cancel(rec.id, number) for number in rec.out]
-        rec.again = 0
+        self._acts += [api.Cancel(request.id, number) for number in request.out]
+        request.hedge_number = 0
 
     def _on_probed(self, now: float, event: api.Probed) -> None:
         server = self._servers.get(event.server)
--- /dev/null
+++ b/balancer/events.py
@@ -0,0 +1,111 @@
+"""The events that the balancer takes: what has happened. All times are in milliseconds."""
+
+from dataclasses import dataclass
+from enum import Enum, IntEnum
+
+from balancer.endpoints import ServerEntry
+
+
+class ListKind(IntEnum):
+    """What an update of the endpoint list holds.
+
+    CACHED: the list as the process had it before it started. FAILED: nothing, the call failed.
+    DELTA: the entries that changed. FULL: all entries.
+    """
+
+    CACHED = 0
+    FAILED = 1
+    DELTA = 2
+    FULL = 3
+
+
+class Status(Enum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    MISS = "miss"
+    FULL = "full"
+    ERROR = "error"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    ABANDONED = "abandoned"
+
+
+# Outcomes that show the server at work.
+ANSWERS = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
+
+# Outcomes after which the attempt may still be running.
+IN_DOUBT = (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
+
+# Outcomes that prove that the attempt never ran.
+NEVER_RAN = (Status.MISS, Status.FULL, Status.CONNECT_FAILED, Status.ABANDONED)
+
+
+@dataclass(slots=True)
+class EndpointListChanged:
+    """The endpoint list has changed, or a call for it has failed."""
+
+    kind: ListKind
+    version: int = 0
+    entries: tuple[ServerEntry, ...] = ()
+
+
+@dataclass(slots=True)
+class Request:
+    """A request has arrived; `left_ms` is the time until its deadline."""
+
+    request: str
+    request_class: int
+    left_ms: float
+    key: str | None = None
+    tenant: int = 0
+    write: bool = False
+
+
+@dataclass(slots=True)
+class StreamBegun:
+    """The first bytes of a streamed response have been passed to the client."""
+
+    request: str
+    server: str
+    attempt: int
+
+
+@dataclass(slots=True)
+class AttemptEnded:
+    """An attempt has ended; `closed` says that its request is over, by this outcome or an earlier one."""
+
+    request: str
+    server: str
+    attempt: int
+    status: Status
+    latency_ms: float = 0.0
+    closed: bool = False
+
+
+@dataclass(slots=True)
+class Probed:
+    """A health check of a server has ended."""
+
+    server: str
+    status: Status
+    latency_ms: float = 0.0
+
+
+@dataclass(slots=True)
+class ClientGone:
+    """The client has disconnected; its request needs no response any more."""
+
+    request: str
+
+
+@dataclass(slots=True)
+class TimerDue:
+    """A timer that `SetTimer` set is due."""
+
+    token: int
+
+
+Event = EndpointListChanged | Request | StreamBegun | AttemptEnded | Probed | ClientGone | TimerDue
--- a/balancer/origin_slots.py
+++ b/balancer/origin_slots.py
@@ -11,7 +11,7 @@
 All times are milliseconds of one clock; `usual_ms` is the mean latency of the origin's answers.
 """
 
-from balancer.state import Server
+from balancer.request_state import Server
 
 OVERDUE = 4.0  # mean latencies, in which a working origin answers: of exponential ones, all but one in fifty
 TRIAL_MS = 500.0  # least time between two trials
@@ -28,7 +28,7 @@
 
     The gap between two answers of a working origin is at most the latency of the later one, so one that has
     grown slow is silent only until its mean has followed."""
-    return bool(server.out) and now - server.heard_ms >= OVERDUE * usual_ms
+    return bool(server.out) and now - server.last_response_ms >= OVERDUE * usual_ms
 
 
 def vacant(origins: list[Server], usual_ms: float, now: float) -> Server | None:
@@ -38,13 +38,13 @@
 
 
 def may_take(server: Server, usual_ms: float, now: float) -> bool:
-    """Whether one more attempt may be sent now; `trial_ms` of the server paces the trials."""
+    """Whether one more attempt may be sent now; `next_probe_ms` of the server paces the trials."""
     if held(server, usual_ms, now) < server.limit:
         return True
-    if now < server.trial_ms or not silent(server, usual_ms, now):
+    if now < server.next_probe_ms or not silent(server, usual_ms, now):
         return False
     latest = max(sent for _, sent in server.out.values())
     if now - latest < OVERDUE * usual_ms:  # a trial, or another young attempt, may still be answered
         return False
-    server.trial_ms = now + TRIAL_MS
+    server.next_probe_ms = now + TRIAL_MS
     return True
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -11,7 +11,11 @@
 
 from balancer import api
 
-EFFECT = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECT = {
+    "retryable": api.Idempotency.SAFE,
+    "dedup": api.Idempotency.KEYED,
+    "fragile": api.Idempotency.UNSAFE,
+}
 MODES = ("on_request", "pushed")
 LEAST_START = 0.01  # where a server may start with nothing at all: the decisions divide by its part
 
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -22,7 +22,7 @@
     "ConnectError": api.Status.CONNECT_FAILED,
     "ResetByPeer": api.Status.RESET,
     "Canceled": api.Status.CANCELLED,
-    "Ignored": api.Status.MOOT,
+    "Ignored": api.Status.ABANDONED,
 }
 
 
@@ -60,8 +60,8 @@
     )
 
 
-def read_outcome(raw: dict[str, Any]) -> api.Outcome:
-    return api.Outcome(
+def read_outcome(raw: dict[str, Any]) -> api.AttemptEnded:
+    return api.AttemptEnded(
         raw["ref"],
         raw["host"],
         raw.get("round-no", 0),
@@ -84,7 +84,7 @@
     api.Cancel: lambda a: {"cancel": {"ref": a.request, "round-no": a.attempt}},
     api.Probe: lambda a: {"poll": {"host": a.server}},
     api.Close: lambda a: {"let-go": {"host": a.server}},
-    api.Refuse: lambda a: {"turn-away": {"ref": a.request, "not-before-for": a.retry_after_ms}},
+    api.Reject: lambda a: {"turn-away": {"ref": a.request, "not-before-for": a.retry_after_ms}},
     api.Fail: lambda a: {"fail": {"ref": a.request}},
     api.SetTimer: lambda a: {"defer": {"delay": a.delay_ms, "ref": a.token}},
     api.Subscribe: lambda a: {"watch": {"on": True}},
@@ -136,14 +136,14 @@
         elif kind == "manifest":
             self.slots[raw["slot"]] = tuple(read_entry(item) for item in raw.get("elements") or ())
 
-    def read_list(self, raw: dict[str, Any]) -> api.ServerList:
+    def read_list(self, raw: dict[str, Any]) -> api.EndpointListChanged:
         kind = api.ListKind(raw["form"])
         if kind is api.ListKind.FAILED:
-            return api.ServerList(kind, raw.get("generation", 0))
+            return api.EndpointListChanged(kind, raw.get("generation", 0))
         slot = raw.get("slot", 0)
         if slot not in self.slots:
             raise WireError(f"fleet.slot: no list {slot} was declared")
-        return api.ServerList(kind, raw.get("generation", 0), self.slots[slot])
+        return api.EndpointListChanged(kind, raw.get("generation", 0), self.slots[slot])
 
 
 def main() -> int:
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -4,14 +4,14 @@
 
 from balancer import api
 from balancer.hash_ring import Ring
-from balancer.state import Server
-from balancer.zone_weights import Weights
+from balancer.request_state import Server
+from balancer.zone_weights import ZoneWeights
 
 TOKENS = 128  # S of the largest server, the others in proportion: the RFC cites a spread near 10% at 100
 ZONE_PEERS = 4  # balancers a zone from which on each asks the servers of its own zone first
 
 
-class Rings:
+class ZoneRings:
     """The two rings of one balancer; a list costs what it changes, since a large fleet's come often."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -22,7 +22,7 @@
         self.abroad: Ring[Server] = Ring()  # servers of other zones, where that matters
         self.home_part = 1.0  # of the keys: as far as home has the capacity
         self._servers: dict[str, Server] = {}
-        self._weights = Weights()
+        self._weights = ZoneWeights()
         self._largest = 1.0  # weight; weights have no unit
 
     def __len__(self) -> int:
--- a/balancer/zone_weights.py
+++ b/balancer/zone_weights.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 
-class Weights:
+class ZoneWeights:
     """Counts how many servers have each weight in each zone.
 
     Sums are rounded once and depend on no order: two balancers that hold one list have the same."""
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from balancer import Balancer, api
-from balancer.api import Effect, ListKind, ServerEntry, Status
+from balancer.api import Idempotency, ListKind, ServerEntry, Status
 
 
 class AttemptOutcome(Enum):
@@ -26,7 +26,9 @@
     NOT_CONNECTED = Status.CONNECT_FAILED
     RESET = Status.RESET
     CALLED_OFF = Status.CANCELLED
-    NOT_SENT = Status.MOOT  # its request was over, or this machine at fault: it says nothing of the server
+    NOT_SENT = (
+        Status.ABANDONED
+    )  # its request was over, or this machine at fault: it says nothing of the server
 
 
 NEVER_RAN = tuple(AttemptOutcome(status) for status in api.NEVER_RAN)
@@ -182,7 +184,7 @@
                 self._attempts[name].out -= 1
                 if ended:
                     self._forget(name)
-                event = api.Outcome(name, subject.node, subject.number, outcome.value, 0.0, ended)
+                event = api.AttemptEnded(name, subject.node, subject.number, outcome.value, 0.0, ended)
                 return self._hand_over(now, event, name)
             case ClientDisconnected():
                 self._forget(subject.id)
@@ -190,9 +192,11 @@
             case EndpointUpdate():
                 kind = ListKind.FULL if outcome.complete else ListKind.DELTA
                 kind = ListKind.CACHED if outcome.held else kind
-                return self._hand_over(now, api.ServerList(kind, outcome.revision, outcome.entries), None)
+                return self._hand_over(
+                    now, api.EndpointListChanged(kind, outcome.revision, outcome.entries), None
+                )
             case EndpointUpdateFailed():
-                return self._hand_over(now, api.ServerList(ListKind.FAILED), None)
+                return self._hand_over(now, api.EndpointListChanged(ListKind.FAILED), None)
 
     def tick(self, now: float) -> list[Decision]:
         """The choices that are due for others: what the last calls left, and what timers bring."""
@@ -233,7 +237,7 @@
                 tally.chosen += 1
                 tally.out += 1
                 return SendAttempt(name, node, tally.chosen - 1, timeout_ms)
-            case api.Refuse(name, retry_after_ms, reason):
+            case api.Reject(name, retry_after_ms, reason):
                 self._forget(name)
                 return RejectRequest(name, retry_after_ms, reason)
             case api.Fail(name, reason):
@@ -255,9 +259,9 @@
     """How long after an attempt that may have run a further one may leave; None where the class sets no
     limit."""
     cls = settings.classes[class_number]
-    return cls.window_ms if cls.effect is Effect.KEYED else None
+    return cls.window_ms if cls.effect is Idempotency.KEYED else None
 
 
 def never_twice(settings: api.Settings, class_number: int) -> bool:
     """Whether an attempt that may have run forbids any other."""
-    return settings.classes[class_number].effect is Effect.UNSAFE
+    return settings.classes[class_number].effect is Idempotency.UNSAFE
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,8 +22,8 @@
 settings.load_profile("repeatable")
 
 SAFE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0)
-KEYED = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Effect.KEYED, window_ms=600.0)
-UNSAFE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Effect.UNSAFE)
+KEYED = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Idempotency.KEYED, window_ms=600.0)
+UNSAFE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Idempotency.UNSAFE)
 LATE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, late_worth=0.25)
 ORIGIN_KIND = 7
 
@@ -60,7 +60,7 @@
                     assert action.request not in self.ended, "sent after the final answer"
                     self.sends.setdefault(action.request, []).append(action.server)
                     self.limits[action.request] = action.timeout_ms
-                case api.Refuse() | api.Fail():
+                case api.Reject() | api.Fail():
                     assert action.request not in self.ended, "two final answers"
                     self.ended[action.request] = action
                 case api.Cancel():
@@ -76,7 +76,7 @@
         return actions
 
     def list(self, kind, entries=()):
-        return self.do(api.ServerList(kind, 1, tuple(entries)))
+        return self.do(api.EndpointListChanged(kind, 1, tuple(entries)))
 
     def ask(self, key="k", cls=0, left=2000.0, **more):
         name = f"r{next(self._ids)}"
@@ -88,7 +88,7 @@
         self.now += after
         number = len(self.sends[name]) - 1
         closed = status is api.Status.OK
-        self.do(api.Outcome(name, self.sends[name][number], number, status, after, closed))
+        self.do(api.AttemptEnded(name, self.sends[name][number], number, status, after, closed))
 
     def serve(self, name, after=50.0):
         self.answer(name, api.Status.OK, after)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -30,7 +30,7 @@
     entries = [
         api.ServerEntry(f"s{n}", started_ms=100.0 * (n < cold), zone=n % zones) for n in range(servers)
     ]
-    made.handle(100.0, api.ServerList(api.ListKind.FULL, 1, tuple(entries)))
+    made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 1, tuple(entries)))
     return made
 
 
@@ -63,7 +63,7 @@
     # Three zones with enough balancers each: at home all are cold, elsewhere none.
     made = balancer(0, servers=39, zones=3, cross_price=0.05)
     entries = [api.ServerEntry(f"s{n}", started_ms=100.0 * (n % 3 == 0), zone=n % 3) for n in range(39)]
-    made.handle(100.0, api.ServerList(api.ListKind.FULL, 2, tuple(entries)))
+    made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 2, tuple(entries)))
     asked = owners(made)
     at_home = sum(name is not None and int(name[1:]) % 3 == 0 for name in asked) / len(KEYS)
     assert at_home < 1.1 * (1 + COLD_SPILL) * START and None not in asked
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -50,7 +50,7 @@
     d.answer(first, Status.MISS)
     waiter = d.ask("hot")
     d.do(api.ClientGone(first))
-    d.do(api.Outcome(first, "origin", 1, Status.CANCELLED, 1.0, True))
+    d.do(api.AttemptEnded(first, "origin", 1, Status.CANCELLED, 1.0, True))
     assert d.sends[waiter]
 
 
@@ -283,15 +283,15 @@
 
 def test_unknown_requests_and_repeated_outcomes_are_ignored(drive):
     d = drive()
-    assert d.do(api.Outcome("nobody", "s0", 0, Status.OK, 1.0, True)) == []
+    assert d.do(api.AttemptEnded("nobody", "s0", 0, Status.OK, 1.0, True)) == []
     name = d.ask()
     d.serve(name)
-    assert d.do(api.Outcome(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
+    assert d.do(api.AttemptEnded(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
 
 
 def test_before_the_first_list_a_request_is_refused():
     b = Balancer(api.Settings(classes=(api.RequestClass(500.0, 2000.0),)), 1)
-    assert [type(a) for a in b.handle(0.0, api.Request("r", 0, 2000.0, "k"))] == [api.Refuse]
+    assert [type(a) for a in b.handle(0.0, api.Request("r", 0, 2000.0, "k"))] == [api.Reject]
 
 
 def test_all_servers_cold_at_once_still_serve(drive):
@@ -494,7 +494,7 @@
     name, late = d.ask("k"), d.ask("l", cls=3)
     assert d.limits[name] < 500.0 < d.limits[late]
     d.answer(name, Status.TIMEOUT, after=d.limits[name])
-    assert isinstance(d.ended[name], api.Refuse)
+    assert isinstance(d.ended[name], api.Reject)
 
 
 def test_a_connection_that_broke_unused_marks_nobody_and_the_next_is_fresh(drive):
@@ -615,7 +615,7 @@
     d.answer(late, Status.OK, 60.0)
     assert d.cancels == [(late, 0)]
     # It was worth it: the next is sent again sooner.
-    d.do(api.Outcome(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
+    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
     assert d.balancer._late < 8.0 and not d.balancer._records
     assert not any(server.out for server in d.balancer._servers.values())
 
@@ -623,7 +623,7 @@
 def test_where_the_first_copy_answers_after_all_the_next_is_sent_again_later(drive):
     d = drive(may_copy=True)
     late = out_of_two(d)
-    d.do(api.Outcome(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
+    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(late, 1)] and d.balancer._late > 8.0
 
 
@@ -631,7 +631,7 @@
     d = drive(may_copy=True)
     late = out_of_two(d)
     d.answer(late, Status.MISS, 1.0)
-    d.do(api.Outcome(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
+    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
     assert d.sends[late][2] == "origin"
 
 
@@ -721,7 +721,9 @@
 
 SLOW = (
     api.RequestClass(aim_ms=1000.0, deadline_ms=2000.0),
-    api.RequestClass(aim_ms=500.0, deadline_ms=1000.0, effect=api.Effect.KEYED, window_ms=2000.0, worth=10.0),
+    api.RequestClass(
+        aim_ms=500.0, deadline_ms=1000.0, effect=api.Idempotency.KEYED, window_ms=2000.0, worth=10.0
+    ),
 )
 
 
@@ -740,7 +742,7 @@
     slow_origin(d)
     write, read = d.ask("w", cls=1, left=1000.0, write=True), d.ask("r")
     d.answer(read, Status.MISS, 1.0)
-    assert isinstance(d.ended.get(write), api.Refuse) and write not in d.sends
+    assert isinstance(d.ended.get(write), api.Reject) and write not in d.sends
     assert d.sends[read][-1] == "origin"
     d.pass_time(10_000)  # what is known of it fades: it is tried again
     assert d.ask("w", cls=1, left=1000.0, write=True) in d.sends
@@ -797,4 +799,4 @@
         names.append(d.ask(f"k{i}"))
         if names[-1] in d.sends:
             d.serve(names[-1], 330.0)
-    assert any(isinstance(d.ended.get(name), api.Refuse) for name in names) is refused
+    assert any(isinstance(d.ended.get(name), api.Reject) for name in names) is refused
--- a/tests/test_origin_slots.py
+++ b/tests/test_origin_slots.py
@@ -8,17 +8,18 @@
 
 from balancer import api, origin_slots
 from balancer.api import Status
+from balancer.latency import LatencyEstimate
 from balancer.origin_slots import OVERDUE, TRIAL_MS
-from balancer.state import Pace, Server
+from balancer.request_state import Server
 
 READ = api.RequestClass(aim_ms=800.0, deadline_ms=2000.0)
 WRITES = {
     effect: api.RequestClass(aim_ms=1500.0, deadline_ms=14_000.0, effect=effect, window_ms=1000.0)
-    for effect in (api.Effect.KEYED, api.Effect.UNSAFE)
+    for effect in (api.Idempotency.KEYED, api.Idempotency.UNSAFE)
 }
 
 
-def learnt(drive, effect=api.Effect.KEYED, **settings):
+def learnt(drive, effect=api.Idempotency.KEYED, **settings):
     """A balancer whose origin answers within 200 ms."""
     d = drive(classes=(READ, WRITES[effect]), **settings)
     for number in range(30):
@@ -99,10 +100,12 @@
 attempts = st.lists(st.floats(0.0, 10_000.0), min_size=1, max_size=30)
 
 
-def server_with(ages, now, limit, heard_ms, overtaken_ms):
-    server = Server(api.ServerEntry("origin"), True, Pace(500.0), Pace(500.0), limit, 2.0)
+def server_with(ages, now, limit, last_response_ms, overtaken_ms):
+    server = Server(
+        api.ServerEntry("origin"), True, LatencyEstimate(500.0), LatencyEstimate(500.0), limit, 2.0
+    )
     server.out = {(str(number), 0): (None, now - age) for number, age in enumerate(ages)}
-    server.heard_ms, server.overtaken_ms = heard_ms, overtaken_ms
+    server.last_response_ms, server.overtaken_ms = last_response_ms, overtaken_ms
     return server
 
 
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -10,9 +10,10 @@
 from balancer.api import ListKind, ServerState
 from balancer.balancer import Balancer
 from balancer.hash_ring import Ring, tokens
-from balancer.state import Pace, Server
-from balancer.zone_rings import TOKENS, Rings
-from balancer.zone_weights import Weights
+from balancer.latency import LatencyEstimate
+from balancer.request_state import Server
+from balancer.zone_rings import TOKENS, ZoneRings
+from balancer.zone_weights import ZoneWeights
 
 NAMES = [f"node-{number}" for number in range(9)]
 WEIGHTS = (0.0, 0.1, 0.3, 0.7, 1.0, 2.5)
@@ -93,7 +94,7 @@
 def test_after_any_lists_all_is_as_if_built_anew(options, lists):
     balancer = Balancer(options, 1)
     for kind, entries in lists:
-        balancer.handle(0.0, api.ServerList(kind, 0, tuple(entries)))
+        balancer.handle(0.0, api.EndpointListChanged(kind, 0, tuple(entries)))
         servers = balancer._servers.values()
         home, abroad, part = built_anew(options, servers)
         assert order(balancer._home) == home and order(balancer._abroad) == abroad
@@ -119,12 +120,12 @@
     monkeypatch.setattr(ring, "tokens", lambda name, number: [Counted(one) for one in tokens(name, number)])
     balancer = Balancer(api.Settings((api.RequestClass(100.0, 500.0),)), 1)
     fleet = tuple(api.ServerEntry(f"s{number}") for number in range(total))
-    balancer.handle(0.0, api.ServerList(ListKind.FULL, 1, fleet))
+    balancer.handle(0.0, api.EndpointListChanged(ListKind.FULL, 1, fleet))
     looks = []
     for state in (ServerState.READY, ServerState.GONE):
         Counted.looks = 0
         entry = api.ServerEntry("fresh", state)
-        balancer.handle(0.0, api.ServerList(ListKind.DELTA, 2, (entry,)))
+        balancer.handle(0.0, api.EndpointListChanged(ListKind.DELTA, 2, (entry,)))
         looks.append(Counted.looks)
     return looks
 
@@ -148,13 +149,13 @@
 
 
 def asked(name, **fields):
-    return Asked(api.ServerEntry(name, **fields), False, Pace(1.0), Pace(1.0), 1.0, 1.0)
+    return Asked(api.ServerEntry(name, **fields), False, LatencyEstimate(1.0), LatencyEstimate(1.0), 1.0, 1.0)
 
 
 def test_a_change_reads_the_entries_of_those_it_names_alone():
     for total in SIZES:
         for fixed in (False, True):
-            rings = Rings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=fixed))
+            rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=fixed))
             rings.change([], [asked(f"s{number}", weight=2.0) for number in range(total)])
             fresh = asked("fresh")
             Asked.reads = 0
@@ -164,7 +165,7 @@
 
 
 def test_where_sizes_count_a_new_largest_resizes_all():
-    rings = Rings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=True))
+    rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=True))
     small, large = asked("small", weight=1.0), asked("large", weight=4.0)
     rings.change([], [small])
     assert len(order(rings.home)) == TOKENS
@@ -176,11 +177,11 @@
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 2), st.sampled_from(WEIGHTS))))
 def test_sums_of_weights_do_not_depend_on_the_order_in_which_servers_came(changes):
-    weights, last = Weights(), {}
+    weights, last = ZoneWeights(), {}
     for name, zone, weight in changes:
         weights.put(name, zone, weight)
         last[name] = zone, weight
-    again = Weights()
+    again = ZoneWeights()
     for name in sorted(last, reverse=True):
         again.put(name, *last[name])
     assert weights.total == again.total and weights.largest == again.largest
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
     name = d.ask()
     d.answer(name, Status.MISS)
     d.answer(name, Status.TIMEOUT, after=d.limits[name])
-    assert isinstance(d.ended[name], api.Refuse)
+    assert isinstance(d.ended[name], api.Reject)
 
 
 def test_late_try_with_less_time_than_a_tick_is_not_held(drive):
@@ -76,7 +76,7 @@
 def test_empty_list_refuses(drive):
     d = drive(servers=0, origin=False)
     name = d.ask()
-    assert isinstance(d.ended[name], api.Refuse)
+    assert isinstance(d.ended[name], api.Reject)
 
 
 def test_nothing_after_the_client_is_gone(drive):
@@ -86,7 +86,7 @@
     d.answer(name, Status.RESET)
     assert len(d.sends[name]) == 1 and name not in d.ended
     d.do(api.ClientGone(name))
-    d.do(api.Outcome(name, "s0", 0, Status.OK, 1.0, True))
+    d.do(api.AttemptEnded(name, "s0", 0, Status.OK, 1.0, True))
     assert not d.balancer._records
 
 
@@ -95,7 +95,7 @@
     name = d.ask()
     d.answer(name, Status.ERROR)
     d.answer(name, Status.ERROR)
-    assert len(d.sends[name]) == 2 and isinstance(d.ended[name], api.Refuse)
+    assert len(d.sends[name]) == 2 and isinstance(d.ended[name], api.Reject)
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
@@ -120,11 +120,11 @@
     d.answer(inside, Status.ERROR, after=100.0)
     assert len(d.sends[inside]) == 2
     d.answer(outside, Status.ERROR, after=600.0)
-    assert len(d.sends[outside]) == 1 and isinstance(d.ended[outside], api.Refuse)
+    assert len(d.sends[outside]) == 1 and isinstance(d.ended[outside], api.Reject)
 
 
 def test_keyed_repeats_only_in_its_group(drive):
-    cls = api.RequestClass(500.0, 2000.0, api.Effect.KEYED, api.Group.ZONE, 1500.0)
+    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.Group.ZONE, 1500.0)
     d = drive(servers=0, origin=False, classes=(cls,))
     d.list(
         api.ListKind.FULL,
@@ -143,7 +143,7 @@
 
 def test_a_keyed_read_that_may_have_run_goes_to_the_origin_only_in_its_group(drive):
     # Seen on a customer's fares: a time-out at a node, a miss at the next, then the origin of another zone.
-    cls = api.RequestClass(500.0, 2000.0, api.Effect.KEYED, api.Group.ZONE, 1500.0)
+    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.Group.ZONE, 1500.0)
     for zone in (0, 1):
         d = drive(servers=0, origin=False, classes=(cls,), origin_kind=7, zones=("a", "b"))
         nodes = [api.ServerEntry(name, zone=1) for name in ("s0", "s1")]
@@ -161,7 +161,7 @@
         assert d.sends[fresh][1] == "origin"
 
 
-@pytest.mark.parametrize("effect", [api.Effect.KEYED, api.Effect.UNSAFE])
+@pytest.mark.parametrize("effect", [api.Idempotency.KEYED, api.Idempotency.UNSAFE])
 def test_a_read_that_may_not_simply_be_repeated_is_never_out_twice(drive, effect):
     # Seen 4 to 36 times a day where a read's class may not run twice: a second copy beside a late first one.
     cls = api.RequestClass(500.0, 2000.0, effect, window_ms=1500.0)
@@ -266,8 +266,8 @@
     assert len(out) > 1 and len(d.cancels) == 1
 
 
-ORDERED = api.RequestClass(500.0, 2000.0, api.Effect.KEYED, window_ms=400.0, in_turn=True)
-OTHER = api.RequestClass(500.0, 1500.0, api.Effect.KEYED, window_ms=800.0, in_turn=True)
+ORDERED = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, window_ms=400.0, in_turn=True)
+OTHER = api.RequestClass(500.0, 1500.0, api.Idempotency.KEYED, window_ms=800.0, in_turn=True)
 
 
 def ordered(drive, **settings):
@@ -301,7 +301,7 @@
     d.do(api.ClientGone(gone))
     d.do(api.ClientGone(first))
     assert third not in d.sends  # the first one's attempt has no outcome yet
-    d.do(api.Outcome(first, "origin", 0, Status.TIMEOUT, 1.0, True))
+    d.do(api.AttemptEnded(first, "origin", 0, Status.TIMEOUT, 1.0, True))
     assert third in d.sends and gone not in d.sends
 
 
@@ -309,7 +309,7 @@
     d = ordered(drive, settle_ms=100.0)
     first, second = (d.ask("a", write=True) for _ in range(2))
     d.do(api.ClientGone(first))
-    d.do(api.Outcome(first, "origin", 0, Status.CANCELLED, 1.0, True))
+    d.do(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
     later = d.ask("a", write=True)
     d.pass_time(100)
     assert second not in d.sends
@@ -364,7 +364,9 @@
 
 def test_a_long_line_of_one_key_that_ends_at_once_is_no_crash(drive):
     # Read in the code: each refused request hands the turn on, one call deep in the other.
-    d = drive(classes=(api.RequestClass(500.0, 5000.0, api.Effect.KEYED, window_ms=400.0, in_turn=True),))
+    d = drive(
+        classes=(api.RequestClass(500.0, 5000.0, api.Idempotency.KEYED, window_ms=400.0, in_turn=True),)
+    )
     for i in range(60):  # the origin is quick
         name = d.ask(f"w{i}", left=5000.0)
         d.answer(name, Status.MISS, 1.0)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,7 +13,7 @@
 from rig import read, write
 from scenario import Player
 
-from balancer.state import Server
+from balancer.request_state import Server
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.client_policy import ClientStage
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -77,7 +77,7 @@
     jam(d, "ew")
     names = [d.ask(key, cls=3) for key in KEYS]
     assert sum(name in d.ended for name in names) > 0.3 * len(KEYS)
-    assert all(isinstance(d.ended[name], api.Refuse) for name in names if name in d.ended)
+    assert all(isinstance(d.ended[name], api.Reject) for name in names if name in d.ended)
 
 
 def test_a_zone_that_comes_back_cold_gets_no_more_than_it_can_do(drive):
