--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,19 +1,28 @@
-"""Every decision: `_walk` is the ring's order, `_choose` has reasons to skip; docs/design.md says why."""
+"""The balancer: events in, actions out, over the parts that decide. docs/design.md gives the reasons."""
 
 import heapq
 import math
 from bisect import bisect
-from collections import deque
-from collections.abc import Iterator
 from dataclasses import replace
 from random import Random
 
-from balancer import api, origin_slots
+from balancer import api, concurrency_limit, hot_keys, origin_slots
+from balancer.admission import drops_early
 from balancer.api import Group, Idempotency, ListKind, ServerState, Status
 from balancer.hash_ring import point
-from balancer.latency import FRESH, RATE_MS, LatencyEstimate, UsualTimeout
+from balancer.latency import (
+    FRESH,
+    RATE_MS,
+    UNCROWDED_SHARE,
+    USUAL_TIMEOUT_VOTES,
+    LatencyEstimate,
+    UsualTimeout,
+)
+from balancer.preference_set import preference_order
 from balancer.request_state import KeyQueue, RequestState, Server
-from balancer.tenant_quota import TokenBucket
+from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget
+from balancer.slow_start import SlowStart
+from balancer.tenant_quota import TenantQuotas
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
@@ -26,28 +35,9 @@
 PROBE_MIN_MS = 15.0  # a probe's mean latency is taken as no less: eight of them outlast most pauses
 TRIAL_MS = 500.0  # pace of trials of a marked server: a few a death, back within a second
 LONG_MARK_MS = 2000.0  # marked so long, a server has likely restarted: cold until the list says more
-HEAT_WINDOW = 100  # requests of this balancer among which a hot key is told: all balancers see the same mix
-HEAT_WORTH = 10.0  # more worths of its request has a fetch whose key brings a mean server's load
-HEAT_MAX = 0.5  # of a mean server's load that one key may bring: a hotter one is spread over more members
-MARGIN_MS = 2.0  # final answers precede the deadline by this and two rounds of the wire
-COLD_SPILL, COLD_MOST = 1, 4  # tokens passed by of cold servers: for another cold one, and for any
 MEMBERS = 3  # R, the preference set: a key asked of more servers only spreads a jam and copies
-LIMIT_START = 24.0  # requests out at one server from all balancers together: first guess, some cores' worth
-LIMIT_MIN, LIMIT_CORES = 1.0, 6.0  # of this balancer's part; and of all parts, since so many do not wait
-LIMIT_CUT = 0.8  # factor on the bound when the server is full, fails or is crowded
-CROWD_AIM = 0.25  # of the shortest aim: a mean latency under it is never called crowded
-ORIGIN_AIM, ORIGIN_MIN = 0.5, 2.0  # for the origin: its answers scatter, and cut too far the caches run empty
 AGE_ORIGIN = 0.5  # of a crowded latency, for the mean age of what is out there: it is about half done
-CROWD_RATIO = 1.5  # times the lowest mean latency seen: half of it is chance, the rest is waiting
-EARLY_AIM, EARLY_RATIO = 0.5, 2.5  # as these two, for where early drops begin
-EARLY_LAST = 0.75  # of the shortest aim there: early drops start by then, whatever the floor
-EARLY_SLOPE = 2.0  # part dropped for each time more than that: all at half as much again
-SHARE_SLACK = 1.5  # times its even part of a tenant's quota: zones differ, and a balancer sees only its own
-SHARE_CLUMP = 4.0  # requests of a tenant that may come at once: an even part of a quota may be under one
 JAM_CAP = 3.0  # times the mean latency: what a time-out teaches at most, since a connection may be at fault
-LATE, LATE_MIN, LATE_MAX = 8.0, 3.0, 12.0  # mean latencies of its class after which a read is sent again
-LATE_STEP = 0.9  # factor on that where the second copy was answered first, its inverse where the first was
-LATE_SHARE, LATE_CLUMP = 0.05, 5.0  # of the reads that may be sent again so, and how many of them at once
 BREAKS = 2  # resets without an answer between them that mark: one may be its connection's alone
 TORN, TORN_WEIGHT = 0.05, 0.01  # a share of resets from which on it takes one more: they befall all alike
 EXCESS_ROOM = 0.25  # part of a bound that traffic beyond a tenant's share may fill
@@ -57,6 +47,7 @@
 CRAMMED = 0.1  # share of attempts refused a connection at once from which on they are given up after use
 HANG_UP_AGAIN = 0.8  # of the time stated for it: a connection may have been opening when the first came
 RESUBSCRIBE_MS, RESUBSCRIBE_MAX_MS = 400.0, 8000.0  # first and longest wait before the list is asked again
+MAX_QUEUED_AHEAD = 100  # a request with more of them ahead in the queue for the origin is rejected
 
 
 class Balancer:
@@ -67,7 +58,6 @@
         self._rng = Random(seed)
         self._servers: dict[str, Server] = {}
         self._rings = ZoneRings(settings)
-        self._home, self._abroad, self._few = self._rings.home, self._rings.abroad, self._rings.few
         self._origins: list[Server] = []
         self._records: dict[str, RequestState] = {}
         self._fetches: dict[str, list[RequestState]] = {}  # key -> requests that wait for its fetch
@@ -76,22 +66,22 @@
             tuple[float, float, str, RequestState]
         ] = []  # for a place at the origin: dearest first
         self._timers = Timers()
-        self._quotas = [TokenBucket(SHARE_CLUMP) for _ in settings.tenants]
+        self._quotas = TenantQuotas(settings.tenants)
         self._idle_ms = settings.idle_close_ms  # connections unused for longer are not trusted
-        self._full = self._crammed = self._torn = 0.0  # shares of attempts: full, refused, broken
+        self._crammed = self._torn = 0.0  # shares of attempts: refused, broken
         self._spans = [UsualTimeout() for _ in settings.classes]
-        self._paces = [LatencyEstimate(cls.aim_ms * CROWD_AIM) for cls in settings.classes]
-        self._late, self._late_room = LATE, LATE_CLUMP
-        self._keys: deque[str] = deque(maxlen=HEAT_WINDOW)  # of the last reads
-        self._taken: deque[float] = deque(maxlen=None if settings.resend_window_ms else 0)  # in the window
-        self._resends = self._taken.copy()  # further attempts in it
-        self._margin_ms = MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
+        self._paces = [LatencyEstimate(cls.aim_ms * UNCROWDED_SHARE) for cls in settings.classes]
+        self._hedges = HedgePolicy()
+        self._hot_keys = hot_keys.HotKeys()
+        self._retry_budget = RetryBudget(settings)
+        self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
         self._reads = {number: c.aim_ms for number, c in enumerate(settings.classes)}  # no write seen of it
         self._aim_ms = self._read_ms = min(self._reads.values())  # the shortest, and of what caches answer
-        self._pace = LatencyEstimate(self._aim_ms * CROWD_AIM)  # of answers at cache servers
+        self._pace = LatencyEstimate(self._aim_ms * UNCROWDED_SHARE)  # of answers at cache servers
         self._kinds: dict[int, LatencyEstimate] = {}  # the same by kind of machine
-        self._origin_pace = LatencyEstimate(self._aim_ms * CROWD_AIM / 2)
-        self._probe_pace = LatencyEstimate(self._aim_ms * CROWD_AIM)
+        self._slow_start = SlowStart(settings, self._pace, self._kinds, self._aim_ms)
+        self._origin_pace = LatencyEstimate(self._aim_ms * UNCROWDED_SHARE / 2)
+        self._probe_pace = LatencyEstimate(self._aim_ms * UNCROWDED_SHARE)
         self._backoff_ms = RESUBSCRIBE_MS
         self._acts: list[api.Action] = []
         self._handlers = {
@@ -114,11 +104,10 @@
     def resize(self, peers_total: int) -> None:
         """So many balancers share the servers from now on: this one's part of all bounds follows."""
         for server in self._servers.values():
-            least = max(ORIGIN_MIN if server.origin else LIMIT_MIN, LIMIT_CORES / peers_total)
+            least = concurrency_limit.minimum(server.origin, peers_total)
             server.resize(self._set.peers_total / peers_total, least)
         self._set = replace(self._set, peers_total=peers_total)
         self._rings.resize(self._set)
-        self._few = self._rings.few
 
     def _on_timer(self, now: float, event: api.TimerDue) -> None:
         if event.token == RESUBSCRIBE:
@@ -155,8 +144,8 @@
         started = server is None or entry.started_ms > server.entry.started_ms
         if server is None:
             origin = entry.kind == self._set.origin_kind
-            least = max(ORIGIN_MIN if origin else LIMIT_MIN, LIMIT_CORES / self._set.peers_total)
-            limit = max(2 * least, LIMIT_START / self._set.peers_total)
+            least = concurrency_limit.minimum(origin, self._set.peers_total)
+            limit = concurrency_limit.initial(least, self._set.peers_total)
             pace = self._origin_pace if origin else LatencyEstimate(self._pace.mean_ms)
             machine_type_latency = self._kinds.setdefault(entry.kind, LatencyEstimate(self._pace.mean_ms))
             server = Server(entry, origin, pace, machine_type_latency, limit, least)
@@ -174,72 +163,31 @@
             self._close(now, server)
             self._timers.at(now + HANG_UP_AGAIN * self._set.hang_up_within_ms, self._close, server)
 
-    def _share(self, now: float, server: Server) -> float:
-        """The part of its tokens that is active: misses and load rise with what it can do."""
-        warm = server.warmth(now, self._set.start_capacity, self._set.warm_up_ms)
-        # Registered sizes flatter old machines: a kind that answers slower than all keeps fewer tokens.
-        kin_ms, room = server.machine_type_latency.mean_ms, 1.0
-        if warm < 1.0:  # what slow kinds leave, and a storm of repeats at full servers, is not for a cold one
-            kin_ms, room = max(kind.mean_ms for kind in self._kinds.values()), (1.0 - self._full) ** 2
-        return warm * room * min(1.0, max(self._pace.mean_ms, CROWD_AIM * self._aim_ms) / kin_ms) ** 2
-
-    def _warm(self, now: float, server: Server) -> bool:
-        return now >= server.warm_from_ms + self._set.warm_up_ms
-
-    def _walk(self, now: float, place: int, near: int) -> Iterator[Server]:
-        """The one idea: distinct servers clockwise from a point, past tokens that are not active yet.
-
-        Those at home first, where a crossing has its price; keys that home has no capacity for, abroad.
-        With few balancers only `near` at home, then every other zone's own first, where copies are."""
-        rings = [self._home, self._abroad]
-        if (place >> 10) % 1024 >= 1024 * self._rings.home_part:
-            rings.reverse()
-        seen, zones, later = set[Server](), set[int](), list[Server]()
-        for ring in rings:
-            got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
-            most = near if self._few and ring is self._home else len(ring)
-            for token, server in ring.clockwise(place):
-                if got >= most or passed > COLD_MOST:
-                    break
-                if server in seen:
-                    continue
-                warm = self._warm(now, server)  # where most are cold, each would get what all others leave
-                may = warm or passed <= COLD_SPILL
-                if may and token % 1024 < 1024 * self._share(now, server):  # low bits: a lot
-                    seen.add(server)
-                    got += 1
-                    if self._few and ring is self._abroad and server.entry.zone in zones:
-                        later.append(server)
-                    else:
-                        zones.add(server.entry.zone)
-                        yield server
-                elif self._few and ring is self._home and not warm:
-                    break  # all of home may be as cold, and must not get what it leaves
-                else:
-                    passed += not warm
-        yield from later
-
     def _choose(self, now: float, request: RequestState) -> Server | None:
         """The first member of the preference set with no reason to skip it."""
         last, members, jammed = None, 0, 0
         # No balancer sees what a hot key does to its owner, but all see how much of their traffic it is.
-        spread = max(1, math.ceil(request.hot_key_load / HEAT_MAX))
+        spread = hot_keys.servers_needed(request.hot_key_load)
         passed = self._rng.randrange(spread)
-        for place, server in enumerate(self._walk(now, request.point, spread)):
+        for place, server in enumerate(
+            preference_order(now, request.point, spread, self._rings, self._slow_start)
+        ):
             if server in request.tried or not self._drops(request, server):
                 continue
             # What jammed and dead servers leave, or a hot key, would push a cold one over.
-            if not self._warm(now, server) and (
-                place or request.hot_key_load > HEAT_MAX * self._share(now, server)
+            if not self._slow_start.is_warm(now, server) and (
+                place or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
             ):
                 continue
-            if server.ejected_ms is not None or self._drop_early(now, server.pace):
+            if server.ejected_ms is not None or drops_early(
+                self._rng, now, server.pace, self._aim_ms if server.origin else self._read_ms
+            ):
                 # In a large fleet most requests to a dead server would be trials: a probe, where permitted.
                 due = server.ejected_ms is not None and now >= server.next_probe_ms
                 if due and not self._probe(now, server) and request.cls.effect is Idempotency.SAFE:
                     return server
                 jammed += server.ejected_ms is None
-                if self._few and jammed >= MEMBERS:
+                if self._rings.few and jammed >= MEMBERS:
                     return None
                 last = last or server
                 continue
@@ -257,51 +205,38 @@
         self._acts += [api.Probe(server.entry.server)] * may
         return may
 
-    def _drop_early(self, now: float, pace: LatencyEstimate, excess: bool = False) -> bool:
-        """Random early detection: hundreds of balancers, each blind to the rest, drop the right part."""
-        aim, ratio = (CROWD_AIM, CROWD_RATIO) if excess else (EARLY_AIM, EARLY_RATIO)
-        short = self._aim_ms if pace is self._origin_pace else self._read_ms
-        start = min(max(aim * short, ratio * pace.floor_ms), EARLY_LAST * short)
-        mean = pace.fading_ms(now)
-        return mean > start and self._rng.random() < EARLY_SLOPE * (mean / start - 1.0)
-
     def _on_request(self, now: float, event: api.Request) -> None:
-        self._taken.append(now)
+        self._retry_budget.requests.append(now)
         if event.write and self._origins and self._reads.pop(event.request_class, None):
             self._read_ms = min(self._reads.values(), default=self._aim_ms)
         cls = self._set.classes[event.request_class]
         place = point(event.key) if event.key is not None else self._rng.getrandbits(64)
         deadline = now + event.left_ms - self._margin_ms
-        excess = self._beyond_share(now, event.tenant)
+        excess = self._quotas.exceeded(now, event.tenant, self._set.peers_total)
         aim = now + cls.aim_ms - self._spent(event) - self._margin_ms
         use = deadline if cls.late_worth or event.write else min(aim, deadline)
         excess, pace = excess or aim < now, self._paces[event.request_class]
         request = RequestState(event.request, cls, event.key, place, event.write, use, deadline, excess, pace)
-        self._late_room = min(LATE_CLUMP, self._late_room + LATE_SHARE)
+        self._hedges.record_request()
         self._records[request.id] = request
         if cls.in_turn and event.key is not None:
             request.turn = self._turns.setdefault(event.key, KeyQueue())
             request.turn.line.append(request)
         if event.key is not None and not event.write:
-            self._keys.append(event.key)
-            request.hot_key_load = (self._keys.count(event.key) - 1) / HEAT_WINDOW * len(self._rings)
+            request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
         # With few balancers zones differ, so each member of the preference set is judged instead.
-        crowded = not (event.write or self._few) and self._drop_early(now, self._pace, request.excess)
+        crowded = not (event.write or self._rings.few) and drops_early(
+            self._rng, now, self._pace, self._read_ms, request.excess
+        )
         if use <= now or crowded:
             return self._finish(now, request, "late" if use <= now else "crowded", RATE_MS)
         self._route(now, request)
 
     def _spent(self, event: api.Request) -> float:
         """What the client's earlier tries took: a try has the usual time of its class, or what is left."""
-        usual = self._spans[event.request_class].is_usual(event.left_ms, SLACK_MS / 2, HEAT_WINDOW)
+        usual = self._spans[event.request_class].is_usual(event.left_ms, SLACK_MS / 2, USUAL_TIMEOUT_VOTES)
         return 0.0 if usual else max(0.0, self._set.classes[event.request_class].deadline_ms - event.left_ms)
 
-    def _beyond_share(self, now: float, tenant: int) -> bool:
-        if tenant >= len(self._quotas) or not self._set.tenants[tenant].quota_per_s:
-            return False
-        pace = SHARE_SLACK * self._set.tenants[tenant].quota_per_s / self._set.peers_total
-        return not self._quotas[tenant].spend(now, pace, max(SHARE_CLUMP, pace))  # a second's worth at most
-
     def _route(self, now: float, request: RequestState) -> None:
         """Sends a request to whom the ring names, or holds or ends it."""
         # Every request comes by here before its first attempt, so none with its key overtakes another.
@@ -318,13 +253,13 @@
         server = self._choose(now, request)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
-            full = all(self._warm(now, s) for s in self._servers.values()) and len(self._rings)
+            full = all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings)
             return self._finish(now, request, "bounds", RATE_MS) if full else self._ask_origin(now, request)
         # Where cancels are permitted `_look` frees it, and a busy server does no work twice.
         self._send(now, request, server, (request.use_ms - now) / (1 if self._set.may_cancel else 2))
 
     def _may_send(self, now: float, request: RequestState) -> bool:
-        paid = not request.attempts or request.prepaid or self._spare(now) >= 1
+        paid = not request.attempts or request.prepaid or self._retry_budget.available(now) >= 1
         if not paid or request.attempts >= self._set.max_attempts or now >= request.use_ms or request.begun:
             return False
         if request.ran_ms is None or request.cls.effect is Idempotency.SAFE:
@@ -340,21 +275,11 @@
         group, ran_at = request.cls.group, request.ran_at if request.cls.effect is Idempotency.KEYED else None
         return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
 
-    def _spare(self, now: float) -> float:
-        """The further attempts that the budget still pays for, the window's edges on the safe side."""
-        if not self._set.resend_window_ms:
-            return math.inf
-        since = now - self._set.resend_window_ms
-        for times, edge in ((self._taken, since + MARGIN_MS), (self._resends, since - MARGIN_MS)):
-            while times and times[0] < edge:
-                times.popleft()
-        return self._set.free_resends + self._set.resend_share * len(self._taken) - len(self._resends)
-
     def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
         if not (self._may_send(now, request) and self._drops(request, server)):  # the one gate of all sends
             return self._finish(now, request, "spent")
         if request.attempts and not request.prepaid:
-            self._resends.append(now)
+            self._retry_budget.retries.append(now)
         request.prepaid = False
         request.out[request.attempts] = (server, now)
         request.attempts += 1
@@ -422,7 +347,7 @@
         if event.status not in api.NEVER_RAN and (request.ran_ms is None or sent < request.ran_ms):
             request.ran_ms, request.ran_at = sent, server
         if request.turn is not None and self._set.settle_ms and event.status in api.IN_DOUBT:
-            request.turn.rest_ms = now + self._set.settle_ms + MARGIN_MS
+            request.turn.rest_ms = now + self._set.settle_ms + DEADLINE_MARGIN_MS
         request.prepaid |= event.status is Status.MISS
         stale = self._judge(now, server, event.status, sent, request)
         last = (
@@ -461,7 +386,7 @@
             self._idle_ms = min(self._idle_ms * IDLE_GROWTH, self._set.idle_close_ms)
         # Where full tables refuse connections at once, one that idles is another balancer's want.
         at_once = status is Status.CONNECT_FAILED and took < self._pace.mean_ms
-        self._full += FRESH * ((status is Status.FULL) - self._full)
+        self._slow_start.full_rate += FRESH * ((status is Status.FULL) - self._slow_start.full_rate)
         self._crammed += FRESH * (at_once - self._crammed)
         if self._crammed > CRAMMED and not server.out:
             self._close(now, server)
@@ -487,21 +412,11 @@
             server.machine_type_latency.learn(now, took)
             request.pace.learn(now, took)
         if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not alone:
-            self._bound(now, server, status is not Status.OK or server.pace.mean_ms > self._crowd_ms(server))
+            crowded_ms = concurrency_limit.crowded_latency_ms
+            crowded = status is not Status.OK or server.pace.mean_ms > crowded_ms(server, self._aim_ms)
+            concurrency_limit.adjust(server, now, crowded, self._aim_ms)
         return status is Status.RESET and not broken  # its server still answers others
 
-    def _crowd_ms(self, server: Server) -> float:
-        calm = (ORIGIN_AIM if server.origin else CROWD_AIM) * self._aim_ms
-        return max(calm, CROWD_RATIO * server.pace.floor_ms)
-
-    def _bound(self, now: float, server: Server, crowded: bool) -> None:
-        """Bounds what is out at a server by its answers: crowds work slower, and a jam feeds itself."""
-        if not crowded and 2 * len(server.out) + 2 >= server.limit:
-            server.limit += 1 / server.limit
-        elif crowded and now - server.cut_ms > self._crowd_ms(server):  # time for the last cut to show
-            server.cut_ms = now
-            server.limit = max(server.least, server.limit * LIMIT_CUT)
-
     def _heard(self, now: float, server: Server) -> None:
         server.last_response_ms, server.probed_ms = now, None
         if server.ejected_ms is None:
@@ -522,7 +437,9 @@
                 for (_, n), (request, _) in server.out.items()
                 if not request.begun and not request.done
             ]
-            paid = heapq.nlargest(int(min(len(stuck), self._spare(now))), stuck, lambda one: one[0].cls.worth)
+            paid = heapq.nlargest(
+                int(min(len(stuck), self._retry_budget.available(now))), stuck, lambda one: one[0].cls.worth
+            )
             self._acts += [api.Cancel(request.id, number) for request, number in paid]
 
     def _ask_origin(self, now: float, request: RequestState) -> None:
@@ -538,11 +455,11 @@
         if (
             request.cls.late_worth
             and not request.write
-            and self._drop_early(now, self._origin_pace, request.excess)
+            and drops_early(self._rng, now, self._origin_pace, self._aim_ms, request.excess)
         ):
             return self._finish(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
         worth = request.cls.worth * (self._set.over_share_worth if request.excess else 1.0)
-        worth *= 1.0 + HEAT_WORTH * request.hot_key_load  # what is fetched serves those after it
+        worth *= 1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load  # what is fetched serves those after it
         self._queue = [one for one in self._queue if not one[3].done]
         ahead = bisect(self._queue, entry := (-worth, now, request.id, request))
         self._queue.insert(ahead, entry)
@@ -559,7 +476,9 @@
         """Holds a request, at most until waiting on would make its answer worthless."""
         request.waiting = True
         until = request.use_ms - self._origin_pace.mean_ms - SLACK_MS
-        if ahead > HEAT_WINDOW or until <= now + ahead * self._origin_pace.mean_ms:  # its turn comes too late
+        if (
+            ahead > MAX_QUEUED_AHEAD or until <= now + ahead * self._origin_pace.mean_ms
+        ):  # its turn comes too late
             return self._finish(now, request, "queue")
         self._timers.at(until, self._expire, request)
 
@@ -595,8 +514,10 @@
         # In a jam the answers that come tell of long ago; the age of what is out tells of now.
         ages = [now - sent for _, sent in server.out.values() if sent >= server.overtaken_ms]
         age = AGE_ORIGIN if server.origin else 1.0
-        if len(ages) > 1 and sum(ages) / len(ages) > age * self._crowd_ms(server):
-            self._bound(now, server, True)
+        if len(ages) > 1 and sum(ages) / len(ages) > age * concurrency_limit.crowded_latency_ms(
+            server, self._aim_ms
+        ):
+            concurrency_limit.adjust(server, now, True, self._aim_ms)
         if server.origin:
             return self._fill_origin(now)  # what hangs gives way in time
         # Its own latency, so that a slow server is not taken for a dead one and its work sent twice.
@@ -618,20 +539,18 @@
             usual = max(
                 server.pace.mean_ms, self._origin_pace.mean_ms if server.origin else request.pace.mean_ms
             )
-            overdue = sent + usual < server.overtaken_ms and now - sent > self._late * usual
+            overdue = sent + usual < server.overtaken_ms and now - sent > self._hedges.delay * usual
             alone = len(request.out) == 1 and not (request.done or request.begun or request.write)
             safe = request.cls.effect is Idempotency.SAFE  # a read may be of any effect
-            if overdue and alone and safe and self._late_room >= 1.0 and self._may_send(now, request):
-                self._late_room -= 1.0
+            if overdue and alone and safe and self._hedges.tokens >= 1.0 and self._may_send(now, request):
+                self._hedges.tokens -= 1.0
                 del server.out[name, number]  # it holds no place that others could have
                 request.hedge_number = request.attempts
                 self._send(now, request, server, request.use_ms - now)
 
     def _settle_copies(self, request: RequestState, attempt: int) -> None:
         """One copy has its answer: the other is called off, and tells whether to ask sooner or later next."""
-        factor = LATE_STEP if attempt == request.hedge_number else 1.0 / LATE_STEP
-        self._late_room += attempt == request.hedge_number  # it pays for the next
-        self._late = min(LATE_MAX, max(LATE_MIN, self._late * factor))
+        self._hedges.record_result(attempt == request.hedge_number)
         self._acts += [api.Cancel(request.id, number) for number in request.out]
         request.hedge_number = 0
 
--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -9,11 +9,20 @@
 RATE_MS = 2000.0  # shortest memory of latencies: some answers even in a large fleet, yet follows a burst
 PACE_MS = 5000.0  # longest memory of the pooled latencies
 FRESH = 0.1  # weight of the newest latency in the running means: about the last ten to twenty answers
+# A mean latency under this part of the shortest latency objective is never taken for a crowded server's.
+UNCROWDED_SHARE = 0.25
+# Times the lowest mean latency seen: half of the excess is chance, the rest is waiting.
+CROWDED_RATIO = 1.5
+# The votes at most that requests have on the usual timeout of their class.
+USUAL_TIMEOUT_VOTES = 100
 
 
 @dataclass(slots=True)
 class LatencyEstimate:
-    """Latencies pooled over many answers: one server may answer this balancer once in half a minute."""
+    """A running mean of latencies.
+
+    It is pooled over many responses, since one server may answer this balancer once in half a minute.
+    """
 
     mean_ms: float  # running mean; starts as a guess that counts as one answer
     floor_ms: float = 0.0  # the lowest that a slower mean has been, once there is one
--- /dev/null
+++ b/balancer/retry.py
@@ -0,0 +1,65 @@
+"""The budget for retries, and the time after which a read is hedged.
+
+All times are milliseconds of one clock, which the caller passes in.
+"""
+
+import math
+from collections import deque
+
+from balancer.settings_types import Settings
+
+# Final responses precede the deadline by this and two rounds of the wire.
+DEADLINE_MARGIN_MS = 2.0
+# A read is hedged after so many mean latencies of its class: at first, at least and at most.
+HEDGE_DELAY_START, HEDGE_DELAY_MIN, HEDGE_DELAY_MAX = 8.0, 3.0, 12.0
+# Factor on the delay where the hedged attempt was answered first; its inverse where the first attempt was.
+HEDGE_DELAY_STEP = 0.9
+# The part of all requests that may be hedged, and how many of them at once.
+HEDGE_SHARE, HEDGE_BURST = 0.05, 5.0
+
+
+class RetryBudget:
+    """Bounds the attempts beyond the first by the requests of a sliding window (Envoy's retry budget)."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._window_ms = settings.resend_window_ms
+        self._free_retries = settings.free_resends
+        self._retry_share = settings.resend_share
+        capacity = None if settings.resend_window_ms else 0  # without a window nothing has to be remembered
+        self.requests: deque[float] = deque(maxlen=capacity)  # the times at which requests arrived
+        self.retries: deque[float] = deque(maxlen=capacity)  # the times at which retries were sent
+
+    def available(self, now: float) -> float:
+        """The number of retries that the budget still permits; infinite without a window.
+
+        Times near the edge of the window count so that the budget is never exceeded: requests leave it a
+        little early, retries a little late.
+        """
+        if not self._window_ms:
+            return math.inf
+        since = now - self._window_ms
+        for times, edge in (
+            (self.requests, since + DEADLINE_MARGIN_MS),
+            (self.retries, since - DEADLINE_MARGIN_MS),
+        ):
+            while times and times[0] < edge:
+                times.popleft()
+        return self._free_retries + self._retry_share * len(self.requests) - len(self.retries)
+
+
+class HedgePolicy:
+    """Adapts the delay of hedged reads to which attempt is answered first, and bounds their number."""
+
+    def __init__(self) -> None:
+        self.delay = HEDGE_DELAY_START  # in mean latencies
+        self.tokens = HEDGE_BURST
+
+    def record_request(self) -> None:
+        """Adds the part of a hedged read that one more request permits."""
+        self.tokens = min(HEDGE_BURST, self.tokens + HEDGE_SHARE)
+
+    def record_result(self, hedge_won: bool) -> None:
+        """Adapts the delay; a hedged attempt that was answered first does not count against the bound."""
+        factor = HEDGE_DELAY_STEP if hedge_won else 1.0 / HEDGE_DELAY_STEP
+        self.tokens += hedge_won
+        self.delay = min(HEDGE_DELAY_MAX, max(HEDGE_DELAY_MIN, self.delay * factor))
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -2,6 +2,13 @@
 
 from dataclasses import dataclass
 
+from balancer.settings_types import Tenant
+
+# A balancer grants so many times its even part of a quota: zones differ, and it sees only its own requests.
+EVEN_PART_SLACK = 1.5
+# The least burst: an even part of a small quota may be less than one request.
+MIN_BURST = 4.0
+
 
 @dataclass(slots=True)
 class TokenBucket:
@@ -18,3 +25,19 @@
             return False
         self.tokens -= 1
         return True
+
+
+class TenantQuotas:
+    """The token buckets of all tenants that have a quota."""
+
+    def __init__(self, tenants: tuple[Tenant, ...]) -> None:
+        self._tenants = tenants
+        self._buckets = [TokenBucket(MIN_BURST) for _ in tenants]
+
+    def exceeded(self, now: float, tenant: int, peers_total: int) -> bool:
+        """Counts a request of the tenant; returns whether it is beyond this balancer's part of the quota."""
+        if tenant >= len(self._buckets) or not self._tenants[tenant].quota_per_s:
+            return False
+        rate_per_s = EVEN_PART_SLACK * self._tenants[tenant].quota_per_s / peers_total
+        # The bucket holds what comes in during a second at most.
+        return not self._buckets[tenant].spend(now, rate_per_s, max(MIN_BURST, rate_per_s))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from balancer import api
-from balancer import balancer as decide
-from balancer.balancer import COLD_SPILL, Balancer
+from balancer import api, preference_set
+from balancer.balancer import Balancer
 from balancer.hash_ring import point
+from balancer.preference_set import COLD_SPILL, preference_order
 from lab.judge import Judge
 from lab.play import Play
 from lab.world import Rules, load
@@ -36,7 +36,7 @@
 
 def owners(made, now=100.0):
     """Whom each key is asked of first; None: nobody on the rings."""
-    found = (next(made._walk(now, place, 1), None) for place in KEYS)
+    found = (next(preference_order(now, place, 1, made._rings, made._slow_start), None) for place in KEYS)
     return [server and server.entry.server for server in found]
 
 
@@ -121,6 +121,6 @@
 
 @pytest.mark.parametrize("seed", [1, 3])
 def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch, seed):
-    monkeypatch.setattr(decide, "COLD_SPILL", 1 << 30)
-    monkeypatch.setattr(decide, "COLD_MOST", 1 << 30)
+    monkeypatch.setattr(preference_set, "COLD_SPILL", 1 << 30)
+    monkeypatch.setattr(preference_set, "COLD_MOST", 1 << 30)
     assert Play(load("throng"), seed).run()["rules"]["cold"] >= 2
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -97,7 +97,7 @@
         balancer.handle(0.0, api.EndpointListChanged(kind, 0, tuple(entries)))
         servers = balancer._servers.values()
         home, abroad, part = built_anew(options, servers)
-        assert order(balancer._home) == home and order(balancer._abroad) == abroad
+        assert order(balancer._rings.home) == home and order(balancer._rings.abroad) == abroad
         assert abs(balancer._rings.home_part - part) <= 1e-12 * max(1, part)
         assert len(balancer._rings) == sum(not server.origin for server in servers)
         assert balancer._origins == [server for server in servers if server.origin]
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -8,6 +8,7 @@
 import pytest
 from twisted.internet.protocol import Factory, Protocol
 
+from balancer.preference_set import preference_order
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
@@ -106,7 +107,11 @@
     nodes = [CacheNode(net, address(number), seed=number) for number in range(NODES)]
     proxy = service(net, [*map(member, range(NODES)), ORIGIN])
     balancer = proxy.dispatcher._facade._balancer
-    owners = {next(balancer._walk(net.now_ms(), place << 47, 1)).entry.server for place in range(1 << 17)}
+    rings, slow_start = balancer._rings, balancer._slow_start
+    owners = {
+        next(preference_order(net.now_ms(), place << 47, 1, rings, slow_start)).entry.server
+        for place in range(1 << 17)
+    }
     assert len(nodes) == NODES and len(owners) == NODES
     assert all(ask(net, number).startswith(b"VA ") for number in range(40))
 
