--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,8 +1,6 @@
 """The balancer: events in, actions out, over the parts that decide. docs/design.md gives the reasons."""
 
-import heapq
 import math
-from bisect import bisect
 from dataclasses import replace
 from random import Random
 
@@ -10,6 +8,7 @@
 from balancer.admission import drops_early
 from balancer.api import Group, Idempotency, ListKind, ServerState, Status
 from balancer.hash_ring import point
+from balancer.key_order import KeyOrder
 from balancer.latency import (
     FRESH,
     RATE_MS,
@@ -18,9 +17,11 @@
     LatencyEstimate,
     UsualTimeout,
 )
-from balancer.preference_set import preference_order
-from balancer.request_state import KeyQueue, RequestState, Server
+from balancer.origin_fetch import OriginQueue, SingleFlight
+from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
+from balancer.request_state import RequestState, Server
 from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget
+from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, recognises_repeat
 from balancer.slow_start import SlowStart
 from balancer.tenant_quota import TenantQuotas
 from balancer.timers import Timers
@@ -28,19 +29,11 @@
 
 SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
 WAKE, RESUBSCRIBE = 0, 1  # timer tokens
-QUIET_ODDS = 8.0  # silence x requests out / mean latency that marks: chance alone would do that once in e^8
-QUIET_FACTOR = 1.5  # mean latencies of silence after which a server is looked at, and probed where permitted
-LOOK_MS = 25.0  # pace of the looks at a server that has been silent so long
-QUIET_SHARE = 0.34  # silence marks at most this part of the ring: more than that is an overload, not deaths
-PROBE_MIN_MS = 15.0  # a probe's mean latency is taken as no less: eight of them outlast most pauses
-TRIAL_MS = 500.0  # pace of trials of a marked server: a few a death, back within a second
-LONG_MARK_MS = 2000.0  # marked so long, a server has likely restarted: cold until the list says more
-MEMBERS = 3  # R, the preference set: a key asked of more servers only spreads a jam and copies
+CHECK_INTERVAL_MS = 25.0  # time between the checks of a server that has been silent so long
 AGE_ORIGIN = 0.5  # of a crowded latency, for the mean age of what is out there: it is about half done
 JAM_CAP = 3.0  # times the mean latency: what a time-out teaches at most, since a connection may be at fault
 BREAKS = 2  # resets without an answer between them that mark: one may be its connection's alone
 TORN, TORN_WEIGHT = 0.05, 0.01  # a share of resets from which on it takes one more: they befall all alike
-EXCESS_ROOM = 0.25  # part of a bound that traffic beyond a tenant's share may fill
 LIST_PACE_MS = 20.0  # between the first calls of all balancers: the list is one service of fixed capacity
 IDLE_GROWTH = 1.01  # an answer, of the time that unused connections are trusted: halved when one broke
 STALE = 0.25  # of the mean latency: a reset that fast on an unused connection tells of no server's death
@@ -56,15 +49,14 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._set = settings
         self._rng = Random(seed)
+        self._acts: list[api.Action] = []  # of the event in hand; the parts add theirs in order
         self._servers: dict[str, Server] = {}
         self._rings = ZoneRings(settings)
         self._origins: list[Server] = []
         self._records: dict[str, RequestState] = {}
-        self._fetches: dict[str, list[RequestState]] = {}  # key -> requests that wait for its fetch
-        self._turns: dict[str, KeyQueue] = {}  # key -> its in-turn requests
-        self._queue: list[
-            tuple[float, float, str, RequestState]
-        ] = []  # for a place at the origin: dearest first
+        self._fetches = SingleFlight()
+        self._key_order = KeyOrder()
+        self._queue = OriginQueue()
         self._timers = Timers()
         self._quotas = TenantQuotas(settings.tenants)
         self._idle_ms = settings.idle_close_ms  # connections unused for longer are not trusted
@@ -82,8 +74,11 @@
         self._slow_start = SlowStart(settings, self._pace, self._kinds, self._aim_ms)
         self._origin_pace = LatencyEstimate(self._aim_ms * UNCROWDED_SHARE / 2)
         self._probe_pace = LatencyEstimate(self._aim_ms * UNCROWDED_SHARE)
+        self._outliers = OutlierDetector(
+            settings, self._pace, self._probe_pace, self._retry_budget, self._acts
+        )
+        self._selector = ServerSelector(self._rng, self._rings, self._slow_start, self._outliers)
         self._backoff_ms = RESUBSCRIBE_MS
-        self._acts: list[api.Action] = []
         self._handlers = {
             api.Request: self._on_request,
             api.AttemptEnded: self._on_outcome,
@@ -97,7 +92,7 @@
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        self._acts = []
+        self._acts.clear()
         self._handlers[type(event)](now_ms, event)
         return self._acts + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
 
@@ -163,48 +158,6 @@
             self._close(now, server)
             self._timers.at(now + HANG_UP_AGAIN * self._set.hang_up_within_ms, self._close, server)
 
-    def _choose(self, now: float, request: RequestState) -> Server | None:
-        """The first member of the preference set with no reason to skip it."""
-        last, members, jammed = None, 0, 0
-        # No balancer sees what a hot key does to its owner, but all see how much of their traffic it is.
-        spread = hot_keys.servers_needed(request.hot_key_load)
-        passed = self._rng.randrange(spread)
-        for place, server in enumerate(
-            preference_order(now, request.point, spread, self._rings, self._slow_start)
-        ):
-            if server in request.tried or not self._drops(request, server):
-                continue
-            # What jammed and dead servers leave, or a hot key, would push a cold one over.
-            if not self._slow_start.is_warm(now, server) and (
-                place or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
-            ):
-                continue
-            if server.ejected_ms is not None or drops_early(
-                self._rng, now, server.pace, self._aim_ms if server.origin else self._read_ms
-            ):
-                # In a large fleet most requests to a dead server would be trials: a probe, where permitted.
-                due = server.ejected_ms is not None and now >= server.next_probe_ms
-                if due and not self._probe(now, server) and request.cls.effect is Idempotency.SAFE:
-                    return server
-                jammed += server.ejected_ms is None
-                if self._rings.few and jammed >= MEMBERS:
-                    return None
-                last = last or server
-                continue
-            members += 1
-            if members <= passed:
-                last = server
-            elif len(server.out) < server.limit * (EXCESS_ROOM if request.excess else 1.0):
-                return server
-            elif members >= passed + MEMBERS:
-                break
-        return last if members <= passed else None
-
-    def _probe(self, now: float, server: Server) -> bool:
-        server.next_probe_ms, may = now + TRIAL_MS, self._set.may_probe and not server.left
-        self._acts += [api.Probe(server.entry.server)] * may
-        return may
-
     def _on_request(self, now: float, event: api.Request) -> None:
         self._retry_budget.requests.append(now)
         if event.write and self._origins and self._reads.pop(event.request_class, None):
@@ -220,8 +173,7 @@
         self._hedges.record_request()
         self._records[request.id] = request
         if cls.in_turn and event.key is not None:
-            request.turn = self._turns.setdefault(event.key, KeyQueue())
-            request.turn.line.append(request)
+            self._key_order.enqueue(event.key, request)
         if event.key is not None and not event.write:
             request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
         # With few balancers zones differ, so each member of the preference set is judged instead.
@@ -248,14 +200,14 @@
             return self._ask_origin(now, request)
         if not self._may_send(now, request):
             return self._finish(now, request, "spent")
-        if request.key in self._fetches and not request.write:
+        if request.key in self._fetches.waiting and not request.write:
             return self._park(now, request)
-        server = self._choose(now, request)
+        server = self._selector.select(now, request, self._read_ms)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
             full = all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings)
             return self._finish(now, request, "bounds", RATE_MS) if full else self._ask_origin(now, request)
-        # Where cancels are permitted `_look` frees it, and a busy server does no work twice.
+        # Where cancels are permitted `_check` frees it, and a busy server does no work twice.
         self._send(now, request, server, (request.use_ms - now) / (1 if self._set.may_cancel else 2))
 
     def _may_send(self, now: float, request: RequestState) -> bool:
@@ -270,13 +222,10 @@
             and now - request.ran_ms + self._margin_ms < request.cls.window_ms
         )
 
-    def _drops(self, request: RequestState, server: Server) -> bool:
-        """A repeat of a keyed request that may have run goes only to the group of servers that drops it."""
-        group, ran_at = request.cls.group, request.ran_at if request.cls.effect is Idempotency.KEYED else None
-        return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
-
     def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
-        if not (self._may_send(now, request) and self._drops(request, server)):  # the one gate of all sends
+        if not (
+            self._may_send(now, request) and recognises_repeat(request, server)
+        ):  # the one gate of all sends
             return self._finish(now, request, "spent")
         if request.attempts and not request.prepaid:
             self._retry_budget.retries.append(now)
@@ -291,7 +240,7 @@
         server.out[request.id, request.attempts - 1] = (request, now)
         if not server.watched:
             server.watched = True
-            self._timers.at(now + QUIET_FACTOR * self._pace.mean_ms, self._look, server)
+            self._timers.at(now + SILENCE_FACTOR * self._pace.mean_ms, self._check, server)
         self._acts.append(api.Send(request.id, server.entry.server, max(timeout, self._set.granularity_ms)))
 
     def _finish(self, now: float, request: RequestState, why: str, retry_after: float = SLACK_MS) -> None:
@@ -312,27 +261,25 @@
             self._records.pop(request.id, None)
             if request.turn is not None and request in request.turn.line:
                 request.turn.line.remove(request)
-                self._next_turn(now, request.key)
+                self._resume_next(now, request.key)
         if not request.out and request.fetching:
-            request.fetching = False  # those who waited for its fetch ask the server that now keeps the key
-            for other in self._fetches.pop(request.key, ()):
+            # Those who waited for its fetch ask the server that now keeps the key.
+            for other in self._fetches.end(request.key, request):
                 self._resume(now, other)
 
-    def _next_turn(self, now: float, key: str) -> None:
-        """A key's next request runs once the one before and all its attempts are over and the key rested."""
-        turn = self._turns.get(key) or KeyQueue()
-        if now < turn.rest_ms:
-            self._timers.at(turn.rest_ms, self._next_turn, key)
-        elif not turn.line:
-            self._turns.pop(key, None)
-        elif turn.line[0].held:
-            self._resume(now, turn.line[0])
+    def _resume_next(self, now: float, key: str) -> None:
+        """Resumes the next request of a key whose requests run one at a time."""
+        following = self._key_order.next(now, key)
+        if isinstance(following, RequestState):
+            self._resume(now, following)
+        elif following is not None:
+            self._timers.at(following, self._resume_next, key)
 
     def _on_stream(self, now: float, event: api.StreamBegun) -> None:
         request = self._records.get(event.request)
         if request is not None and event.attempt in request.out:
             request.begun = True
-            self._heard(now, request.out[event.attempt][0])
+            self._outliers.record_response(now, request.out[event.attempt][0])
 
     def _on_outcome(self, now: float, event: api.AttemptEnded) -> None:
         request = self._records.get(event.request)
@@ -359,7 +306,7 @@
             self._ask_origin(now, request)
         elif not request.out:
             request.tried += [server] * (not stale)  # a fresh connection will do
-            if len(request.tried) >= MEMBERS:
+            if len(request.tried) >= PREFERENCE_SET_SIZE:
                 self._finish(now, request, "tried")
             else:
                 self._route(now, request)
@@ -380,7 +327,7 @@
         server.breaks += status is Status.RESET
         self._torn += TORN_WEIGHT * ((status is Status.RESET) - self._torn)
         if status in api.ANSWERS:
-            self._heard(now, server)
+            self._outliers.record_response(now, server)
             server.used_ms, server.breaks = now, 0
             server.overtaken_ms = max(server.overtaken_ms, sent)
             self._idle_ms = min(self._idle_ms * IDLE_GROWTH, self._set.idle_close_ms)
@@ -392,15 +339,15 @@
             self._close(now, server)
         # In an overload attempts time out at servers that answer others: that is no death.
         # One that was given less time than answers take, or that later ones overtook, tells nothing of it.
-        usual = QUIET_FACTOR * max(server.pace.mean_ms, self._pace.mean_ms)
+        usual = SILENCE_FACTOR * max(server.pace.mean_ms, self._pace.mean_ms)
         alone = status is Status.TIMEOUT and (took < usual or sent + usual < server.overtaken_ms)
         silent = status is Status.TIMEOUT and not (server.origin or alone) and server.last_response_ms <= sent
         breaks = 1 if self._set.may_probe else BREAKS + (self._torn > TORN)
         broken = status is Status.CONNECT_FAILED or (status is Status.RESET and server.breaks >= breaks)
         if not server.origin and (silent or broken):
-            self._mark(now, server, silent)
+            self._outliers.eject(now, server, silent)
             if status is Status.RESET or at_once:  # an answer lost, a full table, or a death: a probe tells
-                self._probe(now, server)
+                self._outliers.probe(now, server)
         # A time-out or a full server would have taken longer.
         took = max(took, {Status.FULL: self._aim_ms, Status.TIMEOUT: server.pace.mean_ms}.get(status, 0.0))
         if status is Status.TIMEOUT:  # of many in a row the mean rises all the same
@@ -417,41 +364,15 @@
             concurrency_limit.adjust(server, now, crowded, self._aim_ms)
         return status is Status.RESET and not broken  # its server still answers others
 
-    def _heard(self, now: float, server: Server) -> None:
-        server.last_response_ms, server.probed_ms = now, None
-        if server.ejected_ms is None:
-            return
-        if now - server.ejected_ms >= LONG_MARK_MS:  # it may have restarted empty, the list is late
-            server.warm_from_ms = max(server.warm_from_ms, now)
-        server.ejected_ms = None
-        self._acts.append(api.Log(f"{server.entry.server} cleared"))
-
-    def _mark(self, now: float, server: Server, rescue: bool = True) -> None:
-        if server.ejected_ms is None:
-            server.ejected_ms, server.next_probe_ms = now, now + TRIAL_MS
-            self._acts.append(api.Log(f"{server.entry.server} marked missed"))
-        if rescue and self._set.may_cancel:  # a silent server must not hold its keys until each times out
-            # Nothing is called off that the budget could not send elsewhere; dear requests come first.
-            stuck = [
-                (request, n)
-                for (_, n), (request, _) in server.out.items()
-                if not request.begun and not request.done
-            ]
-            paid = heapq.nlargest(
-                int(min(len(stuck), self._retry_budget.available(now))), stuck, lambda one: one[0].cls.worth
-            )
-            self._acts += [api.Cancel(request.id, number) for request, number in paid]
-
     def _ask_origin(self, now: float, request: RequestState) -> None:
         if not self._may_send(now, request) or not any(
-            self._drops(request, origin) for origin in self._origins
+            recognises_repeat(request, origin) for origin in self._origins
         ):
             return self._finish(now, request, "spent")  # also after a time-out at the deadline
         if request.key is not None and not request.write and not request.fetching:
-            if request.key in self._fetches:
+            if request.key in self._fetches.waiting:
                 return self._park(now, request)
-            self._fetches[request.key] = []
-            request.fetching = True
+            self._fetches.begin(request.key, request)
         if (
             request.cls.late_worth
             and not request.write
@@ -460,16 +381,14 @@
             return self._finish(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
         worth = request.cls.worth * (self._set.over_share_worth if request.excess else 1.0)
         worth *= 1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load  # what is fetched serves those after it
-        self._queue = [one for one in self._queue if not one[3].done]
-        ahead = bisect(self._queue, entry := (-worth, now, request.id, request))
-        self._queue.insert(ahead, entry)
+        ahead = self._queue.push(now, request, worth)
         self._fill_origin(now)
         if not request.out and not request.done:
             self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
 
     def _park(self, now: float, request: RequestState) -> None:
         """Another request's fetch of the key is out: waits for it, then asks the server that keeps it."""
-        self._fetches[request.key].append(request)
+        self._fetches.waiting[request.key].append(request)
         self._wait(now, request)
 
     def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
@@ -491,7 +410,7 @@
             origin = origin_slots.vacant(self._origins, self._origin_pace.mean_ms, now)
             if origin is None:
                 return
-            request = self._queue.pop(0)[3]
+            request = self._queue.pop()
             # What would come too late keeps the origin from what it can still do in time.
             left = min(request.use_ms - now, math.inf if request.cls.late_worth else request.cls.aim_ms)
             if not request.done and left < self._origin_pace.fading_ms(now):
@@ -503,12 +422,12 @@
         if request.waiting and not request.done:
             self._route(now, request)
 
-    def _look(self, now: float, server: Server) -> None:
+    def _check(self, now: float, server: Server) -> None:
         """Sends again what is long overdue, and marks a server that gives no sign of life."""
         server.watched = bool(server.out) and server.ejected_ms is None
         if not server.watched:
             return
-        self._timers.at(now + LOOK_MS, self._look, server)
+        self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
         if self._set.may_copy:
             self._send_again(now, server)
         # In a jam the answers that come tell of long ago; the age of what is out tells of now.
@@ -520,18 +439,7 @@
             concurrency_limit.adjust(server, now, True, self._aim_ms)
         if server.origin:
             return self._fill_origin(now)  # what hangs gives way in time
-        # Its own latency, so that a slow server is not taken for a dead one and its work sent twice.
-        usual, quiet = max(server.pace.mean_ms, self._pace.mean_ms), now - server.last_response_ms
-        if quiet >= QUIET_FACTOR * usual and server.probed_ms is None and now >= server.next_probe_ms:
-            server.probed_ms = now if self._probe(now, server) else None
-        # All that is out there without an answer is evidence, in its mean latencies.
-        odds = quiet * len(server.out) / usual
-        if server.probed_ms is not None:
-            odds += (now - server.probed_ms) / max(PROBE_MIN_MS, self._probe_pace.mean_ms)
-        if odds >= QUIET_ODDS:
-            marked = sum(s.ejected_ms is not None for s in self._servers.values())
-            if marked + 1 <= max(1, QUIET_SHARE * len(self._rings)):
-                self._mark(now, server)
+        self._outliers.check_silence(now, server, self._servers.values(), len(self._rings))
 
     def _send_again(self, now: float, server: Server) -> None:
         """A connection may fall silent while its server answers others on theirs: a read goes there again."""
@@ -558,6 +466,6 @@
         server = self._servers.get(event.server)
         if server is not None and event.status is Status.OK:
             self._probe_pace.learn(now, event.latency_ms)
-            self._heard(now, server)
+            self._outliers.record_response(now, server)
         elif server is not None and event.status in (Status.RESET, Status.CONNECT_FAILED):
-            self._mark(now, server)
+            self._outliers.eject(now, server)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -318,7 +318,7 @@
     d.serve(second, 10.0)
     d.serve(later, 10.0)
     d.pass_time(200)
-    assert not d.balancer._turns  # keys that are done leave nothing
+    assert not d.balancer._key_order.queues  # keys that are done leave nothing
 
 
 def test_a_request_whose_turn_comes_too_late_is_refused(drive):
@@ -328,7 +328,7 @@
     d.pass_time(2000)
     assert set(names[1:]) <= set(d.ended)
     d.answer(names[0], Status.TIMEOUT)
-    assert names[0] in d.ended and not d.balancer._records and not d.balancer._turns
+    assert names[0] in d.ended and not d.balancer._records and not d.balancer._key_order.queues
 
 
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.GONE])
@@ -375,7 +375,7 @@
     names = [d.ask("a", write=True, left=5000.0) for _ in range(900)]
     d.list(api.ListKind.FULL)
     d.answer(names[0], Status.ERROR, 1.0)
-    assert set(names) <= set(d.ended) and not d.balancer._turns
+    assert set(names) <= set(d.ended) and not d.balancer._key_order.queues
 
 
 def test_a_leaving_server_is_not_probed_whatever_breaks_there(drive):
