--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -8,7 +8,7 @@
 
 RATE_MS = 2000.0  # shortest memory of latencies: some answers even in a large fleet, yet follows a burst
 PACE_MS = 5000.0  # longest memory of the pooled latencies
-FRESH = 0.1  # weight of the newest latency in the running means: about the last ten to twenty answers
+RECENT_WEIGHT = 0.1  # weight of the newest latency in the running means: about the last ten to twenty answers
 # A mean latency under this part of the shortest latency objective is never taken for a crowded server's.
 UNCROWDED_SHARE = 0.25
 # Times the lowest mean latency seen: half of the excess is chance, the rest is waiting.
@@ -43,10 +43,10 @@
         # The long past counts little: while most is dropped, few answers tell of better times.
         gap = self.gap_ms = min(PACE_MS, now - self.last_response_ms)
         self.last_response_ms = now
-        fresh = min(FRESH, gap / RATE_MS)
+        fresh = min(RECENT_WEIGHT, gap / RATE_MS)
         self.mean_ms += (took - self.mean_ms) * max(fresh, 1 / self.answers, 1 - math.exp(-gap / PACE_MS))
         self.slow_ms += (took - self.slow_ms) * max(fresh / 4, 1 / (self.answers - 1))
-        if self.answers > 2 / FRESH:
+        if self.answers > 2 / RECENT_WEIGHT:
             self.floor_ms = min(self.floor_ms or self.slow_ms, self.slow_ms)
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -616,7 +616,7 @@
     assert d.cancels == [(late, 0)]
     # It was worth it: the next is sent again sooner.
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
-    assert d.balancer._hedges.delay < 8.0 and not d.balancer._records
+    assert d.balancer._hedges.delay < 8.0 and not d.balancer._requests
     assert not any(server.out for server in d.balancer._servers.values())
 
 
--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -52,4 +52,4 @@
     settings = drive(peers_total=2).settings
     facade = Facade(settings, 1, lambda: 0.0)
     facade.resize(7)
-    assert facade.settings.peers_total == facade._balancer._set.peers_total == 7
+    assert facade.settings.peers_total == facade._balancer._settings.peers_total == 7
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -70,7 +70,7 @@
         if name not in d.ended:
             d.answer(name, Status.TIMEOUT)
     assert set(names) == set(d.ended)
-    assert not d.balancer._records
+    assert not d.balancer._requests
 
 
 def test_empty_list_refuses(drive):
@@ -87,7 +87,7 @@
     assert len(d.sends[name]) == 1 and name not in d.ended
     d.do(api.ClientGone(name))
     d.do(api.AttemptEnded(name, "s0", 0, Status.OK, 1.0, True))
-    assert not d.balancer._records
+    assert not d.balancer._requests
 
 
 def test_attempt_limit(drive):
@@ -328,7 +328,7 @@
     d.pass_time(2000)
     assert set(names[1:]) <= set(d.ended)
     d.answer(names[0], Status.TIMEOUT)
-    assert names[0] in d.ended and not d.balancer._records and not d.balancer._key_order.queues
+    assert names[0] in d.ended and not d.balancer._requests and not d.balancer._key_order.queues
 
 
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.GONE])
