--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -369,7 +369,7 @@
 
     def _check(self, now: float, server: Server) -> None:
         """Sends again what is long overdue, and marks a server that gives no sign of life."""
-        server.watched = bool(server.out) and server.ejected_ms is None
+        server.watched = bool(server.out) and server.missed_ms is None
         if not server.watched:
             return
         self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -55,17 +55,17 @@
     def record_response(self, now: float, server: Server) -> None:
         """Counts a response, and readmits the server if it was ejected."""
         server.last_response_ms, server.probed_ms = now, None
-        if server.ejected_ms is None:
+        if server.missed_ms is None:
             return
-        if now - server.ejected_ms >= LONG_EJECTION_MS:
+        if now - server.missed_ms >= LONG_EJECTION_MS:
             server.warm_from_ms = max(server.warm_from_ms, now)
-        server.ejected_ms = None
+        server.missed_ms = None
         self._actions.append(Log(f"{server.entry.server} cleared"))
 
     def eject(self, now: float, server: Server, cancel_attempts: bool = True) -> None:
         """Ejects the server, and cancels attempts there, since each would wait for its timeout otherwise."""
-        if server.ejected_ms is None:
-            server.ejected_ms, server.next_probe_ms = now, now + PROBE_INTERVAL_MS
+        if server.missed_ms is None:
+            server.missed_ms, server.next_probe_ms = now, now + PROBE_INTERVAL_MS
             self._actions.append(Log(f"{server.entry.server} marked missed"))
         if cancel_attempts and self._may_cancel:
             self._cancel_attempts(now, server)
@@ -95,6 +95,6 @@
             odds += (now - server.probed_ms) / max(MIN_PROBE_LATENCY_MS, self._probe_latency.mean_ms)
         if odds < SILENCE_ODDS:
             return
-        ejected = sum(other.ejected_ms is not None for other in servers)
+        ejected = sum(other.missed_ms is not None for other in servers)
         if ejected + 1 <= max(1, MAX_EJECTED_SHARE * ring_size):
             self.eject(now, server)
--- a/balancer/request_state.py
+++ b/balancer/request_state.py
@@ -21,7 +21,7 @@
     overtaken_ms: float = -math.inf  # the latest send that has been answered
     breaks: int = 0  # resets since its last answer
     last_response_ms: float = 0.0  # last answer, or first send after a time with nothing out
-    ejected_ms: float | None = None  # when it was marked
+    missed_ms: float | None = None  # when it was marked
     next_probe_ms: float = 0.0  # next trial
     probed_ms: float | None = None  # a probe is out, or got no answer, since then
     watched: bool = False  # a look at its silence is due
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -57,13 +57,13 @@
                 place or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
             ):
                 continue
-            if server.ejected_ms is not None or drops_early(self._random, now, server.pace, objective_ms):
+            if server.missed_ms is not None or drops_early(self._random, now, server.pace, objective_ms):
                 # In a large fleet most requests to a dead server would be probe requests: a health check is
                 # sent instead where that is permitted.
-                due = server.ejected_ms is not None and now >= server.next_probe_ms
+                due = server.missed_ms is not None and now >= server.next_probe_ms
                 if due and not self._outliers.probe(now, server) and request.cls.effect is Idempotency.SAFE:
                     return server
-                crowded += server.ejected_ms is None
+                crowded += server.missed_ms is None
                 if self._rings.few and crowded >= PREFERENCE_SET_SIZE:
                     return None
                 last = last or server
--- a/balancer/server_set.py
+++ b/balancer/server_set.py
@@ -77,7 +77,7 @@
             server = self._add(entry)
         if restarted:  # it is cold, unless its start was long ago, and is worth a request at once
             server.warm_from_ms = entry.started_ms or -math.inf
-            server.ejected_ms, server.probed_ms = None, None
+            server.missed_ms, server.probed_ms = None, None
         server.entry = entry
 
     def _add(self, entry: ServerEntry) -> Server:
