--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,206 +1,261 @@
-"""The one reading of the settings object into `api.Settings`, for the adapter and the proxy alike.
+"""Reads the settings object into `Settings`, for the simulator's adapter and the proxy alike.
 
-Unknown settings are skipped, absent ones get the interface's default, and what is malformed is named.
+Unknown settings are skipped, absent ones get the default of `Settings`, and a malformed one is named.
 """
 
 import math
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Iterable, Mapping
+from typing import TypeVar
 
 import msgspec
 
-from balancer import api
+from balancer.settings_types import Group, Idempotency, RequestClass, Settings, Tenant
 
-EFFECT = {
-    "retryable": api.Idempotency.SAFE,
-    "dedup": api.Idempotency.KEYED,
-    "fragile": api.Idempotency.UNSAFE,
-}
-MODES = ("on_request", "pushed")
-LEAST_START = 0.01  # where a server may start with nothing at all: the decisions divide by its part
+Value = TypeVar("Value", str, int, float, bool)
+Fields = Mapping[str, object]
 
-# What a rule hangs on has to be told to a proxy in service: a figure put in the place of a missing one would
-# be some other site's. The simulator's adapter takes less, as its page shows it.
-NEEDED = {
+EFFECT = {"retryable": Idempotency.SAFE, "dedup": Idempotency.KEYED, "fragile": Idempotency.UNSAFE}
+MODES = ("on_request", "pushed")
+# The least start capacity, where a server may start with none at all: the decisions divide by it.
+MIN_START_CAPACITY = 0.01
+# The longest part of a malformed value that an error shows.
+SHOWN_CHARACTERS = 60
+KIND_NAMES = {float: "a number", int: "a whole number", str: "a text", bool: "true or false"}
+
+# A proxy in service needs these: a default in the place of a missing rule would be that of some other site.
+# The simulator's adapter requires fewer, as its page shows it.
+REQUIRED = {
     "": ("membership-mode", "granularity", "peers-total"),
     "guarantees": ("drain-grace", "cold", "start-capacity"),
     "limits": ("send-cap", "connect-timeout", "idle-close"),
 }
-NEEDED_OF_CLASS = ("name", "effect", "objective", "deadline")
+REQUIRED_OF_CLASS = ("name", "effect", "objective", "deadline")
 
 
 class SettingsError(ValueError):
-    """The settings object is not what its page says; the text names the field."""
-
-
-def _part(raw: dict[str, Any], name: str, kind: type, where: str = "") -> Any:
-    """A nested object or list; absent and null read as empty."""
-    value = raw.get(name)
-    if value is None:
-        return kind()
-    if not isinstance(value, kind):
-        word = "an object" if kind is dict else "a list"
-        raise SettingsError(f"{where}{name}: must be {word}")
-    return value
-
-
-def _value(raw: dict[str, Any], name: str, kind: type, where: str = "", default: Any = None) -> Any:
-    """A plain value; with no default it has to be there."""
-    value = raw.get(name)
-    if value is None:
-        if default is None:
-            raise SettingsError(f"{where}{name}: is missing")
-        return default
-    try:
-        return msgspec.convert(value, kind)
-    except msgspec.ValidationError:
-        word = {float: "a number", int: "a whole number", str: "a text", bool: "true or false"}[kind]
-        raise SettingsError(f"{where}{name}: must be {word}") from None
-
-
-def _number(
-    raw: dict[str, Any], name: str, where: str = "", default: float | None = None, over: bool = False
-) -> float:
-    """One that is not negative; `over`: nor 0."""
-    value = _value(raw, name, float, where, default)
-    if not 0.0 <= value < math.inf or (over and not value):
-        raise SettingsError(f"{where}{name}: must {'be over 0' if over else 'not be negative'}")
-    return value
-
-
-def _flag(raw: dict[str, Any], name: str, where: str = "") -> bool:
-    return _value(raw, name, bool, where, False)
-
-
-def _word(raw: dict[str, Any], name: str, words: Iterable[str], where: str = "", default: str = "") -> str:
-    word = _value(raw, name, str, where, default or None)
-    if word not in words:
-        raise SettingsError(f"{where}{name}: unknown value {word[:60]!r}")
-    return word
-
-
-def _names(raw: dict[str, Any], name: str) -> tuple[str, ...]:
-    items = _part(raw, name, list)
-    if not all(isinstance(item, str) for item in items):
-        raise SettingsError(f"{name}: must hold texts")
-    return tuple(items)
-
-
-def read_class(raw: dict[str, Any], where: str = "classes.") -> api.RequestClass:
-    return api.RequestClass(
-        aim_ms=_number(raw, "objective", where, over=True),
-        deadline_ms=_number(raw, "deadline", where, over=True),
-        # Not the laxest of them where it is missing: a request that may not run twice would.
-        effect=EFFECT[_word(raw, "effect", EFFECT, where)],
-        group=api.Group(_word(raw, "group", [known.value for known in api.Group], where, "all")),
-        window_ms=_number(raw, "window", where, 0.0),
-        worth=_number(raw, "importance", where, 1.0),
-        late_worth=_number(raw, "late-value", where, 0.0),
-        stream=_flag(raw, "stream", where),
-        in_turn=_flag(raw, "in-turn", where),
-        name=_value(raw, "name", str, where, ""),
-    )
+    """A setting is missing or malformed; `name` is its path in the settings object."""
+
+    def __init__(self, name: str, problem: str) -> None:
+        """`problem` completes a sentence that begins with the name."""
+        super().__init__(f"{name}: {problem}")
+        self.name = name
+        self.problem = problem
+
+
+class Section:
+    """An object of the settings, whose values are read by name and checked."""
+
+    def __init__(self, fields: Fields, prefix: str = "") -> None:
+        """`prefix` is the path of the section, with a dot at its end."""
+        self.fields = fields
+        self.prefix = prefix
+
+    def error(self, name: str, problem: str) -> SettingsError:
+        """The error of a setting of this section."""
+        return SettingsError(f"{self.prefix}{name}", problem)
+
+    def section(self, name: str) -> "Section":
+        """A nested section; absent and null read as empty."""
+        value = self.fields.get(name)
+        if value is None:
+            value = {}
+        if not isinstance(value, dict):
+            raise self.error(name, "must be an object")
+        return Section(value, f"{self.prefix}{name}.")
+
+    def items(self, name: str) -> list[object]:
+        """A list; absent and null read as empty."""
+        value = self.fields.get(name)
+        if value is None:
+            return []
+        if not isinstance(value, list):
+            raise self.error(name, "must be a list")
+        return value
 
+    def sections(self, name: str) -> list["Section"]:
+        """A list of objects."""
+        items = self.items(name)
+        sections = [Section(item, f"{self.prefix}{name}.") for item in items if isinstance(item, dict)]
+        if len(sections) < len(items):
+            raise self.error(name, "must hold objects")
+        return sections
+
+    def names(self, name: str) -> tuple[str, ...]:
+        """A list of texts."""
+        items = self.items(name)
+        names = tuple(item for item in items if isinstance(item, str))
+        if len(names) < len(items):
+            raise self.error(name, "must hold texts")
+        return names
+
+    def value(self, name: str, kind: type[Value], default: Value | None = None) -> Value:
+        """A plain value; without a default it is required."""
+        value = self.fields.get(name)
+        if value is None:
+            if default is None:
+                raise self.error(name, "is missing")
+            return default
+        try:
+            return msgspec.convert(value, kind)
+        except msgspec.ValidationError:
+            raise self.error(name, f"must be {KIND_NAMES[kind]}") from None
+
+    def number(self, name: str, default: float | None = None, positive: bool = False) -> float:
+        """A number that is not negative; `positive`: nor 0."""
+        value = self.value(name, float, default)
+        if not 0.0 <= value < math.inf or (positive and not value):
+            raise self.error(name, "must be over 0" if positive else "must not be negative")
+        return value
 
-def read_tenant(raw: dict[str, Any]) -> api.Tenant:
-    return api.Tenant(_number(raw, "quota-per-s", "tenants.", 0.0), _value(raw, "name", str, "tenants.", ""))
+    def count(self, name: str, default: int, minimum: int = 1) -> int:
+        """A whole number of at least `minimum`."""
+        value = self.value(name, int, default)
+        if value < minimum:
+            raise self.error(name, f"must be at least {minimum}")
+        return value
 
+    def flag(self, name: str) -> bool:
+        """A truth value; absent reads as false."""
+        return self.value(name, bool, False)
+
+    def word(self, name: str, words: Iterable[str], default: str | None = None) -> str:
+        """One of the words."""
+        word = self.value(name, str, default)
+        if word not in words:
+            raise self.error(name, f"unknown value {word[:SHOWN_CHARACTERS]!r}")
+        return word
+
+
+def read_class(section: Section) -> RequestClass:
+    """Reads a class of requests."""
+    return RequestClass(
+        aim_ms=section.number("objective", positive=True),
+        deadline_ms=section.number("deadline", positive=True),
+        # It has no default: the laxest one would let a request run twice that must not.
+        effect=EFFECT[section.word("effect", EFFECT)],
+        group=Group(section.word("group", [group.value for group in Group], "all")),
+        window_ms=section.number("window", 0.0),
+        worth=section.number("importance", 1.0),
+        late_worth=section.number("late-value", 0.0),
+        stream=section.flag("stream"),
+        in_turn=section.flag("in-turn"),
+        name=section.value("name", str, ""),
+    )
 
-def _objects(raw: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    items = _part(raw, name, list)
-    if not all(isinstance(item, dict) for item in items):
-        raise SettingsError(f"{name}: must hold objects")
-    return items
 
+def read_tenant(section: Section) -> Tenant:
+    """Reads a tenant."""
+    return Tenant(section.number("quota-per-s", 0.0), section.value("name", str, ""))
 
-def check_whole(raw: Any) -> None:
-    """Raises `SettingsError` for the first that a proxy in service needs and has not been told."""
+
+def _root(raw: object) -> Section:
     if not isinstance(raw, dict):
-        raise SettingsError("settings: must be an object")
-    if not (classes := _objects(raw, "classes")):
-        raise SettingsError("classes: at least one is needed")
-    for where, names in NEEDED.items():
-        part = _part(raw, where, dict) if where else raw
-        for name in names:
-            if part.get(name) is None:
-                raise SettingsError(f"{where}{'.' * bool(where)}{name}: is missing")
-    if raw["membership-mode"] != "pushed" and not _part(raw, "guarantees", dict).get("ask-within"):
-        raise SettingsError("guarantees.ask-within: is missing")
-    for item in classes:
-        window = ("window",) * (item.get("effect") == "dedup")
-        for name in NEEDED_OF_CLASS + window:
-            if item.get(name) in (None, ""):
-                raise SettingsError(f"classes.{name}: is missing")
+        raise SettingsError("settings", "must be an object")
+    return Section(raw)
+
+
+def check_whole(raw: object) -> None:
+    """Raises `SettingsError` for the first setting that a proxy in service requires and that is missing."""
+    root = _root(raw)
+    classes = root.sections("classes")
+    if not classes:
+        raise root.error("classes", "at least one is needed")
+    for where, required in REQUIRED.items():
+        section = root.section(where) if where else root
+        _require(section, required, (None,))
+    if root.fields["membership-mode"] != "pushed":
+        _require(root.section("guarantees"), ("ask-within",), (None, 0, False, "", [], {}))
+    for section in classes:
+        names: tuple[str, ...] = REQUIRED_OF_CLASS
+        if section.fields.get("effect") == "dedup":
+            names += ("window",)
+        _require(section, names, (None, ""))
     for part in ("classes", "tenants"):
-        names = [item.get("name") for item in _objects(raw, part)]
-        twice = [name for place, name in enumerate(names) if name in names[:place]]
-        if twice:
-            raise SettingsError(f"{part}.name: {str(twice[0])[:60]!r} stands there twice")
+        _check_unique_names(part, root.sections(part))
 
 
-def read_settings(raw: Any) -> api.Settings:
-    """Translates the settings object, as nested JSON has been decoded."""
-    if not isinstance(raw, dict):
-        raise SettingsError("settings: must be an object")
-    limits, rules = _part(raw, "limits", dict), _part(raw, "guarantees", dict)
-    specifics, prices = _part(raw, "specifics", dict), _part(raw, "prices", dict)
-    aside = specifics.get("mode") == "aside"
-    zones, machine_types = _names(raw, "zones"), _names(raw, "machine-types")
-    zone = _value(raw, "zone", int, default=0)
-    if not 0 <= zone < max(1, len(zones)):
-        raise SettingsError("zone: must be the place of one of zones")
-    origin_kind = _value(specifics, "origin-kind", int, "specifics.", -1) if aside else -1
-    if not -1 <= origin_kind < len(machine_types):
-        raise SettingsError("specifics.origin-kind: must be the place of one of machine-types")
+def _require(section: Section, names: Iterable[str], missing: tuple[object, ...]) -> None:
+    for name in names:
+        if section.fields.get(name) in missing:
+            raise section.error(name, "is missing")
 
-    def limit(name: str, default: float, over: bool = False) -> float:
-        return _number(limits, name, "limits.", default, over)
 
-    def rule(name: str, default: float = 0.0) -> float:
-        return _number(rules, name, "guarantees.", default)
+def _check_unique_names(part: str, sections: list[Section]) -> None:
+    names = [section.fields.get("name") for section in sections]
+    for place, name in enumerate(names):
+        if name in names[:place]:
+            raise SettingsError(f"{part}.name", f"{str(name)[:SHOWN_CHARACTERS]!r} stands there twice")
 
-    def count(part: dict[str, Any], name: str, default: int, where: str = "", least: int = 1) -> int:
-        value = _value(part, name, int, where, default)
-        if value < least:
-            raise SettingsError(f"{where}{name}: must be at least {least}")
-        return value
 
-    start_capacity = rule("start-capacity", 1.0)
+def _read_start_capacity(guarantees: Section) -> float:
+    start_capacity = guarantees.number("start-capacity", 1.0)
     if start_capacity > 1.0:
-        raise SettingsError("guarantees.start-capacity: must be at most 1")
-    if "classes" not in raw:
-        raise SettingsError("classes: is missing")
-    if not (classes := tuple(read_class(item) for item in _objects(raw, "classes"))):
-        raise SettingsError("classes: at least one is needed")
-    return api.Settings(
-        classes=classes,
-        tenants=tuple(read_tenant(item) for item in _objects(raw, "tenants")),
+        raise guarantees.error("start-capacity", "must be at most 1")
+    return max(MIN_START_CAPACITY, start_capacity)
+
+
+def _read_zone(root: Section, zones: tuple[str, ...]) -> int:
+    zone = root.value("zone", int, 0)
+    if not 0 <= zone < max(1, len(zones)):
+        raise root.error("zone", "must be the place of one of zones")
+    return zone
+
+
+def _read_origin_kind(specifics: Section, machine_types: tuple[str, ...]) -> int:
+    is_aside = specifics.fields.get("mode") == "aside"
+    origin_kind = specifics.value("origin-kind", int, -1) if is_aside else -1
+    if not -1 <= origin_kind < len(machine_types):
+        raise specifics.error("origin-kind", "must be the place of one of machine-types")
+    return origin_kind
+
+
+def _read_classes(root: Section) -> tuple[RequestClass, ...]:
+    if "classes" not in root.fields:
+        raise root.error("classes", "is missing")
+    classes = tuple(read_class(section) for section in root.sections("classes"))
+    if not classes:
+        raise root.error("classes", "at least one is needed")
+    return classes
+
+
+def read_settings(raw: object) -> Settings:
+    """Translates the settings object, as nested JSON has been decoded; raises `SettingsError`."""
+    root = _root(raw)
+    limits, guarantees = root.section("limits"), root.section("guarantees")
+    specifics, prices = root.section("specifics"), root.section("prices")
+    zones, machine_types = root.names("zones"), root.names("machine-types")
+    zone = _read_zone(root, zones)
+    origin_kind = _read_origin_kind(specifics, machine_types)
+    start_capacity = _read_start_capacity(guarantees)
+    return Settings(
+        classes=_read_classes(root),
+        tenants=tuple(read_tenant(section) for section in root.sections("tenants")),
         zones=zones,
         machine_types=machine_types,
-        peers_total=count(raw, "peers-total", 1),
+        peers_total=root.count("peers-total", 1),
         origin_kind=origin_kind,
         zone=zone,
-        cross_price=_number(prices, "cross-zone", "prices.", 0.0),
-        sizes_fixed=raw.get("weights") == "nominal",
-        list_pushed=_word(raw, "membership-mode", MODES, default="on_request") == "pushed",
-        over_share_worth=_number(raw, "over-share-worth", default=1.0),
-        max_attempts=count(limits, "send-cap", 3, "limits."),
-        may_cancel=_flag(limits, "cancel", "limits."),
-        may_probe=_flag(limits, "probing", "limits."),
-        may_copy=_flag(limits, "second-copies", "limits.") and _flag(limits, "cancel", "limits."),
-        max_retry_after_ms=limit("max-retry-after", 0.0) if _flag(limits, "retry-after", "limits.") else 0.0,
-        granularity_ms=_number(raw, "granularity", default=1.0),
-        start_capacity=max(LEAST_START, start_capacity),
-        warm_up_ms=rule("cold"),
-        ask_within_ms=rule("ask-within") or 10_000.0,  # where lists are pushed there may be none
-        resend_window_ms=rule("look-back"),
-        free_resends=rule("free-resends"),
-        resend_share=rule("repeat-ratio"),
-        idle_close_ms=limit("idle-close", 15_000.0, over=True),
-        connect_timeout_ms=limit("connect-timeout", 1000.0, over=True),
-        attempts_per_connection=max(1, count(limits, "streams-per-conn", 1, "limits.", least=0)),
-        max_open=count(limits, "max-open", 0, "limits.", least=0),
-        hang_up_within_ms=rule("hang-up-within"),
-        drain_grace_ms=rule("drain-grace", 1000.0),
-        settle_ms=rule("settle-after-doubt"),
+        cross_price=prices.number("cross-zone", 0.0),
+        sizes_fixed=root.fields.get("weights") == "nominal",
+        list_pushed=root.word("membership-mode", MODES, "on_request") == "pushed",
+        over_share_worth=root.number("over-share-worth", 1.0),
+        max_attempts=limits.count("send-cap", 3),
+        may_cancel=limits.flag("cancel"),
+        may_probe=limits.flag("probing"),
+        may_copy=limits.flag("second-copies") and limits.flag("cancel"),
+        max_retry_after_ms=limits.number("max-retry-after", 0.0) if limits.flag("retry-after") else 0.0,
+        granularity_ms=root.number("granularity", 1.0),
+        start_capacity=start_capacity,
+        warm_up_ms=guarantees.number("cold", 0.0),
+        ask_within_ms=guarantees.number("ask-within", 0.0) or 10_000.0,  # pushed lists may state none
+        resend_window_ms=guarantees.number("look-back", 0.0),
+        free_resends=guarantees.number("free-resends", 0.0),
+        resend_share=guarantees.number("repeat-ratio", 0.0),
+        idle_close_ms=limits.number("idle-close", 15_000.0, positive=True),
+        connect_timeout_ms=limits.number("connect-timeout", 1000.0, positive=True),
+        attempts_per_connection=max(1, limits.count("streams-per-conn", 1, minimum=0)),
+        max_open=limits.count("max-open", 0, minimum=0),
+        hang_up_within_ms=guarantees.number("hang-up-within", 0.0),
+        drain_grace_ms=guarantees.number("drain-grace", 1000.0),
+        settle_ms=guarantees.number("settle-after-doubt", 0.0),
     )
