--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -53,12 +53,16 @@
 
     def close(self, now: float, server: Server) -> None:
         """Closes the idle connections to the server."""
-        server.used_ms = -math.inf
+        server.last_use_ms = -math.inf
         self._actions.append(Close(server.entry.server))
 
     def close_untrusted(self, now: float, server: Server) -> None:
         """Closes the server's connections where they have idled too long to be trusted."""
-        if server.used_ms + self.trusted_idle_ms < now < server.used_ms + self._settings.idle_close_ms:
+        if (
+            server.last_use_ms + self.trusted_idle_ms
+            < now
+            < server.last_use_ms + self._settings.idle_close_ms
+        ):
             self.close(now, server)
 
     def evaluate(
@@ -69,17 +73,17 @@
         Returns whether just a connection broke, so that the server is still worth an attempt on a fresh one.
         """
         took = now - sent
-        idle_ms = sent - server.used_ms
+        idle_ms = sent - server.last_use_ms
         # Such a reset was under way before the attempt: the connection had ended, no server has died.
         stale_ms = STALE_CONNECTION_FACTOR * self._latency.mean_ms
         if status is Status.RESET and took < stale_ms and took < idle_ms < math.inf:
             self.trusted_idle_ms = min(self.trusted_idle_ms, idle_ms) / 2
             return True
-        server.breaks += status is Status.RESET
+        server.resets += status is Status.RESET
         self._reset_rate += RESET_RATE_WEIGHT * ((status is Status.RESET) - self._reset_rate)
         if status in ANSWERS:
             self._outliers.record_response(now, server)
-            server.used_ms, server.breaks = now, 0
+            server.last_use_ms, server.resets = now, 0
             server.overtaken_ms = max(server.overtaken_ms, sent)
             self.trusted_idle_ms = min(self.trusted_idle_ms * IDLE_GROWTH, self._settings.idle_close_ms)
         # Where full tables refuse connections at once, one that idles here is missing elsewhere.
@@ -90,13 +94,13 @@
             self.close(now, server)
         # In an overload attempts time out at servers that answer others, which is no death. An attempt that
         # was given less time than responses take, or that later ones overtook, says nothing of it.
-        usual_ms = SILENCE_FACTOR * max(server.pace.mean_ms, self._latency.mean_ms)
+        usual_ms = SILENCE_FACTOR * max(server.latency.mean_ms, self._latency.mean_ms)
         timed_out = status is Status.TIMEOUT
         alone = timed_out and (took < usual_ms or sent + usual_ms < server.overtaken_ms)
         silent = timed_out and not (server.origin or alone) and server.last_response_ms <= sent
         resets = 1 if self._settings.may_probe else RESETS_TO_EJECT + (self._reset_rate > RESET_RATE_HIGH)
         reset = status is Status.RESET
-        broken = status is Status.CONNECT_FAILED or (reset and server.breaks >= resets)
+        broken = status is Status.CONNECT_FAILED or (reset and server.resets >= resets)
         if not server.origin and (silent or broken):
             self._outliers.eject(now, server, silent)
             # A lost response, a full table of connections or a death: a probe tells them apart.
@@ -115,19 +119,19 @@
             took = max(took, self._objective_ms)
         elif status is Status.TIMEOUT:
             # Of many timeouts in a row the mean rises all the same.
-            origin_ms = server.origin * server.pace.mean_ms
+            origin_ms = server.origin * server.latency.mean_ms
             most = TIMEOUT_MAX_FACTOR * max(self._latency.mean_ms, origin_ms)
-            took = min(max(took, server.pace.mean_ms), most)
+            took = min(max(took, server.latency.mean_ms), most)
         else:
             took = max(took, 0.0)
         if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (request.write or silent):
-            server.pace.learn(now, took)
+            server.latency.learn(now, took)
         if status in (Status.OK, Status.TIMEOUT) and not server.origin:  # in a jam few responses come
             self._latency.learn(now, took)
             server.machine_type_latency.learn(now, took)
-            request.pace.learn(now, took)
+            request.latency.learn(now, took)
 
     def _adjust_limit(self, now: float, server: Server, status: Status) -> None:
         crowded_ms = concurrency_limit.crowded_latency_ms(server, self._objective_ms)
-        crowded = status is not Status.OK or server.pace.mean_ms > crowded_ms
+        crowded = status is not Status.OK or server.latency.mean_ms > crowded_ms
         concurrency_limit.adjust(server, now, crowded, self._objective_ms)
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,8 +1,10 @@
 """The balancer: events in, actions out, over the parts that decide. docs/design.md gives the reasons."""
 
 import math
+from collections.abc import Callable
 from dataclasses import replace
 from random import Random
+from typing import Any
 
 from balancer import api, concurrency_limit, hot_keys, origin_slots
 from balancer.admission import drops_early
@@ -17,10 +19,11 @@
     LatencyEstimate,
     UsualTimeout,
 )
+from balancer.list_subscription import ListSubscription
 from balancer.origin_fetch import OriginQueue, SingleFlight
 from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
 from balancer.request_state import RequestState, Server
-from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget
+from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget, RetryPolicy
 from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, recognises_repeat
 from balancer.server_set import ServerSet
 from balancer.slow_start import SlowStart
@@ -28,18 +31,25 @@
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
-SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
-WAKE, RESUBSCRIBE = 0, 1  # timer tokens
-CHECK_INTERVAL_MS = 25.0  # time between the checks of a server that has been silent so long
-AGE_ORIGIN = 0.5  # of a crowded latency, for the mean age of what is out there: it is about half done
-LIST_PACE_MS = 20.0  # between the first calls of all balancers: the list is one service of fixed capacity
-CLOSE_AGAIN = 0.8  # of the time stated for it: a connection may have been opening when the first came
-RESUBSCRIBE_MS, RESUBSCRIBE_MAX_MS = 400.0, 8000.0  # first and longest wait before the list is asked again
-MAX_QUEUED_AHEAD = 100  # a request with more of them ahead in the queue for the origin is rejected
+# The time between the end of a wait and the last use of the response, since timers come late.
+SLACK_MS = 50.0
+# The tokens of timers: for the next call that is due, and for the endpoint list.
+WAKE, RESUBSCRIBE = 0, 1
+# The time between the checks of a server with attempts in flight.
+CHECK_INTERVAL_MS = 25.0
+# The part of a crowded latency that the mean age of an origin's attempts may have: they are about half done.
+ORIGIN_AGE_FACTOR = 0.5
+# The part of the permitted time after which connections to a removed server are closed a second time.
+CLOSE_AGAIN = 0.8
+# A request with more requests ahead of it in the queue for the origin is rejected.
+MAX_QUEUED_AHEAD = 100
 
 
 class Balancer:
-    """Sans-I/O and deterministic: the same settings, seed and events give the same actions."""
+    """Routes events to the parts that decide, and requests to servers.
+
+    It does no I/O and is deterministic: the same settings, seed and events give the same actions.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
@@ -58,14 +68,13 @@
         self._hot_keys = hot_keys.HotKeys()
         self._retry_budget = RetryBudget(settings)
         self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
-        self._read_objectives_ms = {
-            number: c.aim_ms for number, c in enumerate(settings.classes)
-        }  # no write seen of it
-        self._objective_ms = self._read_objective_ms = min(
-            self._read_objectives_ms.values()
-        )  # the shortest, and of what caches answer
-        self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of answers at cache servers
-        self._machine_types: dict[int, LatencyEstimate] = {}  # the same by kind of machine
+        self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
+        # The objectives of the classes of which no write has been seen.
+        self._read_objectives_ms = {number: cls.aim_ms for number, cls in enumerate(settings.classes)}
+        self._objective_ms = min(self._read_objectives_ms.values())
+        self._read_objective_ms = self._objective_ms  # the shortest of what cache servers answer
+        self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of all cache servers
+        self._machine_types: dict[int, LatencyEstimate] = {}  # the same by type of machine
         self._slow_start = SlowStart(settings, self._latency, self._machine_types, self._objective_ms)
         self._origin_latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE / 2)
         self._server_set = ServerSet(
@@ -85,26 +94,25 @@
             settings, self._latency, self._objective_ms, self._slow_start, self._outliers, self._actions
         )
         self._selector = ServerSelector(self._random, self._rings, self._slow_start, self._outliers)
-        self._backoff_ms = RESUBSCRIBE_MS
-        self._handlers = {
+        self._subscription = ListSubscription(settings, self._random)
+        self._handlers: dict[type[Any], Callable[[float, Any], None]] = {
             api.Request: self._on_request,
-            api.AttemptEnded: self._on_outcome,
-            api.Probed: self._on_probed,
+            api.AttemptEnded: self._on_attempt_ended,
+            api.Probed: self._on_probe_ended,
             api.TimerDue: self._on_timer,
-            api.EndpointListChanged: self._on_list,
-            api.ClientGone: lambda now, e: (
-                e.request in self._requests and self._end(now, self._requests[e.request])
-            ),
+            api.EndpointListChanged: self._on_endpoint_list,
+            api.ClientGone: self._on_client_gone,
             api.StreamBegun: self._on_stream,
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        """Takes an event at its time; returns what is to be done, in this order."""
         self._actions.clear()
         self._handlers[type(event)](now_ms, event)
         return self._actions + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
 
     def resize(self, peers_total: int) -> None:
-        """So many balancers share the servers from now on: this one's part of all bounds follows."""
+        """Adapts this balancer's part of all limits to the number of balancers that share the servers."""
         self._server_set.resize(peers_total)
         self._settings = replace(self._settings, peers_total=peers_total)
         self._rings.resize(self._settings)
@@ -115,17 +123,15 @@
         for what, whom in self._timers.due(now):
             what(now, whom)
 
-    def _on_list(self, now: float, event: api.EndpointListChanged) -> None:
+    def _on_endpoint_list(self, now: float, event: api.EndpointListChanged) -> None:
         if event.kind is ListKind.CACHED and not self._settings.list_pushed:
-            # Hundreds that begin at once would fail together: the first calls are spread out.
-            spread = min(self._settings.ask_within_ms / 2, LIST_PACE_MS * self._settings.peers_total)
-            self._actions.append(api.SetTimer(spread * self._random.random(), RESUBSCRIBE))
+            delay_ms = self._subscription.initial_delay_ms(self._settings.peers_total)
+            self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE))
         if event.kind is ListKind.FAILED:
-            # The held list stays in use; the jitter keeps balancers from asking again in step.
-            self._actions.append(api.SetTimer(self._backoff_ms * (0.5 + self._random.random()), RESUBSCRIBE))
-            self._backoff_ms = min(2 * self._backoff_ms, RESUBSCRIBE_MAX_MS, self._settings.ask_within_ms)
+            # The list that is held stays in use.
+            self._actions.append(api.SetTimer(self._subscription.record_failure(), RESUBSCRIBE))
             return
-        self._backoff_ms = RESUBSCRIBE_MS
+        self._subscription.record_success()
         changed = self._server_set.apply(event.entries, complete=event.kind is not ListKind.DELTA)
         for server in changed.removed:
             self._close_removed(now, server)
@@ -162,10 +168,11 @@
             request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
         # With few balancers zones differ, so each member of the preference set is judged instead.
         crowded = not (event.write or self._rings.few) and drops_early(
-            self._random, now, self._latency, self._read_objective_ms, request.excess
+            self._random, now, self._latency, self._read_objective_ms, request.over_quota
         )
         if use <= now or crowded:
-            return self._reject(now, request, "late" if use <= now else "crowded", RATE_MS)
+            self._reject(now, request, "late" if use <= now else "crowded", RATE_MS)
+            return
         self._route(now, request)
 
     def _elapsed_ms(self, event: api.Request) -> float:
@@ -182,46 +189,40 @@
     def _route(self, now: float, request: RequestState) -> None:
         """Sends a request to whom the ring names, or holds or ends it."""
         # Every request comes by here before its first attempt, so none with its key overtakes another.
-        if request.turn is not None and not request.attempts:
-            request.held = request.turn.line[0] is not request or now < request.turn.rest_ms
-            if request.held:
-                return self._wait(now, request, request.turn.line.index(request))
+        if request.key_queue is not None and not request.attempts:
+            request.queued = (
+                request.key_queue.requests[0] is not request or now < request.key_queue.settled_ms
+            )
+            if request.queued:
+                self._wait(now, request, request.key_queue.requests.index(request))
+                return
         if request.write and self._origins:
-            return self._ask_origin(now, request)
-        if not self._may_send(now, request):
-            return self._reject(now, request, "spent")
-        if request.key in self._fetches.waiting and not request.write:
-            return self._await_fetch(now, request)
+            self._ask_origin(now, request)
+            return
+        if not self._retry_policy.permits(now, request):
+            self._reject(now, request, "spent")
+            return
+        if request.key is not None and request.key in self._fetches.waiting and not request.write:
+            self._await_fetch(now, request.key, request)
+            return
         server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
             full = all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings)
-            return self._reject(now, request, "bounds", RATE_MS) if full else self._ask_origin(now, request)
+            if full:
+                self._reject(now, request, "bounds", RATE_MS)
+            else:
+                self._ask_origin(now, request)
+            return
         # Where cancels are permitted `_check` frees it, and a busy server does no work twice.
         self._send(now, request, server, (request.use_ms - now) / (1 if self._settings.may_cancel else 2))
 
-    def _may_send(self, now: float, request: RequestState) -> bool:
-        paid = not request.attempts or request.prepaid or self._retry_budget.available(now) >= 1
-        if (
-            not paid
-            or request.attempts >= self._settings.max_attempts
-            or now >= request.use_ms
-            or request.begun
-        ):
-            return False
-        if request.ran_ms is None or request.cls.effect is Idempotency.SAFE:
-            return True
-        # A keyed repeat is dropped only while the servers remember the first; leave two rounds for the way.
-        return (
-            request.cls.effect is Idempotency.KEYED
-            and now - request.ran_ms + self._margin_ms < request.cls.window_ms
-        )
-
     def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
         if not (
-            self._may_send(now, request) and recognises_repeat(request, server)
+            self._retry_policy.permits(now, request) and recognises_repeat(request, server)
         ):  # the one gate of all sends
-            return self._reject(now, request, "spent")
+            self._reject(now, request, "spent")
+            return
         if request.attempts and not request.prepaid:
             self._retry_budget.retries.append(now)
         request.prepaid = False
@@ -239,26 +240,31 @@
             api.Send(request.id, server.entry.server, max(timeout, self._settings.granularity_ms))
         )
 
-    def _reject(self, now: float, request: RequestState, why: str, retry_after: float = SLACK_MS) -> None:
-        """The single final answer: a refusal where the rules permit it, since a client may then try again."""
-        dropped = (
-            request.cls.effect is Idempotency.KEYED and request.cls.group is Group.ALL
-        )  # a repeat is, by all servers
-        harmless = (
-            request.ran_ms is None or request.cls.effect is Idempotency.SAFE or dropped
-        )  # nothing is out by now
-        wait = min(retry_after, self._settings.max_retry_after_ms)
-        self._actions.append(api.Reject(request.id, wait, why) if harmless else api.Fail(request.id, why))
+    def _reject(
+        self, now: float, request: RequestState, reason: str, retry_after_ms: float = SLACK_MS
+    ) -> None:
+        """Gives the single final response: a rejection where the client may safely retry, else a failure."""
+        cls = request.cls
+        # No attempt is in flight by now; all servers recognise a repeat whose group is all of them.
+        recognised = cls.effect is Idempotency.KEYED and cls.group is Group.ALL
+        if request.ran_ms is None or cls.effect is Idempotency.SAFE or recognised:
+            wait_ms = min(retry_after_ms, self._settings.max_retry_after_ms)
+            self._actions.append(api.Reject(request.id, wait_ms, reason))
+        else:
+            self._actions.append(api.Fail(request.id, reason))
         self._end(now, request)
 
     def _end(self, now: float, request: RequestState) -> None:
+        """The request is over; what it holds is released once its attempts are over too."""
         request.done = True
-        if not request.out:
-            self._requests.pop(request.id, None)
-            if request.turn is not None and request in request.turn.line:
-                request.turn.line.remove(request)
-                self._resume_next(now, request.key)
-        if not request.out and request.fetching:
+        if request.out:
+            return
+        self._requests.pop(request.id, None)
+        queue = request.key_queue
+        if request.key is not None and queue is not None and request in queue.requests:
+            queue.requests.remove(request)
+            self._resume_next(now, request.key)
+        if request.key is not None and request.fetching:
             # Those who waited for its fetch ask the server that now keeps the key.
             for other in self._fetches.end(request.key, request):
                 self._resume(now, other)
@@ -271,69 +277,82 @@
         elif following is not None:
             self._timers.at(following, self._resume_next, key)
 
+    def _on_client_gone(self, now: float, event: api.ClientGone) -> None:
+        request = self._requests.get(event.request)
+        if request is not None:
+            self._end(now, request)
+
     def _on_stream(self, now: float, event: api.StreamBegun) -> None:
         request = self._requests.get(event.request)
         if request is not None and event.attempt in request.out:
             request.begun = True
             self._outliers.record_response(now, request.out[event.attempt][0])
 
-    def _on_outcome(self, now: float, event: api.AttemptEnded) -> None:
+    def _on_attempt_ended(self, now: float, event: api.AttemptEnded) -> None:
         request = self._requests.get(event.request)
         if request is None or event.attempt not in request.out:
             return
         server, sent = request.out.pop(event.attempt)
         server.out.pop((request.id, event.attempt), None)
-        if server.left:
+        if server.removed:
             self._close_removed(now, server)
         if request.hedge_number and event.status in (Status.OK, Status.MISS):
             self._settle_hedge(request, event.attempt)
         if event.status not in api.NEVER_RAN and (request.ran_ms is None or sent < request.ran_ms):
-            request.ran_ms, request.ran_at = sent, server
-        if request.turn is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
-            request.turn.rest_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
+            request.ran_ms, request.ran_on = sent, server
+        if request.key_queue is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
+            request.key_queue.settled_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
         request.prepaid |= event.status is Status.MISS
-        stale = self._evaluator.evaluate(now, server, event.status, sent, request)
-        last = (
-            request.attempts == self._settings.max_attempts - 1
-        )  # a third node would rather miss, and leave none
+        retry_there = self._evaluator.evaluate(now, server, event.status, sent, request)
         if event.closed or request.done:
             self._end(now, request)
-        elif not request.out and (server.origin or (self._origins and (request.prepaid or last))):
-            self._ask_origin(now, request)
         elif not request.out:
-            request.tried += [server] * (not stale)  # a fresh connection will do
-            if len(request.tried) >= PREFERENCE_SET_SIZE:
-                self._reject(now, request, "tried")
-            else:
-                self._route(now, request)
+            self._retry(now, request, server, retry_there)
         if server.origin:
             self._fill_origin(now)
 
+    def _retry(self, now: float, request: RequestState, server: Server, retry_there: bool) -> None:
+        """Sends a request on whose attempt at the server has failed or missed."""
+        # The last attempt is the origin's: a third cache server would probably miss too.
+        last = request.attempts == self._settings.max_attempts - 1
+        if server.origin or (self._origins and (request.prepaid or last)):
+            self._ask_origin(now, request)
+            return
+        if not retry_there:
+            request.tried.append(server)
+        if len(request.tried) >= PREFERENCE_SET_SIZE:
+            self._reject(now, request, "tried")
+        else:
+            self._route(now, request)
+
     def _ask_origin(self, now: float, request: RequestState) -> None:
-        if not self._may_send(now, request) or not any(
+        if not self._retry_policy.permits(now, request) or not any(
             recognises_repeat(request, origin) for origin in self._origins
         ):
-            return self._reject(now, request, "spent")  # also after a time-out at the deadline
+            self._reject(now, request, "spent")  # also after a time-out at the deadline
+            return
         if request.key is not None and not request.write and not request.fetching:
             if request.key in self._fetches.waiting:
-                return self._await_fetch(now, request)
+                self._await_fetch(now, request.key, request)
+                return
             self._fetches.begin(request.key, request)
         if (
             request.cls.late_worth
             and not request.write
-            and drops_early(self._random, now, self._origin_latency, self._objective_ms, request.excess)
+            and drops_early(self._random, now, self._origin_latency, self._objective_ms, request.over_quota)
         ):
-            return self._reject(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
-        worth = request.cls.worth * (self._settings.over_share_worth if request.excess else 1.0)
+            self._reject(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
+            return
+        worth = request.cls.worth * (self._settings.over_share_worth if request.over_quota else 1.0)
         worth *= 1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load  # what is fetched serves those after it
         ahead = self._queue.push(now, request, worth)
         self._fill_origin(now)
         if not request.out and not request.done:
             self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
 
-    def _await_fetch(self, now: float, request: RequestState) -> None:
-        """Another request's fetch of the key is out: waits for it, then asks the server that keeps it."""
-        self._fetches.waiting[request.key].append(request)
+    def _await_fetch(self, now: float, key: str, request: RequestState) -> None:
+        """Another request fetches the key: waits for that, then asks the server that keeps the value."""
+        self._fetches.waiting[key].append(request)
         self._wait(now, request)
 
     def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
@@ -343,7 +362,8 @@
         if (
             ahead > MAX_QUEUED_AHEAD or until <= now + ahead * self._origin_latency.mean_ms
         ):  # its turn comes too late
-            return self._reject(now, request, "queue")
+            self._reject(now, request, "queue")
+            return
         self._timers.at(until, self._expire, request)
 
     def _expire(self, now: float, request: RequestState) -> None:
@@ -377,25 +397,33 @@
             self._hedge_overdue(now, server)
         # In a jam the answers that come tell of long ago; the age of what is out tells of now.
         ages = [now - sent for _, sent in server.out.values() if sent >= server.overtaken_ms]
-        age = AGE_ORIGIN if server.origin else 1.0
+        age = ORIGIN_AGE_FACTOR if server.origin else 1.0
         if len(ages) > 1 and sum(ages) / len(ages) > age * concurrency_limit.crowded_latency_ms(
             server, self._objective_ms
         ):
             concurrency_limit.adjust(server, now, True, self._objective_ms)
         if server.origin:
-            return self._fill_origin(now)  # what hangs gives way in time
+            self._fill_origin(now)  # what hangs gives way in time
+            return
         self._outliers.check_silence(now, server, self._servers.values(), len(self._rings))
 
     def _hedge_overdue(self, now: float, server: Server) -> None:
         """A connection may fall silent while its server answers others on theirs: a read goes there again."""
         for (name, number), (request, sent) in list(server.out.items()):
             usual = max(
-                server.pace.mean_ms, self._origin_latency.mean_ms if server.origin else request.pace.mean_ms
+                server.latency.mean_ms,
+                self._origin_latency.mean_ms if server.origin else request.latency.mean_ms,
             )
             overdue = sent + usual < server.overtaken_ms and now - sent > self._hedges.delay * usual
             alone = len(request.out) == 1 and not (request.done or request.begun or request.write)
             safe = request.cls.effect is Idempotency.SAFE  # a read may be of any effect
-            if overdue and alone and safe and self._hedges.tokens >= 1.0 and self._may_send(now, request):
+            if (
+                overdue
+                and alone
+                and safe
+                and self._hedges.tokens >= 1.0
+                and self._retry_policy.permits(now, request)
+            ):
                 self._hedges.tokens -= 1.0
                 del server.out[name, number]  # it holds no place that others could have
                 request.hedge_number = request.attempts
@@ -407,7 +435,7 @@
         self._actions += [api.Cancel(request.id, number) for number in request.out]
         request.hedge_number = 0
 
-    def _on_probed(self, now: float, event: api.Probed) -> None:
+    def _on_probe_ended(self, now: float, event: api.Probed) -> None:
         server = self._servers.get(event.server)
         if server is not None and event.status is Status.OK:
             self._probe_latency.learn(now, event.latency_ms)
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -31,7 +31,7 @@
 def crowded_latency_ms(server: Server, objective_ms: float) -> float:
     """The mean latency over which the server is crowded; `objective_ms` is the shortest objective."""
     share = ORIGIN_UNCROWDED_SHARE if server.origin else UNCROWDED_SHARE
-    return max(share * objective_ms, CROWDED_RATIO * server.pace.floor_ms)
+    return max(share * objective_ms, CROWDED_RATIO * server.latency.floor_ms)
 
 
 def adjust(server: Server, now: float, crowded: bool, objective_ms: float) -> None:
@@ -39,6 +39,6 @@
     if not crowded and 2 * len(server.out) + 2 >= server.limit:
         server.limit += 1 / server.limit
     # The time of one crowded latency lets the last decrease show.
-    elif crowded and now - server.cut_ms > crowded_latency_ms(server, objective_ms):
-        server.cut_ms = now
-        server.limit = max(server.least, server.limit * DECREASE)
+    elif crowded and now - server.last_decrease_ms > crowded_latency_ms(server, objective_ms):
+        server.last_decrease_ms = now
+        server.limit = max(server.min_limit, server.limit * DECREASE)
--- a/balancer/key_order.py
+++ b/balancer/key_order.py
@@ -11,8 +11,8 @@
 
     def enqueue(self, key: str, request: RequestState) -> None:
         """Appends a request that has just arrived to the queue of its key."""
-        request.turn = self.queues.setdefault(key, KeyQueue())
-        request.turn.line.append(request)
+        request.key_queue = self.queues.setdefault(key, KeyQueue())
+        request.key_queue.requests.append(request)
 
     def next(self, now: float, key: str) -> RequestState | float | None:
         """The request of the key that may run now, or the time at which to ask again, or None.
@@ -20,9 +20,9 @@
         A request runs once the one before it and all its attempts are over and the key has settled.
         """
         queue = self.queues.get(key) or KeyQueue()
-        if now < queue.rest_ms:
-            return queue.rest_ms
-        if not queue.line:
+        if now < queue.settled_ms:
+            return queue.settled_ms
+        if not queue.requests:
             self.queues.pop(key, None)
             return None
-        return queue.line[0] if queue.line[0].held else None
+        return queue.requests[0] if queue.requests[0].queued else None
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -47,7 +47,7 @@
     def probe(self, now: float, server: Server) -> bool:
         """Probes the server where that is permitted; returns whether it is."""
         server.next_probe_ms = now + PROBE_INTERVAL_MS
-        if not self._may_probe or server.left:
+        if not self._may_probe or server.removed:
             return False
         self._actions.append(Probe(server.entry.server))
         return True
@@ -84,7 +84,7 @@
     def check_silence(self, now: float, server: Server, servers: Collection[Server], ring_size: int) -> None:
         """Probes a server that has been silent for some latencies, and ejects it after more of them."""
         # Its own latency counts, so that a slow server is not taken for a dead one and its work done twice.
-        usual_ms = max(server.pace.mean_ms, self._latency.mean_ms)
+        usual_ms = max(server.latency.mean_ms, self._latency.mean_ms)
         silent_ms = now - server.last_response_ms
         overdue = silent_ms >= SILENCE_FACTOR * usual_ms
         if overdue and server.probed_ms is None and now >= server.next_probe_ms:
--- a/balancer/request_state.py
+++ b/balancer/request_state.py
@@ -10,24 +10,27 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
+    """A cache server or an origin, with what the balancer has learnt about it."""
+
     entry: api.ServerEntry
     origin: bool
-    pace: LatencyEstimate  # of its answers
-    machine_type_latency: LatencyEstimate  # of the answers of all servers of its kind
-    limit: float  # of requests out; moves with the answers
-    least: float  # the bound goes no lower
+    latency: LatencyEstimate  # of its responses
+    machine_type_latency: LatencyEstimate  # of the responses of all servers of its machine type
+    limit: float  # on the requests in flight, see concurrency_limit.py
+    min_limit: float  # the least value of `limit`
     warm_from_ms: float = -math.inf
-    out: dict = field(default_factory=dict)  # (request id, attempt number) -> (RequestState, sent_ms)
-    overtaken_ms: float = -math.inf  # the latest send that has been answered
-    breaks: int = 0  # resets since its last answer
-    last_response_ms: float = 0.0  # last answer, or first send after a time with nothing out
-    missed_ms: float | None = None  # when it was marked
-    next_probe_ms: float = 0.0  # next trial
-    probed_ms: float | None = None  # a probe is out, or got no answer, since then
-    watched: bool = False  # a look at its silence is due
-    cut_ms: float = -math.inf
-    used_ms: float = -math.inf  # last answer on a connection that may be open since
-    left: bool = False  # off the list
+    # (request id, attempt number) -> (request, time sent) of the attempts in flight
+    out: dict[tuple[str, int], tuple["RequestState", float]] = field(default_factory=dict)
+    overtaken_ms: float = -math.inf  # when the latest attempt that was answered was sent
+    resets: int = 0  # since its last response
+    last_response_ms: float = 0.0  # or the first send after a time with nothing in flight
+    missed_ms: float | None = None  # when it was ejected; None while it is not
+    next_probe_ms: float = 0.0  # when the next probe request is due
+    probed_ms: float | None = None  # when the probe that has no response was sent
+    watched: bool = False  # the next check of its silence is scheduled
+    last_decrease_ms: float = -math.inf
+    last_use_ms: float = -math.inf  # the last response on a connection that may still be open
+    removed: bool = False  # it is not in the endpoint list any more
 
     def warmth(self, now: float, start_capacity: float, warm_up_ms: float) -> float:
         """The part of its capacity that it has, from `start_capacity` to 1 over the warm-up."""
@@ -36,7 +39,7 @@
 
     def resize(self, factor: float, least: float) -> None:
         """This balancer's part of what all may have out has changed by that factor."""
-        self.least = least
+        self.min_limit = least
         self.limit = max(least, self.limit * factor)
 
 
@@ -44,8 +47,8 @@
 class KeyQueue:
     """Requests of one key that run one at a time."""
 
-    line: deque = field(default_factory=deque)  # of Records, in the order taken
-    rest_ms: float = -math.inf  # nothing is sent before
+    requests: "deque[RequestState]" = field(default_factory=deque)  # in the order of their arrival
+    settled_ms: float = -math.inf  # no request of the key is sent before
 
 
 @dataclass(slots=True, eq=False)
@@ -57,21 +60,22 @@
     key: str | None
     point: int
     write: bool
-    use_ms: float  # clock times: an answer after that is of no use
+    use_ms: float  # the time after which a response is of no use
     deadline_ms: float
-    excess: bool  # beyond its tenant's share
-    pace: LatencyEstimate  # of its class at cache servers
+    over_quota: bool  # it is beyond its tenant's quota, or late already
+    latency: LatencyEstimate  # of its class at cache servers
     hot_key_load: float = 0.0  # its key's load, in loads of a mean server
-    hedge_number: int = 0  # the number of its second copy
-    turn: KeyQueue | None = None  # where its class runs in turn
-    held: bool = False  # for its turn
+    hedge_number: int = 0  # the number of its hedged attempt, 0 if there is none
+    key_queue: KeyQueue | None = None  # where its class asks for per-key ordering
+    queued: bool = False  # it waits for the requests before it in the key queue
     attempts: int = 0
-    out: dict = field(default_factory=dict)  # attempt number -> (Server, sent_ms)
-    tried: list = field(default_factory=list)
-    ran_ms: float | None = None  # send of the first attempt that may have run
-    ran_at: Server | None = None
-    fetching: bool = False  # holds its key's single flight
-    waiting: bool = False  # for another's fetch or a place at the origin
-    prepaid: bool = False  # its next send is outside the budget: a miss pays for it
-    begun: bool = False  # its stream is the client's
+    # attempt number -> (server, time sent) of the attempts in flight
+    out: dict[int, tuple[Server, float]] = field(default_factory=dict)
+    tried: list[Server] = field(default_factory=list)
+    ran_ms: float | None = None  # when the first attempt that may have run was sent
+    ran_on: Server | None = None
+    fetching: bool = False  # its fetch serves all requests of its key
+    waiting: bool = False  # for another request's fetch or a slot at the origin
+    prepaid: bool = False  # its next attempt follows a miss and is not a retry
+    begun: bool = False  # the client has the beginning of its stream
     done: bool = False
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -6,7 +6,8 @@
 import math
 from collections import deque
 
-from balancer.settings_types import Settings
+from balancer.request_state import RequestState
+from balancer.settings_types import Idempotency, Settings
 
 # Final responses precede the deadline by this and two rounds of the wire.
 DEADLINE_MARGIN_MS = 2.0
@@ -63,3 +64,24 @@
         factor = HEDGE_DELAY_STEP if hedge_won else 1.0 / HEDGE_DELAY_STEP
         self.tokens += hedge_won
         self.delay = min(HEDGE_DELAY_MAX, max(HEDGE_DELAY_MIN, self.delay * factor))
+
+
+class RetryPolicy:
+    """Says whether a request may have one more attempt; every attempt, also the first, has to pass it."""
+
+    def __init__(self, settings: Settings, budget: RetryBudget, margin_ms: float) -> None:
+        """`margin_ms` covers the way to a server and back."""
+        self._max_attempts = settings.max_attempts
+        self._budget = budget
+        self._margin_ms = margin_ms
+
+    def permits(self, now: float, request: RequestState) -> bool:
+        """Whether an attempt of the request may be sent now."""
+        paid = not request.attempts or request.prepaid or self._budget.available(now) >= 1
+        if not paid or request.attempts >= self._max_attempts or now >= request.use_ms or request.begun:
+            return False
+        if request.ran_ms is None or request.cls.effect is Idempotency.SAFE:
+            return True
+        # Servers remember an idempotency key only for a while; the margin is for the way there.
+        age_ms = now - request.ran_ms + self._margin_ms
+        return request.cls.effect is Idempotency.KEYED and age_ms < request.cls.window_ms
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -22,7 +22,7 @@
 
     After an attempt that may have run, only the group of that attempt's server knows the key.
     """
-    ran_at = request.ran_at if request.cls.effect is Idempotency.KEYED else None
+    ran_at = request.ran_on if request.cls.effect is Idempotency.KEYED else None
     group = request.cls.group
     return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
 
@@ -57,7 +57,7 @@
                 place or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
             ):
                 continue
-            if server.missed_ms is not None or drops_early(self._random, now, server.pace, objective_ms):
+            if server.missed_ms is not None or drops_early(self._random, now, server.latency, objective_ms):
                 # In a large fleet most requests to a dead server would be probe requests: a health check is
                 # sent instead where that is permitted.
                 due = server.missed_ms is not None and now >= server.next_probe_ms
@@ -71,7 +71,7 @@
             members += 1
             if members <= passed:
                 last = server
-            elif len(server.out) < server.limit * (OVER_QUOTA_SHARE if request.excess else 1.0):
+            elif len(server.out) < server.limit * (OVER_QUOTA_SHARE if request.over_quota else 1.0):
                 return server
             elif members >= passed + PREFERENCE_SET_SIZE:
                 break
--- a/balancer/server_set.py
+++ b/balancer/server_set.py
@@ -62,10 +62,10 @@
         lost = [name for name in candidates if name in self.by_name and name not in ready]
         removed = [self.by_name.pop(name) for name in lost]
         for server in removed:
-            server.left = True
+            server.removed = True
         for entry in ready.values():
             self._put(entry)
-        self.origins[:] = [server for server in self.origins if not server.left]
+        self.origins[:] = [server for server in self.origins if not server.removed]
         kept = [self.by_name[name] for name in ready]
         return ServerChanges(removed, [server for server in kept if not server.origin])
 
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -5,6 +5,7 @@
 
 import gc
 import sys
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -31,6 +32,7 @@
 
 
 def read_entry(raw: dict[str, Any]) -> api.ServerEntry:
+    """Reads an entry of a server list."""
     return api.ServerEntry(
         server=raw["host"],
         state=api.ServerState(raw.get("stage-state", 0)),
@@ -43,6 +45,7 @@
 
 
 def read_status(raw: dict[str, Any]) -> api.Status:
+    """Reads how an attempt or a probe ended."""
     status = STATUS.get(raw["rc"])
     if status is None:
         raise WireError(f"rc: unknown value {raw['rc']!r}")
@@ -50,6 +53,7 @@
 
 
 def read_request(raw: dict[str, Any]) -> api.Request:
+    """Reads a request that has arrived."""
     return api.Request(
         raw["ref"],
         raw.get("kind", 0),
@@ -60,7 +64,8 @@
     )
 
 
-def read_outcome(raw: dict[str, Any]) -> api.AttemptEnded:
+def read_attempt_ended(raw: dict[str, Any]) -> api.AttemptEnded:
+    """Reads the end of an attempt."""
     return api.AttemptEnded(
         raw["ref"],
         raw["host"],
@@ -71,15 +76,15 @@
     )
 
 
-READERS = {
+READERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
     "new-request": read_request,
-    "closed-attempt": read_outcome,
+    "closed-attempt": read_attempt_ended,
     "health-result": lambda raw: api.Probed(raw["host"], read_status(raw), raw.get("rtt", 0.0)),
     "hangup": lambda raw: api.ClientGone(raw["ref"]),
     "tick-due": lambda raw: api.TimerDue(raw["ref"]),
     "flowing": lambda raw: api.StreamBegun(raw["ref"], raw["host"], raw.get("round-no", 0)),
 }
-WRITERS = {
+WRITERS: dict[type[Any], Callable[[Any], dict[str, Any]]] = {
     api.Send: lambda a: {"try": {"ref": a.request, "limit": a.timeout_ms, "host": a.server}},
     api.Cancel: lambda a: {"cancel": {"ref": a.request, "round-no": a.attempt}},
     api.Probe: lambda a: {"poll": {"host": a.server}},
@@ -87,7 +92,7 @@
     api.Reject: lambda a: {"turn-away": {"ref": a.request, "not-before-for": a.retry_after_ms}},
     api.Fail: lambda a: {"fail": {"ref": a.request}},
     api.SetTimer: lambda a: {"defer": {"delay": a.delay_ms, "ref": a.token}},
-    api.Subscribe: lambda a: {"watch": {"on": True}},
+    api.Subscribe: lambda _: {"watch": {"on": True}},
     api.Log: lambda a: {"say-log": {"body-text": a.text}},
 }
 
@@ -100,16 +105,18 @@
         self.slots: dict[int, tuple[api.ServerEntry, ...]] = {}
 
     def reply(self, line: str) -> str:
+        """The response line for a line of input."""
         batch = msgspec.json.decode(line)
         now_ms = batch["wall"]
         parts = []
         for part in batch["parts"]:
-            output = self.run(now_ms, part["balancer"], part.get("inbox") or ())
+            output = self.run(now_ms, part["balancer"], part.get("inbox") or [])
             if output:
                 parts.append({"balancer": part["balancer"], "output": output})
         return msgspec.json.encode({"parts": parts}).decode()
 
     def run(self, now_ms: float, name: str, inbox: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """The actions of one balancer for the messages in its inbox."""
         output: list[dict[str, Any]] = []
         for message in inbox:
             ((kind, raw),) = message.items()
@@ -137,6 +144,7 @@
             self.slots[raw["slot"]] = tuple(read_entry(item) for item in raw.get("elements") or ())
 
     def read_list(self, raw: dict[str, Any]) -> api.EndpointListChanged:
+        """Reads an update of the endpoint list, whose entries an earlier message has declared."""
         kind = api.ListKind(raw["form"])
         if kind is api.ListKind.FAILED:
             return api.EndpointListChanged(kind, raw.get("generation", 0))
@@ -147,6 +155,7 @@
 
 
 def main() -> int:
+    """Serves standard input until it ends; returns the exit status."""
     # One process hosts hundreds of instances: a collector that walks all they remember costs them their CPU.
     gc.set_threshold(200_000, 50, 1000)
     host = Host()
--- a/balancer/timers.py
+++ b/balancer/timers.py
@@ -1,4 +1,4 @@
-"""What is to be done when, behind a single timer for the next thing due. It decides nothing."""
+"""A schedule of calls behind a single timer, which is set for the next call that is due."""
 
 import heapq
 import math
@@ -10,17 +10,22 @@
 
 
 class Timers:
-    """Timers can't be withdrawn: one that an earlier one has overtaken finds nothing due."""
+    """The calls that are scheduled.
+
+    A timer that has been set cannot be withdrawn: one that an earlier one has overtaken finds nothing due.
+    """
 
     def __init__(self) -> None:
-        self._due: list[tuple[float, int, Callable[..., None], Any]] = []
+        self._due: list[tuple[float, int, Callable[[float, Any], None], Any]] = []
         self._wake_ms = math.inf  # the timer that is set
         self._seq = count()  # breaks ties
 
-    def at(self, when: float, what: Callable[..., None], whom: Any) -> None:
+    def at(self, when: float, what: Callable[[float, Any], None], whom: object) -> None:
+        """Calls `what(now, whom)` at the time `when`."""
         heapq.heappush(self._due, (when, next(self._seq), what, whom))
 
-    def due(self, now: float) -> Iterator[tuple[Callable[..., None], Any]]:
+    def due(self, now: float) -> Iterator[tuple[Callable[[float, Any], None], Any]]:
+        """The calls that are due, in the order of their times."""
         if now + ROUNDING_MS < self._wake_ms:
             return
         self._wake_ms = math.inf
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 
-from balancer import balancer as decide
+from balancer import list_subscription
 from balancer.balancer import Balancer
 from cloverwell import dispatcher, facade
 from cloverwell import proxy as proxy_module
@@ -87,7 +87,7 @@
 
 
 def test_proxies_that_start_in_step_are_seen(monkeypatch):
-    monkeypatch.setattr(decide, "LIST_PACE_MS", 0.0)
+    monkeypatch.setattr(list_subscription, "CALL_SPACING_MS", 0.0)
     assert Play(operated("herd", 4.0), 2).run()["list_starts_peak"] > STARTS
 
 
--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -43,9 +43,9 @@
     server = d.balancer._servers["s0"]
     learnt = server.limit
     d.balancer.resize(4)
-    assert server.limit == pytest.approx(learnt / 2) and server.least == 1.5
+    assert server.limit == pytest.approx(learnt / 2) and server.min_limit == 1.5
     d.balancer.resize(1000)
-    assert server.limit == server.least == 1.0
+    assert server.limit == server.min_limit == 1.0
 
 
 def test_the_facade_hands_the_new_size_on(drive):
