--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -10,24 +10,21 @@
 from balancer.admission import drops_early
 from balancer.api import Group, Idempotency, ListKind, Status
 from balancer.attempt_evaluation import AttemptEvaluator
-from balancer.hash_ring import point
 from balancer.key_order import KeyOrder
 from balancer.latency import (
     RATE_MS,
     UNCROWDED_SHARE,
-    USUAL_TIMEOUT_VOTES,
     LatencyEstimate,
-    UsualTimeout,
 )
 from balancer.list_subscription import ListSubscription
 from balancer.origin_fetch import OriginQueue, SingleFlight
 from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
+from balancer.request_factory import RequestFactory
 from balancer.request_state import RequestState, Server
 from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget, RetryPolicy
 from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, recognises_repeat
 from balancer.server_set import ServerSet
 from balancer.slow_start import SlowStart
-from balancer.tenant_quota import TenantQuotas
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
@@ -37,8 +34,6 @@
 WAKE, RESUBSCRIBE = 0, 1
 # The time between the checks of a server with attempts in flight.
 CHECK_INTERVAL_MS = 25.0
-# The part of a crowded latency that the mean age of an origin's attempts may have: they are about half done.
-ORIGIN_AGE_FACTOR = 0.5
 # The part of the permitted time after which connections to a removed server are closed a second time.
 CLOSE_AGAIN = 0.8
 # A request with more requests ahead of it in the queue for the origin is rejected.
@@ -61,13 +56,11 @@
         self._key_order = KeyOrder()
         self._queue = OriginQueue()
         self._timers = Timers()
-        self._quotas = TenantQuotas(settings.tenants)
-        self._usual_timeouts = [UsualTimeout() for _ in settings.classes]
-        self._class_latencies = [LatencyEstimate(cls.aim_ms * UNCROWDED_SHARE) for cls in settings.classes]
         self._hedges = HedgePolicy()
         self._hot_keys = hot_keys.HotKeys()
         self._retry_budget = RetryBudget(settings)
         self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
+        self._request_factory = RequestFactory(settings, self._random, self._margin_ms)
         self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
         # The objectives of the classes of which no write has been seen.
         self._read_objectives_ms = {number: cls.aim_ms for number, cls in enumerate(settings.classes)}
@@ -150,41 +143,35 @@
 
     def _on_request(self, now: float, event: api.Request) -> None:
         self._retry_budget.requests.append(now)
-        if event.write and self._origins and self._read_objectives_ms.pop(event.request_class, None):
-            self._read_objective_ms = min(self._read_objectives_ms.values(), default=self._objective_ms)
-        cls = self._settings.classes[event.request_class]
-        place = point(event.key) if event.key is not None else self._random.getrandbits(64)
-        deadline = now + event.left_ms - self._margin_ms
-        excess = self._quotas.exceeded(now, event.tenant, self._settings.peers_total)
-        aim = now + cls.aim_ms - self._elapsed_ms(event) - self._margin_ms
-        use = deadline if cls.late_worth or event.write else min(aim, deadline)
-        excess, pace = excess or aim < now, self._class_latencies[event.request_class]
-        request = RequestState(event.request, cls, event.key, place, event.write, use, deadline, excess, pace)
         self._hedges.record_request()
+        if event.write and self._origins:
+            self._exclude_from_reads(event.request_class)
+        request = self._request_factory.make(now, event, self._settings.peers_total)
         self._requests[request.id] = request
-        if cls.in_turn and event.key is not None:
+        if request.cls.in_turn and event.key is not None:
             self._key_order.enqueue(event.key, request)
         if event.key is not None and not event.write:
             request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
-        # With few balancers zones differ, so each member of the preference set is judged instead.
-        crowded = not (event.write or self._rings.few) and drops_early(
-            self._random, now, self._latency, self._read_objective_ms, request.over_quota
-        )
-        if use <= now or crowded:
-            self._reject(now, request, "late" if use <= now else "crowded", RATE_MS)
-            return
-        self._route(now, request)
+        crowded = self._is_crowded(now, request)
+        if request.use_ms <= now:
+            self._reject(now, request, "late", RATE_MS)
+        elif crowded:
+            self._reject(now, request, "crowded", RATE_MS)
+        else:
+            self._route(now, request)
 
-    def _elapsed_ms(self, event: api.Request) -> float:
-        """What the client's earlier tries took: a try has the usual time of its class, or what is left."""
-        usual = self._usual_timeouts[event.request_class].is_usual(
-            event.left_ms, SLACK_MS / 2, USUAL_TIMEOUT_VOTES
-        )
-        return (
-            0.0
-            if usual
-            else max(0.0, self._settings.classes[event.request_class].deadline_ms - event.left_ms)
-        )
+    def _is_crowded(self, now: float, request: RequestState) -> bool:
+        """Whether to drop the request early because all cache servers are crowded."""
+        # In a small tier zones differ, so that each server of the preference set is judged instead.
+        if request.write or self._rings.few:
+            return False
+        return drops_early(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
+
+    def _exclude_from_reads(self, request_class: int) -> None:
+        """Writes go to the origin, so the objective of their class is not one of cache servers."""
+        if self._read_objectives_ms.pop(request_class, 0.0):
+            objectives_ms = self._read_objectives_ms.values()
+            self._read_objective_ms = min(objectives_ms, default=self._objective_ms)
 
     def _route(self, now: float, request: RequestState) -> None:
         """Sends a request to whom the ring names, or holds or ends it."""
@@ -395,37 +382,21 @@
         self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
         if self._settings.may_copy:
             self._hedge_overdue(now, server)
-        # In a jam the answers that come tell of long ago; the age of what is out tells of now.
-        ages = [now - sent for _, sent in server.out.values() if sent >= server.overtaken_ms]
-        age = ORIGIN_AGE_FACTOR if server.origin else 1.0
-        if len(ages) > 1 and sum(ages) / len(ages) > age * concurrency_limit.crowded_latency_ms(
-            server, self._objective_ms
-        ):
-            concurrency_limit.adjust(server, now, True, self._objective_ms)
+        concurrency_limit.check_ages(server, now, self._objective_ms)
         if server.origin:
             self._fill_origin(now)  # what hangs gives way in time
             return
         self._outliers.check_silence(now, server, self._servers.values(), len(self._rings))
 
     def _hedge_overdue(self, now: float, server: Server) -> None:
-        """A connection may fall silent while its server answers others on theirs: a read goes there again."""
+        """Hedges reads whose connection may have fallen silent while the server answers on others."""
         for (name, number), (request, sent) in list(server.out.items()):
-            usual = max(
-                server.latency.mean_ms,
-                self._origin_latency.mean_ms if server.origin else request.latency.mean_ms,
-            )
-            overdue = sent + usual < server.overtaken_ms and now - sent > self._hedges.delay * usual
-            alone = len(request.out) == 1 and not (request.done or request.begun or request.write)
-            safe = request.cls.effect is Idempotency.SAFE  # a read may be of any effect
-            if (
-                overdue
-                and alone
-                and safe
-                and self._hedges.tokens >= 1.0
-                and self._retry_policy.permits(now, request)
-            ):
+            class_latency = self._origin_latency if server.origin else request.latency
+            usual_ms = max(server.latency.mean_ms, class_latency.mean_ms)
+            due = self._hedges.is_due(now, request, sent, usual_ms, server.overtaken_ms)
+            if due and self._retry_policy.permits(now, request):
                 self._hedges.tokens -= 1.0
-                del server.out[name, number]  # it holds no place that others could have
+                del server.out[name, number]  # it must not take capacity that others could have
                 request.hedge_number = request.attempts
                 self._send(now, request, server, request.use_ms - now)
 
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -16,6 +16,8 @@
 DECREASE = 0.8
 # As `UNCROWDED_SHARE`, for the origin: its latencies scatter more.
 ORIGIN_UNCROWDED_SHARE = 0.5
+# The part of a crowded latency that the mean age of an origin's attempts may have: they are about half done.
+ORIGIN_AGE_FACTOR = 0.5
 
 
 def minimum(origin: bool, peers_total: int) -> float:
@@ -42,3 +44,16 @@
     elif crowded and now - server.last_decrease_ms > crowded_latency_ms(server, objective_ms):
         server.last_decrease_ms = now
         server.limit = max(server.min_limit, server.limit * DECREASE)
+
+
+def check_ages(server: Server, now: float, objective_ms: float) -> None:
+    """Lowers the limit where the attempts in flight are old.
+
+    In a jam the responses that come tell of long ago; the age of what is in flight tells of now.
+    """
+    ages_ms = [now - sent for _, sent in server.out.values() if sent >= server.overtaken_ms]
+    if len(ages_ms) < 2:
+        return
+    factor = ORIGIN_AGE_FACTOR if server.origin else 1.0
+    if sum(ages_ms) / len(ages_ms) > factor * crowded_latency_ms(server, objective_ms):
+        adjust(server, now, True, objective_ms)
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -59,6 +59,20 @@
         """Adds the part of a hedged read that one more request permits."""
         self.tokens = min(HEDGE_BURST, self.tokens + HEDGE_SHARE)
 
+    def is_due(
+        self, now: float, request: RequestState, sent: float, usual_ms: float, overtaken_ms: float
+    ) -> bool:
+        """Whether to hedge an attempt that was sent at `sent`, by a server that usually takes `usual_ms`.
+
+        `overtaken_ms` is when the latest attempt was sent that the server has answered.
+        """
+        if sent + usual_ms >= overtaken_ms or now - sent <= self.delay * usual_ms:
+            return False
+        if len(request.out) != 1 or request.done or request.begun or request.write:
+            return False
+        # A read need not be idempotent: its class says so.
+        return request.cls.effect is Idempotency.SAFE and self.tokens >= 1.0
+
     def record_result(self, hedge_won: bool) -> None:
         """Adapts the delay; a hedged attempt that was answered first does not count against the bound."""
         factor = HEDGE_DELAY_STEP if hedge_won else 1.0 / HEDGE_DELAY_STEP
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -1,4 +1,4 @@
-"""The decision module in blocking style: pick, report, tick. Its events and actions end here.
+"""The balancer as calls that return decisions: pick, report, tick. Its events and actions end here.
 
 `pick` and `report` return the choice for the request in hand; whatever the module decides on the way
 for others is kept for the next `tick`, which the loop calls after each of them.
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from enum import Enum
-from typing import Protocol
+from typing import Protocol, cast
 
 from balancer import Balancer, api
 from balancer.api import Idempotency, ListKind, ServerEntry, Status
@@ -35,7 +35,7 @@
 
 
 class RoutableRequest(Protocol):
-    """What the facade has to know of a request."""
+    """The fields of a request by which it is routed."""
 
     id: str
     class_number: int
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """One attempt, to be made now."""
+    """Send one attempt of the request to the node, now."""
 
     request: str
     node: str
@@ -58,21 +58,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Undecided:
-    """Nothing to do for now; a later `tick` has the next choice."""
+    """There is nothing to do now; a later `tick` returns the next decision."""
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: a new try does no harm, best after that time."""
+    """Reject the request: the client may safely retry, best after that time."""
 
     request: str
     retry_after_ms: float
-    reason: str = ""  # a word for the counts
+    reason: str = ""  # counted as `refused.REASON`
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer that promises nothing."""
+    """Fail the request: an attempt of it may have run."""
 
     request: str
     reason: str = ""
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt that is out."""
+    """Cancel an attempt that is in flight."""
 
     request: str
     number: int
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Discovery's news are wanted from now; report them, or the failure, with `report`."""
+    """Watch the endpoint list from now on; `report` each update, or the failure."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """What discovery told: the whole list, or just what changed."""
+    """An update of the endpoint list: the complete list, or the entries that changed."""
 
     revision: int
     complete: bool
@@ -117,12 +117,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdateFailed:
-    """A call to discovery failed; the list stays."""
+    """A call to discovery has failed; the list stays as it is."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has gone away; reported with the request."""
+    """The client of the request has disconnected."""
 
 
 Decision = (
@@ -140,14 +140,17 @@
 
 @dataclass(slots=True)
 class AttemptCount:
-    """A request's attempts: chosen so far, which numbers them, and out now."""
+    """The attempts of a request: all of them, which numbers the next, and those in flight."""
 
     chosen: int = 0
     out: int = 0
 
 
 class Facade:
+    """One balancer, its clock and its timers, behind calls that return the decision for their request."""
+
     def __init__(self, settings: api.Settings, seed: int, now: Callable[[], float]) -> None:
+        """`now` returns the time in milliseconds, of the clock that `tick` is called with."""
         self.settings = settings
         # This proxy carries out no probes: a module that counted on them would keep a marked node out until
         # the list changed, waiting for an answer that never comes. Without them it sends trial requests.
@@ -158,7 +161,7 @@
         self._attempts: dict[str, AttemptCount] = {}  # of the requests that had an attempt and are not over
 
     def pick(self, request: RoutableRequest) -> Decision:
-        """The first choice for a new request."""
+        """Returns the first decision for a new request."""
         event = api.Request(
             request.id,
             request.class_number,
@@ -179,6 +182,7 @@
         now = self._now()
         match outcome:
             case AttemptOutcome():
+                assert isinstance(subject, SendAttempt)
                 name = subject.request
                 ended = over or outcome is AttemptOutcome.SERVED
                 self._attempts[name].out -= 1
@@ -187,8 +191,9 @@
                 event = api.AttemptEnded(name, subject.node, subject.number, outcome.value, 0.0, ended)
                 return self._hand_over(now, event, name)
             case ClientDisconnected():
-                self._forget(subject.id)
-                return self._hand_over(now, api.ClientGone(subject.id), subject.id)
+                request = cast(RoutableRequest, subject)
+                self._forget(request.id)
+                return self._hand_over(now, api.ClientGone(request.id), request.id)
             case EndpointUpdate():
                 kind = ListKind.FULL if outcome.complete else ListKind.DELTA
                 kind = ListKind.CACHED if outcome.held else kind
@@ -207,13 +212,13 @@
         return due
 
     def resize(self, peers_total: int) -> None:
-        """So many proxies share the servers from now on."""
+        """Adapts the decisions to the number of proxies that share the servers."""
         self.settings = replace(self.settings, peers_total=peers_total)
         self._balancer.resize(peers_total)
 
     def _forget(self, request: str) -> None:
-        """The request is over: its tally goes with its last attempt."""
-        if (tally := self._attempts.get(request)) is not None and not tally.out:
+        """The request is over: its count is dropped with its last attempt."""
+        if (count := self._attempts.get(request)) is not None and not count.out:
             del self._attempts[request]
 
     def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Decision:
@@ -223,8 +228,11 @@
                 heapq.heappush(self._timers, (now + action.delay_ms, action.token))
                 continue
             meant = self._read(action)
-            for_one = isinstance(meant, SendAttempt | RejectRequest | FailRequest)
-            if for_one and choice is UNDECIDED and meant.request == mine:
+            if (
+                isinstance(meant, SendAttempt | RejectRequest | FailRequest)
+                and choice is UNDECIDED
+                and meant.request == mine
+            ):
                 choice = meant
             else:
                 self._pending.append(meant)
@@ -233,10 +241,10 @@
     def _read(self, action: api.Action) -> Decision:
         match action:
             case api.Send(name, node, timeout_ms):
-                tally = self._attempts.setdefault(name, AttemptCount())
-                tally.chosen += 1
-                tally.out += 1
-                return SendAttempt(name, node, tally.chosen - 1, timeout_ms)
+                count = self._attempts.setdefault(name, AttemptCount())
+                count.chosen += 1
+                count.out += 1
+                return SendAttempt(name, node, count.chosen - 1, timeout_ms)
             case api.Reject(name, retry_after_ms, reason):
                 self._forget(name)
                 return RejectRequest(name, retry_after_ms, reason)
