--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -51,7 +51,7 @@
         self._connect_refused_rate = 0.0
         self._reset_rate = 0.0
 
-    def close(self, now: float, server: Server) -> None:
+    def close(self, _now: float, server: Server) -> None:
         """Closes the idle connections to the server."""
         server.last_use_ms = -math.inf
         self._actions.append(Close(server.entry.server))
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,6 +1,5 @@
 """The balancer: events in, actions out, over the parts that decide. docs/design.md gives the reasons."""
 
-import math
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
@@ -17,7 +16,7 @@
     LatencyEstimate,
 )
 from balancer.list_subscription import ListSubscription
-from balancer.origin_fetch import OriginQueue, SingleFlight
+from balancer.origin_fetch import OriginAdmission, OriginQueue, SingleFlight
 from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
 from balancer.request_factory import RequestFactory
 from balancer.request_state import RequestState, Server
@@ -28,16 +27,14 @@
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
-# The time between the end of a wait and the last use of the response, since timers come late.
-SLACK_MS = 50.0
+# The Retry-After of a rejected request.
+RETRY_AFTER_MS = 50.0
 # The tokens of timers: for the next call that is due, and for the endpoint list.
 WAKE, RESUBSCRIBE = 0, 1
 # The time between the checks of a server with attempts in flight.
 CHECK_INTERVAL_MS = 25.0
 # The part of the permitted time after which connections to a removed server are closed a second time.
 CLOSE_AGAIN = 0.8
-# A request with more requests ahead of it in the queue for the origin is rejected.
-MAX_QUEUED_AHEAD = 100
 
 
 class Balancer:
@@ -70,6 +67,9 @@
         self._machine_types: dict[int, LatencyEstimate] = {}  # the same by type of machine
         self._slow_start = SlowStart(settings, self._latency, self._machine_types, self._objective_ms)
         self._origin_latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE / 2)
+        self._origin_admission = OriginAdmission(
+            settings, self._random, self._origin_latency, self._objective_ms
+        )
         self._server_set = ServerSet(
             settings.origin_kind,
             settings.peers_total,
@@ -174,14 +174,13 @@
             self._read_objective_ms = min(objectives_ms, default=self._objective_ms)
 
     def _route(self, now: float, request: RequestState) -> None:
-        """Sends a request to whom the ring names, or holds or ends it."""
+        """Sends a request to the server that is selected for it, or holds or ends it."""
         # Every request comes by here before its first attempt, so none with its key overtakes another.
         if request.key_queue is not None and not request.attempts:
-            request.queued = (
-                request.key_queue.requests[0] is not request or now < request.key_queue.settled_ms
-            )
+            queue = request.key_queue
+            request.queued = queue.requests[0] is not request or now < queue.settled_ms
             if request.queued:
-                self._wait(now, request, request.key_queue.requests.index(request))
+                self._wait(now, request, queue.requests.index(request))
                 return
         if request.write and self._origins:
             self._ask_origin(now, request)
@@ -195,8 +194,7 @@
         server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
-            full = all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings)
-            if full:
+            if all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings):
                 self._reject(now, request, "bounds", RATE_MS)
             else:
                 self._ask_origin(now, request)
@@ -205,9 +203,8 @@
         self._send(now, request, server, (request.use_ms - now) / (1 if self._settings.may_cancel else 2))
 
     def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
-        if not (
-            self._retry_policy.permits(now, request) and recognises_repeat(request, server)
-        ):  # the one gate of all sends
+        # Every attempt has to pass here.
+        if not self._retry_policy.permits(now, request) or not recognises_repeat(request, server):
             self._reject(now, request, "spent")
             return
         if request.attempts and not request.prepaid:
@@ -228,7 +225,7 @@
         )
 
     def _reject(
-        self, now: float, request: RequestState, reason: str, retry_after_ms: float = SLACK_MS
+        self, now: float, request: RequestState, reason: str, retry_after_ms: float = RETRY_AFTER_MS
     ) -> None:
         """Gives the single final response: a rejection where the client may safely retry, else a failure."""
         cls = request.cls
@@ -323,16 +320,10 @@
                 self._await_fetch(now, request.key, request)
                 return
             self._fetches.begin(request.key, request)
-        if (
-            request.cls.late_worth
-            and not request.write
-            and drops_early(self._random, now, self._origin_latency, self._objective_ms, request.over_quota)
-        ):
-            self._reject(now, request, "origin", RATE_MS)  # the queue alone holds it till its deadline
+        if self._origin_admission.drops_early(now, request):
+            self._reject(now, request, "origin", RATE_MS)
             return
-        worth = request.cls.worth * (self._settings.over_share_worth if request.over_quota else 1.0)
-        worth *= 1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load  # what is fetched serves those after it
-        ahead = self._queue.push(now, request, worth)
+        ahead = self._queue.push(now, request, self._origin_admission.priority(request))
         self._fill_origin(now)
         if not request.out and not request.done:
             self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
@@ -343,15 +334,13 @@
         self._wait(now, request)
 
     def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
-        """Holds a request, at most until waiting on would make its answer worthless."""
+        """Holds a request, at most until its response would come too late."""
         request.waiting = True
-        until = request.use_ms - self._origin_latency.mean_ms - SLACK_MS
-        if (
-            ahead > MAX_QUEUED_AHEAD or until <= now + ahead * self._origin_latency.mean_ms
-        ):  # its turn comes too late
+        until = self._origin_admission.waits_until(now, request, ahead)
+        if until is None:
             self._reject(now, request, "queue")
-            return
-        self._timers.at(until, self._expire, request)
+        else:
+            self._timers.at(until, self._expire, request)
 
     def _expire(self, now: float, request: RequestState) -> None:
         if request.waiting and not request.done:
@@ -363,11 +352,11 @@
             if origin is None:
                 return
             request = self._queue.pop()
-            # What would come too late keeps the origin from what it can still do in time.
-            left = min(request.use_ms - now, math.inf if request.cls.late_worth else request.cls.aim_ms)
-            if not request.done and left < self._origin_latency.fading_ms(now):
+            if request.done:
+                continue
+            if self._origin_admission.is_too_late(now, request):
                 self._reject(now, request, "origin", RATE_MS)
-            elif not request.done:
+            else:
                 self._send(now, request, origin, request.deadline_ms - now)
 
     def _resume(self, now: float, request: RequestState) -> None:
@@ -375,7 +364,7 @@
             self._route(now, request)
 
     def _check(self, now: float, server: Server) -> None:
-        """Sends again what is long overdue, and marks a server that gives no sign of life."""
+        """Checks a server with attempts in flight: hedges overdue ones, and ejects it if it is silent."""
         server.watched = bool(server.out) and server.missed_ms is None
         if not server.watched:
             return
@@ -401,7 +390,7 @@
                 self._send(now, request, server, request.use_ms - now)
 
     def _settle_hedge(self, request: RequestState, attempt: int) -> None:
-        """One copy has its answer: the other is called off, and tells whether to ask sooner or later next."""
+        """One attempt is answered: cancels the other, and adapts the delay of hedged requests."""
         self._hedges.record_result(attempt == request.hedge_number)
         self._actions += [api.Cancel(request.id, number) for number in request.out]
         request.hedge_number = 0
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -1,8 +1,19 @@
 """The queue for slots at the origin, and single flight: one fetch for all requests of a key."""
 
+import math
 from bisect import bisect
+from random import Random
 
+from balancer import hot_keys
+from balancer.admission import drops_early
+from balancer.latency import LatencyEstimate
 from balancer.request_state import RequestState
+from balancer.settings_types import Settings
+
+# The time between the end of a wait and the last use of the response, since timers come late.
+WAIT_MARGIN_MS = 50.0
+# A request with more requests ahead of it in the queue is rejected.
+MAX_QUEUED_AHEAD = 100
 
 
 class OriginQueue:
@@ -42,3 +53,39 @@
         """The request's fetch is over; returns the requests that waited for it."""
         request.fetching = False
         return self.waiting.pop(key, [])
+
+
+class OriginAdmission:
+    """Says which requests may wait for the origin, how long, and with which priority."""
+
+    def __init__(
+        self, settings: Settings, random: Random, latency: LatencyEstimate, objective_ms: float
+    ) -> None:
+        """`latency` is the origin's, `objective_ms` the shortest latency objective."""
+        self._over_quota_weight = settings.over_share_worth
+        self._random = random
+        self._latency = latency
+        self._objective_ms = objective_ms
+
+    def drops_early(self, now: float, request: RequestState) -> bool:
+        """Whether to drop a read that would be useful until its deadline: the queue alone would keep it."""
+        if not request.cls.late_worth or request.write:
+            return False
+        return drops_early(self._random, now, self._latency, self._objective_ms, request.over_quota)
+
+    def priority(self, request: RequestState) -> float:
+        """The request's weight; a fetch of a hot key weighs more, since it serves the reads after it."""
+        weight = request.cls.worth * (self._over_quota_weight if request.over_quota else 1.0)
+        return weight * (1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load)
+
+    def is_too_late(self, now: float, request: RequestState) -> bool:
+        """Whether a response would come too late, so that a slot is better used for another request."""
+        objective_ms = math.inf if request.cls.late_worth else request.cls.aim_ms
+        return min(request.use_ms - now, objective_ms) < self._latency.fading_ms(now)
+
+    def waits_until(self, now: float, request: RequestState, ahead: float) -> float | None:
+        """How long the request may wait with so many requests ahead of it; None where that is too long."""
+        until = request.use_ms - self._latency.mean_ms - WAIT_MARGIN_MS
+        if ahead > MAX_QUEUED_AHEAD or until <= now + ahead * self._latency.mean_ms:
+            return None
+        return until
