--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -79,10 +79,7 @@
         )
         self._servers = self._server_set.by_name
         self._origins = self._server_set.origins
-        self._probe_latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)
-        self._outliers = OutlierDetector(
-            settings, self._latency, self._probe_latency, self._retry_budget, self._actions
-        )
+        self._outliers = OutlierDetector(settings, self._latency, self._retry_budget, self._actions)
         self._evaluator = AttemptEvaluator(
             settings, self._latency, self._objective_ms, self._slow_start, self._outliers, self._actions
         )
@@ -397,8 +394,5 @@
 
     def _on_probe_ended(self, now: float, event: api.Probed) -> None:
         server = self._servers.get(event.server)
-        if server is not None and event.status is Status.OK:
-            self._probe_latency.learn(now, event.latency_ms)
-            self._outliers.record_response(now, server)
-        elif server is not None and event.status in (Status.RESET, Status.CONNECT_FAILED):
-            self._outliers.eject(now, server)
+        if server is not None:
+            self._outliers.record_probe(now, server, event.status, event.latency_ms)
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -7,6 +7,7 @@
 from collections.abc import Collection
 
 from balancer.actions import Action, Cancel, Log, Probe
+from balancer.events import Status
 from balancer.latency import LatencyEstimate
 from balancer.request_state import Server
 from balancer.retry import RetryBudget
@@ -33,14 +34,14 @@
         self,
         settings: Settings,
         latency: LatencyEstimate,
-        probe_latency: LatencyEstimate,
         retry_budget: RetryBudget,
         actions: list[Action],
     ) -> None:
         self._may_probe = settings.may_probe
         self._may_cancel = settings.may_cancel
         self._latency = latency
-        self._probe_latency = probe_latency
+        # The first guess is the same as for other responses.
+        self._probe_latency = LatencyEstimate(latency.mean_ms)
         self._retry_budget = retry_budget
         self._actions = actions
 
@@ -52,6 +53,14 @@
         self._actions.append(Probe(server.entry.server))
         return True
 
+    def record_probe(self, now: float, server: Server, status: Status, latency_ms: float) -> None:
+        """Counts the end of a probe: a response readmits the server, a broken connection ejects it."""
+        if status is Status.OK:
+            self._probe_latency.learn(now, latency_ms)
+            self.record_response(now, server)
+        elif status in (Status.RESET, Status.CONNECT_FAILED):
+            self.eject(now, server)
+
     def record_response(self, now: float, server: Server) -> None:
         """Counts a response, and readmits the server if it was ejected."""
         server.last_response_ms, server.probed_ms = now, None
