--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -160,7 +160,7 @@
     def _is_crowded(self, now: float, request: RequestState) -> bool:
         """Whether to drop the request early because all cache servers are crowded."""
         # In a small tier zones differ, so that each server of the preference set is judged instead.
-        if request.write or self._rings.few:
+        if request.write or self._rings.small_tier:
             return False
         return drops_early(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
 
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -19,13 +19,13 @@
     local zone has no capacity go to remote zones first. In a small tier only `near` servers of the local
     zone are preferred, then the first of each other zone, where copies of the value are.
     """
-    order = [rings.home, rings.abroad]
-    if (place >> 10) % 1024 >= 1024 * rings.home_part:
+    order = [rings.local, rings.remote]
+    if (place >> 10) % 1024 >= 1024 * rings.local_share:
         order.reverse()
     seen, zones, later = set[Server](), set[int](), list[Server]()
     for ring in order:
         got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
-        most = near if rings.few and ring is rings.home else len(ring)
+        most = near if rings.small_tier and ring is rings.local else len(ring)
         for token, server in ring.clockwise(place):
             if got >= most or passed > COLD_MOST:
                 break
@@ -38,12 +38,12 @@
             if may and token % 1024 < 1024 * slow_start.active_share(now, server):  # low bits: a lot
                 seen.add(server)
                 got += 1
-                if rings.few and ring is rings.abroad and server.entry.zone in zones:
+                if rings.small_tier and ring is rings.remote and server.entry.zone in zones:
                     later.append(server)
                 else:
                     zones.add(server.entry.zone)
                     yield server
-            elif rings.few and ring is rings.home and not warm:
+            elif rings.small_tier and ring is rings.local and not warm:
                 break  # all of home may be as cold, and must not get what it leaves
             else:
                 passed += not warm
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -64,7 +64,7 @@
                 if due and not self._outliers.probe(now, server) and request.cls.effect is Idempotency.SAFE:
                     return server
                 crowded += server.missed_ms is None
-                if self._rings.few and crowded >= PREFERENCE_SET_SIZE:
+                if self._rings.small_tier and crowded >= PREFERENCE_SET_SIZE:
                     return None
                 last = last or server
                 continue
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -17,10 +17,10 @@
     def __init__(self, settings: api.Settings) -> None:
         self._set = settings
         self._zoned = settings.cross_price > 0 and len(settings.zones) > 1
-        self.few = self._is_few()
-        self.home: Ring[Server] = Ring()
-        self.abroad: Ring[Server] = Ring()  # servers of other zones, where that matters
-        self.home_part = 1.0  # of the keys: as far as home has the capacity
+        self.small_tier = self._is_small_tier()
+        self.local: Ring[Server] = Ring()
+        self.remote: Ring[Server] = Ring()  # servers of other zones, where that matters
+        self.local_share = 1.0  # of the keys: as far as home has the capacity
         self._servers: dict[str, Server] = {}
         self._weights = ZoneWeights()
         self._largest = 1.0  # weight; weights have no unit
@@ -39,32 +39,32 @@
         before, self._largest = self._largest, self._weights.largest
         resized = self._set.sizes_fixed and self._largest != before  # in proportion to it, all of them
         self._place(self._servers.values() if resized else kept)
-        if self._zoned and not self.few:
+        if self._zoned and not self.small_tier:
             # Zones have about as many requests, but not as many servers: what home can't carry goes abroad.
             # With few balancers zones differ by what they are asked, and jams tell what home can't carry.
             mine, total = self._weights.in_zone(self._set.zone), self._weights.total
-            self.home_part = len(self._set.zones) * mine / max(total, 1e-9)
+            self.local_share = len(self._set.zones) * mine / max(total, 1e-9)
 
     def resize(self, settings: api.Settings) -> None:
         """The number of balancers is another: all stand where they would with it from the start."""
         self._set = settings
-        self.few = self._is_few()
-        self.home_part = 1.0
+        self.small_tier = self._is_small_tier()
+        self.local_share = 1.0
         self.change((), tuple(self._servers.values()))
 
-    def _is_few(self) -> bool:
+    def _is_small_tier(self) -> bool:
         # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
         return self._zoned and self._set.peers_total < ZONE_PEERS * len(self._set.zones)
 
     def _remove(self, server: Server) -> None:
         del self._servers[server.entry.server]
         self._weights.remove(server.entry.server)
-        self.home.remove(server)
-        self.abroad.remove(server)
+        self.local.remove(server)
+        self.remote.remove(server)
 
     def _place(self, servers: Collection[Server]) -> None:
         """Gives each its tokens where it stands; one that has them keeps them."""
-        for ring, stands in (self.home, self._at_home), (self.abroad, self._abroad):
+        for ring, stands in (self.local, self._is_local), (self.remote, self._is_on_remote_ring):
             ring.put_all((s, s.entry.server, self._tokens_of(s)) for s in servers if stands(s))
             for server in servers:
                 if not stands(server):
@@ -74,8 +74,8 @@
         fixed = self._set.sizes_fixed and self._largest
         return max(1, round(TOKENS * (server.entry.weight / self._largest if fixed else 1.0)))
 
-    def _at_home(self, server: Server) -> bool:
+    def _is_local(self, server: Server) -> bool:
         return not self._zoned or server.entry.zone == self._set.zone
 
-    def _abroad(self, server: Server) -> bool:
-        return self.few or not self._at_home(server)
+    def _is_on_remote_ring(self, server: Server) -> bool:
+        return self.small_tier or not self._is_local(server)
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -97,8 +97,8 @@
         balancer.handle(0.0, api.EndpointListChanged(kind, 0, tuple(entries)))
         servers = balancer._servers.values()
         home, abroad, part = built_anew(options, servers)
-        assert order(balancer._rings.home) == home and order(balancer._rings.abroad) == abroad
-        assert abs(balancer._rings.home_part - part) <= 1e-12 * max(1, part)
+        assert order(balancer._rings.local) == home and order(balancer._rings.remote) == abroad
+        assert abs(balancer._rings.local_share - part) <= 1e-12 * max(1, part)
         assert len(balancer._rings) == sum(not server.origin for server in servers)
         assert balancer._origins == [server for server in servers if server.origin]
 
@@ -168,11 +168,11 @@
     rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=True))
     small, large = asked("small", weight=1.0), asked("large", weight=4.0)
     rings.change([], [small])
-    assert len(order(rings.home)) == TOKENS
+    assert len(order(rings.local)) == TOKENS
     rings.change([], [large])
-    assert len(order(rings.home)) == TOKENS + TOKENS // 4
+    assert len(order(rings.local)) == TOKENS + TOKENS // 4
     rings.change([large], [])
-    assert len(order(rings.home)) == TOKENS
+    assert len(order(rings.local)) == TOKENS
 
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 2), st.sampled_from(WEIGHTS))))
