--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -44,6 +44,7 @@
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
+        """`seed` is that of all random draws."""
         self._settings = settings
         self._random = Random(seed)
         self._actions: list[api.Action] = []  # of the event in hand; the parts add theirs in order
--- a/balancer/hash_ring.py
+++ b/balancer/hash_ring.py
@@ -29,6 +29,7 @@
     Tokens are hashes, so buckets fill evenly: at 1,000 owners with 128 tokens each holds some 500."""
 
     def __init__(self) -> None:
+        """The ring has no owners yet."""
         self._buckets: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]
         self._owners: dict[int, Owner] = {}
         self._tokens: dict[Owner, list[int]] = {}
@@ -38,6 +39,7 @@
         return len(self._tokens)
 
     def __contains__(self, owner: object) -> bool:
+        """Whether the owner has tokens."""
         return owner in self._tokens
 
     def put(self, owner: Owner, name: str, number: int) -> None:
--- a/balancer/hot_keys.py
+++ b/balancer/hot_keys.py
@@ -15,6 +15,7 @@
     """Estimates the load that a key brings."""
 
     def __init__(self) -> None:
+        """No read has been counted yet."""
         self._last: deque[str] = deque(maxlen=WINDOW)
 
     def record(self, key: str, servers: int) -> float:
--- a/balancer/key_order.py
+++ b/balancer/key_order.py
@@ -7,6 +7,7 @@
     """The queues of all keys that have such requests."""
 
     def __init__(self) -> None:
+        """No key has requests yet."""
         self.queues: dict[str, KeyQueue] = {}
 
     def enqueue(self, key: str, request: RequestState) -> None:
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -20,9 +20,11 @@
     """Requests that wait for a slot at the origin, in the order of priority and then of arrival."""
 
     def __init__(self) -> None:
+        """The queue is empty."""
         self._entries: list[tuple[float, float, str, RequestState]] = []
 
     def __bool__(self) -> bool:
+        """Whether requests wait."""
         return bool(self._entries)
 
     def push(self, now: float, request: RequestState, priority: float) -> int:
@@ -42,6 +44,7 @@
     """The fetches in flight, with the requests of the same key that wait for each."""
 
     def __init__(self) -> None:
+        """No fetch is in flight."""
         self.waiting: dict[str, list[RequestState]] = {}  # by key
 
     def begin(self, key: str, request: RequestState) -> None:
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -37,6 +37,7 @@
         retry_budget: RetryBudget,
         actions: list[Action],
     ) -> None:
+        """`latency` is that of all cache servers; the budget bounds the attempts that are cancelled."""
         self._may_probe = settings.may_probe
         self._may_cancel = settings.may_cancel
         self._latency = latency
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -23,6 +23,7 @@
     """Bounds the attempts beyond the first by the requests of a sliding window (Envoy's retry budget)."""
 
     def __init__(self, settings: Settings) -> None:
+        """The window, the free retries and the share are those of the settings."""
         self._window_ms = settings.resend_window_ms
         self._free_retries = settings.free_resends
         self._retry_share = settings.resend_share
@@ -52,6 +53,7 @@
     """Adapts the delay of hedged reads to which attempt is answered first, and bounds their number."""
 
     def __init__(self) -> None:
+        """The delay starts with its first guess, and a full burst is available."""
         self.delay = HEDGE_DELAY_START  # in mean latencies
         self.tokens = HEDGE_BURST
 
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -33,6 +33,7 @@
     def __init__(
         self, random: Random, rings: ZoneRings, slow_start: SlowStart, outliers: OutlierDetector
     ) -> None:
+        """`random` is the balancer's generator, so that its decisions can be repeated."""
         self._random = random
         self._rings = rings
         self._slow_start = slow_start
--- a/balancer/settings_types.py
+++ b/balancer/settings_types.py
@@ -40,6 +40,7 @@
     name: str = ""
 
     def __post_init__(self) -> None:
+        """Checks the ranges of all fields."""
         _positive("aim_ms", self.aim_ms)
         _positive("deadline_ms", self.deadline_ms)
         _not_negative("window_ms", self.window_ms)
@@ -55,6 +56,7 @@
     name: str = ""
 
     def __post_init__(self) -> None:
+        """Checks the ranges of all fields."""
         _not_negative("quota_per_s", self.quota_per_s)
 
 
@@ -96,6 +98,7 @@
     max_open: int = 0  # requests held at once; 0: no bound
 
     def __post_init__(self) -> None:
+        """Checks the ranges of all fields."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if self.peers_total < 1:
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -101,6 +101,7 @@
     """All instances of one process, and the numbered server lists that belong to the process."""
 
     def __init__(self) -> None:
+        """No balancer has begun and no list is declared."""
         self.balancers: dict[str, Balancer] = {}
         self.slots: dict[int, tuple[api.ServerEntry, ...]] = {}
 
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -19,6 +19,7 @@
         machine_types: dict[int, LatencyEstimate],
         objective_ms: float,
     ) -> None:
+        """Takes the warm-up from the settings."""
         self._start_capacity = settings.start_capacity
         self._warm_up_ms = settings.warm_up_ms
         self._latency = latency
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -31,6 +31,7 @@
     """The token buckets of all tenants that have a quota."""
 
     def __init__(self, tenants: tuple[Tenant, ...]) -> None:
+        """Each bucket starts with the least burst."""
         self._tenants = tenants
         self._buckets = [TokenBucket(MIN_BURST) for _ in tenants]
 
--- a/balancer/timers.py
+++ b/balancer/timers.py
@@ -16,6 +16,7 @@
     """
 
     def __init__(self) -> None:
+        """Nothing is scheduled."""
         self._due: list[tuple[float, int, Callable[[float, Any], None], Any]] = []
         self._wake_ms = math.inf  # the timer that is set
         self._seq = count()  # breaks ties
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -15,6 +15,7 @@
     """The two rings of one balancer; a list costs what it changes, since a large fleet's come often."""
 
     def __init__(self, settings: api.Settings) -> None:
+        """There are no servers yet."""
         self._set = settings
         self._zoned = settings.cross_price > 0 and len(settings.zones) > 1
         self.small_tier = self._is_small_tier()
--- a/balancer/zone_weights.py
+++ b/balancer/zone_weights.py
@@ -10,6 +10,7 @@
     Sums are rounded once and depend on no order: two balancers that hold one list have the same."""
 
     def __init__(self) -> None:
+        """There are no servers yet."""
         self._of: dict[str, tuple[int, float]] = {}  # server -> its zone and weight
         self._counts: Counter[tuple[int, float]] = Counter()  # (zone, weight) -> servers
 
