--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,617 +1,399 @@
-"""Every decision: `_walk` is the ring's order, `_choose` has reasons to skip; docs/design.md says why."""
+"""The balancer: events in, actions out, over the parts that decide. docs/design.md gives the reasons."""
 
-import heapq
-import math
-from bisect import bisect
-from collections import deque
-from collections.abc import Iterator
+from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-
-from balancer import api, places
-from balancer.api import Effect, Group, ListKind, ServerState, Status
-from balancer.hash_ring import point
-from balancer.rings import Rings
-from balancer.state import FRESH, RATE_MS, Pace, Quota, Record, Server, Span, Turn
+from typing import Any
+
+from balancer import api, concurrency_limit, hot_keys, origin_slots
+from balancer.admission import drops_early
+from balancer.api import Group, Idempotency, ListKind, Status
+from balancer.attempt_evaluation import AttemptEvaluator
+from balancer.key_order import KeyOrder
+from balancer.latency import (
+    RATE_MS,
+    UNCROWDED_SHARE,
+    LatencyEstimate,
+)
+from balancer.list_subscription import ListSubscription
+from balancer.origin_fetch import OriginAdmission, OriginQueue, SingleFlight
+from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
+from balancer.request_factory import RequestFactory
+from balancer.request_state import RequestState, Server
+from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget, RetryPolicy
+from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, recognises_repeat
+from balancer.server_set import ServerSet
+from balancer.slow_start import SlowStart
 from balancer.timers import Timers
+from balancer.zone_rings import ZoneRings
 
-SLACK_MS = 50.0  # kept between a wait's end and the last use of the answer: timers come late
-WAKE, RESUBSCRIBE = 0, 1  # timer tokens
-QUIET_ODDS = 8.0  # silence x requests out / mean latency that marks: chance alone would do that once in e^8
-QUIET_FACTOR = 1.5  # mean latencies of silence after which a server is looked at, and probed where permitted
-LOOK_MS = 25.0  # pace of the looks at a server that has been silent so long
-QUIET_SHARE = 0.34  # silence marks at most this part of the ring: more than that is an overload, not deaths
-PROBE_MIN_MS = 15.0  # a probe's mean latency is taken as no less: eight of them outlast most pauses
-TRIAL_MS = 500.0  # pace of trials of a marked server: a few a death, back within a second
-LONG_MARK_MS = 2000.0  # marked so long, a server has likely restarted: cold until the list says more
-HEAT_WINDOW = 100  # requests of this balancer among which a hot key is told: all balancers see the same mix
-HEAT_WORTH = 10.0  # more worths of its request has a fetch whose key brings a mean server's load
-HEAT_MAX = 0.5  # of a mean server's load that one key may bring: a hotter one is spread over more members
-MARGIN_MS = 2.0  # final answers precede the deadline by this and two rounds of the wire
-COLD_SPILL, COLD_MOST = 1, 4  # tokens passed by of cold servers: for another cold one, and for any
-MEMBERS = 3  # R, the preference set: a key asked of more servers only spreads a jam and copies
-LIMIT_START = 24.0  # requests out at one server from all balancers together: first guess, some cores' worth
-LIMIT_MIN, LIMIT_CORES = 1.0, 6.0  # of this balancer's part; and of all parts, since so many do not wait
-LIMIT_CUT = 0.8  # factor on the bound when the server is full, fails or is crowded
-CROWD_AIM = 0.25  # of the shortest aim: a mean latency under it is never called crowded
-ORIGIN_AIM, ORIGIN_MIN = 0.5, 2.0  # for the origin: its answers scatter, and cut too far the caches run empty
-AGE_ORIGIN = 0.5  # of a crowded latency, for the mean age of what is out there: it is about half done
-CROWD_RATIO = 1.5  # times the lowest mean latency seen: half of it is chance, the rest is waiting
-EARLY_AIM, EARLY_RATIO = 0.5, 2.5  # as these two, for where early drops begin
-EARLY_LAST = 0.75  # of the shortest aim there: early drops start by then, whatever the floor
-EARLY_SLOPE = 2.0  # part dropped for each time more than that: all at half as much again
-SHARE_SLACK = 1.5  # times its even part of a tenant's quota: zones differ, and a balancer sees only its own
-SHARE_CLUMP = 4.0  # requests of a tenant that may come at once: an even part of a quota may be under one
-JAM_CAP = 3.0  # times the mean latency: what a time-out teaches at most, since a connection may be at fault
-LATE, LATE_MIN, LATE_MAX = 8.0, 3.0, 12.0  # mean latencies of its class after which a read is sent again
-LATE_STEP = 0.9  # factor on that where the second copy was answered first, its inverse where the first was
-LATE_SHARE, LATE_CLUMP = 0.05, 5.0  # of the reads that may be sent again so, and how many of them at once
-BREAKS = 2  # resets without an answer between them that mark: one may be its connection's alone
-TORN, TORN_WEIGHT = 0.05, 0.01  # a share of resets from which on it takes one more: they befall all alike
-EXCESS_ROOM = 0.25  # part of a bound that traffic beyond a tenant's share may fill
-LIST_PACE_MS = 20.0  # between the first calls of all balancers: the list is one service of fixed capacity
-IDLE_GROWTH = 1.01  # an answer, of the time that unused connections are trusted: halved when one broke
-STALE = 0.25  # of the mean latency: a reset that fast on an unused connection tells of no server's death
-CRAMMED = 0.1  # share of attempts refused a connection at once from which on they are given up after use
-HANG_UP_AGAIN = 0.8  # of the time stated for it: a connection may have been opening when the first came
-RESUBSCRIBE_MS, RESUBSCRIBE_MAX_MS = 400.0, 8000.0  # first and longest wait before the list is asked again
+# The Retry-After of a rejected request.
+RETRY_AFTER_MS = 50.0
+# The tokens of timers: for the next call that is due, and for the endpoint list.
+WAKE, RESUBSCRIBE = 0, 1
+# The time between the checks of a server with attempts in flight.
+CHECK_INTERVAL_MS = 25.0
+# The part of the permitted time after which connections to a removed server are closed a second time.
+CLOSE_AGAIN = 0.8
 
 
 class Balancer:
-    """Sans-I/O and deterministic: the same settings, seed and events give the same actions."""
+    """Routes events to the parts that decide, and requests to servers.
+
+    It does no I/O and is deterministic: the same settings, seed and events give the same actions.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self._set = settings
-        self._rng = Random(seed)
-        self._servers: dict[str, Server] = {}
-        self._rings = Rings(settings)
-        self._home, self._abroad, self._few = self._rings.home, self._rings.abroad, self._rings.few
-        self._origins: list[Server] = []
-        self._records: dict[str, Record] = {}
-        self._fetches: dict[str, list[Record]] = {}  # key -> requests that wait for its fetch
-        self._turns: dict[str, Turn] = {}  # key -> its in-turn requests
-        self._queue: list[tuple[float, float, str, Record]] = []  # for a place at the origin: dearest first
+        """`seed` is that of all random draws."""
+        self._settings = settings
+        self._random = Random(seed)
+        self._actions: list[api.Action] = []  # of the event in hand; the parts add theirs in order
+        self._rings = ZoneRings(settings)
+        self._requests: dict[str, RequestState] = {}
+        self._fetches = SingleFlight()
+        self._key_order = KeyOrder()
+        self._queue = OriginQueue()
         self._timers = Timers()
-        self._quotas = [Quota(SHARE_CLUMP) for _ in settings.tenants]
-        self._idle_ms = settings.idle_close_ms  # connections unused for longer are not trusted
-        self._full = self._crammed = self._torn = 0.0  # shares of attempts: full, refused, broken
-        self._spans = [Span() for _ in settings.classes]
-        self._paces = [Pace(cls.aim_ms * CROWD_AIM) for cls in settings.classes]
-        self._late, self._late_room = LATE, LATE_CLUMP
-        self._keys: deque[str] = deque(maxlen=HEAT_WINDOW)  # of the last reads
-        self._taken: deque[float] = deque(maxlen=None if settings.resend_window_ms else 0)  # in the window
-        self._resends = self._taken.copy()  # further attempts in it
-        self._margin_ms = MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
-        self._reads = {number: c.aim_ms for number, c in enumerate(settings.classes)}  # no write seen of it
-        self._aim_ms = self._read_ms = min(self._reads.values())  # the shortest, and of what caches answer
-        self._pace = Pace(self._aim_ms * CROWD_AIM)  # of answers at cache servers
-        self._kinds: dict[int, Pace] = {}  # the same by kind of machine
-        self._origin_pace = Pace(self._aim_ms * CROWD_AIM / 2)
-        self._probe_pace = Pace(self._aim_ms * CROWD_AIM)
-        self._backoff_ms = RESUBSCRIBE_MS
-        self._acts: list[api.Action] = []
-        self._handlers = {
+        self._hedges = HedgePolicy()
+        self._hot_keys = hot_keys.HotKeys()
+        self._retry_budget = RetryBudget(settings)
+        self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
+        self._request_factory = RequestFactory(settings, self._random, self._margin_ms)
+        self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
+        # The objectives of the classes of which no write has been seen.
+        self._read_objectives_ms = {number: cls.aim_ms for number, cls in enumerate(settings.classes)}
+        self._objective_ms = min(self._read_objectives_ms.values())
+        self._read_objective_ms = self._objective_ms  # the shortest of what cache servers answer
+        self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of all cache servers
+        self._machine_types: dict[int, LatencyEstimate] = {}  # the same by type of machine
+        self._slow_start = SlowStart(settings, self._latency, self._machine_types, self._objective_ms)
+        self._origin_latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE / 2)
+        self._origin_admission = OriginAdmission(
+            settings, self._random, self._origin_latency, self._objective_ms
+        )
+        self._server_set = ServerSet(
+            settings.origin_kind,
+            settings.peers_total,
+            self._latency,
+            self._origin_latency,
+            self._machine_types,
+        )
+        self._servers = self._server_set.by_name
+        self._origins = self._server_set.origins
+        self._outliers = OutlierDetector(settings, self._latency, self._retry_budget, self._actions)
+        self._evaluator = AttemptEvaluator(
+            settings, self._latency, self._objective_ms, self._slow_start, self._outliers, self._actions
+        )
+        self._selector = ServerSelector(self._random, self._rings, self._slow_start, self._outliers)
+        self._subscription = ListSubscription(settings, self._random)
+        self._handlers: dict[type[Any], Callable[[float, Any], None]] = {
             api.Request: self._on_request,
-            api.Outcome: self._on_outcome,
-            api.Probed: self._on_probed,
+            api.AttemptEnded: self._on_attempt_ended,
+            api.Probed: self._on_probe_ended,
             api.TimerDue: self._on_timer,
-            api.ServerList: self._on_list,
-            api.ClientGone: lambda now, e: (
-                e.request in self._records and self._end(now, self._records[e.request])
-            ),
+            api.EndpointListChanged: self._on_endpoint_list,
+            api.ClientGone: self._on_client_gone,
             api.StreamBegun: self._on_stream,
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        self._acts = []
+        """Takes an event at its time; returns what is to be done, in this order."""
+        self._actions.clear()
         self._handlers[type(event)](now_ms, event)
-        return self._acts + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
+        return self._actions + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
 
     def resize(self, peers_total: int) -> None:
-        """So many balancers share the servers from now on: this one's part of all bounds follows."""
-        for server in self._servers.values():
-            least = max(ORIGIN_MIN if server.origin else LIMIT_MIN, LIMIT_CORES / peers_total)
-            server.resize(self._set.peers_total / peers_total, least)
-        self._set = replace(self._set, peers_total=peers_total)
-        self._rings.resize(self._set)
-        self._few = self._rings.few
+        """Adapts this balancer's part of all limits to the number of balancers that share the servers."""
+        self._server_set.resize(peers_total)
+        self._settings = replace(self._settings, peers_total=peers_total)
+        self._rings.resize(self._settings)
 
     def _on_timer(self, now: float, event: api.TimerDue) -> None:
         if event.token == RESUBSCRIBE:
-            self._acts.append(api.Subscribe())
+            self._actions.append(api.Subscribe())
         for what, whom in self._timers.due(now):
             what(now, whom)
 
-    def _on_list(self, now: float, event: api.ServerList) -> None:
-        if event.kind is ListKind.CACHED and not self._set.list_pushed:
-            # Hundreds that begin at once would fail together: the first calls are spread out.
-            spread = min(self._set.ask_within_ms / 2, LIST_PACE_MS * self._set.peers_total)
-            self._acts.append(api.SetTimer(spread * self._rng.random(), RESUBSCRIBE))
+    def _on_endpoint_list(self, now: float, event: api.EndpointListChanged) -> None:
+        if event.kind is ListKind.CACHED and not self._settings.list_pushed:
+            delay_ms = self._subscription.initial_delay_ms(self._settings.peers_total)
+            self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE))
         if event.kind is ListKind.FAILED:
-            # The held list stays in use; the jitter keeps balancers from asking again in step.
-            self._acts.append(api.SetTimer(self._backoff_ms * (0.5 + self._rng.random()), RESUBSCRIBE))
-            self._backoff_ms = min(2 * self._backoff_ms, RESUBSCRIBE_MAX_MS, self._set.ask_within_ms)
+            # The list that is held stays in use.
+            self._actions.append(api.SetTimer(self._subscription.record_failure(), RESUBSCRIBE))
             return
-        self._backoff_ms = RESUBSCRIBE_MS
-        told = {entry.server: entry for entry in event.entries}  # told twice, the last counts
-        ready = {name: entry for name, entry in told.items() if entry.state is ServerState.READY}
-        lost = self._servers if event.kind is not ListKind.DELTA else told
-        gone: list[Server] = []
-        for name in [name for name in lost if name in self._servers and name not in ready]:
-            gone.append(server := self._servers.pop(name))
-            self._leave(now, server)
-        for entry in ready.values():
-            self._keep(now, entry)
-        self._origins = [server for server in self._origins if not server.left]
-        kept = [self._servers[name] for name in ready]
-        self._rings.change([s for s in gone if not s.origin], [s for s in kept if not s.origin])
-
-    def _keep(self, now: float, entry: api.ServerEntry) -> None:
-        server = self._servers.get(entry.server)
-        started = server is None or entry.started_ms > server.entry.started_ms
-        if server is None:
-            origin = entry.kind == self._set.origin_kind
-            least = max(ORIGIN_MIN if origin else LIMIT_MIN, LIMIT_CORES / self._set.peers_total)
-            limit = max(2 * least, LIMIT_START / self._set.peers_total)
-            pace = self._origin_pace if origin else Pace(self._pace.mean_ms)
-            kin = self._kinds.setdefault(entry.kind, Pace(self._pace.mean_ms))
-            server = Server(entry, origin, pace, kin, limit, least)
-            self._servers[entry.server] = server
-            self._origins += [server] * origin
-        if started:  # it is cold, unless that is long ago, and worth a try at once
-            server.warm_from_ms = entry.started_ms or -math.inf
-            server.missed_ms, server.probed_ms = None, None
-        server.entry = entry
-
-    def _leave(self, now: float, server: Server) -> None:
-        """Closes at a notice and each later outcome, and again for what was opening or called off then."""
-        server.left = True
-        if self._set.hang_up_within_ms:
-            self._close(now, server)
-            self._timers.at(now + HANG_UP_AGAIN * self._set.hang_up_within_ms, self._close, server)
-
-    def _share(self, now: float, server: Server) -> float:
-        """The part of its tokens that is active: misses and load rise with what it can do."""
-        warm = server.warmth(now, self._set.start_capacity, self._set.warm_up_ms)
-        # Registered sizes flatter old machines: a kind that answers slower than all keeps fewer tokens.
-        kin_ms, room = server.kin.mean_ms, 1.0
-        if warm < 1.0:  # what slow kinds leave, and a storm of repeats at full servers, is not for a cold one
-            kin_ms, room = max(kin.mean_ms for kin in self._kinds.values()), (1.0 - self._full) ** 2
-        return warm * room * min(1.0, max(self._pace.mean_ms, CROWD_AIM * self._aim_ms) / kin_ms) ** 2
-
-    def _warm(self, now: float, server: Server) -> bool:
-        return now >= server.warm_from_ms + self._set.warm_up_ms
-
-    def _walk(self, now: float, place: int, near: int) -> Iterator[Server]:
-        """The one idea: distinct servers clockwise from a point, past tokens that are not active yet.
-
-        Those at home first, where a crossing has its price; keys that home has no capacity for, abroad.
-        With few balancers only `near` at home, then every other zone's own first, where copies are."""
-        rings = [self._home, self._abroad]
-        if (place >> 10) % 1024 >= 1024 * self._rings.home_part:
-            rings.reverse()
-        seen, zones, later = set[Server](), set[int](), list[Server]()
-        for ring in rings:
-            got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
-            most = near if self._few and ring is self._home else len(ring)
-            for token, server in ring.clockwise(place):
-                if got >= most or passed > COLD_MOST:
-                    break
-                if server in seen:
-                    continue
-                warm = self._warm(now, server)  # where most are cold, each would get what all others leave
-                may = warm or passed <= COLD_SPILL
-                if may and token % 1024 < 1024 * self._share(now, server):  # low bits: a lot
-                    seen.add(server)
-                    got += 1
-                    if self._few and ring is self._abroad and server.entry.zone in zones:
-                        later.append(server)
-                    else:
-                        zones.add(server.entry.zone)
-                        yield server
-                elif self._few and ring is self._home and not warm:
-                    break  # all of home may be as cold, and must not get what it leaves
-                else:
-                    passed += not warm
-        yield from later
-
-    def _choose(self, now: float, rec: Record) -> Server | None:
-        """The first member of the preference set with no reason to skip it."""
-        last, members, jammed = None, 0, 0
-        # No balancer sees what a hot key does to its owner, but all see how much of their traffic it is.
-        spread = max(1, math.ceil(rec.heat / HEAT_MAX))
-        passed = self._rng.randrange(spread)
-        for place, server in enumerate(self._walk(now, rec.point, spread)):
-            if server in rec.tried or not self._drops(rec, server):
-                continue
-            # What jammed and dead servers leave, or a hot key, would push a cold one over.
-            if not self._warm(now, server) and (place or rec.heat > HEAT_MAX * self._share(now, server)):
-                continue
-            if server.missed_ms is not None or self._drop_early(now, server.pace):
-                # In a large fleet most requests to a dead server would be trials: a probe, where permitted.
-                due = server.missed_ms is not None and now >= server.trial_ms
-                if due and not self._probe(now, server) and rec.cls.effect is Effect.SAFE:
-                    return server
-                jammed += server.missed_ms is None
-                if self._few and jammed >= MEMBERS:
-                    return None
-                last = last or server
-                continue
-            members += 1
-            if members <= passed:
-                last = server
-            elif len(server.out) < server.limit * (EXCESS_ROOM if rec.excess else 1.0):
-                return server
-            elif members >= passed + MEMBERS:
-                break
-        return last if members <= passed else None
-
-    def _probe(self, now: float, server: Server) -> bool:
-        server.trial_ms, may = now + TRIAL_MS, self._set.may_probe and not server.left
-        self._acts += [api.Probe(server.entry.server)] * may
-        return may
-
-    def _drop_early(self, now: float, pace: Pace, excess: bool = False) -> bool:
-        """Random early detection: hundreds of balancers, each blind to the rest, drop the right part."""
-        aim, ratio = (CROWD_AIM, CROWD_RATIO) if excess else (EARLY_AIM, EARLY_RATIO)
-        short = self._aim_ms if pace is self._origin_pace else self._read_ms
-        start = min(max(aim * short, ratio * pace.floor_ms), EARLY_LAST * short)
-        mean = pace.fading_ms(now)
-        return mean > start and self._rng.random() < EARLY_SLOPE * (mean / start - 1.0)
+        self._subscription.record_success()
+        changed = self._server_set.apply(event.entries, complete=event.kind is not ListKind.DELTA)
+        for server in changed.removed:
+            self._close_removed(now, server)
+        self._rings.change(changed.removed_cache_servers, changed.cache_servers)
+
+    def _close_removed(self, now: float, server: Server) -> None:
+        """Closes the connections to a removed server: at once, after each attempt, and once more later.
+
+        The later time is for connections that were being opened, or whose attempts were cancelled.
+        """
+        if self._settings.hang_up_within_ms:
+            self._evaluator.close(now, server)
+            self._timers.at(
+                now + CLOSE_AGAIN * self._settings.hang_up_within_ms, self._evaluator.close, server
+            )
 
     def _on_request(self, now: float, event: api.Request) -> None:
-        self._taken.append(now)
-        if event.write and self._origins and self._reads.pop(event.request_class, None):
-            self._read_ms = min(self._reads.values(), default=self._aim_ms)
-        cls = self._set.classes[event.request_class]
-        place = point(event.key) if event.key is not None else self._rng.getrandbits(64)
-        deadline = now + event.left_ms - self._margin_ms
-        excess = self._beyond_share(now, event.tenant)
-        aim = now + cls.aim_ms - self._spent(event) - self._margin_ms
-        use = deadline if cls.late_worth or event.write else min(aim, deadline)
-        excess, pace = excess or aim < now, self._paces[event.request_class]
-        rec = Record(event.request, cls, event.key, place, event.write, use, deadline, excess, pace)
-        self._late_room = min(LATE_CLUMP, self._late_room + LATE_SHARE)
-        self._records[rec.id] = rec
-        if cls.in_turn and event.key is not None:
-            rec.turn = self._turns.setdefault(event.key, Turn())
-            rec.turn.line.append(rec)
+        self._retry_budget.requests.append(now)
+        self._hedges.record_request()
+        if event.write and self._origins:
+            self._exclude_from_reads(event.request_class)
+        request = self._request_factory.make(now, event, self._settings.peers_total)
+        self._requests[request.id] = request
+        if request.cls.in_turn and event.key is not None:
+            self._key_order.enqueue(event.key, request)
         if event.key is not None and not event.write:
-            self._keys.append(event.key)
-            rec.heat = (self._keys.count(event.key) - 1) / HEAT_WINDOW * len(self._rings)
-        # With few balancers zones differ, so each member of the preference set is judged instead.
-        crowded = not (event.write or self._few) and self._drop_early(now, self._pace, rec.excess)
-        if use <= now or crowded:
-            return self._finish(now, rec, "late" if use <= now else "crowded", RATE_MS)
-        self._route(now, rec)
-
-    def _spent(self, event: api.Request) -> float:
-        """What the client's earlier tries took: a try has the usual time of its class, or what is left."""
-        usual = self._spans[event.request_class].is_usual(event.left_ms, SLACK_MS / 2, HEAT_WINDOW)
-        return 0.0 if usual else max(0.0, self._set.classes[event.request_class].deadline_ms - event.left_ms)
-
-    def _beyond_share(self, now: float, tenant: int) -> bool:
-        if tenant >= len(self._quotas) or not self._set.tenants[tenant].quota_per_s:
+            request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
+        crowded = self._is_crowded(now, request)
+        if request.use_ms <= now:
+            self._reject(now, request, "late", RATE_MS)
+        elif crowded:
+            self._reject(now, request, "crowded", RATE_MS)
+        else:
+            self._route(now, request)
+
+    def _is_crowded(self, now: float, request: RequestState) -> bool:
+        """Whether to drop the request early because all cache servers are crowded."""
+        # In a small tier zones differ, so that each server of the preference set is judged instead.
+        if request.write or self._rings.small_tier:
             return False
-        pace = SHARE_SLACK * self._set.tenants[tenant].quota_per_s / self._set.peers_total
-        return not self._quotas[tenant].spend(now, pace, max(SHARE_CLUMP, pace))  # a second's worth at most
+        return drops_early(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
+
+    def _exclude_from_reads(self, request_class: int) -> None:
+        """Writes go to the origin, so the objective of their class is not one of cache servers."""
+        if self._read_objectives_ms.pop(request_class, 0.0):
+            objectives_ms = self._read_objectives_ms.values()
+            self._read_objective_ms = min(objectives_ms, default=self._objective_ms)
 
-    def _route(self, now: float, rec: Record) -> None:
-        """Sends a request to whom the ring names, or holds or ends it."""
+    def _route(self, now: float, request: RequestState) -> None:
+        """Sends a request to the server that is selected for it, or holds or ends it."""
         # Every request comes by here before its first attempt, so none with its key overtakes another.
-        if rec.turn is not None and not rec.attempts:
-            rec.held = rec.turn.line[0] is not rec or now < rec.turn.rest_ms
-            if rec.held:
-                return self._wait(now, rec, rec.turn.line.index(rec))
-        if rec.write and self._origins:
-            return self._ask_origin(now, rec)
-        if not self._may_send(now, rec):
-            return self._finish(now, rec, "spent")
-        if rec.key in self._fetches and not rec.write:
-            return self._park(now, rec)
-        server = self._choose(now, rec)
+        if request.key_queue is not None and not request.attempts:
+            queue = request.key_queue
+            request.queued = queue.requests[0] is not request or now < queue.settled_ms
+            if request.queued:
+                self._wait(now, request, queue.requests.index(request))
+                return
+        if request.write and self._origins:
+            self._ask_origin(now, request)
+            return
+        if not self._retry_policy.permits(now, request):
+            self._reject(now, request, "spent")
+            return
+        if request.key is not None and request.key in self._fetches.waiting and not request.write:
+            self._await_fetch(now, request.key, request)
+            return
+        server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
-            full = all(self._warm(now, s) for s in self._servers.values()) and len(self._rings)
-            return self._finish(now, rec, "bounds", RATE_MS) if full else self._ask_origin(now, rec)
-        # Where cancels are permitted `_look` frees it, and a busy server does no work twice.
-        self._send(now, rec, server, (rec.use_ms - now) / (1 if self._set.may_cancel else 2))
-
-    def _may_send(self, now: float, rec: Record) -> bool:
-        paid = not rec.attempts or rec.prepaid or self._spare(now) >= 1
-        if not paid or rec.attempts >= self._set.max_attempts or now >= rec.use_ms or rec.begun:
-            return False
-        if rec.ran_ms is None or rec.cls.effect is Effect.SAFE:
-            return True
-        # A keyed repeat is dropped only while the servers remember the first; leave two rounds for the way.
-        return rec.cls.effect is Effect.KEYED and now - rec.ran_ms + self._margin_ms < rec.cls.window_ms
-
-    def _drops(self, rec: Record, server: Server) -> bool:
-        """A repeat of a keyed request that may have run goes only to the group of servers that drops it."""
-        group, ran_at = rec.cls.group, rec.ran_at if rec.cls.effect is Effect.KEYED else None
-        return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
-
-    def _spare(self, now: float) -> float:
-        """The further attempts that the budget still pays for, the window's edges on the safe side."""
-        if not self._set.resend_window_ms:
-            return math.inf
-        since = now - self._set.resend_window_ms
-        for times, edge in ((self._taken, since + MARGIN_MS), (self._resends, since - MARGIN_MS)):
-            while times and times[0] < edge:
-                times.popleft()
-        return self._set.free_resends + self._set.resend_share * len(self._taken) - len(self._resends)
-
-    def _send(self, now: float, rec: Record, server: Server, timeout: float) -> None:
-        if not (self._may_send(now, rec) and self._drops(rec, server)):  # the one gate of all sends
-            return self._finish(now, rec, "spent")
-        if rec.attempts and not rec.prepaid:
-            self._resends.append(now)
-        rec.prepaid = False
-        rec.out[rec.attempts] = (server, now)
-        rec.attempts += 1
-        rec.waiting = False
+            if all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings):
+                self._reject(now, request, "bounds", RATE_MS)
+            else:
+                self._ask_origin(now, request)
+            return
+        # Where cancels are permitted `_check` frees it, and a busy server does no work twice.
+        self._send(now, request, server, (request.use_ms - now) / (1 if self._settings.may_cancel else 2))
+
+    def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
+        # Every attempt has to pass here.
+        if not self._retry_policy.permits(now, request) or not recognises_repeat(request, server):
+            self._reject(now, request, "spent")
+            return
+        if request.attempts and not request.prepaid:
+            self._retry_budget.retries.append(now)
+        request.prepaid = False
+        request.out[request.attempts] = (server, now)
+        request.attempts += 1
+        request.waiting = False
         if not server.out:
-            server.heard_ms = now
-            if server.used_ms + self._idle_ms < now < server.used_ms + self._set.idle_close_ms:
-                self._close(now, server)
-        server.out[rec.id, rec.attempts - 1] = (rec, now)
+            server.last_response_ms = now
+            self._evaluator.close_untrusted(now, server)
+        server.out[request.id, request.attempts - 1] = (request, now)
         if not server.watched:
             server.watched = True
-            self._timers.at(now + QUIET_FACTOR * self._pace.mean_ms, self._look, server)
-        self._acts.append(api.Send(rec.id, server.entry.server, max(timeout, self._set.granularity_ms)))
-
-    def _finish(self, now: float, rec: Record, why: str, retry_after: float = SLACK_MS) -> None:
-        """The single final answer: a refusal where the rules permit it, since a client may then try again."""
-        dropped = rec.cls.effect is Effect.KEYED and rec.cls.group is Group.ALL  # a repeat is, by all servers
-        harmless = rec.ran_ms is None or rec.cls.effect is Effect.SAFE or dropped  # nothing is out by now
-        wait = min(retry_after, self._set.max_retry_after_ms)
-        self._acts.append(api.Refuse(rec.id, wait, why) if harmless else api.Fail(rec.id, why))
-        self._end(now, rec)
-
-    def _end(self, now: float, rec: Record) -> None:
-        rec.done = True
-        if not rec.out:
-            self._records.pop(rec.id, None)
-            if rec.turn is not None and rec in rec.turn.line:
-                rec.turn.line.remove(rec)
-                self._next_turn(now, rec.key)
-        if not rec.out and rec.fetching:
-            rec.fetching = False  # those who waited for its fetch ask the server that now keeps the key
-            for other in self._fetches.pop(rec.key, ()):
+            self._timers.at(now + SILENCE_FACTOR * self._latency.mean_ms, self._check, server)
+        self._actions.append(
+            api.Send(request.id, server.entry.server, max(timeout, self._settings.granularity_ms))
+        )
+
+    def _reject(
+        self, now: float, request: RequestState, reason: str, retry_after_ms: float = RETRY_AFTER_MS
+    ) -> None:
+        """Gives the single final response: a rejection where the client may safely retry, else a failure."""
+        cls = request.cls
+        # No attempt is in flight by now; all servers recognise a repeat whose group is all of them.
+        recognised = cls.effect is Idempotency.KEYED and cls.group is Group.ALL
+        if request.ran_ms is None or cls.effect is Idempotency.SAFE or recognised:
+            wait_ms = min(retry_after_ms, self._settings.max_retry_after_ms)
+            self._actions.append(api.Reject(request.id, wait_ms, reason))
+        else:
+            self._actions.append(api.Fail(request.id, reason))
+        self._end(now, request)
+
+    def _end(self, now: float, request: RequestState) -> None:
+        """The request is over; what it holds is released once its attempts are over too."""
+        request.done = True
+        if request.out:
+            return
+        self._requests.pop(request.id, None)
+        queue = request.key_queue
+        if request.key is not None and queue is not None and request in queue.requests:
+            queue.requests.remove(request)
+            self._resume_next(now, request.key)
+        if request.key is not None and request.fetching:
+            # Those who waited for its fetch ask the server that now keeps the key.
+            for other in self._fetches.end(request.key, request):
                 self._resume(now, other)
 
-    def _next_turn(self, now: float, key: str) -> None:
-        """A key's next request runs once the one before and all its attempts are over and the key rested."""
-        turn = self._turns.get(key) or Turn()
-        if now < turn.rest_ms:
-            self._timers.at(turn.rest_ms, self._next_turn, key)
-        elif not turn.line:
-            self._turns.pop(key, None)
-        elif turn.line[0].held:
-            self._resume(now, turn.line[0])
+    def _resume_next(self, now: float, key: str) -> None:
+        """Resumes the next request of a key whose requests run one at a time."""
+        following = self._key_order.next(now, key)
+        if isinstance(following, RequestState):
+            self._resume(now, following)
+        elif following is not None:
+            self._timers.at(following, self._resume_next, key)
+
+    def _on_client_gone(self, now: float, event: api.ClientGone) -> None:
+        request = self._requests.get(event.request)
+        if request is not None:
+            self._end(now, request)
 
     def _on_stream(self, now: float, event: api.StreamBegun) -> None:
-        rec = self._records.get(event.request)
-        if rec is not None and event.attempt in rec.out:
-            rec.begun = True
-            self._heard(now, rec.out[event.attempt][0])
-
-    def _on_outcome(self, now: float, event: api.Outcome) -> None:
-        rec = self._records.get(event.request)
-        if rec is None or event.attempt not in rec.out:
+        request = self._requests.get(event.request)
+        if request is not None and event.attempt in request.out:
+            request.begun = True
+            self._outliers.record_response(now, request.out[event.attempt][0])
+
+    def _on_attempt_ended(self, now: float, event: api.AttemptEnded) -> None:
+        request = self._requests.get(event.request)
+        if request is None or event.attempt not in request.out:
             return
-        server, sent = rec.out.pop(event.attempt)
-        server.out.pop((rec.id, event.attempt), None)
-        if server.left:
-            self._leave(now, server)
-        if rec.again and event.status in (Status.OK, Status.MISS):
-            self._settle_copies(rec, event.attempt)
-        if event.status not in api.NEVER_RAN and (rec.ran_ms is None or sent < rec.ran_ms):
-            rec.ran_ms, rec.ran_at = sent, server
-        if rec.turn is not None and self._set.settle_ms and event.status in api.IN_DOUBT:
-            rec.turn.rest_ms = now + self._set.settle_ms + MARGIN_MS
-        rec.prepaid |= event.status is Status.MISS
-        stale = self._judge(now, server, event.status, sent, rec)
-        last = rec.attempts == self._set.max_attempts - 1  # a third node would rather miss, and leave none
-        if event.closed or rec.done:
-            self._end(now, rec)
-        elif not rec.out and (server.origin or (self._origins and (rec.prepaid or last))):
-            self._ask_origin(now, rec)
-        elif not rec.out:
-            rec.tried += [server] * (not stale)  # a fresh connection will do
-            if len(rec.tried) >= MEMBERS:
-                self._finish(now, rec, "tried")
-            else:
-                self._route(now, rec)
+        server, sent = request.out.pop(event.attempt)
+        server.out.pop((request.id, event.attempt), None)
+        if server.removed:
+            self._close_removed(now, server)
+        if request.hedge_number and event.status in (Status.OK, Status.MISS):
+            self._settle_hedge(request, event.attempt)
+        if event.status not in api.NEVER_RAN and (request.ran_ms is None or sent < request.ran_ms):
+            request.ran_ms, request.ran_on = sent, server
+        if request.key_queue is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
+            request.key_queue.settled_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
+        request.prepaid |= event.status is Status.MISS
+        retry_there = self._evaluator.evaluate(now, server, event.status, sent, request)
+        if event.closed or request.done:
+            self._end(now, request)
+        elif not request.out:
+            self._retry(now, request, server, retry_there)
         if server.origin:
             self._fill_origin(now)
 
-    def _close(self, now: float, server: Server) -> None:
-        server.used_ms = -math.inf
-        self._acts.append(api.Close(server.entry.server))
-
-    def _judge(self, now: float, server: Server, status: Status, sent: float, rec: Record) -> bool:
-        """Health and load from outcomes; tells whether just a connection broke that had not been used."""
-        took, unused = now - sent, sent - server.used_ms
-        # It was dropped on the way, no server died. Harm: handshakes after a death within a few ms of a send.
-        if status is Status.RESET and took < STALE * self._pace.mean_ms and took < unused < math.inf:
-            self._idle_ms = min(self._idle_ms, unused) / 2
-            return True
-        server.breaks += status is Status.RESET
-        self._torn += TORN_WEIGHT * ((status is Status.RESET) - self._torn)
-        if status in api.ANSWERS:
-            self._heard(now, server)
-            server.used_ms, server.breaks = now, 0
-            server.overtaken_ms = max(server.overtaken_ms, sent)
-            self._idle_ms = min(self._idle_ms * IDLE_GROWTH, self._set.idle_close_ms)
-        # Where full tables refuse connections at once, one that idles is another balancer's want.
-        at_once = status is Status.CONNECT_FAILED and took < self._pace.mean_ms
-        self._full += FRESH * ((status is Status.FULL) - self._full)
-        self._crammed += FRESH * (at_once - self._crammed)
-        if self._crammed > CRAMMED and not server.out:
-            self._close(now, server)
-        # In an overload attempts time out at servers that answer others: that is no death.
-        # One that was given less time than answers take, or that later ones overtook, tells nothing of it.
-        usual = QUIET_FACTOR * max(server.pace.mean_ms, self._pace.mean_ms)
-        alone = status is Status.TIMEOUT and (took < usual or sent + usual < server.overtaken_ms)
-        silent = status is Status.TIMEOUT and not (server.origin or alone) and server.heard_ms <= sent
-        breaks = 1 if self._set.may_probe else BREAKS + (self._torn > TORN)
-        broken = status is Status.CONNECT_FAILED or (status is Status.RESET and server.breaks >= breaks)
-        if not server.origin and (silent or broken):
-            self._mark(now, server, silent)
-            if status is Status.RESET or at_once:  # an answer lost, a full table, or a death: a probe tells
-                self._probe(now, server)
-        # A time-out or a full server would have taken longer.
-        took = max(took, {Status.FULL: self._aim_ms, Status.TIMEOUT: server.pace.mean_ms}.get(status, 0.0))
-        if status is Status.TIMEOUT:  # of many in a row the mean rises all the same
-            took = min(took, JAM_CAP * max(self._pace.mean_ms, server.origin * server.pace.mean_ms))
-        if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (rec.write or silent):
-            server.pace.learn(now, took)
-        if status in (Status.OK, Status.TIMEOUT) and not server.origin:  # in a jam few answers come
-            self._pace.learn(now, took)
-            server.kin.learn(now, took)
-            rec.pace.learn(now, took)
-        if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not alone:
-            self._bound(now, server, status is not Status.OK or server.pace.mean_ms > self._crowd_ms(server))
-        return status is Status.RESET and not broken  # its server still answers others
-
-    def _crowd_ms(self, server: Server) -> float:
-        calm = (ORIGIN_AIM if server.origin else CROWD_AIM) * self._aim_ms
-        return max(calm, CROWD_RATIO * server.pace.floor_ms)
-
-    def _bound(self, now: float, server: Server, crowded: bool) -> None:
-        """Bounds what is out at a server by its answers: crowds work slower, and a jam feeds itself."""
-        if not crowded and 2 * len(server.out) + 2 >= server.limit:
-            server.limit += 1 / server.limit
-        elif crowded and now - server.cut_ms > self._crowd_ms(server):  # time for the last cut to show
-            server.cut_ms = now
-            server.limit = max(server.least, server.limit * LIMIT_CUT)
-
-    def _heard(self, now: float, server: Server) -> None:
-        server.heard_ms, server.probed_ms = now, None
-        if server.missed_ms is None:
+    def _retry(self, now: float, request: RequestState, server: Server, retry_there: bool) -> None:
+        """Sends a request on whose attempt at the server has failed or missed."""
+        # The last attempt is the origin's: a third cache server would probably miss too.
+        last = request.attempts == self._settings.max_attempts - 1
+        if server.origin or (self._origins and (request.prepaid or last)):
+            self._ask_origin(now, request)
+            return
+        if not retry_there:
+            request.tried.append(server)
+        if len(request.tried) >= PREFERENCE_SET_SIZE:
+            self._reject(now, request, "tried")
+        else:
+            self._route(now, request)
+
+    def _ask_origin(self, now: float, request: RequestState) -> None:
+        if not self._retry_policy.permits(now, request) or not any(
+            recognises_repeat(request, origin) for origin in self._origins
+        ):
+            self._reject(now, request, "spent")  # also after a time-out at the deadline
             return
-        if now - server.missed_ms >= LONG_MARK_MS:  # it may have restarted empty, the list is late
-            server.warm_from_ms = max(server.warm_from_ms, now)
-        server.missed_ms = None
-        self._acts.append(api.Log(f"{server.entry.server} cleared"))
-
-    def _mark(self, now: float, server: Server, rescue: bool = True) -> None:
-        if server.missed_ms is None:
-            server.missed_ms, server.trial_ms = now, now + TRIAL_MS
-            self._acts.append(api.Log(f"{server.entry.server} marked missed"))
-        if rescue and self._set.may_cancel:  # a silent server must not hold its keys until each times out
-            # Nothing is called off that the budget could not send elsewhere; dear requests come first.
-            stuck = [(rec, n) for (_, n), (rec, _) in server.out.items() if not rec.begun and not rec.done]
-            paid = heapq.nlargest(int(min(len(stuck), self._spare(now))), stuck, lambda one: one[0].cls.worth)
-            self._acts += [api.Cancel(rec.id, number) for rec, number in paid]
-
-    def _ask_origin(self, now: float, rec: Record) -> None:
-        if not self._may_send(now, rec) or not any(self._drops(rec, origin) for origin in self._origins):
-            return self._finish(now, rec, "spent")  # also after a time-out at the deadline
-        if rec.key is not None and not rec.write and not rec.fetching:
-            if rec.key in self._fetches:
-                return self._park(now, rec)
-            self._fetches[rec.key] = []
-            rec.fetching = True
-        if rec.cls.late_worth and not rec.write and self._drop_early(now, self._origin_pace, rec.excess):
-            return self._finish(now, rec, "origin", RATE_MS)  # the queue alone holds it till its deadline
-        worth = rec.cls.worth * (self._set.over_share_worth if rec.excess else 1.0)
-        worth *= 1.0 + HEAT_WORTH * rec.heat  # what is fetched serves those after it
-        self._queue = [one for one in self._queue if not one[3].done]
-        ahead = bisect(self._queue, entry := (-worth, now, rec.id, rec))
-        self._queue.insert(ahead, entry)
+        if request.key is not None and not request.write and not request.fetching:
+            if request.key in self._fetches.waiting:
+                self._await_fetch(now, request.key, request)
+                return
+            self._fetches.begin(request.key, request)
+        if self._origin_admission.drops_early(now, request):
+            self._reject(now, request, "origin", RATE_MS)
+            return
+        ahead = self._queue.push(now, request, self._origin_admission.priority(request))
         self._fill_origin(now)
-        if not rec.out and not rec.done:
-            self._wait(now, rec, ahead / sum(origin.limit for origin in self._origins))
-
-    def _park(self, now: float, rec: Record) -> None:
-        """Another request's fetch of the key is out: waits for it, then asks the server that keeps it."""
-        self._fetches[rec.key].append(rec)
-        self._wait(now, rec)
-
-    def _wait(self, now: float, rec: Record, ahead: float = 0.0) -> None:
-        """Holds a request, at most until waiting on would make its answer worthless."""
-        rec.waiting = True
-        until = rec.use_ms - self._origin_pace.mean_ms - SLACK_MS
-        if ahead > HEAT_WINDOW or until <= now + ahead * self._origin_pace.mean_ms:  # its turn comes too late
-            return self._finish(now, rec, "queue")
-        self._timers.at(until, self._expire, rec)
-
-    def _expire(self, now: float, rec: Record) -> None:
-        if rec.waiting and not rec.done:
-            self._finish(now, rec, "waited")
+        if not request.out and not request.done:
+            self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
+
+    def _await_fetch(self, now: float, key: str, request: RequestState) -> None:
+        """Another request fetches the key: waits for that, then asks the server that keeps the value."""
+        self._fetches.waiting[key].append(request)
+        self._wait(now, request)
+
+    def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
+        """Holds a request, at most until its response would come too late."""
+        request.waiting = True
+        until = self._origin_admission.waits_until(now, request, ahead)
+        if until is None:
+            self._reject(now, request, "queue")
+        else:
+            self._timers.at(until, self._expire, request)
+
+    def _expire(self, now: float, request: RequestState) -> None:
+        if request.waiting and not request.done:
+            self._reject(now, request, "waited")
 
     def _fill_origin(self, now: float) -> None:
         while self._queue and self._origins:
-            origin = places.vacant(self._origins, self._origin_pace.mean_ms, now)
+            origin = origin_slots.vacant(self._origins, self._origin_latency.mean_ms, now)
             if origin is None:
                 return
-            rec = self._queue.pop(0)[3]
-            # What would come too late keeps the origin from what it can still do in time.
-            left = min(rec.use_ms - now, math.inf if rec.cls.late_worth else rec.cls.aim_ms)
-            if not rec.done and left < self._origin_pace.fading_ms(now):
-                self._finish(now, rec, "origin", RATE_MS)
-            elif not rec.done:
-                self._send(now, rec, origin, rec.deadline_ms - now)
-
-    def _resume(self, now: float, rec: Record) -> None:
-        if rec.waiting and not rec.done:
-            self._route(now, rec)
-
-    def _look(self, now: float, server: Server) -> None:
-        """Sends again what is long overdue, and marks a server that gives no sign of life."""
-        server.watched = bool(server.out) and server.missed_ms is None
+            request = self._queue.pop()
+            if request.done:
+                continue
+            if self._origin_admission.is_too_late(now, request):
+                self._reject(now, request, "origin", RATE_MS)
+            else:
+                self._send(now, request, origin, request.deadline_ms - now)
+
+    def _resume(self, now: float, request: RequestState) -> None:
+        if request.waiting and not request.done:
+            self._route(now, request)
+
+    def _check(self, now: float, server: Server) -> None:
+        """Checks a server with attempts in flight: hedges overdue ones, and ejects it if it is silent."""
+        server.watched = bool(server.out) and server.ejected_ms is None
         if not server.watched:
             return
-        self._timers.at(now + LOOK_MS, self._look, server)
-        if self._set.may_copy:
-            self._send_again(now, server)
-        # In a jam the answers that come tell of long ago; the age of what is out tells of now.
-        ages = [now - sent for _, sent in server.out.values() if sent >= server.overtaken_ms]
-        age = AGE_ORIGIN if server.origin else 1.0
-        if len(ages) > 1 and sum(ages) / len(ages) > age * self._crowd_ms(server):
-            self._bound(now, server, True)
+        self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
+        if self._settings.may_copy:
+            self._hedge_overdue(now, server)
+        concurrency_limit.check_ages(server, now, self._objective_ms)
         if server.origin:
-            return self._fill_origin(now)  # what hangs gives way in time
-        # Its own latency, so that a slow server is not taken for a dead one and its work sent twice.
-        usual, quiet = max(server.pace.mean_ms, self._pace.mean_ms), now - server.heard_ms
-        if quiet >= QUIET_FACTOR * usual and server.probed_ms is None and now >= server.trial_ms:
-            server.probed_ms = now if self._probe(now, server) else None
-        # All that is out there without an answer is evidence, in its mean latencies.
-        odds = quiet * len(server.out) / usual
-        if server.probed_ms is not None:
-            odds += (now - server.probed_ms) / max(PROBE_MIN_MS, self._probe_pace.mean_ms)
-        if odds >= QUIET_ODDS:
-            marked = sum(s.missed_ms is not None for s in self._servers.values())
-            if marked + 1 <= max(1, QUIET_SHARE * len(self._rings)):
-                self._mark(now, server)
-
-    def _send_again(self, now: float, server: Server) -> None:
-        """A connection may fall silent while its server answers others on theirs: a read goes there again."""
-        for (name, number), (rec, sent) in list(server.out.items()):
-            usual = max(server.pace.mean_ms, self._origin_pace.mean_ms if server.origin else rec.pace.mean_ms)
-            overdue = sent + usual < server.overtaken_ms and now - sent > self._late * usual
-            alone = len(rec.out) == 1 and not (rec.done or rec.begun or rec.write)
-            safe = rec.cls.effect is Effect.SAFE  # a read may be of any effect
-            if overdue and alone and safe and self._late_room >= 1.0 and self._may_send(now, rec):
-                self._late_room -= 1.0
-                del server.out[name, number]  # it holds no place that others could have
-                rec.again = rec.attempts
-                self._send(now, rec, server, rec.use_ms - now)
-
-    def _settle_copies(self, rec: Record, attempt: int) -> None:
-        """One copy has its answer: the other is called off, and tells whether to ask sooner or later next."""
-        factor = LATE_STEP if attempt == rec.again else 1.0 / LATE_STEP
-        self._late_room += attempt == rec.again  # it pays for the next
-        self._late = min(LATE_MAX, max(LATE_MIN, self._late * factor))
-        self._acts += [api.Cancel(rec.id, number) for number in rec.out]
-        rec.again = 0
-
-    def _on_probed(self, now: float, event: api.Probed) -> None:
+            self._fill_origin(now)  # what hangs gives way in time
+            return
+        self._outliers.check_silence(now, server, self._servers.values(), len(self._rings))
+
+    def _hedge_overdue(self, now: float, server: Server) -> None:
+        """Hedges reads whose connection may have fallen silent while the server answers on others."""
+        for (name, number), (request, sent) in list(server.out.items()):
+            class_latency = self._origin_latency if server.origin else request.latency
+            usual_ms = max(server.latency.mean_ms, class_latency.mean_ms)
+            due = self._hedges.is_due(now, request, sent, usual_ms, server.overtaken_ms)
+            if due and self._retry_policy.permits(now, request):
+                self._hedges.tokens -= 1.0
+                del server.out[name, number]  # it must not take capacity that others could have
+                request.hedge_number = request.attempts
+                self._send(now, request, server, request.use_ms - now)
+
+    def _settle_hedge(self, request: RequestState, attempt: int) -> None:
+        """One attempt is answered: cancels the other, and adapts the delay of hedged requests."""
+        self._hedges.record_result(attempt == request.hedge_number)
+        self._actions += [api.Cancel(request.id, number) for number in request.out]
+        request.hedge_number = 0
+
+    def _on_probe_ended(self, now: float, event: api.Probed) -> None:
         server = self._servers.get(event.server)
-        if server is not None and event.status is Status.OK:
-            self._probe_pace.learn(now, event.latency_ms)
-            self._heard(now, server)
-        elif server is not None and event.status in (Status.RESET, Status.CONNECT_FAILED):
-            self._mark(now, server)
+        if server is not None:
+            self._outliers.record_probe(now, server, event.status, event.latency_ms)
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -172,7 +172,7 @@
             write_by_ms = min(write_by_ms, request.first_run_ms + window_ms)
         pool = self._pools.pool_of(decision.node)
         self._counts.highest("list.age_ms", self.list_age_ms())
-        costly = f.never_twice(settings, request.class_number)
+        costly = f.forbids_retry(settings, request.class_number)
         deadline_ms = min(now + decision.timeout_ms, request.deadline_ms)
         attempt = Attempt(
             decision, request, write_by_ms, self._ended, pool, deadline_ms, costly, asked_ms=now
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from balancer import api
-from balancer import balancer as decide
-from balancer.balancer import COLD_SPILL, Balancer
+from balancer import api, preference_set
+from balancer.balancer import Balancer
 from balancer.hash_ring import point
+from balancer.preference_set import COLD_SPILL, preference_order
 from lab.endpoint_registry import EndpointRegistry
 from lab.invariant_checker import InvariantChecker
 from lab.scenario import InvariantLimits, load
@@ -31,13 +31,13 @@
     entries = [
         api.ServerEntry(f"s{n}", started_ms=100.0 * (n < cold), zone=n % zones) for n in range(servers)
     ]
-    made.handle(100.0, api.ServerList(api.ListKind.FULL, 1, tuple(entries)))
+    made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 1, tuple(entries)))
     return made
 
 
 def owners(made, now=100.0):
     """Whom each key is asked of first; None: nobody on the rings."""
-    found = (next(made._walk(now, place, 1), None) for place in KEYS)
+    found = (next(preference_order(now, place, 1, made._rings, made._slow_start), None) for place in KEYS)
     return [server and server.entry.server for server in found]
 
 
@@ -64,7 +64,7 @@
     # Three zones with enough balancers each: at home all are cold, elsewhere none.
     made = balancer(0, servers=39, zones=3, cross_price=0.05)
     entries = [api.ServerEntry(f"s{n}", started_ms=100.0 * (n % 3 == 0), zone=n % 3) for n in range(39)]
-    made.handle(100.0, api.ServerList(api.ListKind.FULL, 2, tuple(entries)))
+    made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 2, tuple(entries)))
     asked = owners(made)
     at_home = sum(name is not None and int(name[1:]) % 3 == 0 for name in asked) / len(KEYS)
     assert at_home < 1.1 * (1 + COLD_SPILL) * START and None not in asked
@@ -123,6 +123,6 @@
 
 @pytest.mark.parametrize("seed", [1, 3])
 def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch, seed):
-    monkeypatch.setattr(decide, "COLD_SPILL", 1 << 30)
-    monkeypatch.setattr(decide, "COLD_MOST", 1 << 30)
+    monkeypatch.setattr(preference_set, "COLD_SPILL", 1 << 30)
+    monkeypatch.setattr(preference_set, "COLD_MOST", 1 << 30)
     assert Simulation(load("throng"), seed).run()["rules"]["cold"] >= 2
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,7 @@
 import pytest
 from short_scenarios import broken, operated, short, zones
 
-from balancer import balancer as decide
+from balancer import list_subscription
 from lab.fault import Fault
 from lab.simulation import Simulation
 
@@ -60,7 +60,7 @@
 
 
 def test_proxies_that_start_in_step_are_seen(monkeypatch):
-    monkeypatch.setattr(decide, "LIST_PACE_MS", 0.0)
+    monkeypatch.setattr(list_subscription, "CALL_SPACING_MS", 0.0)
     assert Simulation(operated("herd", 4.0), 2).run()["list_starts_peak"] > STARTS
 
 
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -3,7 +3,9 @@
 import pytest
 from short_scenarios import broken, operated, short, zones
 
+from balancer import server_selection
 from balancer.balancer import Balancer
+from balancer.slow_start import SlowStart
 from cloverwell import dispatcher, facade
 from cloverwell import proxy as proxy_module
 from cloverwell.back.cache_connection import CacheConnection
@@ -127,10 +129,10 @@
 
 
 def crosses_where_home_would_serve(patch):
-    def walk(self, now, place, near):
-        return iter(dict.fromkeys(server for _, server in self._abroad.clockwise(place)))
+    def remote_order(now, place, near, rings, slow_start):
+        return iter(dict.fromkeys(server for _, server in rings.remote.clockwise(place)))
 
-    patch.setattr(Balancer, "_walk", walk)
+    patch.setattr(server_selection, "preference_order", remote_order)
 
 
 def test_the_lab_shows_a_proxy_that_crosses_where_home_would_serve(monkeypatch):
@@ -148,8 +150,8 @@
 
 
 def asks_cold_nodes_as_if_warm(patch):
-    patch.setattr(Balancer, "_share", lambda self, now, server: 1.0)
-    patch.setattr(Balancer, "_warm", lambda self, now, server: True)
+    patch.setattr(SlowStart, "active_share", lambda self, now, server: 1.0)
+    patch.setattr(SlowStart, "is_warm", lambda self, now, server: True)
 
 
 def test_a_zone_that_comes_back_cold_is_not_pushed_over(monkeypatch):
--- a/tests/test_node_starts.py
+++ b/tests/test_node_starts.py
@@ -116,10 +116,10 @@
 def test_a_mark_of_silence_is_lifted_by_a_restart_with_a_smaller_number():
     fleet = Fleet([("s9", 2000.0)])
     server = fleet.player.service.facade._balancer._servers["s9"]
-    server.missed_ms = fleet.now
+    server.ejected_ms = fleet.now
     fleet.wait(10)
     fleet.take([("s9", HOUR_MS)])
-    assert server.missed_ms is None
+    assert server.ejected_ms is None
 
 
 @pytest.mark.parametrize("number", [-1.0, -1e15, -1e308, 1e308, 5e-324])
