--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,7 +1,4 @@
-"""The balancer: events in, actions out, over the parts that decide.
-
-docs/design/overview.md gives the reasons.
-"""
+"""The balancer: events in, actions out, over the parts that decide. See docs/design/overview.md."""
 
 from collections.abc import Callable
 from dataclasses import replace
