--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -97,7 +97,7 @@
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """Takes an event at its time; returns what is to be done, in this order."""
-        self._actions.clear()
+        del self._actions[:]
         self._handlers[type(event)](now_ms, event)
         return self._actions + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
 
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -92,7 +92,7 @@
                 attempt.end(AttemptOutcome.NOT_CONNECTED)
             if sent is not SendResult.BROKEN:
                 return
-        one_is_free_soon = self._soon_free() > len(self._waiting)
+        one_is_free_soon = self._soon_free() > len(self._waiting.attempts)
         if one_is_free_soon or self._context.may_open(self):
             self._wait(attempt)
             if not one_is_free_soon and self._opening.may_try():
@@ -219,7 +219,7 @@
 
     def open_failed(self) -> None:
         """Ends the attempt that has waited longest, since a connection failed; others have their own."""
-        if len(self._waiting) > self._soon_free():
+        if len(self._waiting.attempts) > self._soon_free():
             self._waiting.take_first().end(AttemptOutcome.NOT_CONNECTED)
 
     def open_not_started(self, now: float) -> None:
@@ -232,14 +232,14 @@
 
     def open_for_waiting(self) -> None:
         """Opens the connections that attempts wait for, as far as they may be opened."""
-        while len(self._waiting) > self._soon_free() and self._opening.may_try():
+        while len(self._waiting.attempts) > self._soon_free() and self._opening.may_try():
             if not self._context.may_open(self):
                 return
             self._opening.open()
 
     def _soon_free(self) -> int:
         """Returns how many connections the waiting attempts will soon have."""
-        return self.opening + self._idle.count_unusable(self.now())
+        return self._opening.count + self._idle.count_unusable(self.now())
 
     def open_ahead(self, now: float) -> bool:
         """Opens connections before attempts need them.
@@ -261,17 +261,22 @@
     @property
     def held(self) -> int:
         """How many connections there are, with those on their way."""
-        return len(self.connections) + self.opening
+        return len(self.connections) + self._opening.count
 
     @property
     def unused(self) -> bool:
         """Whether nothing is left here."""
-        return not (self.connections or self.opening or self._waiting)
+        return not (self.connections or self._opening.count or self._waiting.attempts)
 
     def became_free(self, connection: NodeConnection) -> None:
         """Gives the attempt that has waited longest to a connection that carries one less, or none."""
         unusable_ms = connection.usable_from_ms - self.now()
-        while connection.free and self._waiting and not connection.address_changed and unusable_ms <= 0.0:
+        while (
+            connection.free
+            and self._waiting.attempts
+            and not connection.address_changed
+            and unusable_ms <= 0.0
+        ):
             attempt = self._waiting.take_first()
             sent = SendResult.LATE if self.too_late(attempt) else self._write(connection, attempt)
             if sent is SendResult.LATE:
@@ -290,7 +295,7 @@
             self.later(connection.usable_from_ms, lambda: self._became_usable(connection))
 
     def _became_usable(self, connection: NodeConnection) -> None:
-        if connection in self._idle.connections and self._waiting:
+        if connection in self._idle.connections and self._waiting.attempts:
             self._idle.remove(connection)
             self.became_free(connection)
 
@@ -346,7 +351,12 @@
 
     def sweep(self, now: float) -> None:
         """Retires connections that are too old, and opens those that are waited for."""
-        for connection in [one for one in self.connections if self._is_stalled(one, now)]:
+        stalled = [
+            connection
+            for connection in self.connections
+            if connection.stream is not None and now - connection.stream_data_ms >= STREAM_STALL_MS
+        ]
+        for connection in stalled:
             connection.framingLost("a long value stands still")
         limit_ms = self._policy.idle_limit_ms(self.node)
         idle = self._idle.connections
@@ -354,15 +364,12 @@
             self.retire(idle[0])
         self.open_for_waiting()
 
-    def _is_stalled(self, connection: NodeConnection, now: float) -> bool:
-        return connection.stream is not None and now - connection.stream_data_ms >= STREAM_STALL_MS
-
     def due_ms(self, now: float) -> float:
         """Returns until when a pool that was just swept needs no other sweep, unless its state changes.
 
         A connection that becomes idle, or begins a long value, after now is due only later.
         """
-        if self._waiting or self.left:
+        if self._waiting.attempts or self.left:
             return now
         again_ms = self._policy.ahead_again_ms(self.node)
         if not self.connections:
--- a/cloverwell/back/waiting_attempts.py
+++ b/cloverwell/back/waiting_attempts.py
@@ -18,35 +18,31 @@
         """Starts empty; `give_up` is called with an attempt that has waited too long."""
         self._wheel = timer_wheel
         self._give_up = give_up
-        self._attempts: deque[Attempt] = deque()
-
-    def __len__(self) -> int:
-        """Returns how many attempts wait."""
-        return len(self._attempts)
+        self.attempts: deque[Attempt] = deque()
 
     def add(self, attempt: Attempt) -> bool:
         """Adds an attempt. Returns False, and does nothing, if the queue is full."""
-        if len(self._attempts) >= MAX_WAITING:
+        if len(self.attempts) >= MAX_WAITING:
             return False
-        self._attempts.append(attempt)
+        self.attempts.append(attempt)
         self._wheel.at(attempt.write_by_ms, lambda: self._check_overdue(attempt))
         return True
 
     def _check_overdue(self, attempt: Attempt) -> None:
-        if attempt in self._attempts:
+        if attempt in self.attempts:
             self._give_up(attempt)
 
     def take_first(self) -> Attempt:
         """Removes and returns the attempt that has waited longest."""
-        return self._attempts.popleft()
+        return self.attempts.popleft()
 
     def remove(self, attempt: Attempt) -> bool:
         """Removes an attempt. Returns False if it does not wait here."""
-        if attempt not in self._attempts:
+        if attempt not in self.attempts:
             return False
-        self._attempts.remove(attempt)
+        self.attempts.remove(attempt)
         return True
 
     def older_than(self, age_ms: float, now: float) -> list[Attempt]:
         """Returns the attempts that were asked for at least `age_ms` ago."""
-        return [attempt for attempt in self._attempts if now - attempt.asked_ms >= age_ms]
+        return [attempt for attempt in self.attempts if now - attempt.asked_ms >= age_ms]
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -23,7 +23,7 @@
 from cloverwell.connections.connection_cap import ConnectionCap
 from cloverwell.connections.connection_loss import ConnectionLoss
 from cloverwell.connections.idle_limits import IdleEvidence, IdleLimits
-from cloverwell.connections.node_type import NodeTypeStatistics
+from cloverwell.connections.node_type import SILENT_SHARE, NodeTypeStatistics
 from cloverwell.connections.round_trip import RoundTripEstimate
 
 MIN_HOLD_MS, MAX_HOLD_MS = 4.0, 45.0  # how long the last byte is held back
@@ -241,7 +241,7 @@
     def _limit_ms(self, entry: NodeState, node: str) -> float:
         """Where dead connections are silent, what the type has shown holds for each node; else its own."""
         own_ms = self.limits.limit_ms(node, entry.node_type)
-        if not self._types[entry.node_type].losses_are_silent:
+        if self._types[entry.node_type].silent_share <= SILENT_SHARE:
             return own_ms
         return min(own_ms, self.limits.type_limit_ms(entry.node_type))
 
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -198,7 +198,7 @@
 
         Without that, descriptors would run out: an accept that fails would lose requests.
         """
-        if self.policy.active_count <= self._budget.max_active_clients:
+        if self.policy.states.active_count <= self._budget.max_active_clients:
             return False
         self._metrics.add(ConnectionEvent.REQUEST_REFUSED)
         return True
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -301,7 +301,7 @@
     conn.close()
     proxy.until(lambda: proxy.service.budget.held == held, "its descriptor was kept")
     assert not proxy.service.pools.pool_of("s1").opening
-    assert not proxy.service.pools.pool_of("s1")._waiting
+    assert not proxy.service.pools.pool_of("s1")._waiting.attempts
 
 
 def test_a_connection_that_comes_up_late_is_the_next_requests_and_not_the_dead_ones(rig):
@@ -311,7 +311,7 @@
     conn = proxy.client(read(1, 400))
     proxy.until(lambda: proxy.service.pools.pool_of("s1").opening)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
-    assert not proxy.service.pools.pool_of("s1")._waiting
+    assert not proxy.service.pools.pool_of("s1")._waiting.attempts
     for one in held:
         one.close()
     late = proxy.nodes[0].take()
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -36,7 +36,7 @@
     assert sent(player, "s1") == b""
     player.play("client expect SERVER_ERROR busy*")
     # Its place came back, and the connection serves the next.
-    assert not player.service.pools.pool_of("s1")._waiting
+    assert not player.service.pools.pool_of("s1")._waiting.attempts
     player.play("wait 600\nclient send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
 
 
