--- a/balancer/api.py
+++ b/balancer/api.py
@@ -17,7 +17,7 @@
     StreamBegun,
     TimerDue,
 )
-from balancer.settings_types import Group, Idempotency, RequestClass, Settings, Tenant
+from balancer.settings_types import DedupScope, Idempotency, RequestClass, Settings, Tenant
 
 __all__ = [
     "ANSWERS",
@@ -28,10 +28,10 @@
     "Cancel",
     "ClientGone",
     "Close",
+    "DedupScope",
     "EndpointListChanged",
     "Event",
     "Fail",
-    "Group",
     "Idempotency",
     "ListKind",
     "Log",
--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -47,7 +47,7 @@
         self._slow_start = slow_start
         self._outliers = outliers
         self._actions = actions
-        self.trusted_idle_ms = settings.idle_close_ms  # connections idle for longer are not trusted
+        self.trusted_idle_ms = settings.idle_timeout_ms  # connections idle for longer are not trusted
         self._connect_refused_rate = 0.0
         self._reset_rate = 0.0
 
@@ -61,7 +61,7 @@
         if (
             server.last_use_ms + self.trusted_idle_ms
             < now
-            < server.last_use_ms + self._settings.idle_close_ms
+            < server.last_use_ms + self._settings.idle_timeout_ms
         ):
             self.close(now, server)
 
@@ -85,10 +85,12 @@
             self._outliers.record_response(now, server)
             server.last_use_ms, server.resets = now, 0
             server.overtaken_ms = max(server.overtaken_ms, sent)
-            self.trusted_idle_ms = min(self.trusted_idle_ms * IDLE_GROWTH, self._settings.idle_close_ms)
+            self.trusted_idle_ms = min(self.trusted_idle_ms * IDLE_GROWTH, self._settings.idle_timeout_ms)
         # Where full tables refuse connections at once, one that idles here is missing elsewhere.
         refused_at_once = status is Status.CONNECT_FAILED and took < self._latency.mean_ms
-        self._slow_start.full_rate += RECENT_WEIGHT * ((status is Status.FULL) - self._slow_start.full_rate)
+        self._slow_start.full_response_share += RECENT_WEIGHT * (
+            (status is Status.FULL) - self._slow_start.full_response_share
+        )
         self._connect_refused_rate += RECENT_WEIGHT * (refused_at_once - self._connect_refused_rate)
         if self._connect_refused_rate > CONNECT_REFUSED_RATE_HIGH and not server.out:
             self.close(now, server)
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -7,7 +7,7 @@
 
 from balancer import api, concurrency_limit, hot_keys, origin_slots
 from balancer.admission import drops_early
-from balancer.api import Group, Idempotency, ListKind, Status
+from balancer.api import DedupScope, Idempotency, ListKind, Status
 from balancer.attempt_evaluation import AttemptEvaluator
 from balancer.key_order import KeyOrder
 from balancer.latency import RATE_MS, UNCROWDED_SHARE, LatencyEstimate
@@ -17,7 +17,7 @@
 from balancer.request_factory import RequestFactory
 from balancer.request_state import RequestState, Server
 from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget, RetryPolicy
-from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, recognises_repeat
+from balancer.server_selection import PREFERENCE_LIST_SIZE, ServerSelector, is_in_dedup_scope
 from balancer.server_set import ServerSet
 from balancer.slow_start import SlowStart
 from balancer.timers import Timers
@@ -57,7 +57,9 @@
         self._request_factory = RequestFactory(settings, self._random, self._margin_ms)
         self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
         # The objectives of the classes of which no write has been seen.
-        self._read_objectives_ms = {number: cls.aim_ms for number, cls in enumerate(settings.classes)}
+        self._read_objectives_ms = {
+            number: cls.latency_objective_ms for number, cls in enumerate(settings.classes)
+        }
         self._objective_ms = min(self._read_objectives_ms.values())
         self._read_objective_ms = self._objective_ms  # the shortest of what cache servers answer
         self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of all cache servers
@@ -68,7 +70,7 @@
             settings, self._random, self._origin_latency, self._objective_ms
         )
         self._server_set = ServerSet(
-            settings.origin_kind,
+            settings.origin_machine_type,
             settings.peers_total,
             self._latency,
             self._origin_latency,
@@ -114,7 +116,7 @@
             what(now, whom)
 
     def _on_endpoint_list(self, now: float, event: api.EndpointListChanged) -> None:
-        if event.kind is ListKind.CACHED and not self._settings.list_pushed:
+        if event.kind is ListKind.CACHED and not self._settings.is_list_pushed:
             delay_ms = self._subscription.initial_delay_ms(self._settings.peers_total)
             self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE))
         if event.kind is ListKind.FAILED:
@@ -125,30 +127,28 @@
         changed = self._server_set.apply(event.entries, complete=event.kind is not ListKind.DELTA)
         for server in changed.removed:
             self._close_removed(now, server)
-        self._rings.change(changed.removed_cache_servers, changed.cache_servers)
+        self._rings.update(changed.removed_cache_servers, changed.cache_servers)
 
     def _close_removed(self, now: float, server: Server) -> None:
         """Closes the connections to a removed server: at once, after each attempt, and once more later.
 
         The later time is for connections that were being opened, or whose attempts were cancelled.
         """
-        if self._settings.hang_up_within_ms:
+        if self._settings.drain_close_ms:
             self._evaluator.close(now, server)
-            self._timers.at(
-                now + CLOSE_AGAIN * self._settings.hang_up_within_ms, self._evaluator.close, server
-            )
+            self._timers.at(now + CLOSE_AGAIN * self._settings.drain_close_ms, self._evaluator.close, server)
 
     def _on_request(self, now: float, event: api.Request) -> None:
-        self._retry_budget.requests.append(now)
+        self._retry_budget.request_times_ms.append(now)
         self._hedges.record_request()
         if event.write and self._origins:
             self._exclude_from_reads(event.request_class)
         request = self._request_factory.make(now, event, self._settings.peers_total)
         self._requests[request.id] = request
-        if request.cls.in_turn and event.key is not None:
+        if request.cls.is_ordered and event.key is not None:
             self._key_order.enqueue(event.key, request)
         if event.key is not None and not event.write:
-            request.hot_key_load = self._hot_keys.record(event.key, len(self._rings))
+            request.hot_key_load = self._hot_keys.record_read(event.key, len(self._rings))
         crowded = self._is_crowded(now, request)
         if request.use_ms <= now:
             self._reject(now, request, "late", RATE_MS)
@@ -160,7 +160,7 @@
     def _is_crowded(self, now: float, request: RequestState) -> bool:
         """Whether to drop the request early because all cache servers are crowded."""
         # In a small tier zones differ, so that each server of the preference set is judged instead.
-        if request.write or self._rings.small_tier:
+        if request.write or self._rings.has_few_balancers:
             return False
         return drops_early(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
 
@@ -201,11 +201,11 @@
 
     def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
         # Every attempt has to pass here.
-        if not self._retry_policy.permits(now, request) or not recognises_repeat(request, server):
+        if not self._retry_policy.permits(now, request) or not is_in_dedup_scope(request, server):
             self._reject(now, request, "spent")
             return
         if request.attempts and not request.prepaid:
-            self._retry_budget.retries.append(now)
+            self._retry_budget.retry_times_ms.append(now)
         request.prepaid = False
         request.out[request.attempts] = (server, now)
         request.attempts += 1
@@ -227,8 +227,8 @@
         """Gives the single final response: a rejection where the client may safely retry, else a failure."""
         cls = request.cls
         # No attempt is in flight by now; all servers recognise a repeat whose group is all of them.
-        recognised = cls.effect is Idempotency.KEYED and cls.group is Group.ALL
-        if request.ran_ms is None or cls.effect is Idempotency.SAFE or recognised:
+        recognised = cls.idempotency is Idempotency.KEYED and cls.dedup_scope is DedupScope.ALL
+        if request.ran_ms is None or cls.idempotency is Idempotency.SAFE or recognised:
             wait_ms = min(retry_after_ms, self._settings.max_retry_after_ms)
             self._actions.append(api.Reject(request.id, wait_ms, reason))
         else:
@@ -281,8 +281,8 @@
             self._settle_hedge(request, event.attempt)
         if event.status not in api.NEVER_RAN and (request.ran_ms is None or sent < request.ran_ms):
             request.ran_ms, request.ran_on = sent, server
-        if request.key_queue is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
-            request.key_queue.settled_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
+        if request.key_queue is not None and self._settings.in_doubt_hold_ms and event.status in api.IN_DOUBT:
+            request.key_queue.settled_ms = now + self._settings.in_doubt_hold_ms + DEADLINE_MARGIN_MS
         request.prepaid |= event.status is Status.MISS
         retry_there = self._evaluator.evaluate(now, server, event.status, sent, request)
         if event.closed or request.done:
@@ -301,14 +301,14 @@
             return
         if not retry_there:
             request.tried.append(server)
-        if len(request.tried) >= PREFERENCE_SET_SIZE:
+        if len(request.tried) >= PREFERENCE_LIST_SIZE:
             self._reject(now, request, "tried")
         else:
             self._route(now, request)
 
     def _ask_origin(self, now: float, request: RequestState) -> None:
         if not self._retry_policy.permits(now, request) or not any(
-            recognises_repeat(request, origin) for origin in self._origins
+            is_in_dedup_scope(request, origin) for origin in self._origins
         ):
             self._reject(now, request, "spent")  # also after a time-out at the deadline
             return
@@ -366,7 +366,7 @@
         if not server.watched:
             return
         self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
-        if self._settings.may_copy:
+        if self._settings.may_hedge:
             self._hedge_overdue(now, server)
         concurrency_limit.check_ages(server, now, self._objective_ms)
         if server.origin:
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from balancer.settings_types import Group
+from balancer.settings_types import DedupScope
 
 
 class ServerState(IntEnum):
@@ -29,6 +29,6 @@
     zone: int = 0
     cell: int = 0
 
-    def member_of(self, group: Group) -> int:
+    def member_of(self, group: DedupScope) -> int:
         """The number of the server's group; servers with the same number are in one group."""
-        return 0 if group is Group.ALL else getattr(self, group.value)
+        return 0 if group is DedupScope.ALL else getattr(self, group.value)
--- a/balancer/hash_ring.py
+++ b/balancer/hash_ring.py
@@ -13,7 +13,7 @@
 MANY = 8  # tokens a bucket, over which it costs less to sort than to find the place of each
 
 
-def point(name: str) -> int:
+def ring_position(name: str) -> int:
     """The ring's hash: the same in every process and at every start."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
@@ -42,11 +42,11 @@
         """Whether the owner has tokens."""
         return owner in self._tokens
 
-    def put(self, owner: Owner, name: str, number: int) -> None:
+    def add(self, owner: Owner, name: str, number: int) -> None:
         """Gives the owner that many tokens; nothing changes if it has them."""
-        self.put_all([(owner, name, number)])
+        self.add_all([(owner, name, number)])
 
-    def put_all(self, wanted: Iterable[tuple[Owner, str, int]]) -> None:
+    def add_all(self, wanted: Iterable[tuple[Owner, str, int]]) -> None:
         """The same for several owners, each there once: at a start that is a whole fleet."""
         added: list[int] = []
         for owner, name, number in wanted:
--- a/balancer/hot_keys.py
+++ b/balancer/hot_keys.py
@@ -18,7 +18,7 @@
         """No read has been counted yet."""
         self._last: deque[str] = deque(maxlen=WINDOW)
 
-    def record(self, key: str, servers: int) -> float:
+    def record_read(self, key: str, servers: int) -> float:
         """Counts one more read of the key; returns the key's load, in loads of a mean one of the servers."""
         self._last.append(key)
         return (self._last.count(key) - 1) / WINDOW * servers
--- a/balancer/list_subscription.py
+++ b/balancer/list_subscription.py
@@ -15,7 +15,7 @@
 
     def __init__(self, settings: Settings, random: Random) -> None:
         """`random` is the balancer's generator, so that its decisions can be repeated."""
-        self._ask_within_ms = settings.ask_within_ms
+        self._ask_within_ms = settings.max_poll_interval_ms
         self._random = random
         self._backoff_ms = BACKOFF_MS
 
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -65,25 +65,25 @@
         self, settings: Settings, random: Random, latency: LatencyEstimate, objective_ms: float
     ) -> None:
         """`latency` is the origin's, `objective_ms` the shortest latency objective."""
-        self._over_quota_weight = settings.over_share_worth
+        self._over_quota_weight = settings.over_quota_importance
         self._random = random
         self._latency = latency
         self._objective_ms = objective_ms
 
     def drops_early(self, now: float, request: RequestState) -> bool:
         """Whether to drop a read that would be useful until its deadline: the queue alone would keep it."""
-        if not request.cls.late_worth or request.write:
+        if not request.cls.late_value or request.write:
             return False
         return drops_early(self._random, now, self._latency, self._objective_ms, request.over_quota)
 
     def priority(self, request: RequestState) -> float:
         """The request's weight; a fetch of a hot key weighs more, since it serves the reads after it."""
-        weight = request.cls.worth * (self._over_quota_weight if request.over_quota else 1.0)
+        weight = request.cls.importance * (self._over_quota_weight if request.over_quota else 1.0)
         return weight * (1.0 + hot_keys.FETCH_PRIORITY * request.hot_key_load)
 
     def is_too_late(self, now: float, request: RequestState) -> bool:
         """Whether a response would come too late, so that a slot is better used for another request."""
-        objective_ms = math.inf if request.cls.late_worth else request.cls.aim_ms
+        objective_ms = math.inf if request.cls.late_value else request.cls.latency_objective_ms
         return min(request.use_ms - now, objective_ms) < self._latency.fading_ms(now)
 
     def waits_until(self, now: float, request: RequestState, ahead: float) -> float | None:
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -88,7 +88,7 @@
             if not request.begun and not request.done
         ]
         count = int(min(len(pending), self._retry_budget.available(now)))
-        chosen = heapq.nlargest(count, pending, lambda attempt: attempt[0].cls.worth)
+        chosen = heapq.nlargest(count, pending, lambda attempt: attempt[0].cls.importance)
         self._actions += [Cancel(request.id, number) for request, number in chosen]
 
     def check_silence(self, now: float, server: Server, servers: Collection[Server], ring_size: int) -> None:
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -10,7 +10,7 @@
 COLD_SPILL, COLD_MOST = 1, 4
 
 
-def preference_order(
+def preference_list(
     now: float, place: int, near: int, rings: ZoneRings, slow_start: SlowStart
 ) -> Iterator[Server]:
     """Distinct servers clockwise from a point, past tokens that are not active yet.
@@ -25,7 +25,7 @@
     seen, zones, later = set[Server](), set[int](), list[Server]()
     for ring in order:
         got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
-        most = near if rings.small_tier and ring is rings.local else len(ring)
+        most = near if rings.has_few_balancers and ring is rings.local else len(ring)
         for token, server in ring.clockwise(place):
             if got >= most or passed > COLD_MOST:
                 break
@@ -38,12 +38,12 @@
             if may and token % 1024 < 1024 * slow_start.active_share(now, server):  # low bits: a lot
                 seen.add(server)
                 got += 1
-                if rings.small_tier and ring is rings.remote and server.entry.zone in zones:
+                if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
                     later.append(server)
                 else:
                     zones.add(server.entry.zone)
                     yield server
-            elif rings.small_tier and ring is rings.local and not warm:
+            elif rings.has_few_balancers and ring is rings.local and not warm:
                 break  # all of home may be as cold, and must not get what it leaves
             else:
                 passed += not warm
--- a/balancer/request_factory.py
+++ b/balancer/request_factory.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from balancer.events import Request
-from balancer.hash_ring import point
+from balancer.hash_ring import ring_position
 from balancer.latency import UNCROWDED_SHARE, USUAL_TIMEOUT_VOTES, LatencyEstimate, UsualTimeout
 from balancer.request_state import RequestState
 from balancer.settings_types import Settings
@@ -23,17 +23,19 @@
         self._margin_ms = margin_ms
         self._quotas = TenantQuotas(settings.tenants)
         self._usual_timeouts = [UsualTimeout() for _ in settings.classes]
-        self._latencies = [LatencyEstimate(cls.aim_ms * UNCROWDED_SHARE) for cls in settings.classes]
+        self._latencies = [
+            LatencyEstimate(cls.latency_objective_ms * UNCROWDED_SHARE) for cls in settings.classes
+        ]
 
     def make(self, now: float, event: Request, peers_total: int) -> RequestState:
         """The state of a request that arrives now."""
         cls = self._classes[event.request_class]
-        place = point(event.key) if event.key is not None else self._random.getrandbits(64)
+        place = ring_position(event.key) if event.key is not None else self._random.getrandbits(64)
         deadline_ms = now + event.left_ms - self._margin_ms
-        objective_end_ms = now + cls.aim_ms - self._elapsed_ms(event) - self._margin_ms
-        late_is_useful = bool(cls.late_worth) or event.write
+        objective_end_ms = now + cls.latency_objective_ms - self._elapsed_ms(event) - self._margin_ms
+        late_is_useful = bool(cls.late_value) or event.write
         use_ms = deadline_ms if late_is_useful else min(objective_end_ms, deadline_ms)
-        over_quota = self._quotas.exceeded(now, event.tenant, peers_total)
+        over_quota = self._quotas.count_request(now, event.tenant, peers_total)
         return RequestState(
             event.request,
             cls,
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -24,12 +24,12 @@
 
     def __init__(self, settings: Settings) -> None:
         """The window, the free retries and the share are those of the settings."""
-        self._window_ms = settings.resend_window_ms
-        self._free_retries = settings.free_resends
-        self._retry_share = settings.resend_share
-        capacity = None if settings.resend_window_ms else 0  # without a window nothing has to be remembered
-        self.requests: deque[float] = deque(maxlen=capacity)  # the times at which requests arrived
-        self.retries: deque[float] = deque(maxlen=capacity)  # the times at which retries were sent
+        self._window_ms = settings.retry_window_ms
+        self._free_retries = settings.free_retries
+        self._retry_share = settings.retry_share
+        capacity = None if settings.retry_window_ms else 0  # without a window nothing has to be remembered
+        self.request_times_ms: deque[float] = deque(maxlen=capacity)  # the times at which requests arrived
+        self.retry_times_ms: deque[float] = deque(maxlen=capacity)  # the times at which retries were sent
 
     def available(self, now: float) -> float:
         """The number of retries that the budget still permits; infinite without a window.
@@ -41,12 +41,12 @@
             return math.inf
         since = now - self._window_ms
         for times, edge in (
-            (self.requests, since + DEADLINE_MARGIN_MS),
-            (self.retries, since - DEADLINE_MARGIN_MS),
+            (self.request_times_ms, since + DEADLINE_MARGIN_MS),
+            (self.retry_times_ms, since - DEADLINE_MARGIN_MS),
         ):
             while times and times[0] < edge:
                 times.popleft()
-        return self._free_retries + self._retry_share * len(self.requests) - len(self.retries)
+        return self._free_retries + self._retry_share * len(self.request_times_ms) - len(self.retry_times_ms)
 
 
 class HedgePolicy:
@@ -73,7 +73,7 @@
         if len(request.out) != 1 or request.done or request.begun or request.write:
             return False
         # A read need not be idempotent: its class says so.
-        return request.cls.effect is Idempotency.SAFE and self.tokens >= 1.0
+        return request.cls.idempotency is Idempotency.SAFE and self.tokens >= 1.0
 
     def record_result(self, hedge_won: bool) -> None:
         """Adapts the delay; a hedged attempt that was answered first does not count against the bound."""
@@ -96,8 +96,8 @@
         paid = not request.attempts or request.prepaid or self._budget.available(now) >= 1
         if not paid or request.attempts >= self._max_attempts or now >= request.use_ms or request.begun:
             return False
-        if request.ran_ms is None or request.cls.effect is Idempotency.SAFE:
+        if request.ran_ms is None or request.cls.idempotency is Idempotency.SAFE:
             return True
         # Servers remember an idempotency key only for a while; the margin is for the way there.
         age_ms = now - request.ran_ms + self._margin_ms
-        return request.cls.effect is Idempotency.KEYED and age_ms < request.cls.window_ms
+        return request.cls.idempotency is Idempotency.KEYED and age_ms < request.cls.dedup_window_ms
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -5,25 +5,25 @@
 from balancer import hot_keys
 from balancer.admission import drops_early
 from balancer.outlier_detection import OutlierDetector
-from balancer.preference_set import preference_order
+from balancer.preference_set import preference_list
 from balancer.request_state import RequestState, Server
 from balancer.settings_types import Idempotency
 from balancer.slow_start import SlowStart
 from balancer.zone_rings import ZoneRings
 
 # A key is asked of so many servers at most: more of them only spread a jam and copies of its value.
-PREFERENCE_SET_SIZE = 3
+PREFERENCE_LIST_SIZE = 3
 # The part of a server's limit that requests beyond their tenant's quota may use.
 OVER_QUOTA_SHARE = 0.25
 
 
-def recognises_repeat(request: RequestState, server: Server) -> bool:
+def is_in_dedup_scope(request: RequestState, server: Server) -> bool:
     """Whether the server recognises a repeated request by its idempotency key, or need not do so.
 
     After an attempt that may have run, only the group of that attempt's server knows the key.
     """
-    ran_at = request.ran_on if request.cls.effect is Idempotency.KEYED else None
-    group = request.cls.group
+    ran_at = request.ran_on if request.cls.idempotency is Idempotency.KEYED else None
+    group = request.cls.dedup_scope
     return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
 
 
@@ -49,9 +49,9 @@
         spread = hot_keys.servers_needed(request.hot_key_load)
         passed = self._random.randrange(spread)
         for place, server in enumerate(
-            preference_order(now, request.point, spread, self._rings, self._slow_start)
+            preference_list(now, request.point, spread, self._rings, self._slow_start)
         ):
-            if server in request.tried or not recognises_repeat(request, server):
+            if server in request.tried or not is_in_dedup_scope(request, server):
                 continue
             # What crowded and dead servers leave, or a hot key, would push a cold one over.
             if not self._slow_start.is_warm(now, server) and (
@@ -62,10 +62,14 @@
                 # In a large fleet most requests to a dead server would be probe requests: a health check is
                 # sent instead where that is permitted.
                 due = server.ejected_ms is not None and now >= server.next_probe_ms
-                if due and not self._outliers.probe(now, server) and request.cls.effect is Idempotency.SAFE:
+                if (
+                    due
+                    and not self._outliers.probe(now, server)
+                    and request.cls.idempotency is Idempotency.SAFE
+                ):
                     return server
                 crowded += server.ejected_ms is None
-                if self._rings.small_tier and crowded >= PREFERENCE_SET_SIZE:
+                if self._rings.has_few_balancers and crowded >= PREFERENCE_LIST_SIZE:
                     return None
                 last = last or server
                 continue
@@ -74,6 +78,6 @@
                 last = server
             elif len(server.out) < server.limit * (OVER_QUOTA_SHARE if request.over_quota else 1.0):
                 return server
-            elif members >= passed + PREFERENCE_SET_SIZE:
+            elif members >= passed + PREFERENCE_LIST_SIZE:
                 break
         return last if members <= passed else None
--- a/balancer/server_set.py
+++ b/balancer/server_set.py
@@ -32,16 +32,16 @@
 
     def __init__(
         self,
-        origin_kind: int,
+        origin_machine_type: int,
         peers_total: int,
         latency: LatencyEstimate,
         origin_latency: LatencyEstimate,
         machine_types: dict[int, LatencyEstimate],
     ) -> None:
-        """`origin_kind` is the number of the origin's machine type; `peers_total` counts the balancers."""
+        """`origin_machine_type` is the number of the origin's type; `peers_total` counts the balancers."""
         self.by_name: dict[str, Server] = {}
         self.origins: list[Server] = []
-        self._origin_kind = origin_kind
+        self._origin_kind = origin_machine_type
         self._peers_total = peers_total
         self._latency = latency
         self._origin_latency = origin_latency
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from balancer.settings_types import Group, Idempotency, RequestClass, Settings, Tenant
+from balancer.settings_types import DedupScope, Idempotency, RequestClass, Settings, Tenant
 
 Value = TypeVar("Value", str, int, float, bool)
 Fields = Mapping[str, object]
@@ -129,16 +129,16 @@
 def read_class(section: Section) -> RequestClass:
     """Reads a class of requests."""
     return RequestClass(
-        aim_ms=section.number("objective", positive=True),
+        latency_objective_ms=section.number("objective", positive=True),
         deadline_ms=section.number("deadline", positive=True),
         # It has no default: the laxest one would let a request run twice that must not.
-        effect=EFFECT[section.word("effect", EFFECT)],
-        group=Group(section.word("group", [group.value for group in Group], "all")),
-        window_ms=section.number("window", 0.0),
-        worth=section.number("importance", 1.0),
-        late_worth=section.number("late-value", 0.0),
-        stream=section.flag("stream"),
-        in_turn=section.flag("in-turn"),
+        idempotency=EFFECT[section.word("effect", EFFECT)],
+        dedup_scope=DedupScope(section.word("group", [group.value for group in DedupScope], "all")),
+        dedup_window_ms=section.number("window", 0.0),
+        importance=section.number("importance", 1.0),
+        late_value=section.number("late-value", 0.0),
+        is_stream=section.flag("stream"),
+        is_ordered=section.flag("in-turn"),
         name=section.value("name", str, ""),
     )
 
@@ -154,7 +154,7 @@
     return Section(raw)
 
 
-def check_whole(raw: object) -> None:
+def check_required_settings(raw: object) -> None:
     """Raises `SettingsError` for the first setting that a proxy in service requires and that is missing."""
     root = _root(raw)
     classes = root.sections("classes")
@@ -203,10 +203,10 @@
 
 def _read_origin_kind(specifics: Section, machine_types: tuple[str, ...]) -> int:
     is_aside = specifics.fields.get("mode") == "aside"
-    origin_kind = specifics.value("origin-kind", int, -1) if is_aside else -1
-    if not -1 <= origin_kind < len(machine_types):
+    origin_machine_type = specifics.value("origin-kind", int, -1) if is_aside else -1
+    if not -1 <= origin_machine_type < len(machine_types):
         raise specifics.error("origin-kind", "must be the place of one of machine-types")
-    return origin_kind
+    return origin_machine_type
 
 
 def _read_classes(root: Section) -> tuple[RequestClass, ...]:
@@ -225,7 +225,7 @@
     specifics, prices = root.section("specifics"), root.section("prices")
     zones, machine_types = root.names("zones"), root.names("machine-types")
     zone = _read_zone(root, zones)
-    origin_kind = _read_origin_kind(specifics, machine_types)
+    origin_machine_type = _read_origin_kind(specifics, machine_types)
     start_capacity = _read_start_capacity(guarantees)
     return Settings(
         classes=_read_classes(root),
@@ -233,29 +233,29 @@
         zones=zones,
         machine_types=machine_types,
         peers_total=root.count("peers-total", 1),
-        origin_kind=origin_kind,
+        origin_machine_type=origin_machine_type,
         zone=zone,
-        cross_price=prices.number("cross-zone", 0.0),
-        sizes_fixed=root.fields.get("weights") == "nominal",
-        list_pushed=root.word("membership-mode", MODES, "on_request") == "pushed",
-        over_share_worth=root.number("over-share-worth", 1.0),
+        cross_zone_cost=prices.number("cross-zone", 0.0),
+        weighted_tokens=root.fields.get("weights") == "nominal",
+        is_list_pushed=root.word("membership-mode", MODES, "on_request") == "pushed",
+        over_quota_importance=root.number("over-share-worth", 1.0),
         max_attempts=limits.count("send-cap", 3),
         may_cancel=limits.flag("cancel"),
         may_probe=limits.flag("probing"),
-        may_copy=limits.flag("second-copies") and limits.flag("cancel"),
+        may_hedge=limits.flag("second-copies") and limits.flag("cancel"),
         max_retry_after_ms=limits.number("max-retry-after", 0.0) if limits.flag("retry-after") else 0.0,
         granularity_ms=root.number("granularity", 1.0),
         start_capacity=start_capacity,
         warm_up_ms=guarantees.number("cold", 0.0),
-        ask_within_ms=guarantees.number("ask-within", 0.0) or 10_000.0,  # pushed lists may state none
-        resend_window_ms=guarantees.number("look-back", 0.0),
-        free_resends=guarantees.number("free-resends", 0.0),
-        resend_share=guarantees.number("repeat-ratio", 0.0),
-        idle_close_ms=limits.number("idle-close", 15_000.0, positive=True),
+        max_poll_interval_ms=guarantees.number("ask-within", 0.0) or 10_000.0,  # pushed lists may state none
+        retry_window_ms=guarantees.number("look-back", 0.0),
+        free_retries=guarantees.number("free-resends", 0.0),
+        retry_share=guarantees.number("repeat-ratio", 0.0),
+        idle_timeout_ms=limits.number("idle-close", 15_000.0, positive=True),
         connect_timeout_ms=limits.number("connect-timeout", 1000.0, positive=True),
         attempts_per_connection=max(1, limits.count("streams-per-conn", 1, minimum=0)),
-        max_open=limits.count("max-open", 0, minimum=0),
-        hang_up_within_ms=guarantees.number("hang-up-within", 0.0),
+        max_open_requests=limits.count("max-open", 0, minimum=0),
+        drain_close_ms=guarantees.number("hang-up-within", 0.0),
         drain_grace_ms=guarantees.number("drain-grace", 1000.0),
-        settle_ms=guarantees.number("settle-after-doubt", 0.0),
+        in_doubt_hold_ms=guarantees.number("settle-after-doubt", 0.0),
     )
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -25,7 +25,7 @@
         self._latency = latency
         self._machine_types = machine_types
         self._objective_ms = objective_ms
-        self.full_rate = 0.0  # the share of the last attempts that found their server full
+        self.full_response_share = 0.0  # the share of the last attempts that found their server full
 
     def is_warm(self, now: float, server: Server) -> bool:
         """Whether the server's warm-up is over."""
@@ -39,6 +39,6 @@
         # What slow types leave, and a storm of retries at full servers, must not go to a cold server.
         if warmth < 1.0:
             latency_ms = max(machine_type.mean_ms for machine_type in self._machine_types.values())
-            room = (1.0 - self.full_rate) ** 2
+            room = (1.0 - self.full_response_share) ** 2
         usual_ms = max(self._latency.mean_ms, UNCROWDED_SHARE * self._objective_ms)
         return warmth * room * min(1.0, usual_ms / latency_ms) ** 2
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -35,7 +35,7 @@
         self._tenants = tenants
         self._buckets = [TokenBucket(MIN_BURST) for _ in tenants]
 
-    def exceeded(self, now: float, tenant: int, peers_total: int) -> bool:
+    def count_request(self, now: float, tenant: int, peers_total: int) -> bool:
         """Counts a request of the tenant; returns whether it is beyond this balancer's part of the quota."""
         if tenant >= len(self._buckets) or not self._tenants[tenant].quota_per_s:
             return False
--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -152,7 +152,7 @@
 
 
 def _make_node_policy(settings: Settings) -> NodeConnectionPolicy:
-    idle_ms = IDLE_CLOSE_SHARE * settings.idle_close_ms
+    idle_ms = IDLE_CLOSE_SHARE * settings.idle_timeout_ms
     grace_ms = max(0.0, settings.drain_grace_ms - DRAIN_GRACE_MARGIN_MS)
     return NodeConnectionPolicy(idle_ms, grace_ms)
 
@@ -176,7 +176,7 @@
         metrics,
         settings.attempts_per_connection,
         settings.connect_timeout_ms,
-        hold=not settings.may_copy,
+        hold=not settings.may_hedge,
     )
 
 
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from balancer.api import Settings
-from balancer.settings import check_whole, read_settings
+from balancer.settings import check_required_settings, read_settings
 from cloverwell.membership.endpoint_list import STATE_BY_PHASE, EndpointList, EndpointListError, split_address
 
 MIN_SOCKETS = 64  # for the descriptors that are reserved, and some connections on either side
@@ -173,7 +173,7 @@
 
 def _read_settings(document: object) -> Settings:
     try:
-        check_whole(document)
+        check_required_settings(document)
         return read_settings(document)
     except ValueError as error:
         raise ConfigError("settings", str(error)) from None
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from balancer.settings import SettingsError, check_whole, read_settings
+from balancer.settings import SettingsError, check_required_settings, read_settings
 from cloverwell.config import Config, ConfigError, ConfigFile, parse_config
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
@@ -68,7 +68,7 @@
     if settings is None:
         raise ConfigError("settings", "is missing")
     try:
-        check_whole(settings)
+        check_required_settings(settings)
         read_settings(settings)
     except ValueError as error:
         raise ConfigError("settings", str(error)) from None
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -62,7 +62,7 @@
             self._note_failed(request, "twice")
             request.finish(Failed())
             return
-        bound = self._facade.settings.max_open
+        bound = self._facade.settings.max_open_requests
         if bound and len(self._open) >= bound:
             self.note_rejected(request, "open")
             request.finish(Rejected(self._facade.settings.max_retry_after_ms))
@@ -253,7 +253,7 @@
             in_flight=bool(request.attempts),
             may_have_run=request.first_run_ms is not None,
             rejected_or_failed=isinstance(decision, f.RejectRequest | f.FailRequest),
-            ordered=self._facade.settings.classes[request.class_number].in_turn,
+            ordered=self._facade.settings.classes[request.class_number].is_ordered,
             answer_by_ms=self._answer_by_ms(request) - DEADLINE_MARGIN_MS,
         )
         at_ms = retry_at_ms(state, self._wheel.now(), self._wheel.granularity_ms)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -271,9 +271,9 @@
     """How long after an attempt that may have run a further one may leave; None where the class sets no
     limit."""
     cls = settings.classes[class_number]
-    return cls.window_ms if cls.effect is Idempotency.KEYED else None
+    return cls.dedup_window_ms if cls.idempotency is Idempotency.KEYED else None
 
 
 def forbids_retry(settings: api.Settings, class_number: int) -> bool:
     """Whether an attempt that may have run forbids any other."""
-    return settings.classes[class_number].effect is Idempotency.UNSAFE
+    return settings.classes[class_number].idempotency is Idempotency.UNSAFE
--- a/cloverwell/membership/endpoint_discovery.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -102,7 +102,7 @@
         if not known.members:
             # Asked for changes since an empty list, discovery might wait for one.
             self._revision = None
-        if self._settings.list_pushed:
+        if self._settings.is_list_pushed:
             # The proxy counts as knowing what its agent has from the first moment on. The balancer does not
             # ask for this poll, because in the simulator pushed lists arrive without one.
             self._poll()
@@ -177,10 +177,10 @@
         """Return how long the poll waits for a change, 0 if it does not."""
         if immediate or self._revision is None:
             return 0.0
-        if self._backoff.failing and not self._settings.list_pushed:
+        if self._backoff.failing and not self._settings.is_list_pushed:
             # While discovery fails, a poll that waits would hide for too long that it will not be answered.
             return 0.0
-        return min(MAX_WAIT_MS, WAIT_SHARE * self._settings.ask_within_ms)
+        return min(MAX_WAIT_MS, WAIT_SHARE * self._settings.max_poll_interval_ms)
 
     def _answer_timeout_ms(self, wait_ms: float) -> float:
         """Return how long the answer may take after the poll's wait."""
--- a/cloverwell/membership/endpoint_table.py
+++ b/cloverwell/membership/endpoint_table.py
@@ -98,7 +98,7 @@
         for entry, (host, port) in zip(entries, addresses, strict=True):
             if entry.state is not ServerState.READY:
                 continue
-            is_origin = entry.kind == self._settings.origin_kind
+            is_origin = entry.kind == self._settings.origin_machine_type
             warm_ms = entry.started_ms + self._settings.warm_up_ms
             self._pools.add(entry.server, host, port, is_origin, warm_ms)
 
--- a/cloverwell/membership/poll_backoff.py
+++ b/cloverwell/membership/poll_backoff.py
@@ -63,7 +63,7 @@
         """Record that a poll failed `took_ms` after its start, and return the delay before the next one."""
         earlier_failures = self._failures
         self._failures += 1
-        if self._settings.list_pushed:
+        if self._settings.is_list_pushed:
             return self._pushed_backoff_ms()
         max_backoff_ms = self._max_backoff_ms(earlier_failures)
         backoff_ms = self._random.uniform(MIN_BACKOFF_SHARE * max_backoff_ms, max_backoff_ms)
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from balancer.hash_ring import Ring, point
-from balancer.zone_rings import TOKENS
+from balancer.hash_ring import Ring, ring_position
+from balancer.zone_rings import TOKENS_PER_SERVER
 from lab.client_population import ClientPopulation
 from lab.clock import START_S
 from lab.endpoint_registry import EndpointRegistry
@@ -123,9 +123,9 @@
         """Nodes that run when the simulation begins have the keys that the ring gives them."""
         ring: Ring[str] = Ring()
         for name in sorted(self.nodes):
-            ring.put(name, name, TOKENS)
+            ring.add(name, name, TOKENS_PER_SERVER)
         for key in self.populations[0].popular_keys():
-            _, owner = next(ring.clockwise(point(key)))
+            _, owner = next(ring.clockwise(ring_position(key)))
             self.nodes[owner].keys.store(key)
 
     def _delay_s(self, near: str, far: str) -> float:
--- a/tests/balancer_helpers.py
+++ b/tests/balancer_helpers.py
@@ -49,9 +49,13 @@
 
 
 SLOW = (
-    api.RequestClass(aim_ms=1000.0, deadline_ms=2000.0),
+    api.RequestClass(latency_objective_ms=1000.0, deadline_ms=2000.0),
     api.RequestClass(
-        aim_ms=500.0, deadline_ms=1000.0, effect=api.Idempotency.KEYED, window_ms=2000.0, worth=10.0
+        latency_objective_ms=500.0,
+        deadline_ms=1000.0,
+        idempotency=api.Idempotency.KEYED,
+        dedup_window_ms=2000.0,
+        importance=10.0,
     ),
 )
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -39,10 +39,12 @@
         terminalreporter.write_line(f"KNOWN-RED {known.test}: {known.cause} ({known.issue})")
 
 
-SAFE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0)
-KEYED = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Idempotency.KEYED, window_ms=600.0)
-UNSAFE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, effect=api.Idempotency.UNSAFE)
-LATE = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, late_worth=0.25)
+SAFE = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0)
+KEYED = api.RequestClass(
+    latency_objective_ms=500.0, deadline_ms=2000.0, idempotency=api.Idempotency.KEYED, dedup_window_ms=600.0
+)
+UNSAFE = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, idempotency=api.Idempotency.UNSAFE)
+LATE = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, late_value=0.25)
 ORIGIN_KIND = 7
 
 
@@ -50,7 +52,7 @@
     """Keeps the clock and the attempt numbers; `sends` maps a request to the servers it was sent to."""
 
     def __init__(self, servers=4, origin=True, seed=1, now=100_000.0, classes=None, **settings):
-        settings.setdefault("origin_kind", ORIGIN_KIND if origin else -1)
+        settings.setdefault("origin_machine_type", ORIGIN_KIND if origin else -1)
         settings.setdefault("granularity_ms", 5.0)
         self.settings = api.Settings(classes=classes or (SAFE, KEYED, UNSAFE, LATE), **settings)
         self.balancer = Balancer(self.settings, seed)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,9 @@
 
 
 def test_traffic_beyond_a_share_is_dropped_before_the_rest(drive):
-    d = drive(servers=30, peers_total=40, tenants=(api.Tenant(1.0), api.Tenant(1e6)), over_share_worth=0.05)
+    d = drive(
+        servers=30, peers_total=40, tenants=(api.Tenant(1.0), api.Tenant(1e6)), over_quota_importance=0.05
+    )
     for i in range(15):
         d.serve(d.ask(f"k{i}", tenant=1), 200.0)
     names = [[d.ask(f"x{tenant}-{i}", tenant=tenant) for i in range(30)] for tenant in (0, 1)]
--- a/tests/test_attempt_evaluation.py
+++ b/tests/test_attempt_evaluation.py
@@ -8,7 +8,7 @@
 
 def test_a_connection_that_broke_unused_marks_nobody_and_the_next_is_fresh(drive):
     # buc-preturi big-1: 6071 resets on connections unused for 2.7 s and more, each a mark and a try.
-    d = drive(idle_close_ms=10_000.0)
+    d = drive(idle_timeout_ms=10_000.0)
     warm_up(d)
     owner = d.owner("k")
     d.pass_time(6000)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -4,8 +4,8 @@
 
 from balancer import api, preference_set
 from balancer.balancer import Balancer
-from balancer.hash_ring import point
-from balancer.preference_set import COLD_SPILL, preference_order
+from balancer.hash_ring import ring_position
+from balancer.preference_set import COLD_SPILL, preference_list
 from lab.endpoint_registry import EndpointRegistry
 from lab.invariant_checker import InvariantChecker
 from lab.scenario import InvariantLimits, load
@@ -14,7 +14,7 @@
 START = 0.14  # what a server can do at its start: the least that a site has named
 WARM_UP_MS = 20_000.0
 SERVERS = 40
-KEYS = [point(f"key {number}") for number in range(8000)]
+KEYS = [ring_position(f"key {number}") for number in range(8000)]
 
 
 def balancer(cold, seed=1, peers=30, servers=SERVERS, zones=1, **more):
@@ -37,7 +37,7 @@
 
 def owners(made, now=100.0):
     """Whom each key is asked of first; None: nobody on the rings."""
-    found = (next(preference_order(now, place, 1, made._rings, made._slow_start), None) for place in KEYS)
+    found = (next(preference_list(now, place, 1, made._rings, made._slow_start), None) for place in KEYS)
     return [server and server.entry.server for server in found]
 
 
@@ -62,7 +62,7 @@
 
 def test_a_zone_that_is_all_cold_sends_abroad_what_it_can_not_carry():
     # Three zones with enough balancers each: at home all are cold, elsewhere none.
-    made = balancer(0, servers=39, zones=3, cross_price=0.05)
+    made = balancer(0, servers=39, zones=3, cross_zone_cost=0.05)
     entries = [api.ServerEntry(f"s{n}", started_ms=100.0 * (n % 3 == 0), zone=n % 3) for n in range(39)]
     made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 2, tuple(entries)))
     asked = owners(made)
@@ -72,7 +72,7 @@
 
 
 def test_hot_keys_and_keys_that_others_pass_by_are_not_for_a_cold_server(drive):
-    d = drive(servers=3, start_capacity=0.2, warm_up_ms=20_000.0, may_copy=False)
+    d = drive(servers=3, start_capacity=0.2, warm_up_ms=20_000.0, may_hedge=False)
     d.list(api.ListKind.DELTA, [api.ServerEntry("s9", started_ms=d.now)])
     asked = {key: d.owner(key) for key in (f"k{number}" for number in range(300))}
     mine = [key for key, server in asked.items() if server == "s9"]
--- a/tests/test_endpoint_changes.py
+++ b/tests/test_endpoint_changes.py
@@ -28,7 +28,7 @@
 
 
 def test_pushed_lists_are_not_asked_for(drive):
-    assert not any(isinstance(a, api.Subscribe) for a in drive(list_pushed=True).first)
+    assert not any(isinstance(a, api.Subscribe) for a in drive(is_list_pushed=True).first)
 
 
 def test_unknown_requests_and_repeated_outcomes_are_ignored(drive):
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -3,8 +3,8 @@
 from balancer import api
 from balancer.api import Status
 
-ORDERED = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, window_ms=400.0, in_turn=True)
-OTHER = api.RequestClass(500.0, 1500.0, api.Idempotency.KEYED, window_ms=800.0, in_turn=True)
+ORDERED = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, dedup_window_ms=400.0, is_ordered=True)
+OTHER = api.RequestClass(500.0, 1500.0, api.Idempotency.KEYED, dedup_window_ms=800.0, is_ordered=True)
 
 
 def ordered(drive, **settings):
@@ -46,7 +46,7 @@
 
 
 def test_a_key_rests_after_an_attempt_that_may_still_run(drive):
-    d = ordered(drive, settle_ms=100.0)
+    d = ordered(drive, in_doubt_hold_ms=100.0)
     first, second = (d.ask("a", write=True) for _ in range(2))
     d.do(api.ClientGone(first))
     d.do(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
@@ -78,7 +78,9 @@
 def test_a_long_line_of_one_key_that_ends_at_once_is_no_crash(drive):
     # Read in the code: each refused request hands the turn on, one call deep in the other.
     d = drive(
-        classes=(api.RequestClass(500.0, 5000.0, api.Idempotency.KEYED, window_ms=400.0, in_turn=True),)
+        classes=(
+            api.RequestClass(500.0, 5000.0, api.Idempotency.KEYED, dedup_window_ms=400.0, is_ordered=True),
+        )
     )
     for i in range(60):  # the origin is quick
         name = d.ask(f"w{i}", left=5000.0)
--- a/tests/test_origin_fetch.py
+++ b/tests/test_origin_fetch.py
@@ -40,8 +40,8 @@
 
 
 def test_origin_is_bounded_and_serves_the_dearest_first(drive):
-    dear = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, worth=8.0)
-    cheap = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0)
+    dear = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, importance=8.0)
+    cheap = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0)
     d = drive(classes=(cheap, dear), peers_total=6)
     names = [d.ask(f"k{i}", write=True) for i in range(60)]
     sent = [name for name in names if name in d.sends]
--- a/tests/test_origin_slots.py
+++ b/tests/test_origin_slots.py
@@ -12,9 +12,11 @@
 from balancer.origin_slots import OVERDUE, TRIAL_MS
 from balancer.request_state import Server
 
-READ = api.RequestClass(aim_ms=800.0, deadline_ms=2000.0)
+READ = api.RequestClass(latency_objective_ms=800.0, deadline_ms=2000.0)
 WRITES = {
-    effect: api.RequestClass(aim_ms=1500.0, deadline_ms=14_000.0, effect=effect, window_ms=1000.0)
+    effect: api.RequestClass(
+        latency_objective_ms=1500.0, deadline_ms=14_000.0, idempotency=effect, dedup_window_ms=1000.0
+    )
     for effect in (api.Idempotency.KEYED, api.Idempotency.UNSAFE)
 }
 
@@ -48,7 +50,7 @@
 def test_writes_that_hang_do_not_lock_the_origin_until_their_deadline(drive, effect, second_copies):
     # lesrooster-nl split+brink, seed 13: three writes hung from 10.0 s on, and till their deadline at 19.7 s
     # the proxy asked nothing of an origin that answered the others from 15 s on.
-    d = learnt(drive, effect, may_copy=second_copies)
+    d = learnt(drive, effect, may_hedge=second_copies)
     hung = hang_writes(d)
     d.pass_time(4000)  # the cut ends
     served = []
--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -12,7 +12,9 @@
     return [d.sends.get(name, [None])[0] for name in names]
 
 
-@pytest.mark.parametrize("more", [{}, {"zones": ("east", "west"), "cross_price": 0.5}], ids=["one", "zones"])
+@pytest.mark.parametrize(
+    "more", [{}, {"zones": ("east", "west"), "cross_zone_cost": 0.5}], ids=["one", "zones"]
+)
 @pytest.mark.parametrize(("before", "after"), [(1, 12), (12, 1), (2, 3), (3, 8), (8, 3), (4, 4)])
 def test_a_resized_balancer_decides_as_one_that_was_built_so(drive, before, after, more):
     more["tenants"] = (api.Tenant(40.0),)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -8,7 +8,7 @@
 
 
 def test_begun_stream_is_left_alone(drive):
-    stream = api.RequestClass(aim_ms=500.0, deadline_ms=2000.0, stream=True)
+    stream = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, is_stream=True)
     d = drive(classes=(stream,), origin=False)
     name = d.ask()
     d.do(api.StreamBegun(name, d.sends[name][0], 0))
@@ -19,7 +19,7 @@
 
 def test_a_read_on_a_connection_that_fell_silent_goes_again_to_the_server_that_answers_others(drive):
     # Silent days: 2% of the attempts got no byte on connections that had answered before, and waited on.
-    d = drive(may_copy=True)
+    d = drive(may_hedge=True)
     late = out_of_two(d)
     assert d.sends[late] == [d.sends[late][0]] * 2
     assert not d.cancels
@@ -34,7 +34,7 @@
 
 
 def test_where_the_first_copy_answers_after_all_the_next_is_sent_again_later(drive):
-    d = drive(may_copy=True)
+    d = drive(may_hedge=True)
     late = out_of_two(d)
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(late, 1)]
@@ -42,7 +42,7 @@
 
 
 def test_a_second_copy_that_misses_goes_on_to_the_origin(drive):
-    d = drive(may_copy=True)
+    d = drive(may_hedge=True)
     late = out_of_two(d)
     d.answer(late, Status.MISS, 1.0)
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("write", [False, True])
 def test_a_request_that_may_not_run_twice_gets_no_second_copy(drive, write):
-    d = drive(may_copy=True)
+    d = drive(may_hedge=True)
     warm_up(d)
     d.ask("k", cls=2, write=write)
     for _ in range(3):
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -3,8 +3,8 @@
 from collections import Counter
 
 from balancer import api
-from balancer.hash_ring import point, tokens
-from balancer.zone_rings import TOKENS
+from balancer.hash_ring import ring_position, tokens
+from balancer.zone_rings import TOKENS_PER_SERVER
 
 KEYS = [f"key-{i}" for i in range(600)]
 
@@ -52,15 +52,15 @@
         d.list(api.ListKind.FULL, [api.ServerEntry("a", weight=3.0), api.ServerEntry("b", weight=1.0)])
         return Counter(owners(d).values())["a"] / len(KEYS)
 
-    assert 0.65 < share(sizes_fixed=True) < 0.85
-    assert 0.38 < share(sizes_fixed=False) < 0.62
+    assert 0.65 < share(weighted_tokens=True) < 0.85
+    assert 0.38 < share(weighted_tokens=False) < 0.62
 
 
 def test_the_walk_wraps_to_zero(drive):
     # With one server every key has it as owner, also keys after the ring's last token.
     d = drive(servers=1)
-    end = tokens("s0", TOKENS)[-1]
-    past = [key for key in (f"key-{i}" for i in range(100_000)) if point(key) > end]
+    end = tokens("s0", TOKENS_PER_SERVER)[-1]
+    past = [key for key in (f"key-{i}" for i in range(100_000)) if ring_position(key) > end]
     assert past
     assert set(owners(d, past[:5]).values()) == {"s0"}
 
@@ -97,7 +97,7 @@
 
 def test_shares_do_not_depend_on_the_unit_of_weights(drive):
     def owners_by(unit):
-        d = drive(servers=0, sizes_fixed=True)
+        d = drive(servers=0, weighted_tokens=True)
         weights = {"a": 3.0, "b": 1.0, "c": 2.0}
         d.list(api.ListKind.FULL, [api.ServerEntry(name, weight=unit * w) for name, w in weights.items()])
         return owners(d, KEYS[:200])
@@ -109,7 +109,7 @@
     def fleet(*weights):
         return [api.ServerEntry(f"s{w}", weight=float(w)) for w in weights]
 
-    d, fresh = drive(servers=0, sizes_fixed=True), drive(servers=0, sizes_fixed=True)
+    d, fresh = drive(servers=0, weighted_tokens=True), drive(servers=0, weighted_tokens=True)
     d.list(api.ListKind.FULL, fleet(1, 2, 9))
     d.list(api.ListKind.FULL, fleet(1, 2, 4))
     fresh.list(api.ListKind.FULL, fleet(1, 2, 4))
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -12,7 +12,7 @@
 from balancer.hash_ring import Ring, tokens
 from balancer.latency import LatencyEstimate
 from balancer.request_state import Server
-from balancer.zone_rings import TOKENS, ZoneRings
+from balancer.zone_rings import TOKENS_PER_SERVER, ZoneRings
 from balancer.zone_weights import ZoneWeights
 
 NAMES = [f"node-{number}" for number in range(9)]
@@ -38,10 +38,10 @@
     api.Settings,
     classes=st.just((api.RequestClass(100.0, 500.0),)),
     peers_total=st.sampled_from((1, 2, 40)),
-    origin_kind=st.sampled_from((-1, 1)),
+    origin_machine_type=st.sampled_from((-1, 1)),
     zones=st.sampled_from((("a",), ("a", "b"), ("a", "b", "c", "d"))),
-    cross_price=st.sampled_from((0.0, 0.5)),
-    sizes_fixed=st.booleans(),
+    cross_zone_cost=st.sampled_from((0.0, 0.5)),
+    weighted_tokens=st.booleans(),
 )
 
 
@@ -71,13 +71,15 @@
     """The rings as one list with all of the servers makes them, by sorting all tokens."""
     caches = [server for server in servers if not server.origin]
     largest = max((server.entry.weight for server in caches), default=1.0)
-    zoned = options.cross_price > 0 and len(options.zones) > 1
+    zoned = options.cross_zone_cost > 0 and len(options.zones) > 1
     few = zoned and options.peers_total < 4 * len(options.zones)
     home, abroad = [], []
     for server in caches:
         entry = server.entry
-        size = entry.weight / largest if options.sizes_fixed and largest else 1.0
-        found = [(token, entry.server) for token in tokens(entry.server, max(1, round(TOKENS * size)))]
+        size = entry.weight / largest if options.weighted_tokens and largest else 1.0
+        found = [
+            (token, entry.server) for token in tokens(entry.server, max(1, round(TOKENS_PER_SERVER * size)))
+        ]
         far = zoned and entry.zone != options.zone
         home += [] if far else found
         abroad += found if far or few else []
@@ -108,7 +110,7 @@
 def test_a_ring_goes_clockwise_from_any_place_over_all_its_tokens_once(changes, place):
     one, held = Ring(), {}
     for name, number in changes:  # 0 takes it out
-        one.put(name, name, number) if number else one.remove(name)
+        one.add(name, name, number) if number else one.remove(name)
         held[name] = number
     expected = sorted((token, name) for name, number in held.items() for token in tokens(name, number))
     ahead = [entry for entry in expected if entry[0] >= place]
@@ -135,8 +137,8 @@
     for total in SIZES:
         joins, leaves = looks_of_one_change(total, monkeypatch)
         # Into, and out of, its place among some dozens of a bucket, and of the owners' table.
-        assert joins <= 16 * TOKENS
-        assert leaves <= 16 * TOKENS
+        assert joins <= 16 * TOKENS_PER_SERVER
+        assert leaves <= 16 * TOKENS_PER_SERVER
 
 
 class Asked(Server):
@@ -157,24 +159,24 @@
 def test_a_change_reads_the_entries_of_those_it_names_alone():
     for total in SIZES:
         for fixed in (False, True):
-            rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=fixed))
-            rings.change([], [asked(f"s{number}", weight=2.0) for number in range(total)])
+            rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), weighted_tokens=fixed))
+            rings.update([], [asked(f"s{number}", weight=2.0) for number in range(total)])
             fresh = asked("fresh")
             Asked.reads = 0
-            rings.change([], [fresh])
-            rings.change([fresh], [])
+            rings.update([], [fresh])
+            rings.update([fresh], [])
             assert 0 < Asked.reads <= 12
 
 
 def test_where_sizes_count_a_new_largest_resizes_all():
-    rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), sizes_fixed=True))
+    rings = ZoneRings(api.Settings((api.RequestClass(100.0, 500.0),), weighted_tokens=True))
     small, large = asked("small", weight=1.0), asked("large", weight=4.0)
-    rings.change([], [small])
-    assert len(order(rings.local)) == TOKENS
-    rings.change([], [large])
-    assert len(order(rings.local)) == TOKENS + TOKENS // 4
-    rings.change([large], [])
-    assert len(order(rings.local)) == TOKENS
+    rings.update([], [small])
+    assert len(order(rings.local)) == TOKENS_PER_SERVER
+    rings.update([], [large])
+    assert len(order(rings.local)) == TOKENS_PER_SERVER + TOKENS_PER_SERVER // 4
+    rings.update([large], [])
+    assert len(order(rings.local)) == TOKENS_PER_SERVER
 
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 2), st.sampled_from(WEIGHTS))))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -129,7 +129,7 @@
 
 
 def test_keyed_repeats_only_in_its_group(drive):
-    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.Group.ZONE, 1500.0)
+    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.DedupScope.ZONE, 1500.0)
     d = drive(servers=0, origin=False, classes=(cls,))
     d.list(
         api.ListKind.FULL,
@@ -149,9 +149,9 @@
 
 def test_a_keyed_read_that_may_have_run_goes_to_the_origin_only_in_its_group(drive):
     # Seen on a customer's fares: a time-out at a node, a miss at the next, then the origin of another zone.
-    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.Group.ZONE, 1500.0)
+    cls = api.RequestClass(500.0, 2000.0, api.Idempotency.KEYED, api.DedupScope.ZONE, 1500.0)
     for zone in (0, 1):
-        d = drive(servers=0, origin=False, classes=(cls,), origin_kind=7, zones=("a", "b"))
+        d = drive(servers=0, origin=False, classes=(cls,), origin_machine_type=7, zones=("a", "b"))
         nodes = [api.ServerEntry(name, zone=1) for name in ("s0", "s1")]
         d.list(api.ListKind.FULL, [*nodes, api.ServerEntry("origin", kind=7, zone=zone)])
         name = d.ask("k")
@@ -171,9 +171,9 @@
 @pytest.mark.parametrize("effect", [api.Idempotency.KEYED, api.Idempotency.UNSAFE])
 def test_a_read_that_may_not_simply_be_repeated_is_never_out_twice(drive, effect):
     # Seen 4 to 36 times a day where a read's class may not run twice: a second copy beside a late first one.
-    cls = api.RequestClass(500.0, 2000.0, effect, window_ms=1500.0)
+    cls = api.RequestClass(500.0, 2000.0, effect, dedup_window_ms=1500.0)
     for one, copies in ((cls, 1), (api.RequestClass(500.0, 2000.0), 2)):
-        d = drive(servers=1, classes=(one,), may_cancel=True, may_copy=True)
+        d = drive(servers=1, classes=(one,), may_cancel=True, may_hedge=True)
         for number in range(60):
             d.serve(d.ask(f"warm{number}"), 40.0)
         late = d.ask("k")
@@ -210,7 +210,7 @@
 
 
 def test_settings_name_the_bad_field():
-    with pytest.raises(ValueError, match="aim_ms"):
+    with pytest.raises(ValueError, match="latency_objective_ms"):
         api.RequestClass(0.0, 1000.0)
     with pytest.raises(ValueError, match="start_capacity"):
         api.Settings(classes=(api.RequestClass(1.0, 1.0),), start_capacity=0.0)
@@ -218,7 +218,7 @@
         api.Settings(classes=())
 
 
-BUDGET = {"resend_window_ms": 5000.0, "free_resends": 3.0, "resend_share": 0.1}
+BUDGET = {"retry_window_ms": 5000.0, "free_retries": 3.0, "retry_share": 0.1}
 
 
 def count(d, names):
@@ -257,7 +257,7 @@
 
 def test_what_waited_for_the_origin_is_sent_again_only_within_the_budget(drive):
     # It passed the gate when it began to wait; the budget was spent meanwhile.
-    d = drive(peers_total=12, max_attempts=4, resend_window_ms=60_000.0, free_resends=3.0)
+    d = drive(peers_total=12, max_attempts=4, retry_window_ms=60_000.0, free_retries=3.0)
     names = [d.ask(f"k{i}", cls=1, write=True) for i in range(40)]
     for _ in range(60):
         for name in [n for n in names if n in d.sends and n not in d.ended]:
@@ -266,7 +266,7 @@
 
 
 def test_a_mark_calls_off_no_more_than_the_budget_can_send_again(drive):
-    d = drive(may_probe=True, resend_window_ms=5000.0, free_resends=1.0)
+    d = drive(may_probe=True, retry_window_ms=5000.0, free_retries=1.0)
     names = [d.ask("k", cls=3) for _ in range(3)]
     victim = d.sends[names[0]][0]
     out = [name for name in names if d.sends[name] == [victim]]
@@ -278,7 +278,7 @@
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.GONE])
 def test_idle_connections_to_a_draining_server_are_closed_in_time(drive, state):
     # saltillo-nucleos overload: a connection was still open 0.52 s after the notice, 1.89 s after its use.
-    d = drive(servers=2, hang_up_within_ms=500.0)
+    d = drive(servers=2, drain_close_ms=500.0)
     name = d.ask("k", cls=3)
     server = d.sends[name][0]
     told = d.now
@@ -295,21 +295,21 @@
 
 
 def test_a_drained_name_that_restarts_is_used_again(drive):
-    d = drive(servers=1, hang_up_within_ms=500.0)
+    d = drive(servers=1, drain_close_ms=500.0)
     d.list(api.ListKind.DELTA, [api.ServerEntry("s0", api.ServerState.DRAINING)])
     d.list(api.ListKind.DELTA, [api.ServerEntry("s0", started_ms=d.now)])
     assert d.owner("k") == "s0"
 
 
 def test_a_first_list_that_names_a_draining_server_closes_nothing_unknown(drive):
-    d = drive(servers=1, hang_up_within_ms=500.0)
+    d = drive(servers=1, drain_close_ms=500.0)
     d.list(api.ListKind.DELTA, [api.ServerEntry("s0"), api.ServerEntry("s8", api.ServerState.DRAINING)])
     assert not d.closes
     assert d.owner("k") == "s0"
 
 
 def test_a_leaving_server_is_not_probed_whatever_breaks_there(drive):
-    d = drive(servers=2, may_probe=True, hang_up_within_ms=500.0)
+    d = drive(servers=2, may_probe=True, drain_close_ms=500.0)
     name = d.ask("k", cls=3)
     d.list(api.ListKind.DELTA, [api.ServerEntry(d.sends[name][0], api.ServerState.DRAINING)])
     d.answer(name, Status.RESET, after=200.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.settings import check_whole, read_settings
+from balancer.settings import check_required_settings, read_settings
 from cloverwell.config import ConfigError, read_config
 from lab.proxy_testbed import SETTINGS
 
@@ -132,7 +132,7 @@
 
 def test_lists_that_are_pushed_need_no_time_for_asking(tmp_path):
     told = changed(CONFIG, settings("guarantees", "ask-within"), ...)
-    assert read(tmp_path, changed(told, settings("membership-mode"), "pushed")).settings.list_pushed
+    assert read(tmp_path, changed(told, settings("membership-mode"), "pushed")).settings.is_list_pushed
 
 
 JUNK = st.one_of(
@@ -150,7 +150,7 @@
 def test_whatever_stands_in_a_settings_place_it_is_read_or_named(path, junk):
     raw = changed(SETTINGS, path, junk)
     try:
-        check_whole(raw)
+        check_required_settings(raw)
         read_settings(raw)
     except ValueError as error:
         message = str(error)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -82,16 +82,18 @@
 
 def test_settings_of_the_further_rules_are_read_and_absent_ones_bind_nowhere():
     plain = read_settings(OPTIONS)
-    assert plain.resend_window_ms == plain.settle_ms == plain.hang_up_within_ms == 0.0
-    assert not plain.classes[0].in_turn
+    assert plain.retry_window_ms == plain.in_doubt_hold_ms == plain.drain_close_ms == 0.0
+    assert not plain.classes[0].is_ordered
     assert (
-        read_settings(OPTIONS | {"classes": [OPTIONS["classes"][0] | {"in-turn": True}]}).classes[0].in_turn
+        read_settings(OPTIONS | {"classes": [OPTIONS["classes"][0] | {"in-turn": True}]})
+        .classes[0]
+        .is_ordered
     )
     rules = {"free-resends": 3, "repeat-ratio": 0.1, "look-back": 5000.0, "settle-after-doubt": 30.0}
     rules |= {"hang-up-within": 500.0}
     read = read_settings(OPTIONS | {"guarantees": rules})
-    assert (read.settle_ms, read.hang_up_within_ms) == (30.0, 500.0)
-    assert (read.free_resends, read.resend_share, read.resend_window_ms) == (3, 0.1, 5000.0)
+    assert (read.in_doubt_hold_ms, read.drain_close_ms) == (30.0, 500.0)
+    assert (read.free_retries, read.retry_share, read.retry_window_ms) == (3, 0.1, 5000.0)
     for name in rules:
         with pytest.raises(ValueError, match="must"):
             read_settings(OPTIONS | {"guarantees": rules | {name: "3"}})
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,11 +10,11 @@
 
 
 def fleet(drive, zone, east=6, west=6, **settings):
-    settings = {"peers_total": 40, "cross_price": 0.03, "zones": ("east", "west")} | settings
+    settings = {"peers_total": 40, "cross_zone_cost": 0.03, "zones": ("east", "west")} | settings
     d = drive(servers=0, zone=zone, **settings)
     entries = [api.ServerEntry(f"e{n}", zone=EAST) for n in range(east)]
     entries += [api.ServerEntry(f"w{n}", zone=WEST) for n in range(west)]
-    d.list(api.ListKind.FULL, [*entries, api.ServerEntry("origin", kind=d.settings.origin_kind)])
+    d.list(api.ListKind.FULL, [*entries, api.ServerEntry("origin", kind=d.settings.origin_machine_type)])
     return d
 
 
@@ -36,13 +36,13 @@
 
 
 def test_one_ring_over_all_zones_where_crossings_are_free(drive):
-    east, west = (owners(fleet(drive, zone, cross_price=0.0)) for zone in (EAST, WEST))
+    east, west = (owners(fleet(drive, zone, cross_zone_cost=0.0)) for zone in (EAST, WEST))
     assert east == west
     assert 0.3 < part_at(east, "e") < 0.7
 
 
 def few(drive, zone, **more):
-    three = {"peers_total": 3, "cross_price": 0.16, "zones": ("east", "west")} | more
+    three = {"peers_total": 3, "cross_zone_cost": 0.16, "zones": ("east", "west")} | more
     return fleet(drive, zone, **three)
 
 
