--- a/balancer/api.py
+++ b/balancer/api.py
@@ -28,7 +28,7 @@
     StreamStarted,
     TimerDue,
 )
-from balancer.settings_types import Group, Idempotency, RequestClass, Settings, Tenant
+from balancer.settings_types import DedupScope, Idempotency, RequestClass, Settings, Tenant
 
 __all__ = [
     "ANSWERS",
@@ -39,10 +39,10 @@
     "Cancel",
     "ClientGone",
     "CloseConnections",
+    "DedupScope",
     "EndpointListChanged",
     "Event",
     "Fail",
-    "Group",
     "Idempotency",
     "ListKind",
     "Log",
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -24,12 +24,12 @@
 
     def __init__(self, settings: Settings) -> None:
         """The window, the free retries and the share are those of the settings."""
-        self._window_ms = settings.resend_window_ms
-        self._free_retries = settings.free_resends
-        self._retry_share = settings.resend_share
-        capacity = None if settings.resend_window_ms else 0  # without a window nothing has to be remembered
-        self.requests: deque[float] = deque(maxlen=capacity)  # the times at which requests arrived
-        self.retries: deque[float] = deque(maxlen=capacity)  # the times at which retries were sent
+        self._window_ms = settings.retry_window_ms
+        self._free_retries = settings.free_retries
+        self._retry_share = settings.retry_share
+        capacity = None if settings.retry_window_ms else 0  # without a window nothing has to be remembered
+        self.request_times_ms: deque[float] = deque(maxlen=capacity)  # the times at which requests arrived
+        self.retry_times_ms: deque[float] = deque(maxlen=capacity)  # the times at which retries were sent
 
     def available(self, now: float) -> float:
         """The number of retries that the budget still permits; infinite without a window.
@@ -41,12 +41,12 @@
             return math.inf
         since = now - self._window_ms
         for times, edge in (
-            (self.requests, since + DEADLINE_MARGIN_MS),
-            (self.retries, since - DEADLINE_MARGIN_MS),
+            (self.request_times_ms, since + DEADLINE_MARGIN_MS),
+            (self.retry_times_ms, since - DEADLINE_MARGIN_MS),
         ):
             while times and times[0] < edge:
                 times.popleft()
-        return self._free_retries + self._retry_share * len(self.requests) - len(self.retries)
+        return self._free_retries + self._retry_share * len(self.request_times_ms) - len(self.retry_times_ms)
 
 
 class HedgePolicy:
@@ -73,7 +73,7 @@
         if len(request.in_flight) != 1 or request.done or request.stream_started or request.write:
             return False
         # A read need not be idempotent: its class says so.
-        return request.request_class.effect is Idempotency.SAFE and self.tokens >= 1.0
+        return request.request_class.idempotency is Idempotency.SAFE and self.tokens >= 1.0
 
     def record_result(self, hedge_won: bool) -> None:
         """Adapts the delay; a hedged attempt that was answered first does not count against the bound."""
@@ -101,8 +101,8 @@
             or request.stream_started
         ):
             return False
-        if request.possible_run_ms is None or request.request_class.effect is Idempotency.SAFE:
+        if request.possible_run_ms is None or request.request_class.idempotency is Idempotency.SAFE:
             return True
         # Servers remember an idempotency key only for a while; the margin is for the way there.
         age_ms = now - request.possible_run_ms + self._margin_ms
-        return request.request_class.effect is Idempotency.KEYED and age_ms < request.request_class.window_ms
+        return request.request_class.idempotency is Idempotency.KEYED and age_ms < request.request_class.dedup_window_ms
