--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -83,7 +83,9 @@
 
     def is_too_late(self, now: float, request: RequestState) -> bool:
         """Whether a response would come too late, so that a slot is better used for another request."""
-        objective_ms = math.inf if request.request_class.late_value else request.request_class.latency_objective_ms
+        objective_ms = (
+            math.inf if request.request_class.late_value else request.request_class.latency_objective_ms
+        )
         return min(request.useful_until_ms - now, objective_ms) < self._latency.fading_ms(now)
 
     def waits_until(self, now: float, request: RequestState, ahead: float) -> float | None:
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -105,4 +105,7 @@
             return True
         # Servers remember an idempotency key only for a while; the margin is for the way there.
         age_ms = now - request.possible_run_ms + self._margin_ms
-        return request.request_class.idempotency is Idempotency.KEYED and age_ms < request.request_class.dedup_window_ms
+        return (
+            request.request_class.idempotency is Idempotency.KEYED
+            and age_ms < request.request_class.dedup_window_ms
+        )
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -77,9 +77,7 @@
     for server in caches:
         entry = server.entry
         size = entry.weight / largest if options.weighted_tokens and largest else 1.0
-        found = [
-            (token, entry.name) for token in tokens(entry.name, max(1, round(TOKENS_PER_SERVER * size)))
-        ]
+        found = [(token, entry.name) for token in tokens(entry.name, max(1, round(TOKENS_PER_SERVER * size)))]
         far = zoned and entry.zone != options.zone
         home += [] if far else found
         abroad += found if far or few else []
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -14,7 +14,9 @@
     d = drive(servers=0, zone=zone, **settings)
     entries = [api.ServerEntry(f"e{n}", zone=EAST) for n in range(east)]
     entries += [api.ServerEntry(f"w{n}", zone=WEST) for n in range(west)]
-    d.list(api.ListKind.FULL, [*entries, api.ServerEntry("origin", machine_type=d.settings.origin_machine_type)])
+    d.list(
+        api.ListKind.FULL, [*entries, api.ServerEntry("origin", machine_type=d.settings.origin_machine_type)]
+    )
     return d
 
 
