--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -61,7 +61,7 @@
     def open(self) -> None:
         """Begins a connection to the node's address as it is now."""
         self.count += 1
-        self._context.budget.take(DescriptorSide.NODES)
+        self._context.budget.acquire(DescriptorSide.NODES)
         assert self._pool.address is not None  # no attempt waits at a node without one
         host, port = self._pool.address
         opener = ConnectionOpener(self, (host, port), self._wheel.now())
@@ -115,7 +115,7 @@
     def _ended(self) -> None:
         self.count -= 1
         self._context.wake(self._pool)
-        self._context.budget.give_back(DescriptorSide.NODES)
+        self._context.budget.release(DescriptorSide.NODES)
 
 
 class ConnectionOpener(ClientFactory):
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -346,7 +346,7 @@
             self._note_close(reason, requests)
             self.connections.remove(connection)
             self._context.wake(self)
-            self._context.budget.give_back(DescriptorSide.NODES)
+            self._context.budget.release(DescriptorSide.NODES)
         self._idle.discard(connection)
 
     def _note_close(self, reason: NodeCloseReason, requests: list[str]) -> None:
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -163,9 +163,9 @@
         """
         if not self.back.may_open(pool.node, pool.held, self.timer_wheel.now()):
             return False
-        if not self.budget.room(DescriptorSide.NODES) and not self.release_descriptor():
+        if not self.budget.available(DescriptorSide.NODES) and not self.release_descriptor():
             self.request_descriptor()
-        return self.budget.room(DescriptorSide.NODES) > 0
+        return self.budget.available(DescriptorSide.NODES) > 0
 
     def release_descriptor(self) -> bool:
         """Closes the connection that has been idle longest. Returns False if there is none."""
@@ -177,9 +177,9 @@
 
     def shrink(self) -> None:
         """Closes idle connections until the rest fits into a budget that has become smaller."""
-        while self.budget.over and self.release_descriptor():
+        while self.budget.excess and self.release_descriptor():
             pass
 
     def may_open_spare(self) -> bool:
         """Tells whether a connection may be opened that no attempt waits for, with descriptors to spare."""
-        return self.budget.room(DescriptorSide.NODES) > SPARE_SHARE * self.budget.total
+        return self.budget.available(DescriptorSide.NODES) > SPARE_SHARE * self.budget.total
--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -21,7 +21,7 @@
     NODES = "back"
 
 
-def other(side: DescriptorSide) -> DescriptorSide:
+def opposite(side: DescriptorSide) -> DescriptorSide:
     """Return the side that is not `side`."""
     return DescriptorSide.NODES if side is DescriptorSide.CLIENTS else DescriptorSide.CLIENTS
 
@@ -78,13 +78,13 @@
         self.held = {DescriptorSide.CLIENTS: 0, DescriptorSide.NODES: 0}
 
     def resize(self, total: int) -> None:
-        """Set another total with the same shares; what is held beyond it is given back later (`over`)."""
+        """Set another total with the same shares; what is held beyond it is given back later (`excess`)."""
         resized = DescriptorBudget(max(2, total), *self._shares)
         self.total = resized.total
         self.floors = resized.floors
 
     @property
-    def over(self) -> int:
+    def excess(self) -> int:
         """How many more descriptors are held than the total."""
         return max(0, sum(self.held.values()) - self.total)
 
@@ -93,23 +93,23 @@
         """How many clients may have open requests."""
         return max(1, int(ACTIVE_CLIENTS_SHARE * self.total))
 
-    def room(self, side: DescriptorSide) -> int:
+    def available(self, side: DescriptorSide) -> int:
         """Return how many more descriptors `side` may hold now."""
-        other_side = other(side)
+        other_side = opposite(side)
         reserved = max(self.held[other_side], self.floors[other_side])
         return max(0, self.total - self.held[side] - reserved)
 
-    def most(self, side: DescriptorSide) -> int:
+    def max_held(self, side: DescriptorSide) -> int:
         """Return how many descriptors `side` could hold at the best."""
-        return self.total - self.floors[other(side)]
+        return self.total - self.floors[opposite(side)]
 
-    def take(self, side: DescriptorSide) -> None:
+    def acquire(self, side: DescriptorSide) -> None:
         """Take a descriptor for `side`; raises `NoRoomError`."""
-        if not self.room(side):
+        if not self.available(side):
             raise NoRoomError(side)
         self.held[side] += 1
 
-    def give_back(self, side: DescriptorSide) -> None:
+    def release(self, side: DescriptorSide) -> None:
         """Give back a descriptor of `side`; raises `NothingHeldError`."""
         if not self.held[side]:
             raise NothingHeldError(side)
@@ -117,5 +117,5 @@
 
     def other_can_release(self, side: DescriptorSide) -> bool:
         """Return whether the other side holds more than its floor: a close there makes room for `side`."""
-        other_side = other(side)
+        other_side = opposite(side)
         return self.held[other_side] > self.floors[other_side]
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -96,7 +96,7 @@
         self._detector = DisconnectDetector(self.connections, timer_wheel)
         self.reading_paused = self._detector.reading_paused
         self.policy: ClientConnectionPolicy[ClientConnection] = ClientConnectionPolicy(
-            budget.most(DescriptorSide.CLIENTS), max_requesting, timer_wheel.now()
+            budget.max_held(DescriptorSide.CLIENTS), max_requesting, timer_wheel.now()
         )
         self._closer = ClientCloser(self.policy, metrics, timer_wheel)
         self._log = log
@@ -115,12 +115,12 @@
 
     def may_accept(self) -> int:
         """Return how many connections may be accepted in this iteration of the event loop."""
-        return min(MAX_ACCEPTS_PER_ITERATION, self._budget.room(DescriptorSide.CLIENTS))
+        return min(MAX_ACCEPTS_PER_ITERATION, self._budget.available(DescriptorSide.CLIENTS))
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
         """Make the connection of a client; None, which closes it, where there is no descriptor for it."""
         # A `BoundedPort` asks `may_accept` before; a listener that does not is held to the budget here.
-        if not self._budget.room(DescriptorSide.CLIENTS):
+        if not self._budget.available(DescriptorSide.CLIENTS):
             return None
         host = getattr(addr, "host", "")
         connection = ClientConnection(self, f"{host}:{getattr(addr, 'port', 0)}")
@@ -128,7 +128,7 @@
             connection.waited_in_accept_queue(since_ms)
             if not self._connection_waits():
                 self._queue.empty()
-        self._budget.take(DescriptorSide.CLIENTS)
+        self._budget.acquire(DescriptorSide.CLIENTS)
         self.connections[connection] = None
         self._metrics.add(ConnectionEvent.ADMITTED)
         self.policy.opened(connection, self.timer_wheel.now(), host)
@@ -166,7 +166,7 @@
             self.port.pauseProducing()
 
     def _resume_accepting(self) -> None:
-        if self._full and self._budget.room(DescriptorSide.CLIENTS):
+        if self._full and self._budget.available(DescriptorSide.CLIENTS):
             self._full = False
             self._log.info("accept", "connections are accepted again")
             if self.port is not None:
@@ -209,7 +209,7 @@
         self._note_close(connection)
         self.reading_paused.pop(connection, None)
         self._unread_responses.progressed(connection)
-        self._budget.give_back(DescriptorSide.CLIENTS)
+        self._budget.release(DescriptorSide.CLIENTS)
         self.policy.closed(connection)
         self._resume_accepting()
 
@@ -289,15 +289,15 @@
         now = self.timer_wheel.now()
         if choices := self.policy.to_admit_requests(now):
             self._closer.close(choices, len(choices))
-        room = self._budget.room(DescriptorSide.CLIENTS)
+        room = self._budget.available(DescriptorSide.CLIENTS)
         wanted = self.policy.reserve(now) - room
         if wanted > 0:
             self._closer.close(self.policy.to_make_room(now, wanted, room), wanted)
-        if not self._budget.room(DescriptorSide.CLIENTS) and self._budget.other_can_release(
+        if not self._budget.available(DescriptorSide.CLIENTS) and self._budget.other_can_release(
             DescriptorSide.CLIENTS
         ):
             self.request_descriptor()
-        if not self._full and not self._budget.room(DescriptorSide.CLIENTS):
+        if not self._full and not self._budget.available(DescriptorSide.CLIENTS):
             self._log.warn("accept", f"{len(self.connections)} connections of clients fill their part")
             self._pause_accepting()
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -258,7 +258,7 @@
 
     look()
     rig.load(per_s, 4.0)
-    assert peak <= rig.budget.most(DescriptorSide.NODES)
+    assert peak <= rig.budget.max_held(DescriptorSide.NODES)
     assert rig.tally.outcomes[AttemptOutcome.SERVED] > 0.99 * rig.tally.attempts
     assert (
         sum(len(pool.connections) for pool in rig.pools._pools.values())
@@ -270,9 +270,9 @@
     # The clients' side holds all between the floors; for an attempt without room one of its idle ones is
     # closed.
     rig = Rig(4, descriptors=20)
-    while rig.budget.room(DescriptorSide.CLIENTS):
-        rig.budget.take(DescriptorSide.CLIENTS)
-    rig.pools.request_descriptor = lambda: rig.budget.give_back(DescriptorSide.CLIENTS)
+    while rig.budget.available(DescriptorSide.CLIENTS):
+        rig.budget.acquire(DescriptorSide.CLIENTS)
+    rig.pools.request_descriptor = lambda: rig.budget.release(DescriptorSide.CLIENTS)
     for _ in range(12):
         rig.attempt(0)
     rig.net.run_for(1.0)
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverwell.connections.budget import BudgetError, DescriptorBudget, DescriptorSide, other
+from cloverwell.connections.budget import BudgetError, DescriptorBudget, DescriptorSide, opposite
 
 
 @pytest.mark.parametrize(
@@ -33,7 +33,7 @@
                 yield tuple(mine)
                 mine[place] = (busy + 1, idle - 1)
                 yield tuple(mine)
-            if budget.room(side):
+            if budget.available(side):
                 mine[place] = (busy + 1, idle)
                 yield tuple(mine)
             elif budget.other_can_release(side) and theirs[1]:
@@ -50,10 +50,10 @@
         assert sum(budget.held.values()) <= total
         for place, side in enumerate(sides):
             # Nobody can be kept under its floor, and one idle connection lent is room at once.
-            assert budget.held[side] >= budget.floors[side] or budget.room(side)
-            if not budget.room(side) and budget.other_can_release(side) and state[1 - place][1]:
-                budget.give_back(other(side))
-                assert budget.room(side)
+            assert budget.held[side] >= budget.floors[side] or budget.available(side)
+            if not budget.available(side) and budget.other_can_release(side) and state[1 - place][1]:
+                budget.release(opposite(side))
+                assert budget.available(side)
         todo += steps(state)
     assert len(seen) > 20
 
@@ -64,9 +64,9 @@
     budget = DescriptorBudget(total)
     for side, take in moves:
         try:
-            budget.take(side) if take else budget.give_back(side)
+            budget.acquire(side) if take else budget.release(side)
         except BudgetError:
-            assert (budget.room(side) == 0) if take else (budget.held[side] == 0)
+            assert (budget.available(side) == 0) if take else (budget.held[side] == 0)
         assert min(budget.held.values()) >= 0
         assert sum(budget.held.values()) <= total
-        assert budget.held[side] <= budget.most(side)
+        assert budget.held[side] <= budget.max_held(side)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -252,14 +252,14 @@
 def test_a_smaller_budget_takes_no_more_until_enough_is_given_back():
     budget = DescriptorBudget(100)
     for _ in range(60):
-        budget.take(DescriptorSide.CLIENTS)
+        budget.acquire(DescriptorSide.CLIENTS)
     budget.resize(50)
-    assert budget.over == 10
-    assert not budget.room(DescriptorSide.CLIENTS)
-    assert not budget.room(DescriptorSide.NODES)
+    assert budget.excess == 10
+    assert not budget.available(DescriptorSide.CLIENTS)
+    assert not budget.available(DescriptorSide.NODES)
     for _ in range(40):
-        budget.give_back(DescriptorSide.CLIENTS)
-    assert budget.over == 0
-    assert budget.room(DescriptorSide.CLIENTS) == 50 - budget.floors[DescriptorSide.NODES] - 20
+        budget.release(DescriptorSide.CLIENTS)
+    assert budget.excess == 0
+    assert budget.available(DescriptorSide.CLIENTS) == 50 - budget.floors[DescriptorSide.NODES] - 20
     budget.resize(100)
-    assert budget.room(DescriptorSide.CLIENTS) == 45
+    assert budget.available(DescriptorSide.CLIENTS) == 45
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -67,7 +67,7 @@
     # At the last descriptors no more connections are taken, until one closes.
     port = player.service.side.port = Transport()
     place = budget + 1
-    while player.service.budget.room(DescriptorSide.CLIENTS):
+    while player.service.budget.available(DescriptorSide.CLIENTS):
         place += 1
         player.play(f"client#{place} send ms k 9 Ow{place} Pc=order,t=acme,d=1900|a")
     assert port.producerState == "paused"
@@ -169,7 +169,7 @@
     player.play("client#1 send mn\nclient#1 expect MN\nclient#2 expect nothing\nclient#3 expect nothing")
     player.connection("client", 1)[1].unread = b"m"
     player.play("wait 500")
-    most, place = budget.most(DescriptorSide.CLIENTS) - RESERVE[0], 3
+    most, place = budget.max_held(DescriptorSide.CLIENTS) - RESERVE[0], 3
     while place < most:
         place += 1
         player.play(f"client#{place} expect nothing")
@@ -180,7 +180,7 @@
     assert ended == {0, 2}
     assert port.producerState != "paused"
     # Then all are too fresh; at the last descriptor the port rests, until they have had their time.
-    while budget.room(DescriptorSide.CLIENTS):
+    while budget.available(DescriptorSide.CLIENTS):
         place += 1
         player.play(f"client#{place} expect nothing")
     assert port.producerState == "paused"
