--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -61,7 +61,7 @@
         attempts=attempts,
         stale_share=rig.stale / attempts,
         dear_lost=rig.tally.costly_lost,
-        caught=rig.metrics.total(ConnectionEvent.CAUGHT),
+        caught=rig.metrics.total(ConnectionEvent.STALE_DETECTED),
         handshakes_an_attempt=rig.handshakes / attempts,
         p50_ms=rig.percentile(0.5),
         p99_ms=rig.percentile(0.99),
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -183,7 +183,7 @@
         assert partial is not None  # the timer is cancelled with it
         if self._pool.too_late(partial.attempt):
             self._partial_write = None
-            self.drop(NodeCloseReason.TOO_LATE)
+            self.drop(NodeCloseReason.TOO_LATE_TO_WRITE)
             partial.attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         now = self._pool.now()
@@ -238,7 +238,7 @@
         elif not self.attempts and self.unparsed:
             # A duplicate or noise behind a good answer would be read as the answer of the next attempt.
             self._pool.log.info("answer", f"more than the answer came from {self._pool.node}")
-            self.drop(NodeCloseReason.SURPLUS)
+            self.drop(NodeCloseReason.SURPLUS_DATA)
         else:
             if not self.attempts:
                 self.idle_since_ms = self._pool.now()
@@ -300,7 +300,7 @@
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> bool:
         """Ends that attempt and with it the connection. Returns False if the attempt is not here."""
         if self._partial_write is not None and self._partial_write.attempt is attempt:
-            self.drop(NodeCloseReason.GIVEN_UP, outcome, attempt)
+            self.drop(NodeCloseReason.ATTEMPT_ABANDONED, outcome, attempt)
             return True
         if attempt not in self.attempts:
             return False
@@ -313,7 +313,7 @@
             return True
         if attempt is self.attempts[0] and self not in self._pool.partial_answers:
             self._pool.silent(self._age_ms, self._first_byte_ms)
-        self.drop(NodeCloseReason.GIVEN_UP, outcome, attempt)
+        self.drop(NodeCloseReason.ATTEMPT_ABANDONED, outcome, attempt)
         return True
 
     def drop(
@@ -361,7 +361,9 @@
         attempts, self.attempts = self.attempts, deque()
         if by_node:
             self._report_closed_by_node(attempts, unsent, by_reset=not reason.check(ConnectionDone))
-        self._pool.lost(self, NodeCloseReason.RESET if requests else NodeCloseReason.BY_NODE, requests)
+        self._pool.lost(
+            self, NodeCloseReason.BY_NODE_MID_ATTEMPT if requests else NodeCloseReason.BY_NODE, requests
+        )
         self._break_stream()
         for attempt in attempts:
             attempt.end(AttemptOutcome.RESET)
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -102,7 +102,7 @@
     def not_started(self, fault: LocalFault) -> None:
         """Tries again soon, since this machine could not begin a connection."""
         self._ended()
-        self._context.metrics.add(ConnectionEvent.NOT_OPENED, self._pool.node)
+        self._context.metrics.add(ConnectionEvent.CONNECT_NOT_BEGUN, self._pool.node)
         now = self._wheel.now()
         if self._retry.record_fault(fault):
             self._wheel.not_before(now + RETRY_MS, self._try_again)
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -253,7 +253,7 @@
         for _ in range(wanted):
             if not self._context.may_open_spare():
                 break
-            self._metrics.add(ConnectionEvent.AHEAD, self.node)
+            self._metrics.add(ConnectionEvent.OPENED_AHEAD, self.node)
             self._opening.open()
         return wanted > 0
 
@@ -324,12 +324,12 @@
 
     def closed_idle_by_node(self) -> None:
         """Counts a connection that the node closed without an attempt on it."""
-        self._metrics.add(ConnectionEvent.CLOSED, self.node)
+        self._metrics.add(ConnectionEvent.CLOSED_BY_NODE, self.node)
 
     def closed_by_node(self, loss: ConnectionLoss) -> None:
         """Counts a connection that the node closed with an attempt on it, and learns from that."""
         if loss.attempt_unsent:
-            event = ConnectionEvent.CAUGHT
+            event = ConnectionEvent.STALE_DETECTED
         elif loss.idle_age_ms is not None and not loss.answer_begun:
             event = ConnectionEvent.STALE
         else:
@@ -350,7 +350,7 @@
         self._idle.discard(connection)
 
     def _note_close(self, reason: NodeCloseReason, requests: list[str]) -> None:
-        self._metrics.add(ConnectionEvent.NODE_CLOSE, reason.value)
+        self._metrics.add(ConnectionEvent.NODE_CONNECTION_CLOSED, reason.value)
         asked = f", requests {' '.join(requests)}" if requests else ""
         self.log.info("node_close", f"{self.node}: {reason.value}{asked}")
 
--- a/cloverwell/connections/close_reason.py
+++ b/cloverwell/connections/close_reason.py
@@ -17,7 +17,7 @@
     BROKEN_VALUE = "broken_value"  # A long value ended before its length.
     NOT_SENT = "not_sent"  # A piece of a long value could not be sent.
     BY_CLIENT = "by_client"  # The client has closed or reset it, with no open request.
-    LEFT = "left"  # The same with an open request.
+    BY_CLIENT_MID_REQUEST = "left"  # The same with an open request.
 
 
 class NodeCloseReason(Enum):
@@ -25,12 +25,12 @@
 
     RETIRED = "retired"  # It has been idle too long, or its descriptor is needed.
     NODE_LEFT = "node_left"  # The node drains, is gone, or has another address.
-    GIVEN_UP = "given_up"  # An attempt on it was cancelled, or timed out.
+    ATTEMPT_ABANDONED = "given_up"  # An attempt on it was cancelled, or timed out.
     MALFORMED = "malformed"  # An answer can't be read, or stopped short.
-    SURPLUS = "surplus"  # More came than the answer.
+    SURPLUS_DATA = "surplus"  # More came than the answer.
     LAST_ANSWER = "last_answer"  # The node has said that it closes, or an attempt behind was given up.
     UNUSABLE = "unusable"  # The node had closed it, or sent data without an attempt.
-    TOO_LATE = "too_late"  # The last byte of a command may not be written any more.
+    TOO_LATE_TO_WRITE = "too_late"  # The last byte of a command may not be written any more.
     VALUE_DROPPED = "value_dropped"  # Nobody reads the long value that arrives.
     BY_NODE = "by_node"  # The node has closed or reset it, with no attempt on it.
-    RESET = "reset"  # The same with attempts on it.
+    BY_NODE_MID_ATTEMPT = "reset"  # The same with attempts on it.
--- a/cloverwell/connections/metrics.py
+++ b/cloverwell/connections/metrics.py
@@ -14,22 +14,22 @@
     # Connections to nodes.
     OPENED = "opened"  # A connection was established.
     CONNECT_REFUSED = "connect_refused"  # None was.
-    NOT_OPENED = "not_opened"  # This machine could not begin one, whatever the node.
-    AHEAD = "opened_ahead"  # One was opened before an attempt needed it.
+    CONNECT_NOT_BEGUN = "not_opened"  # This machine could not begin one, whatever the node.
+    OPENED_AHEAD = "opened_ahead"  # One was opened before an attempt needed it.
     REUSED = "reused"  # An attempt was written to a connection that had served before.
     RETIRED = "retired"  # The proxy closed an idle one.
-    CLOSED = "closed_by_node"  # The node closed an idle one.
+    CLOSED_BY_NODE = "closed_by_node"  # The node closed an idle one.
     STALE = "stale"  # An attempt was lost at once on one that had been idle.
-    CAUGHT = "caught"  # The same before the attempt's last byte was written: it was sent elsewhere.
+    STALE_DETECTED = "caught"  # The same before the attempt's last byte was written: it was sent elsewhere.
     RESET = "reset"  # An attempt was lost on a new or busy one.
-    NODE_CLOSE = "node_close"  # One has ended, by its reason.
+    NODE_CONNECTION_CLOSED = "node_close"  # One has ended, by its reason.
     # Connections of clients.
-    ADMITTED = "admitted"  # A connection was accepted.
-    CLIENT_CLOSED = "closed_front"  # The proxy closed one.
+    ACCEPTED = "admitted"  # A connection was accepted.
+    CLOSED_BY_PROXY = "closed_front"  # The proxy closed one.
     CLOSE_SKIPPED = "spared"  # One was to be closed, but a request or response was unread.
     REQUEST_REFUSED = "request_refused"  # A request was rejected for want of descriptors.
-    CLIENT_CLOSE = "client_close"  # One has ended, by its reason.
-    PAUSED = "paused"  # No connection was accepted for a while.
+    CLIENT_CONNECTION_CLOSED = "client_close"  # One has ended, by its reason.
+    ACCEPT_PAUSED = "paused"  # No connection was accepted for a while.
 
 
 class ConnectionMetrics:
@@ -56,11 +56,11 @@
         """Return how often the event was counted, for all names."""
         return sum(self._counters[event].values())
 
-    def by(self, event: ConnectionEvent) -> dict[str, int]:
+    def counts_by_name(self, event: ConnectionEvent) -> dict[str, int]:
         """Return how often the event was counted for each name."""
         return dict(self._counters[event])
 
-    def line(self, *events: ConnectionEvent) -> str:
+    def format_totals(self, *events: ConnectionEvent) -> str:
         """Return `event count` of each of the events that has happened, for a log line."""
         totals = ((event, self.total(event)) for event in events)
         return ", ".join(f"{event.value} {total}" for event, total in totals if total)
--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -36,7 +36,7 @@
                 return
             if self._close(choice):
                 wanted -= 1
-                self._metrics.add(ConnectionEvent.CLIENT_CLOSED, choice.reason.value)
+                self._metrics.add(ConnectionEvent.CLOSED_BY_PROXY, choice.reason.value)
             else:
                 self._metrics.add(ConnectionEvent.CLOSE_SKIPPED)
                 self._policy.close_failed(choice.client, self._timer_wheel.now())
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -278,7 +278,7 @@
 
     def abandon(self) -> list[Request]:
         """Abort the connection of a client that has disconnected; return its open requests, to be ended."""
-        self.closing_because(CloseReason.LEFT)
+        self.closing_because(CloseReason.BY_CLIENT_MID_REQUEST)
         self.end(abort=True)
         return self._responses.abandon()
 
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -130,7 +130,7 @@
                 self._queue.empty()
         self._budget.acquire(DescriptorSide.CLIENTS)
         self.connections[connection] = None
-        self._metrics.add(ConnectionEvent.ADMITTED)
+        self._metrics.add(ConnectionEvent.ACCEPTED)
         self.policy.opened(connection, self.timer_wheel.now(), host)
         self._keep_room()
         return connection
@@ -138,7 +138,7 @@
     def accept_failed(self, reason: str) -> None:
         """Log that this machine can't accept for a moment; who connects waits in the kernel's queue."""
         self._log.warn("accept", f"failed for a moment: {reason}")
-        self._metrics.add(ConnectionEvent.PAUSED)
+        self._metrics.add(ConnectionEvent.ACCEPT_PAUSED)
 
     def accept_paused(self) -> None:
         """Record that from now on new connections wait in the kernel's queue, with their requests."""
@@ -159,7 +159,7 @@
             self.accept_paused()
 
     def _pause_accepting(self) -> None:
-        self._metrics.add(ConnectionEvent.PAUSED)
+        self._metrics.add(ConnectionEvent.ACCEPT_PAUSED)
         self.accept_paused()
         self._full = True
         if self.port is not None:
@@ -215,7 +215,7 @@
 
     def _note_close(self, connection: ClientConnection) -> None:
         reason = connection.close_reason or CloseReason.BY_CLIENT
-        self._metrics.add(ConnectionEvent.CLIENT_CLOSE, reason.value)
+        self._metrics.add(ConnectionEvent.CLIENT_CONNECTION_CLOSED, reason.value)
         self._log.info("close", f"{connection.peer}: {reason.value}, open for {connection.age_ms:.0f} ms")
 
     def rejects(self, request: Request) -> bool:
--- a/cloverwell/metrics_log.py
+++ b/cloverwell/metrics_log.py
@@ -12,13 +12,13 @@
 COUNTED_EVENTS = (
     ConnectionEvent.OPENED,
     ConnectionEvent.CONNECT_REFUSED,
-    ConnectionEvent.NOT_OPENED,
-    ConnectionEvent.AHEAD,
+    ConnectionEvent.CONNECT_NOT_BEGUN,
+    ConnectionEvent.OPENED_AHEAD,
     ConnectionEvent.STALE,
     ConnectionEvent.RESET,
 )
 # The events whose reasons are counted one by one, as `EVENT.REASON`.
-EVENTS_BY_REASON = (ConnectionEvent.CLIENT_CLOSE, ConnectionEvent.NODE_CLOSE)
+EVENTS_BY_REASON = (ConnectionEvent.CLIENT_CONNECTION_CLOSED, ConnectionEvent.NODE_CONNECTION_CLOSED)
 
 
 class MetricsLog:
@@ -42,11 +42,11 @@
 
     def log_final(self) -> None:
         """Writes both lines once more, as the last ones of the process."""
-        self._log.info("connections", self._metrics.line(*ConnectionEvent))
+        self._log.info("connections", self._metrics.format_totals(*ConnectionEvent))
         self._log_counters()
 
     def _log_metrics_periodically(self) -> None:
-        if line := self._metrics.line(*ConnectionEvent):
+        if line := self._metrics.format_totals(*ConnectionEvent):
             self._log.info("connections", line)
         next_ms = self._timer_wheel.now() + CONNECTION_METRICS_INTERVAL_MS
         self._timer_wheel.at(next_ms, self._log_metrics_periodically)
@@ -69,7 +69,7 @@
                 self._counters.add(f"connections.{event.value}", total - counted)
                 self._counted_totals[event] = total
         for event in EVENTS_BY_REASON:
-            for reason, total in self._metrics.by(event).items():
+            for reason, total in self._metrics.counts_by_name(event).items():
                 counted = self._counted_reasons.get((event, reason), 0)
                 if total != counted:
                     self._counters.add(f"{event.value}.{reason}", total - counted)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -125,8 +125,8 @@
         if number % 3:
             metrics.forget(f"s{number}")
     assert metrics.total(ConnectionEvent.OPENED) == 3 * MAX_NAMES
-    assert len(metrics.by(ConnectionEvent.OPENED)) <= MAX_NAMES + 1
-    assert metrics.by(ConnectionEvent.OPENED)[OTHERS] > 0
+    assert len(metrics.counts_by_name(ConnectionEvent.OPENED)) <= MAX_NAMES + 1
+    assert metrics.counts_by_name(ConnectionEvent.OPENED)[OTHERS] > 0
 
 
 # Before stand-in nodes -------------------------------------------------------------------------
@@ -163,7 +163,7 @@
     rig.net.run_for(0.6)
     assert rig.tally.outcomes == {AttemptOutcome.SERVED: 2}
     assert node.dead_requests == 0
-    assert rig.metrics.total(ConnectionEvent.CAUGHT) == 1
+    assert rig.metrics.total(ConnectionEvent.STALE_DETECTED) == 1
     assert node.requests == 2
 
 
@@ -236,7 +236,7 @@
     for node in rig.nodes:
         rig.net.path(node.address).latency_s = 0.012
     rig.load(150.0, 20.0)
-    ahead = rig.metrics.total(ConnectionEvent.AHEAD)
+    ahead = rig.metrics.total(ConnectionEvent.OPENED_AHEAD)
     assert ahead > 0
     assert ahead < 0.1 * rig.tally.attempts
     rig.pools.leave("s0")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -211,7 +211,7 @@
 def test_a_crowd_of_silent_ones_beside_clients_that_ask_once_and_stay():
     world, clients, _ = played(stay=True, silent=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
-    closed = Counter(world.service.metrics.by(ConnectionEvent.CLIENT_CLOSED))
+    closed = Counter(world.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY))
     assert closed["silent"] > closed["room"] > 0
 
 
@@ -241,7 +241,9 @@
     clients = Clients(world.net, world.listen, 21)
     clients.load(300.0, 5.0)
     world.net.run_for(7.0)
-    assert clients.how["lost"] <= world.service.metrics.by(ConnectionEvent.CLIENT_CLOSED).get("room", 0)
+    assert clients.how["lost"] <= world.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY).get(
+        "room", 0
+    )
     assert clients.how["failed"] == 0
 
 
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -67,7 +67,7 @@
         kinds |= {what for _, what, _ in expected[0]}
     assert {ConnectionEvent.OPENED, ConnectionEvent.REUSED} <= kinds
     assert ConnectionEvent.RETIRED in kinds or "says so" in pattern  # there the nodes close first
-    assert ConnectionEvent.AHEAD in kinds or not pattern.startswith("10 ms away") or descriptors < 512
+    assert ConnectionEvent.OPENED_AHEAD in kinds or not pattern.startswith("10 ms away") or descriptors < 512
 
 
 def visits(monkeypatch, rig, seconds):
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -121,7 +121,7 @@
     metrics = ConnectionMetrics()
     for number in range(NODES):
         metrics.add(ConnectionEvent.OPENED, f"cache-node-{number}")
-    assert len(metrics.by(ConnectionEvent.OPENED)) == NODES
+    assert len(metrics.counts_by_name(ConnectionEvent.OPENED)) == NODES
 
 
 def test_another_process_takes_over_a_list_of_1024_nodes():
