--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -382,9 +382,9 @@
         self._pool.closed_by_node(
             ConnectionLoss(
                 idle_age_ms=self._age_ms,
-                after_ms=self._pool.now() - since_ms,
+                since_write_ms=self._pool.now() - since_ms,
                 answer_begun=self in self._pool.partial_answers,
-                attempt_unsent=unsent is not None,
+                last_byte_unsent=unsent is not None,
                 by_reset=by_reset,
                 had_served=self.served,
             )
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -12,7 +12,7 @@
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.pool_context import PoolContext
 from cloverwell.connections.budget import DescriptorSide
-from cloverwell.connections.connect_retry import RETRY_MS, ConnectRetry
+from cloverwell.connections.connect_retry import CONNECT_RETRY_MS, ConnectRetry
 from cloverwell.connections.metrics import ConnectionEvent
 from cloverwell.system_calls import LocalFault, connect_fault
 
@@ -105,7 +105,7 @@
         self._context.metrics.add(ConnectionEvent.CONNECT_NOT_BEGUN, self._pool.node)
         now = self._wheel.now()
         if self._retry.record_fault(fault):
-            self._wheel.not_before(now + RETRY_MS, self._try_again)
+            self._wheel.not_before(now + CONNECT_RETRY_MS, self._try_again)
         self._pool.open_not_started(now)
 
     def _try_again(self) -> None:
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -15,7 +15,7 @@
 from cloverwell.back.waiting_attempts import WaitingAttempts
 from cloverwell.connections.budget import DescriptorSide
 from cloverwell.connections.close_reason import NodeCloseReason
-from cloverwell.connections.connect_retry import MAX_WAIT_MS
+from cloverwell.connections.connect_retry import MAX_CONNECT_WAIT_MS
 from cloverwell.connections.connection_loss import ConnectionLoss
 from cloverwell.connections.metrics import ConnectionEvent
 from cloverwell.connections.node_policy import ConnectionUse
@@ -228,7 +228,7 @@
 
         Another node may have an idle connection, and this one must not seem to be silent.
         """
-        for attempt in self._waiting.older_than(MAX_WAIT_MS, now):
+        for attempt in self._waiting.older_than(MAX_CONNECT_WAIT_MS, now):
             self.give_up(attempt, AttemptOutcome.NOT_SENT)
 
     def open_for_waiting(self) -> None:
@@ -328,7 +328,7 @@
 
     def closed_by_node(self, loss: ConnectionLoss) -> None:
         """Counts a connection that the node closed with an attempt on it, and learns from that."""
-        if loss.attempt_unsent:
+        if loss.last_byte_unsent:
             event = ConnectionEvent.STALE_DETECTED
         elif loss.idle_age_ms is not None and not loss.answer_begun:
             event = ConnectionEvent.STALE
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -87,7 +87,7 @@
             self._remove(pool)
             return
         wanted = not pool.left and pool.open_ahead(now)
-        self._schedule.at(pool, now if wanted else pool.due_ms(now))
+        self._schedule.visit_at(pool, now if wanted else pool.due_ms(now))
 
     def _remove(self, pool: Pool) -> None:
         del self._pools[pool.node]
--- a/cloverwell/connections/accept_queue.py
+++ b/cloverwell/connections/accept_queue.py
@@ -35,21 +35,21 @@
         """Whether connections that came a while ago may be waiting."""
         return bool(self._observations)
 
-    def reading_paused(self, now: float) -> None:
+    def record_reading_paused(self, now: float) -> None:
         """Record that the port is not read from now on."""
         if not self._observations:
             self._observations.append(QueueObservation(self._accepted, now))
 
-    def connections_waiting(self, now: float) -> None:
+    def record_connections_waiting(self, now: float) -> None:
         """Record that connections are waiting now."""
         if self._observations:
             self._observations.append(QueueObservation(self._accepted, now))
 
-    def empty(self) -> None:
+    def record_empty(self) -> None:
         """Record that no connection is waiting, and that the port is read."""
         self._observations.clear()
 
-    def accepted(self) -> float | None:
+    def record_accepted(self) -> float | None:
         """Count one accepted connection; return since when it may have waited, or None if it has not."""
         self._accepted += 1
         observations = self._observations
--- a/cloverwell/connections/arrival.py
+++ b/cloverwell/connections/arrival.py
@@ -21,20 +21,20 @@
         "_read_ms",
         "_unread_queued",
         "_unread_since_ms",
-        "begun_ms",
-        "command_queued",
+        "first_byte_read_ms",
+        "waited_for_accept",
     )
 
     def __init__(self) -> None:
         """Start with nothing read, and nothing unread."""
         self._read_ms = 0.0  # when bytes were read last
-        self.begun_ms = 0.0  # when the first byte of the current command was read
+        self.first_byte_read_ms = 0.0  # when the first byte of the current command was read
         # Since when these may have been in the socket's buffer:
         self._command_since_ms = 0.0  # the first byte of the current command,
         self._bytes_since_ms = 0.0  # the bytes that were read last,
         self._unread_since_ms: float | None = None  # and what is read next, if reading was paused.
         # Whether that time includes waiting to be accepted.
-        self.command_queued = False
+        self.waited_for_accept = False
         self._bytes_queued = False
         self._unread_queued = False
 
@@ -43,22 +43,22 @@
         """Whether what is read next may have been in the buffer before."""
         return self._unread_since_ms is not None
 
-    def accepted(self, since_ms: float) -> None:
+    def record_accepted(self, since_ms: float) -> None:
         """Record that the connection waited to be accepted, since then at the earliest."""
         self._unread_since_ms = since_ms
         self._unread_queued = True
 
-    def reading_paused(self, now: float) -> None:
+    def record_reading_paused(self, now: float) -> None:
         """Record that the connection is not read from now on."""
         if self._unread_since_ms is None:
             self._unread_since_ms = now
 
-    def buffer_empty(self) -> None:
+    def record_buffer_empty(self) -> None:
         """Record that no byte is unread: what comes from now on is read when it comes."""
         self._unread_since_ms = None
         self._unread_queued = False
 
-    def read(self, now: float, begins_command: bool, unread_delay_ms: float = 0.0) -> None:
+    def record_read(self, now: float, begins_command: bool, unread_delay_ms: float = 0.0) -> None:
         """Record that bytes have been read.
 
         Args:
@@ -73,17 +73,17 @@
         self._bytes_since_ms = since_ms
         self._bytes_queued = self._unread_queued
         if begins_command:
-            self.command_complete()
+            self.record_command_complete()
 
-    def command_complete(self) -> None:
+    def record_command_complete(self) -> None:
         """Record that the current command is complete: the next one came with the last bytes."""
         self._command_since_ms = self._bytes_since_ms
-        self.command_queued = self._bytes_queued
-        self.begun_ms = self._read_ms
+        self.waited_for_accept = self._bytes_queued
+        self.first_byte_read_ms = self._read_ms
 
     def remaining_ms(self, now: float, timeout_ms: float) -> float:
         """Return what is left at the least of the client's timeout for the current command."""
         remaining_ms = timeout_ms - max(0.0, now - self._command_since_ms)
-        if not self.command_queued:
+        if not self.waited_for_accept:
             return remaining_ms
         return max(remaining_ms, min(timeout_ms, MIN_REMAINING_MS))
--- a/cloverwell/connections/closing.py
+++ b/cloverwell/connections/closing.py
@@ -22,10 +22,10 @@
     """What to do with a connection now."""
 
     KEEP = auto()  # Nothing: it is served, or something is waited for.
-    END_IF_READ = auto()  # Close our side, unless something is unread, which may be a request.
-    CUT_COMMAND_IF_READ = auto()  # The same behind half a command, which is answered as busy.
-    END = auto()  # Close our side, whatever is unread; half a command is answered as busy.
-    RELEASE = auto()  # Close both sides. What the kernel has taken still reaches the client.
+    HALF_CLOSE_IF_ALL_READ = auto()  # Close our side, unless something is unread, which may be a request.
+    REJECT_PARTIAL_COMMAND_IF_ALL_READ = auto()  # The same behind half a command, which is answered as busy.
+    HALF_CLOSE = auto()  # Close our side, whatever is unread; half a command is answered as busy.
+    CLOSE = auto()  # Close both sides. What the kernel has taken still reaches the client.
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
         streaming: a long value is being sent.
         partial_command: a part of a command has come, and no response is pending.
         reading_paused: commands that have been read are not handled yet: they wait behind malformed ones.
-        ended_ms: when our side was closed, or None.
+        half_closed_ms: when our side was closed, or None.
 
     """
 
@@ -49,7 +49,7 @@
     streaming: bool = False
     partial_command: bool = False
     reading_paused: bool = False
-    ended_ms: float | None = None
+    half_closed_ms: float | None = None
 
 
 def closing_step(
@@ -65,26 +65,26 @@
 
 
 # The steps that lose what is unread.
-_UNCONDITIONAL = (ClosingStep.END, ClosingStep.RELEASE)
+_UNCONDITIONAL = (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
 
 
 def _due_step(state: ClosingState, instants: EndInstants, now: float) -> ClosingStep:
     if now < instants.close_idle_ms:
         return ClosingStep.KEEP
     if now >= _release_by_ms(state, instants):
-        return ClosingStep.RELEASE
-    if state.ended_ms is not None:
-        return ClosingStep.RELEASE if now - state.ended_ms >= instants.linger_ms else ClosingStep.KEEP
+        return ClosingStep.CLOSE
+    if state.half_closed_ms is not None:
+        return ClosingStep.CLOSE if now - state.half_closed_ms >= instants.linger_ms else ClosingStep.KEEP
     if state.responses_pending or _awaits_first_request(state, instants, now):
         return ClosingStep.KEEP
     if now >= instants.end_ms:
-        return ClosingStep.END
+        return ClosingStep.HALF_CLOSE
     if state.reading_paused:
         return ClosingStep.KEEP
     if not state.partial_command:
-        return ClosingStep.END_IF_READ
+        return ClosingStep.HALF_CLOSE_IF_ALL_READ
     if now >= instants.close_mid_command_ms:
-        return ClosingStep.CUT_COMMAND_IF_READ
+        return ClosingStep.REJECT_PARTIAL_COMMAND_IF_ALL_READ
     return ClosingStep.KEEP
 
 
--- a/cloverwell/connections/connect_retry.py
+++ b/cloverwell/connections/connect_retry.py
@@ -8,8 +8,8 @@
 
 from cloverwell.system_calls import LocalFault
 
-RETRY_MS = 20.0  # the pause
-MAX_WAIT_MS = 35.0  # an attempt waits so long while connections can't be begun, which is two tries
+CONNECT_RETRY_MS = 20.0  # the pause
+MAX_CONNECT_WAIT_MS = 35.0  # an attempt waits so long while connections can't be begun, which is two tries
 
 
 class ConnectRetry:
--- a/cloverwell/connections/connection_loss.py
+++ b/cloverwell/connections/connection_loss.py
@@ -10,9 +10,9 @@
     """The end of a connection by its node, while an attempt was on it."""
 
     idle_age_ms: float | None  # how long it had stood idle before its oldest attempt; None on a fresh one
-    after_ms: float  # the time since the last bytes of that attempt were written
+    since_write_ms: float  # the time since the last bytes of that attempt were written
     answer_begun: bool
-    attempt_unsent: bool  # the last byte of an attempt had not been written: that one has not run
+    last_byte_unsent: bool  # the last byte of an attempt had not been written: that one has not run
     by_reset: bool  # else the node closed it; a reset answers what was written
     had_served: bool  # an attempt had ended on it before
 
--- a/cloverwell/connections/idle_limits.py
+++ b/cloverwell/connections/idle_limits.py
@@ -210,7 +210,7 @@
             self._updated(histogram, before)
 
     def _updated(self, histogram: IdleAgeHistogram, before: tuple[float, bool]) -> None:
-        self._forgetting.at(histogram, histogram.forgets_ms)
+        self._forgetting.visit_at(histogram, histogram.forgets_ms)
         if histogram.shown != before:
             self.changed(histogram.node)
 
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -158,10 +158,10 @@
     def lost(self, node: str, loss: ConnectionLoss, now: float) -> None:
         """Records that the node ended a connection with an attempt on it."""
         entry = self._nodes.get(node)
-        if entry is None or loss.answer_begun or loss.after_ms > MAX_RESET_MS:
+        if entry is None or loss.answer_begun or loss.since_write_ms > MAX_RESET_MS:
             return
         statistics = self._types[entry.node_type]
-        statistics.record_loss(loss.after_ms, loss.by_reset)
+        statistics.record_loss(loss.since_write_ms, loss.by_reset)
         if loss.idle_age_ms is None:
             return
         unexpected = statistics.resets_are_rare
--- a/cloverwell/connections/schedule.py
+++ b/cloverwell/connections/schedule.py
@@ -1,9 +1,9 @@
 """Which items a periodic sweep has to visit: those that changed or are due, instead of all. No I/O.
 
 A sweep over all items does the same work each time, also where most of them have nothing to do. Here each
-item is visited when it has changed (`wake`), or at the time that its last visit gave (`at`). Visits keep the
-order in which items were added, as a loop over all of them would, and an item woken during a sweep is visited
-in the same sweep if its place in that order is still to come.
+item is visited when it has changed (`wake`), or at the time that its last visit gave (`visit_at`). Visits
+keep the order in which items were added, as a loop over all of them would, and an item woken during a sweep
+is visited in the same sweep if its place in that order is still to come.
 
 Times are milliseconds of one clock.
 """
@@ -66,7 +66,7 @@
         for item in self._numbers:
             self.wake(item)
 
-    def at(self, item: Item, when_ms: float) -> None:
+    def visit_at(self, item: Item, when_ms: float) -> None:
         """Has the item visited at that time, unless it is woken before; an earlier time stands."""
         number = self._numbers.get(item)
         when_ms -= EARLY_MS
@@ -76,7 +76,7 @@
         heapq.heappush(self._times, (when_ms, number))
 
     def sweep(self, now: float) -> Iterator[Item]:
-        """Yields the items to visit now; the visitor gives the next time of each with `at`."""
+        """Yields the items to visit now; the visitor gives the next time of each with `visit_at`."""
         while self._times and self._times[0][0] <= now:
             when_ms, number = heapq.heappop(self._times)
             if self._due_ms.get(number) == when_ms:
--- a/cloverwell/connections/unsent_retry.py
+++ b/cloverwell/connections/unsent_retry.py
@@ -19,11 +19,11 @@
 class UnsentRequest:
     """The state of a request after an attempt that this machine could not send. Times are in milliseconds."""
 
-    over: bool
-    in_flight: bool  # another of its attempts is
+    is_over: bool
+    has_attempt_in_flight: bool  # another of its attempts is
     may_have_run: bool
-    rejected_or_failed: bool  # the balancer's decision is a final answer
-    ordered: bool  # requests with its key are sent in order: decided anew, others would overtake it
+    is_rejected_or_failed: bool  # the balancer's decision is a final answer
+    is_ordered: bool  # requests with its key are sent in order: decided anew, others would overtake it
     answer_by_ms: float
 
 
@@ -32,9 +32,9 @@
 
     `tick_ms` is the granularity of the timer wheel.
     """
-    if request.over or request.in_flight or request.may_have_run:
+    if request.is_over or request.has_attempt_in_flight or request.may_have_run:
         return None
-    if request.ordered or not request.rejected_or_failed:
+    if request.is_ordered or not request.is_rejected_or_failed:
         return None
     at_ms = now + RETRY_DELAY_MS
     return at_ms if at_ms < request.answer_by_ms - MARGIN_TICKS * tick_ms else None
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -249,11 +249,11 @@
     def _carry_out_unsent(self, decision: f.Decision, request: Request) -> None:
         """Carries out the decision after an attempt that could not be sent, or decides again later."""
         state = UnsentRequest(
-            over=request.over,
-            in_flight=bool(request.attempts),
+            is_over=request.over,
+            has_attempt_in_flight=bool(request.attempts),
             may_have_run=request.first_run_ms is not None,
-            rejected_or_failed=isinstance(decision, f.RejectRequest | f.FailRequest),
-            ordered=self._facade.settings.classes[request.class_number].in_turn,
+            is_rejected_or_failed=isinstance(decision, f.RejectRequest | f.FailRequest),
+            is_ordered=self._facade.settings.classes[request.class_number].in_turn,
             answer_by_ms=self._answer_by_ms(request) - DEADLINE_MARGIN_MS,
         )
         at_ms = retry_at_ms(state, self._wheel.now(), self._wheel.granularity_ms)
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -58,7 +58,7 @@
 
     def waited_in_accept_queue(self, since_ms: float) -> None:
         """Record that what is read first may have been sent since then, before the accept."""
-        self._arrival.accepted(since_ms)
+        self._arrival.record_accepted(since_ms)
 
     def connectionMade(self) -> None:
         """Start reading."""
@@ -80,7 +80,7 @@
             return
         if not self._held:  # else these bytes follow others that are not handled yet
             begins_command = not (len(self._in) or self._wanted)
-            self._arrival.read(self._owner.timer_wheel.now(), begins_command, unread_delay_ms)
+            self._arrival.record_read(self._owner.timer_wheel.now(), begins_command, unread_delay_ms)
             self._check_buffer_empty()
         super().dataReceived(data)
         self._report_partial_command()
@@ -98,7 +98,7 @@
         """Read no more until `release`."""
         super().hold()
         self._owner.reading_paused[self] = None
-        self._arrival.reading_paused(self._owner.timer_wheel.now())
+        self._arrival.record_reading_paused(self._owner.timer_wheel.now())
 
     def release(self) -> None:
         """Read on."""
@@ -109,7 +109,7 @@
 
     def _check_buffer_empty(self) -> None:
         if self._arrival.may_have_waited and not self.has_unread_bytes():
-            self._arrival.buffer_empty()
+            self._arrival.record_buffer_empty()
 
     def _throttle(self, pause_ms: float) -> None:
         """Pause reading for a while."""
@@ -139,7 +139,7 @@
         # The client's timeout counts from the first byte, which may have been unread for a while, or have
         # come long before the last one.
         left_ms = self._arrival.remaining_ms(self._owner.timer_wheel.now(), fields.wait_ms)
-        if self._arrival.command_queued:
+        if self._arrival.waited_for_accept:
             left_ms = min(left_ms, fields.wait_ms - received_ago_ms(self._socket))
         response = PendingResponse()
         request = response.request = Request(
@@ -256,7 +256,7 @@
     @property
     def command_begun_ms(self) -> float:
         """When the first byte of the current command was read."""
-        return self._arrival.begun_ms
+        return self._arrival.first_byte_read_ms
 
     def closing_state(self) -> ClosingState:
         """Return what decides its close while the process is drained or stops."""
@@ -267,7 +267,7 @@
             streaming=self._responses.streaming,
             partial_command=self.has_partial_command,
             reading_paused=self._throttled or self._held,
-            ended_ms=self.write_closed_ms if self.ended else None,
+            half_closed_ms=self.write_closed_ms if self.ended else None,
         )
 
     def end(self, abort: bool = False, only_ours: bool = False) -> None:
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -124,10 +124,10 @@
             return None
         host = getattr(addr, "host", "")
         connection = ClientConnection(self, f"{host}:{getattr(addr, 'port', 0)}")
-        if (since_ms := self._queue.accepted()) is not None:
+        if (since_ms := self._queue.record_accepted()) is not None:
             connection.waited_in_accept_queue(since_ms)
             if not self._connection_waits():
-                self._queue.empty()
+                self._queue.record_empty()
         self._budget.acquire(DescriptorSide.CLIENTS)
         self.connections[connection] = None
         self._metrics.add(ConnectionEvent.ACCEPTED)
@@ -142,7 +142,7 @@
 
     def accept_paused(self) -> None:
         """Record that from now on new connections wait in the kernel's queue, with their requests."""
-        self._queue.reading_paused(self.timer_wheel.now())
+        self._queue.record_reading_paused(self.timer_wheel.now())
 
     def _connection_waits(self) -> bool:
         """Return whether a connection may wait to be accepted."""
@@ -152,9 +152,9 @@
         if not self._queue.may_hold_connections or self.port is None:
             return
         if self._connection_waits():
-            self._queue.connections_waiting(self.timer_wheel.now())
+            self._queue.record_connections_waiting(self.timer_wheel.now())
             return
-        self._queue.empty()
+        self._queue.record_empty()
         if not self.port.accepting:
             self.accept_paused()
 
--- a/cloverwell/front/command_receiver.py
+++ b/cloverwell/front/command_receiver.py
@@ -61,7 +61,7 @@
             case _:
                 self.reject_command("unknown command")
         if not self._wanted:
-            self._arrival.command_complete()
+            self._arrival.record_command_complete()
 
     def _handle_get(self, words: list[str]) -> None:
         try:
@@ -104,7 +104,7 @@
             self.reject_and_close("bad data chunk")
             return
         self.request_received(fields, True, data[:-2])
-        self._arrival.command_complete()
+        self._arrival.record_command_complete()
 
     def _handle_discarded_piece(self) -> None:
         if self._bytes_to_discard:
--- a/cloverwell/front/connection_closing.py
+++ b/cloverwell/front/connection_closing.py
@@ -71,13 +71,13 @@
         """Close the connection as far as it is due."""
         now, after_stall = self._timer_wheel.now(), self._timer_wheel.just_stalled
         match closing_step(connection.closing_state(), self._serving.instants, now, after_stall):
-            case ClosingStep.END_IF_READ:
+            case ClosingStep.HALF_CLOSE_IF_ALL_READ:
                 connection.close_between_requests(CloseReason.DRAIN)
-            case ClosingStep.CUT_COMMAND_IF_READ:
+            case ClosingStep.REJECT_PARTIAL_COMMAND_IF_ALL_READ:
                 connection.close_between_requests(CloseReason.DRAIN, cut=True)
-            case ClosingStep.END:
+            case ClosingStep.HALF_CLOSE:
                 connection.end_our_side(CloseReason.DRAIN)
-            case ClosingStep.RELEASE:
+            case ClosingStep.CLOSE:
                 self.close_now(connection, CloseReason.DRAIN)
 
     def close_now(self, connection: ClientConnection, reason: CloseReason) -> None:
--- a/cloverwell/front/connection_report.py
+++ b/cloverwell/front/connection_report.py
@@ -56,7 +56,7 @@
         "a long value is being sent": state.streaming,
         "half a command": state.partial_command,
         "reading paused": state.reading_paused,
-        "our side closed": state.ended_ms is not None,
+        "our side closed": state.half_closed_ms is not None,
         "bytes unread": connection.has_unread_bytes(),
     }
     return [word for word, holds in words.items() if holds] or ["idle"]
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -24,9 +24,9 @@
     """The loss of a connection that had stood idle for so long, by a reset so long after an attempt."""
     return ConnectionLoss(
         idle_age_ms=age_ms,
-        after_ms=after_ms,
+        since_write_ms=after_ms,
         answer_begun=False,
-        attempt_unsent=False,
+        last_byte_unsent=False,
         by_reset=True,
         had_served=True,
     )
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -41,7 +41,7 @@
     reads: bool = True
     unsent: bool = False
     streaming: bool = False
-    ended_ms: float | None = None
+    half_closed_ms: float | None = None
     closed_ms: float | None = None
     unanswered: int = 0  # requests that were read and whose connection was closed before an answer
 
@@ -54,7 +54,7 @@
             streaming=self.streaming,
             partial_command=self.partial and not pending,
             reading_paused=self.paused,
-            ended_ms=self.ended_ms,
+            half_closed_ms=self.half_closed_ms,
         )
 
     def client(self, event):
@@ -78,7 +78,7 @@
 
     def read_all(self, rejects):
         """The loop's turn: what has come is read, unless our side is closed: then it is discarded."""
-        if self.ended_ms is not None:
+        if self.half_closed_ms is not None:
             self.unread.clear()
             return
         self.paused = False
@@ -98,14 +98,18 @@
         self.unread.clear()
 
     def carry_out(self, step, now):
-        if step is ClosingStep.END_IF_READ and self.unread:
+        if step is ClosingStep.HALF_CLOSE_IF_ALL_READ and self.unread:
             return
-        if step is ClosingStep.CUT_COMMAND_IF_READ and self.unread:
+        if step is ClosingStep.REJECT_PARTIAL_COMMAND_IF_ALL_READ and self.unread:
             return
-        if step in (ClosingStep.END_IF_READ, ClosingStep.CUT_COMMAND_IF_READ, ClosingStep.END):
+        if step in (
+            ClosingStep.HALF_CLOSE_IF_ALL_READ,
+            ClosingStep.REJECT_PARTIAL_COMMAND_IF_ALL_READ,
+            ClosingStep.HALF_CLOSE,
+        ):
             assert not self.open_requests
-            self.ended_ms, self.partial = now, False
-        elif step is ClosingStep.RELEASE:
+            self.half_closed_ms, self.partial = now, False
+        elif step is ClosingStep.CLOSE:
             self.unanswered = self.open_requests
             self.closed_ms = now
 
@@ -179,7 +183,7 @@
     assert connection.closed_ms <= max(DRAIN_BOUND_MS, newcomer_ms)
 
 
-@pytest.mark.parametrize("state", [ClosingState(0.0), ClosingState(0.0, ended_ms=1.0)])
+@pytest.mark.parametrize("state", [ClosingState(0.0), ClosingState(0.0, half_closed_ms=1.0)])
 @pytest.mark.parametrize("now", [0.0, 1e9])
 def test_in_a_process_that_goes_on_nothing_is_closed(state, now):
     assert closing_step(state, NO_END, now) is ClosingStep.KEEP
@@ -190,10 +194,10 @@
 )
 def test_a_new_connection_has_a_while_for_its_first_request(now, wait_ms):
     instants = instants_of(DRAIN_SCHEDULE, 0.0)
-    for age_ms, step in ((wait_ms - 1.0, ClosingStep.KEEP), (wait_ms, ClosingStep.END_IF_READ)):
+    for age_ms, step in ((wait_ms - 1.0, ClosingStep.KEEP), (wait_ms, ClosingStep.HALF_CLOSE_IF_ALL_READ)):
         state = ClosingState(now - age_ms, nothing_read=True)
         assert closing_step(state, instants, now) is step
-    assert closing_step(ClosingState(now), instants, now) is ClosingStep.END_IF_READ
+    assert closing_step(ClosingState(now), instants, now) is ClosingStep.HALF_CLOSE_IF_ALL_READ
 
 
 @given(st.floats(0.0, 20_000.0), st.booleans(), st.booleans(), st.booleans())
@@ -201,7 +205,7 @@
     instants = instants_of(DRAIN_SCHEDULE, 0.0)
     state = ClosingState(0.0, False, pending, False, partial, paused)
     step = closing_step(state, instants, now, after_stall=True)
-    assert step not in (ClosingStep.END, ClosingStep.RELEASE)
+    assert step not in (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
 
 
 @given(st.floats(100.0, 10_000.0), st.booleans())
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -290,11 +290,11 @@
 
 
 UNSENT = UnsentRequest(
-    over=False,
-    in_flight=False,
+    is_over=False,
+    has_attempt_in_flight=False,
     may_have_run=False,
-    rejected_or_failed=True,
-    ordered=False,
+    is_rejected_or_failed=True,
+    is_ordered=False,
     answer_by_ms=1000.0,
 )
 TICK_MS = 5.0
@@ -309,11 +309,11 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"over": True},
-        {"in_flight": True},
+        {"is_over": True},
+        {"has_attempt_in_flight": True},
         {"may_have_run": True},
-        {"rejected_or_failed": False},
-        {"ordered": True},
+        {"is_rejected_or_failed": False},
+        {"is_ordered": True},
     ],
 )
 def test_a_request_that_is_over_has_run_or_has_another_attempt_keeps_its_decision(change):
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -109,7 +109,7 @@
 
 
 def does_not_count_the_wait_to_be_accepted(patch):
-    patch.setattr(AcceptQueue, "accepted", lambda self: None)
+    patch.setattr(AcceptQueue, "record_accepted", lambda self: None)
 
 
 def ends_a_connection_at_errors_that_pass(patch):
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -148,7 +148,7 @@
             schedule.wake(args[0])
             woken.add(args[0])
         elif what == "at" and args[0] in order:
-            schedule.at(args[0], args[1] + EARLY_MS)
+            schedule.visit_at(args[0], args[1] + EARLY_MS)
             due[args[0]] = min(due.get(args[0], math.inf), args[1])
     assert len(schedule) == len(order)
     assert len(schedule._times) <= len(steps)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -226,11 +226,11 @@
     def accept(self, number):
         """Each that is accepted came no sooner than is said, or has not waited."""
         for _ in range(min(number, len(self.came_ms))):
-            since_ms, came_ms = self.queue.accepted(), self.came_ms.pop(0)
+            since_ms, came_ms = self.queue.record_accepted(), self.came_ms.pop(0)
             assert since_ms is not None
             assert since_ms <= came_ms
         if not self.came_ms:
-            self.queue.empty()
+            self.queue.record_empty()
 
 
 STEPS = st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30), st.booleans()), max_size=200)
@@ -240,21 +240,21 @@
 def test_no_connection_came_sooner_than_the_queue_says(steps):
     model = QueueModel(most=20)
     for now, (come, accepted, looks) in enumerate(steps):
-        model.queue.reading_paused(float(now))
+        model.queue.record_reading_paused(float(now))
         model.connect(float(now), come)
         if looks:
-            model.queue.connections_waiting(float(now))
+            model.queue.record_connections_waiting(float(now))
         model.accept(accepted)
 
 
 def test_in_a_queue_that_stands_the_wait_is_bounded_by_its_length():
     model = QueueModel(most=20)
-    model.queue.reading_paused(0.0)
+    model.queue.record_reading_paused(0.0)
     for now in range(1, 200):
         model.connect(float(now), 20)
-        model.queue.connections_waiting(float(now))
+        model.queue.record_connections_waiting(float(now))
         model.accept(10)
-    assert 199.0 - model.queue.accepted() <= 4.0
+    assert 199.0 - model.queue.record_accepted() <= 4.0
 
 
 # A hold-up between the clock and the write ---------------------------------------------------------
