--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -146,10 +146,10 @@
 
     # Writing an attempt ---------------------------------------------------------------------------
 
-    def send(self, attempt: Attempt, use: ConnectionUse = ConnectionUse.WHOLE) -> SendResult:
+    def send(self, attempt: Attempt, use: ConnectionUse = ConnectionUse.WRITE_ALL) -> SendResult:
         """Writes an attempt, with its last byte held back where `use` is `SPLIT`."""
         now = self._pool.now()
-        hold_ms = self._pool.hold_ms() if use is ConnectionUse.SPLIT else 0.0
+        hold_ms = self._pool.hold_ms() if use is ConnectionUse.HOLD_LAST_BYTE else 0.0
         # The timer wheel rounds the wait up to its next tick.
         left_ms = attempt.left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
         if left_ms < MIN_PROPAGATED_MS:
@@ -158,7 +158,7 @@
             return SendResult.BROKEN
         attempt.propagated_ms = left_ms
         data = self.command(attempt)
-        rest = data[-1:] if use is ConnectionUse.SPLIT else b""
+        rest = data[-1:] if use is ConnectionUse.HOLD_LAST_BYTE else b""
         untaken = self.put_command(data[:-1] if rest else data)
         if untaken is None:
             return SendResult.BROKEN
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -92,9 +92,9 @@
         node, standing = self._pool.node, len(self._pool.connections)
         self._context.metrics.add(ConnectionEvent.CONNECT_REFUSED, node)
         if refused:
-            self._policy.connect_refused(node, standing, self._wheel.now())
+            self._policy.record_connect_refused(node, standing, self._wheel.now())
         else:
-            self._policy.timed_out(node, standing, asked_ms, self._wheel.now())
+            self._policy.record_connect_timeout(node, standing, asked_ms, self._wheel.now())
         self._pool.open_failed()
         if others_waited:
             self._pool.open_for_waiting()
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -61,7 +61,7 @@
         now = self.now()
         if attempt.over or self.address is None:
             return True
-        return now > attempt.write_by_ms or self._policy.late(self.node, now)
+        return now > attempt.write_by_ms or self._policy.is_past_grace(self.node, now)
 
     def start(self, attempt: Attempt) -> None:
         """Writes a new attempt to a connection, or has it wait for one."""
@@ -70,7 +70,7 @@
             return
         now = self.now()
         in_use = len(self.connections) - len(self._idle.connections) + 1
-        self._policy.started(self.node, in_use, now)
+        self._policy.record_attempt(self.node, in_use, now)
         if self._policy.may_open_ahead(self.node):
             self._context.wake(self)
         self._write_or_wait(attempt)
@@ -104,7 +104,7 @@
     def _write(self, connection: NodeConnection, attempt: Attempt) -> SendResult:
         """Writes an attempt to a free connection, as the policy decides."""
         age_ms = connection.age_ms(self.now())
-        use = self._policy.use(self.node, age_ms, attempt.costly)
+        use = self._policy.choose_use(self.node, age_ms, attempt.costly)
         if use is ConnectionUse.RETIRE:
             self.retire(connection)
             return SendResult.BROKEN
@@ -182,23 +182,23 @@
         """
         if self.holds and attempt.written_ms is not None:
             request = attempt.request
-            closed_ms = self.now() + self._policy.reach_ms(self.node)
+            closed_ms = self.now() + self._policy.close_delay_bound_ms(self.node)
             request.next_attempt_from_ms = max(request.next_attempt_from_ms, closed_ms)
         attempt.end(outcome)
 
     def answered(self, age_ms: float | None, first_byte_ms: float) -> None:
         """Passes an answer on to the policy."""
         now = self.now()
-        self._policy.answered(self.node, age_ms, now - first_byte_ms, now)
+        self._policy.record_answer(self.node, age_ms, now - first_byte_ms, now)
 
     def silent(self, age_ms: float | None, first_byte_ms: float) -> None:
         """Passes an attempt that was given up without a byte of an answer on to the policy."""
         now = self.now()
-        self._policy.silent(self.node, age_ms, now - first_byte_ms, now)
+        self._policy.record_silence(self.node, age_ms, now - first_byte_ms, now)
 
     def hold_ms(self) -> float:
         """Returns how long a last byte is held back."""
-        return self._policy.hold_ms(self.node)
+        return self._policy.hold_back_ms(self.node)
 
     # Opening ---------------------------------------------------------------------------------------
 
@@ -213,7 +213,7 @@
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
         self._metrics.add(ConnectionEvent.OPENED, self.node)
-        self._policy.connected(self.node, now - connection.asked_ms, now)
+        self._policy.record_connected(self.node, now - connection.asked_ms, now)
         self.became_free(connection)
         if others_waited:
             self.open_for_waiting()
@@ -249,7 +249,7 @@
         """
         if self._opening.fault is not None:
             return False
-        wanted = self._policy.ahead(self.node, self.held, now)
+        wanted = self._policy.open_ahead_count(self.node, self.held, now)
         for _ in range(wanted):
             if not self._context.may_open_spare():
                 break
@@ -310,7 +310,7 @@
     def _is_unresponsive(self, now: float) -> bool:
         oldest = [connection.attempts[0] for connection in self.connections if connection.attempts]
         written_ms = [attempt.written_ms for attempt in oldest if attempt.written_ms is not None]
-        return bool(written_ms) and self._policy.unresponsive(self.node, min(written_ms), now)
+        return bool(written_ms) and self._policy.is_unresponsive(self.node, min(written_ms), now)
 
     def retire(self, connection: NodeConnection) -> None:
         """Closes an idle connection."""
@@ -336,8 +336,8 @@
             event = ConnectionEvent.RESET
         self._metrics.add(event, self.node)
         if loss.refused_on_arrival:
-            self._policy.connect_refused(self.node, len(self.connections) - 1, self.now())
-        self._policy.lost(self.node, loss, self.now())
+            self._policy.record_connect_refused(self.node, len(self.connections) - 1, self.now())
+        self._policy.record_loss(self.node, loss, self.now())
 
     def lost(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
         """Forgets a connection that has ended; `requests` are the ids of those with an attempt on it."""
@@ -378,7 +378,7 @@
         """
         if self._waiting.attempts or self.left:
             return now
-        again_ms = self._policy.ahead_again_ms(self.node)
+        again_ms = self._policy.next_open_ahead_ms(self.node)
         if not self.connections:
             return again_ms
         data_ms = min((one.stream_data_ms for one in self.connections if one.stream), default=now)
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -56,7 +56,7 @@
         self.request_descriptor: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
-        self.back.limits.changed = self._limits_changed
+        self.back.idle_limits.on_change = self._limits_changed
         self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, the longest idle first
         self.partial_answers: dict[NodeConnection, int] = {}  # the checks since more of the answer came
         self._sweep()
@@ -78,7 +78,7 @@
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
-        self.back.limits.tick(now)
+        self.back.idle_limits.forget_old(now)
         self.timer_wheel.at(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
@@ -132,7 +132,7 @@
             pool = self._add(node, origin)
         pool.left = False
         self.wake(pool)
-        self.back.listed(node, pool.kind, cold_until_ms)
+        self.back.record_listed(node, pool.kind, cold_until_ms)
         if pool.address != (host, port):
             pool.close_idle()
             for connection in pool.connections:
@@ -145,7 +145,7 @@
         That the connections may be stale is no reason here: their ages are known better, and are checked
         before each use.
         """
-        if (pool := self._pools.get(node)) is not None and self.back.needs_idle_closed(node):
+        if (pool := self._pools.get(node)) is not None and self.back.should_close_idle(node):
             pool.close_idle()
 
     def leave(self, node: str) -> None:
@@ -153,7 +153,7 @@
         if (pool := self._pools.get(node)) is not None:
             pool.left = True
             self.wake(pool)
-            self.back.left(node, self.timer_wheel.now())
+            self.back.record_left(node, self.timer_wheel.now())
             pool.close_idle()
 
     def may_open(self, pool: Pool) -> bool:
--- a/cloverwell/connections/client_policy.py
+++ b/cloverwell/connections/client_policy.py
@@ -1,8 +1,9 @@
 """Which clients' connections are kept, and which are closed to make room. State in, choice out: no I/O.
 
-The caller reports what happens to each connection and closes those that `expired`, `to_make_room` and
-`to_admit_requests` return. It may find that one can't be closed (a request is unread in the socket's buffer)
-and then calls `close_failed`. Times are milliseconds of one clock that never goes back.
+The caller reports what happens to each connection and closes those that `choose_expired`,
+`choose_to_make_room` and `choose_to_admit_requests` return. It may find that one can't be closed (a request
+is unread in the socket's buffer) and then calls `record_close_failed`. Times are milliseconds of one clock
+that never goes back.
 
 A close between requests loses nothing (the client sends again what crossed it) but costs the client a
 handshake, so the question is always which client is least likely to send a request soon. That is estimated
@@ -49,11 +50,11 @@
 class ReserveLimits(NamedTuple):
     """How many descriptors are kept free for clients that will connect."""
 
-    least: int
+    min_count: int
     max_share: float  # of the clients' descriptors
 
 
-RESERVE = ReserveLimits(least=4, max_share=0.25)
+RESERVE = ReserveLimits(min_count=4, max_share=0.25)
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,12 +87,12 @@
 
     # Events -------------------------------------------------------------------------------------
 
-    def opened(self, client: ClientT, now: float, source: str = "") -> None:
+    def record_opened(self, client: ClientT, now: float, source: str = "") -> None:
         """Record that a connection has been accepted; `source` is the client's host."""
         self.states.add(client, source, now)
         self._arrivals.count(now)
 
-    def request_started(self, client: ClientT, now: float) -> None:
+    def record_request_started(self, client: ClientT, now: float) -> None:
         """Record that the client has sent a request."""
         state = self.states.by_client.get(client)
         if state is None or state.stage is ClientStage.CLOSING:
@@ -103,7 +104,7 @@
         self.states.move(client, state, ClientStage.ACTIVE, now)
         state.request_count += 1  # After the move: the count gives the group from which an idle one is taken.
 
-    def no_open_request(
+    def record_no_open_request(
         self, client: ClientT, now: float, partial_command: bool, begun_ms: float = math.inf
     ) -> None:
         """Record that no request of the client is open.
@@ -128,12 +129,12 @@
         if partial_command and begun_ms < now:
             self.states.backdate_partial_command(state, begun_ms)
 
-    def partial_command_grew(self, client: ClientT, now: float) -> None:
+    def record_partial_command_bytes(self, client: ClientT, now: float) -> None:
         """Record that more bytes of a partial command have come."""
         if (state := self.states.by_client.get(client)) is not None:
             state.last_bytes_ms = now
 
-    def closing(self, client: ClientT, now: float) -> None:
+    def record_closing(self, client: ClientT, now: float) -> None:
         """Record that our side of the connection is closed."""
         state = self.states.by_client.get(client)
         if state is None or state.stage is ClientStage.CLOSING:
@@ -142,11 +143,11 @@
             self._idle_statistics[idle_group(state.request_count)].learn(False)
         self.states.move(client, state, ClientStage.CLOSING, now)
 
-    def closed(self, client: ClientT) -> None:
+    def record_closed(self, client: ClientT) -> None:
         """Record that the connection is closed on both sides."""
         self.states.remove(client)
 
-    def close_failed(self, client: ClientT, now: float) -> None:
+    def record_close_failed(self, client: ClientT, now: float) -> None:
         """Record that a request or a response is still unread; the client is not selected for a while."""
         if (state := self.states.by_client.get(client)) is not None:
             state.keep_until_ms = now + RESPONSE_DELIVERY_MS
@@ -172,18 +173,18 @@
         usual_ms = GRACE_FACTOR * self._first_request_ms.value
         return min(max(MIN_FIRST_REQUEST_GRACE_MS, usual_ms), MAX_FIRST_REQUEST_GRACE_MS)
 
-    def reserve(self, now: float) -> int:
+    def reserve_count(self, now: float) -> int:
         """Return how many descriptors to keep free for clients that connect before the next check."""
         wanted = math.ceil(self._arrivals.per_ms(now) * RESERVE_WINDOW_MS)
-        return int(min(max(RESERVE.least, wanted), max(1.0, RESERVE.max_share * self.max_clients)))
+        return int(min(max(RESERVE.min_count, wanted), max(1.0, RESERVE.max_share * self.max_clients)))
 
-    def mostly_silent(self) -> bool:
+    def is_mostly_silent(self) -> bool:
         """Return whether too many have sent no request to be clients that want to be served."""
         return len(self.states.new) > MAX_SILENT_SHARE * self.max_clients
 
     # Choices ------------------------------------------------------------------------------------
 
-    def expired(self, now: float) -> list[CloseClient[ClientT]]:
+    def choose_expired(self, now: float) -> list[CloseClient[ClientT]]:
         """Return the connections whose timeout is over, however much room there is."""
         states = self.states
         limits = [
@@ -196,7 +197,7 @@
             found += [CloseClient(client, reason) for client in states.older_than(clients, now, timeout_ms)]
         return found + self._not_closed_by_client(now, CLOSE_TIMEOUT_MS)
 
-    def to_make_room(self, now: float, wanted: int, room: int) -> list[CloseClient[ClientT]]:
+    def choose_to_make_room(self, now: float, wanted: int, room: int) -> list[CloseClient[ClientT]]:
         """Return up to twice `wanted` connections to close, those least likely to send a request first.
 
         `room`: free descriptors. Connections that are closing become free by themselves within moments, so
@@ -217,15 +218,15 @@
             found += self._idle(now, limit - len(found), abort)
         return found[: max(0, limit)]
 
-    def to_admit_requests(self, now: float) -> list[CloseClient[ClientT]]:
+    def choose_to_admit_requests(self, now: float) -> list[CloseClient[ClientT]]:
         """Return the connections to close so that clients can open as many as they need for requests."""
         slow_writers = [client for client in self.states.partial if self._writes_slowly(client)]
         idle_count = sum(len(clients) for clients in self.states.idle)
         free = self.max_requesting - (self.active_count + idle_count + len(slow_writers))
-        wanted = min(self.reserve(now), self.max_requesting // 2) - free
+        wanted = min(self.reserve_count(now), self.max_requesting // 2) - free
         found = self._idle(now, max(0, wanted), abort=False)
         # Each of the last places that a partial command holds would serve many other clients meanwhile.
-        wanted = RESERVE.least - free - len(found)
+        wanted = RESERVE.min_count - free - len(found)
         old = [client for client in slow_writers if self._age_ms(client, now) >= PARTIAL_COMMAND_GRACE_MS]
         return found + [CloseClient(client, CloseReason.PARTIAL_COMMAND) for client in old[: max(0, wanted)]]
 
@@ -246,7 +247,7 @@
 
     def _silent(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
         # Where silent connections are many, others wait behind them to be accepted: the least grace must do.
-        grace_ms = MIN_FIRST_REQUEST_GRACE_MS if self.mostly_silent() else self.first_request_grace_ms()
+        grace_ms = MIN_FIRST_REQUEST_GRACE_MS if self.is_mostly_silent() else self.first_request_grace_ms()
         old = self.states.older_than(self.states.new, now, grace_ms)
         count = self.states.new_by_source
         if len(count) > 1:
--- a/cloverwell/connections/idle_limits.py
+++ b/cloverwell/connections/idle_limits.py
@@ -177,7 +177,7 @@
 
 
 def _ignore_change(_node: str | None) -> None:
-    """The `changed` callback where nobody asks for one."""
+    """The `on_change` callback where nobody asks for one."""
 
 
 class IdleLimits:
@@ -190,7 +190,7 @@
         self._types: dict[str, IdleAgeHistogram] = {}
         self._forgetting: Schedule[IdleAgeHistogram] = Schedule()
         # Called when the limit of a node may have changed, or with None when that of each may have.
-        self.changed: Callable[[str | None], None] = _ignore_change
+        self.on_change: Callable[[str | None], None] = _ignore_change
 
     def __len__(self) -> int:
         """Returns the number of nodes with evidence."""
@@ -212,7 +212,7 @@
     def _updated(self, histogram: IdleAgeHistogram, before: tuple[float, bool]) -> None:
         self._forgetting.visit_at(histogram, histogram.forgets_ms)
         if histogram.shown != before:
-            self.changed(histogram.node)
+            self.on_change(histogram.node)
 
     def forget(self, node: str) -> None:
         """Drops the evidence of a node that has gone."""
@@ -259,7 +259,7 @@
         own = self._nodes.get(node)
         return own is not None and own.lost_by(EDGES[-1])
 
-    def tick(self, now: float) -> None:
+    def forget_old(self, now: float) -> None:
         """Forgets the evidence whose time has come."""
         for histogram in self._forgetting.sweep(now):
             before = histogram.shown
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -26,15 +26,15 @@
 from cloverwell.connections.node_type import SILENT_SHARE, NodeTypeStatistics
 from cloverwell.connections.round_trip import RoundTripEstimate
 
-MIN_HOLD_MS, MAX_HOLD_MS = 4.0, 45.0  # how long the last byte is held back
+MIN_HOLD_BACK_MS, MAX_HOLD_BACK_MS = 4.0, 45.0  # how long the last byte is held back
 HOLD_TIMES = 1.25  # of the longest that resets have taken to arrive of late
 YOUNG_MS = 50.0  # no node is taken to close a connection that was idle for less, until one is seen to
 COSTLY_PROOF_TIMES = 4.0  # as much proof of an age is wanted for attempts that may not run twice
 COSTLY_CONNECT_MS = 3.0  # a handshake that takes less is not worth opening ahead
-MAX_AHEAD = 2  # connections opened ahead for a node at once
+MAX_OPENED_AHEAD = 2  # connections opened ahead for a node at once
 MAX_AHEAD_IDLE_SHARE = 0.5  # of the idle limit, after which a connection opened ahead must have been used
 UNRESPONSIVE_TIMES = 4.0  # mean answer times without an answer after which a connection is taken to be dead
-MAX_REACH_MS = 60.0  # a close that is sent now has reached its node by then
+MAX_CLOSE_DELAY_MS = 60.0  # a close that is sent now has reached its node by then
 MAX_RESET_MS = 60.0  # a reset that took longer interrupted work, and is no answer to what was written
 INITIAL_ANSWER_MS, INITIAL_GAP_MS = 50.0, 1000.0  # the running means before anything is known
 MAX_GAP_MS = 10_000.0  # a longer pause between attempts counts as this
@@ -44,8 +44,8 @@
 class ConnectionUse(Enum):
     """What to do with a connection that an attempt may be written to."""
 
-    WHOLE = "whole"  # write all of the attempt
-    SPLIT = "split"  # write all but its last byte, and that after `hold_ms`
+    WRITE_ALL = "whole"  # write all of the attempt
+    HOLD_LAST_BYTE = "split"  # write all but its last byte, and that after `hold_back_ms`
     RETIRE = "retire"  # close the connection: it is too old
 
 
@@ -75,14 +75,14 @@
         `max_idle_ms` is the age at which an idle connection is retired in any case; `grace_ms` is how long
         connections to a leaving node are still opened.
         """
-        self.limits = IdleLimits(max_idle_ms)
+        self.idle_limits = IdleLimits(max_idle_ms)
         self._grace_ms = grace_ms
         self._nodes: dict[str, NodeState] = {}
         self._types: dict[str, NodeTypeStatistics] = {}
 
     # What is known of nodes ---------------------------------------------------------------------
 
-    def listed(self, node: str, node_type: str, cold_until_ms: float = -math.inf) -> None:
+    def record_listed(self, node: str, node_type: str, cold_until_ms: float = -math.inf) -> None:
         """Records that the endpoint list has the node, ready."""
         entry = self._nodes.get(node)
         if entry is None:
@@ -91,7 +91,7 @@
         entry.cold_until_ms = cold_until_ms
         entry.left_ms = None
 
-    def left(self, node: str, now: float) -> None:
+    def record_left(self, node: str, now: float) -> None:
         """Records that the node drains, or is off the endpoint list, from now on."""
         entry = self._nodes.get(node)
         if entry is not None and entry.left_ms is None:
@@ -100,7 +100,7 @@
     def forget(self, node: str) -> None:
         """Drops all that is known of a node."""
         self._nodes.pop(node, None)
-        self.limits.forget(node)
+        self.idle_limits.forget(node)
 
     def __len__(self) -> int:
         """Returns the number of known nodes."""
@@ -108,7 +108,7 @@
 
     # What happens -------------------------------------------------------------------------------
 
-    def started(self, node: str, in_use: int, now: float) -> None:
+    def record_attempt(self, node: str, in_use: int, now: float) -> None:
         """Records a new attempt; `in_use` connections carry one now, with it."""
         entry = self._nodes.get(node)
         if entry is None:
@@ -118,7 +118,7 @@
         entry.attempt_ms = now
         entry.concurrency.record(in_use, now)
 
-    def connected(self, node: str, took_ms: float, now: float) -> None:
+    def record_connected(self, node: str, took_ms: float, now: float) -> None:
         """Records a handshake that took so long."""
         entry = self._nodes.get(node)
         if entry is not None:
@@ -126,13 +126,13 @@
             weight = CONNECT_WEIGHT if entry.connect_ms else 1.0
             entry.connect_ms += weight * (took_ms - entry.connect_ms)
 
-    def connect_refused(self, node: str, opened: int, now: float) -> None:
+    def record_connect_refused(self, node: str, opened: int, now: float) -> None:
         """Records that the node refused a connection while `opened` others stood."""
         entry = self._nodes.get(node)
         if entry is not None:
             entry.cap.record_refusal(opened, now)
 
-    def timed_out(self, node: str, opened: int, asked_ms: float, now: float) -> None:
+    def record_connect_timeout(self, node: str, opened: int, asked_ms: float, now: float) -> None:
         """Records that a connection asked for at `asked_ms` never came up, while `opened` others stood.
 
         A node at its cap still answers on those that stand. One that is cut off or gone answers nothing, and
@@ -142,7 +142,7 @@
         if entry is not None and entry.answered_ms > asked_ms:
             entry.cap.record_refusal(opened, now)
 
-    def answered(self, node: str, age_ms: float | None, took_ms: float, now: float) -> None:
+    def record_answer(self, node: str, age_ms: float | None, took_ms: float, now: float) -> None:
         """Records an answer; the connection had stood idle for `age_ms`, None on a fresh one."""
         entry = self._nodes.get(node)
         if entry is None:
@@ -153,9 +153,9 @@
         entry.answer_ms += ANSWER_WEIGHT * (took_ms - entry.answer_ms)
         self._types[entry.node_type].record_answer()
         if age_ms is not None:
-            self.limits.learn(node, entry.node_type, age_ms, IdleEvidence.ANSWERED, now)
+            self.idle_limits.learn(node, entry.node_type, age_ms, IdleEvidence.ANSWERED, now)
 
-    def lost(self, node: str, loss: ConnectionLoss, now: float) -> None:
+    def record_loss(self, node: str, loss: ConnectionLoss, now: float) -> None:
         """Records that the node ended a connection with an attempt on it."""
         entry = self._nodes.get(node)
         if entry is None or loss.answer_begun or loss.since_write_ms > MAX_RESET_MS:
@@ -169,9 +169,9 @@
         statistics.record_stale()
         self._limits_changed_if(statistics.losses_are_silent != were_silent)
         evidence = IdleEvidence.UNEXPECTED_RESET if unexpected else IdleEvidence.RESET
-        self.limits.learn(node, entry.node_type, loss.idle_age_ms, evidence, now)
+        self.idle_limits.learn(node, entry.node_type, loss.idle_age_ms, evidence, now)
 
-    def silent(self, node: str, age_ms: float | None, after_ms: float, now: float) -> None:
+    def record_silence(self, node: str, age_ms: float | None, after_ms: float, now: float) -> None:
         """Records an attempt that was given up `after_ms` after its first byte, without a byte of an answer.
 
         A device in between may drop a connection's packets, so that no reset ever comes. An overload makes
@@ -186,66 +186,66 @@
         were_silent = statistics.losses_are_silent
         statistics.record_silent()
         self._limits_changed_if(not were_silent)
-        self.limits.learn(node, entry.node_type, age_ms, IdleEvidence.SILENT, now)
+        self.idle_limits.learn(node, entry.node_type, age_ms, IdleEvidence.SILENT, now)
 
     def _limits_changed_if(self, changed: bool) -> None:
         """Whether losses are silent decides which limit holds for each node of the type."""
         if changed:
-            self.limits.changed(None)
+            self.idle_limits.on_change(None)
 
     # What to do ---------------------------------------------------------------------------------
 
-    def use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
+    def choose_use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
         """Decides how to use a connection that has stood idle for `age_ms`, None for a fresh one.
 
         `costly` tells that the attempt may not run twice.
         """
         entry = self._nodes.get(node)
         if entry is None:
-            return ConnectionUse.WHOLE
+            return ConnectionUse.WRITE_ALL
         if age_ms is not None and age_ms >= self._limit_ms(entry, node):
             return ConnectionUse.RETIRE
         statistics = self._types[entry.node_type]
         if costly and statistics.suspect:
-            return ConnectionUse.SPLIT
+            return ConnectionUse.HOLD_LAST_BYTE
         if age_ms is None or age_ms < YOUNG_MS:
-            return ConnectionUse.WHOLE
-        if not costly and statistics.stale_are_rare and not self.limits.has_lost(node):
-            return ConnectionUse.WHOLE
+            return ConnectionUse.WRITE_ALL
+        if not costly and statistics.stale_are_rare and not self.idle_limits.has_lost(node):
+            return ConnectionUse.WRITE_ALL
         times = COSTLY_PROOF_TIMES if costly else 1.0
-        proven = self.limits.proven(node, entry.node_type, age_ms, times)
-        return ConnectionUse.WHOLE if proven else ConnectionUse.SPLIT
+        proven = self.idle_limits.proven(node, entry.node_type, age_ms, times)
+        return ConnectionUse.WRITE_ALL if proven else ConnectionUse.HOLD_LAST_BYTE
 
-    def hold_ms(self, node: str) -> float:
+    def hold_back_ms(self, node: str) -> float:
         """Returns how long to wait for a reset before the last byte."""
         entry = self._nodes.get(node)
         if entry is None:
-            return MIN_HOLD_MS
+            return MIN_HOLD_BACK_MS
         wait_ms = HOLD_TIMES * max(self._types[entry.node_type].reset_ms, entry.connect_ms)
-        return min(max(MIN_HOLD_MS, wait_ms), MAX_HOLD_MS)
+        return min(max(MIN_HOLD_BACK_MS, wait_ms), MAX_HOLD_BACK_MS)
 
-    def reach_ms(self, node: str) -> float:
+    def close_delay_bound_ms(self, node: str) -> float:
         """Returns how long a close that is sent now takes to reach the node: at most a whole round trip
         there.
 
         An attempt in flight has a connection, so that its handshake at least has been measured.
         """
         entry = self._nodes.get(node)
-        return MAX_REACH_MS if entry is None else entry.round_trip.upper_bound_ms(MAX_REACH_MS)
+        return MAX_CLOSE_DELAY_MS if entry is None else entry.round_trip.upper_bound_ms(MAX_CLOSE_DELAY_MS)
 
     def idle_limit_ms(self, node: str) -> float:
         """Returns the age at which an idle connection to the node is retired."""
         entry = self._nodes.get(node)
-        return self.limits.max_ms if entry is None else self._limit_ms(entry, node)
+        return self.idle_limits.max_ms if entry is None else self._limit_ms(entry, node)
 
     def _limit_ms(self, entry: NodeState, node: str) -> float:
         """Where dead connections are silent, what the type has shown holds for each node; else its own."""
-        own_ms = self.limits.limit_ms(node, entry.node_type)
+        own_ms = self.idle_limits.limit_ms(node, entry.node_type)
         if self._types[entry.node_type].silent_share <= SILENT_SHARE:
             return own_ms
-        return min(own_ms, self.limits.type_limit_ms(entry.node_type))
+        return min(own_ms, self.idle_limits.type_limit_ms(entry.node_type))
 
-    def unresponsive(self, node: str, written_ms: float, now: float) -> bool:
+    def is_unresponsive(self, node: str, written_ms: float, now: float) -> bool:
         """Tells whether an attempt in flight, written then, is overdue, and no other was answered since."""
         entry = self._nodes.get(node)
         if entry is None:
@@ -257,14 +257,14 @@
         entry = self._nodes.get(node)
         if entry is None:
             return True
-        return not self.late(node, now) and entry.cap.allows(opened, now)
+        return not self.is_past_grace(node, now) and entry.cap.allows(opened, now)
 
-    def needs_idle_closed(self, node: str) -> bool:
+    def should_close_idle(self, node: str) -> bool:
         """Tells whether idle connections to the node should make room: it refuses some, or leaves."""
         entry = self._nodes.get(node)
         return entry is None or entry.left_ms is not None or entry.cap.limited
 
-    def late(self, node: str, now: float) -> bool:
+    def is_past_grace(self, node: str, now: float) -> bool:
         """Tells whether nothing new may be sent to the node any more."""
         entry = self._nodes.get(node)
         if entry is None or entry.left_ms is None:
@@ -273,7 +273,7 @@
 
     # Opening ahead ------------------------------------------------------------------------------
 
-    def ahead(self, node: str, opened: int, now: float) -> int:
+    def open_ahead_count(self, node: str, opened: int, now: float) -> int:
         """Returns how many connections to open now, before an attempt needs them."""
         entry = self._nodes.get(node)
         if entry is None or not self._may_open_ahead(entry) or now < entry.cold_until_ms:
@@ -282,19 +282,19 @@
         wanted = entry.concurrency.wanted(now)
         if wanted * entry.gap_ms > MAX_AHEAD_IDLE_SHARE * self._limit_ms(entry, node):
             return 0
-        return min(MAX_AHEAD, max(0, wanted - opened))
+        return min(MAX_OPENED_AHEAD, max(0, wanted - opened))
 
     def _may_open_ahead(self, entry: NodeState) -> bool:
         is_worth_it = entry.connect_ms >= COSTLY_CONNECT_MS
         return is_worth_it and entry.left_ms is None and entry.cap.most == math.inf
 
     def may_open_ahead(self, node: str) -> bool:
-        """Tells whether each attempt to the node may change what `ahead` returns."""
+        """Tells whether each attempt to the node may change what `open_ahead_count` returns."""
         entry = self._nodes.get(node)
         return entry is not None and self._may_open_ahead(entry)
 
-    def ahead_again_ms(self, node: str) -> float:
-        """Returns until when `ahead` stays 0 where it was 0 just now, if nothing happens at the node."""
+    def next_open_ahead_ms(self, node: str) -> float:
+        """Returns until when `open_ahead_count` stays 0 after it was 0, if nothing happens at the node."""
         entry = self._nodes.get(node)
         if entry is None or not self._may_open_ahead(entry):
             return math.inf
--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -39,7 +39,7 @@
                 self._metrics.add(ConnectionEvent.CLOSED_BY_PROXY, choice.reason.value)
             else:
                 self._metrics.add(ConnectionEvent.CLOSE_SKIPPED)
-                self._policy.close_failed(choice.client, self._timer_wheel.now())
+                self._policy.record_close_failed(choice.client, self._timer_wheel.now())
 
     def _close(self, choice: CloseClient[ClientConnection]) -> bool:
         """Close one connection; return False where something is unread."""
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -131,7 +131,7 @@
         self._budget.acquire(DescriptorSide.CLIENTS)
         self.connections[connection] = None
         self._metrics.add(ConnectionEvent.ACCEPTED)
-        self.policy.opened(connection, self.timer_wheel.now(), host)
+        self.policy.record_opened(connection, self.timer_wheel.now(), host)
         self._keep_room()
         return connection
 
@@ -176,17 +176,17 @@
 
     def request_started(self, connection: ClientConnection) -> None:
         """Record that the connection has an open request."""
-        self.policy.request_started(connection, self.timer_wheel.now())
+        self.policy.record_request_started(connection, self.timer_wheel.now())
 
     def no_open_request(self, connection: ClientConnection) -> None:
         """Record that the connection has no open request, and perhaps a partial command."""
-        self.policy.no_open_request(
+        self.policy.record_no_open_request(
             connection, self.timer_wheel.now(), connection.has_partial_command, connection.command_begun_ms
         )
 
     def partial_command_grew(self, connection: ClientConnection) -> None:
         """Record that more bytes of a partial command have come."""
-        self.policy.partial_command_grew(connection, self.timer_wheel.now())
+        self.policy.record_partial_command_bytes(connection, self.timer_wheel.now())
 
     def blocked_by_client(self, connection: ClientConnection) -> None:
         """Record that a response is known, and that the connection takes no more."""
@@ -199,7 +199,7 @@
     def closing(self, connection: ClientConnection) -> None:
         """Record that our side is closed: the descriptor must become free though the client never closes."""
         connection.write_closed_ms = self.timer_wheel.now()
-        self.policy.closing(connection, connection.write_closed_ms)
+        self.policy.record_closing(connection, connection.write_closed_ms)
 
     def closed(self, connection: ClientConnection) -> None:
         """Record that the connection is closed on both sides."""
@@ -210,7 +210,7 @@
         self.reading_paused.pop(connection, None)
         self._unread_responses.progressed(connection)
         self._budget.release(DescriptorSide.CLIENTS)
-        self.policy.closed(connection)
+        self.policy.record_closed(connection)
         self._resume_accepting()
 
     def _note_close(self, connection: ClientConnection) -> None:
@@ -275,7 +275,7 @@
             self.timer_wheel.at(now, self._check_policy)
             return
         self.timer_wheel.at(now + POLICY_CHECK_INTERVAL_MS, self._check_policy)
-        expired = self.policy.expired(now)
+        expired = self.policy.choose_expired(now)
         self._closer.close(expired, len(expired))
         for connection in self._unread_responses.to_check(now):
             if self._unread_responses.has_expired(connection, unsent(connection.fileno()), now):
@@ -287,12 +287,12 @@
     def _keep_room(self) -> None:
         """Keep some descriptors free for the next clients that connect."""
         now = self.timer_wheel.now()
-        if choices := self.policy.to_admit_requests(now):
+        if choices := self.policy.choose_to_admit_requests(now):
             self._closer.close(choices, len(choices))
         room = self._budget.available(DescriptorSide.CLIENTS)
-        wanted = self.policy.reserve(now) - room
+        wanted = self.policy.reserve_count(now) - room
         if wanted > 0:
-            self._closer.close(self.policy.to_make_room(now, wanted, room), wanted)
+            self._closer.close(self.policy.choose_to_make_room(now, wanted, room), wanted)
         if not self._budget.available(DescriptorSide.CLIENTS) and self._budget.other_can_release(
             DescriptorSide.CLIENTS
         ):
@@ -304,7 +304,7 @@
     def release_descriptor(self) -> None:
         """Close a connection for the nodes' side, if clients hold descriptors beyond their floor."""
         if self._budget.other_can_release(DescriptorSide.NODES):
-            self._closer.close(self.policy.to_make_room(self.timer_wheel.now(), 1, 0), 1)
+            self._closer.close(self.policy.choose_to_make_room(self.timer_wheel.now(), 1, 0), 1)
 
     def describe_held(self) -> str:
         """Return one line on the connections that are open now."""
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -145,19 +145,19 @@
         """`idle_ms` is the idle time after which a connection is retired."""
         super().__init__(idle_ms, GRACE_MS)
 
-    def use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
+    def choose_use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
         """Retires a connection that was idle for too long, and writes attempts at once otherwise."""
         return (
             ConnectionUse.RETIRE
-            if age_ms is not None and age_ms >= self.limits.max_ms
-            else ConnectionUse.WHOLE
+            if age_ms is not None and age_ms >= self.idle_limits.max_ms
+            else ConnectionUse.WRITE_ALL
         )
 
     def idle_limit_ms(self, node: str) -> float:
         """Returns the one idle time."""
-        return self.limits.max_ms
+        return self.idle_limits.max_ms
 
-    def ahead(self, node: str, opened: int, now: float) -> int:
+    def open_ahead_count(self, node: str, opened: int, now: float) -> int:
         """Returns 0: no connection is opened ahead."""
         return 0
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -9,10 +9,10 @@
 from cloverwell.connections.connection_loss import ConnectionLoss
 from cloverwell.connections.metrics import MAX_NAMES, OTHERS, ConnectionEvent, ConnectionMetrics
 from cloverwell.connections.node_policy import (
-    MAX_AHEAD,
-    MAX_HOLD_MS,
-    MAX_REACH_MS,
-    MIN_HOLD_MS,
+    MAX_CLOSE_DELAY_MS,
+    MAX_HOLD_BACK_MS,
+    MAX_OPENED_AHEAD,
+    MIN_HOLD_BACK_MS,
     ConnectionUse,
     NodeConnectionPolicy,
 )
@@ -43,14 +43,16 @@
 
     @rule(node=st.sampled_from("abcdef"), cold=st.booleans())
     def is_named(self, node, cold):
-        self.back.listed(node, "origin" if node == "a" else "cache", self.now + 500.0 if cold else -1.0)
+        self.back.record_listed(
+            node, "origin" if node == "a" else "cache", self.now + 500.0 if cold else -1.0
+        )
         self.named[node] = None
 
     @precondition(lambda self: self.named)
     @rule(data=st.data())
     def leaves(self, data):
         node = data.draw(st.sampled_from(sorted(self.named)))
-        self.back.left(node, self.now)
+        self.back.record_left(node, self.now)
         self.named[node] = self.now if self.named[node] is None else self.named[node]
 
     @precondition(lambda self: self.named)
@@ -69,47 +71,47 @@
     def happens(self, node, age, how, took):
         match how:
             case "answered":
-                self.back.answered(node, age, took, self.now)
+                self.back.record_answer(node, age, took, self.now)
             case "lost":
-                self.back.lost(node, reset(age, took), self.now)
+                self.back.record_loss(node, reset(age, took), self.now)
             case "silent":
-                self.back.silent(node, age, took, self.now)
+                self.back.record_silence(node, age, took, self.now)
             case "refused":
-                self.back.connect_refused(node, 3, self.now)
+                self.back.record_connect_refused(node, 3, self.now)
             case "timed out":
-                self.back.timed_out(node, 3, self.now - took, self.now)
+                self.back.record_connect_timeout(node, 3, self.now - took, self.now)
             case "connected":
-                self.back.connected(node, took, self.now)
+                self.back.record_connected(node, took, self.now)
             case "started":
-                self.back.started(node, 1 + int(took) % 9, self.now)
+                self.back.record_attempt(node, 1 + int(took) % 9, self.now)
 
     @rule(ms=st.sampled_from([1.0, 60.0, 960.0, 40_000.0]))
     def time_passes(self, ms):
         self.now += ms
-        self.back.limits.tick(self.now)
+        self.back.idle_limits.forget_old(self.now)
 
     @rule(
         node=st.sampled_from("abcdef"), age=st.one_of(st.none(), st.floats(0.0, 4000.0)), costly=st.booleans()
     )
     def is_asked(self, node, age, costly):
-        use, limit = self.back.use(node, age, costly), self.back.idle_limit_ms(node)
+        use, limit = self.back.choose_use(node, age, costly), self.back.idle_limit_ms(node)
         assert limit <= 2500.0
         if node in self.named:
             assert (use is ConnectionUse.RETIRE) == (age is not None and age >= limit)
-        assert MIN_HOLD_MS <= self.back.hold_ms(node) <= MAX_HOLD_MS
+        assert MIN_HOLD_BACK_MS <= self.back.hold_back_ms(node) <= MAX_HOLD_BACK_MS
         left = self.named.get(node)
         late = left is not None and self.now - left >= GRACE_MS
-        assert self.back.late(node, self.now) == late
+        assert self.back.is_past_grace(node, self.now) == late
         assert not (late and self.back.may_open(node, 0, self.now))
-        ahead = self.back.ahead(node, 0, self.now)
-        assert 0 <= ahead <= MAX_AHEAD
+        ahead = self.back.open_ahead_count(node, 0, self.now)
+        assert 0 <= ahead <= MAX_OPENED_AHEAD
         assert not (ahead and left is not None)
 
     @invariant()
     def keeps_only_what_is_named(self):
         if hasattr(self, "back"):
             assert len(self.back) == len(self.named)
-            assert set(self.back.limits._nodes) <= set(self.named)
+            assert set(self.back.idle_limits._nodes) <= set(self.named)
 
 
 CacheNodes.TestCase.settings = settings(
@@ -170,17 +172,19 @@
 def test_a_close_reaches_its_node_within_a_round_trip_of_late():
     back = NodeConnectionPolicy(2500.0, GRACE_MS)
     for node in ("near", "far"):
-        back.listed(node, "cache")
-    assert back.reach_ms("far") == back.reach_ms("nobody") == MAX_REACH_MS
-    back.connected("near", 0.4, 0.0)
-    back.connected("far", 31.0, 0.0)  # no answer yet: the handshake tells, and no other node's figure does
-    back.answered("far", None, 30.0, 5.0)
-    back.answered("far", None, 400.0, 9.0)  # work, not the way
-    assert (back.reach_ms("near"), back.reach_ms("far")) == (0.4, 30.0)
-    back.answered("far", None, 52.0, 10_100.0)  # the way is longer now
-    assert back.reach_ms("far") == 52.0
-    back.answered("far", None, 500.0, 20_200.0)
-    assert back.reach_ms("far") == MAX_REACH_MS
+        back.record_listed(node, "cache")
+    assert back.close_delay_bound_ms("far") == back.close_delay_bound_ms("nobody") == MAX_CLOSE_DELAY_MS
+    back.record_connected("near", 0.4, 0.0)
+    back.record_connected(
+        "far", 31.0, 0.0
+    )  # no answer yet: the handshake tells, and no other node's figure does
+    back.record_answer("far", None, 30.0, 5.0)
+    back.record_answer("far", None, 400.0, 9.0)  # work, not the way
+    assert (back.close_delay_bound_ms("near"), back.close_delay_bound_ms("far")) == (0.4, 30.0)
+    back.record_answer("far", None, 52.0, 10_100.0)  # the way is longer now
+    assert back.close_delay_bound_ms("far") == 52.0
+    back.record_answer("far", None, 500.0, 20_200.0)
+    assert back.close_delay_bound_ms("far") == MAX_CLOSE_DELAY_MS
 
 
 @pytest.mark.parametrize("latency_ms", [1, 40, 120])
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -54,27 +54,27 @@
 
 def test_a_node_is_unresponsive_only_while_an_attempt_is_overdue_and_nothing_came_since():
     back = NodeConnectionPolicy(2500.0, GRACE_MS)
-    back.listed("a", "origin")
+    back.record_listed("a", "origin")
     for at in range(0, 1000, 10):
-        back.answered("a", None, 100.0, float(at))
-    assert not back.unresponsive("a", 1000.0, 1390.0)  # four answers take 400 ms
-    assert back.unresponsive("a", 1000.0, 1410.0)
-    back.answered("a", None, 100.0, 1405.0)
-    assert not back.unresponsive("a", 1000.0, 1410.0)
-    assert not back.unresponsive("unknown", 1000.0, 9000.0)
+        back.record_answer("a", None, 100.0, float(at))
+    assert not back.is_unresponsive("a", 1000.0, 1390.0)  # four answers take 400 ms
+    assert back.is_unresponsive("a", 1000.0, 1410.0)
+    back.record_answer("a", None, 100.0, 1405.0)
+    assert not back.is_unresponsive("a", 1000.0, 1410.0)
+    assert not back.is_unresponsive("unknown", 1000.0, 9000.0)
 
 
 def test_a_node_that_answers_others_and_lets_no_more_connections_come_up_is_full():
     back = NodeConnectionPolicy(2500.0, GRACE_MS)
-    back.listed("a", "cache")
-    back.answered("a", None, 5.0, 100.0)
+    back.record_listed("a", "cache")
+    back.record_answer("a", None, 5.0, 100.0)
     for _ in range(4):
-        back.timed_out("a", 3, 50.0, 300.0)
+        back.record_connect_timeout("a", 3, 50.0, 300.0)
     assert not back.may_open("a", 3, 301.0)
     assert back.may_open("a", 2, 301.0)
-    back.listed("b", "cache")
-    back.answered("b", None, 5.0, 40.0)  # before the first was asked for
+    back.record_listed("b", "cache")
+    back.record_answer("b", None, 5.0, 40.0)  # before the first was asked for
     for _ in range(4):
-        back.timed_out("b", 3, 50.0, 300.0)
+        back.record_connect_timeout("b", 3, 50.0, 300.0)
     assert back.may_open("b", 3, 301.0)
-    assert not back.needs_idle_closed("b")
+    assert not back.should_close_idle("b")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -44,7 +44,7 @@
     @rule(source=st.sampled_from("abc"))
     def opens(self, source):
         self.count += 1
-        self.policy.opened(self.count, self.now, source)
+        self.policy.record_opened(self.count, self.now, source)
         self.put(self.count, ClientStage.NEW)
 
     @precondition(
@@ -55,21 +55,21 @@
     @rule(data=st.data())
     def asks(self, data):
         client = self.pick(data, ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE)
-        self.policy.request_started(client, self.now)
+        self.policy.record_request_started(client, self.now)
         self.put(client, ClientStage.ACTIVE)
 
     @precondition(lambda self: ClientStage.ACTIVE in self.model.values())
     @rule(data=st.data(), partial=st.booleans())
     def is_answered(self, data, partial):
         client = self.pick(data, ClientStage.ACTIVE)
-        self.policy.no_open_request(client, self.now, partial)
+        self.policy.record_no_open_request(client, self.now, partial)
         self.put(client, ClientStage.PARTIAL_COMMAND if partial else ClientStage.IDLE)
 
     @precondition(lambda self: self.model)
     @rule(data=st.data())
     def goes(self, data):
         client = self.pick(data, *ClientStage)
-        self.policy.closed(client)
+        self.policy.record_closed(client)
         del self.model[client]
 
     @rule(ms=st.sampled_from([1.0, 30.0, 150.0, 700.0, 2500.0, 11_000.0]))
@@ -82,18 +82,18 @@
             assert stage is not ClientStage.ACTIVE, "named with a request in it"
             assert (close.reason is CloseReason.CLOSE_TIMEOUT) == (stage is ClientStage.CLOSING)
             if close.reason is CloseReason.CLOSE_TIMEOUT:
-                self.policy.closed(close.client)
+                self.policy.record_closed(close.client)
                 del self.model[close.client]
             elif data.draw(st.booleans()):
-                self.policy.closing(close.client, self.now)
+                self.policy.record_closing(close.client, self.now)
                 self.put(close.client, ClientStage.CLOSING)
             else:
-                self.policy.close_failed(close.client, self.now)  # a request stands unread
+                self.policy.record_close_failed(close.client, self.now)  # a request stands unread
         assert len({close.client for close in closes}) == len(closes)
 
     @rule(data=st.data())
     def sweep(self, data):
-        closes = self.policy.expired(self.now)
+        closes = self.policy.choose_expired(self.now)
         for close in closes:
             limit = {
                 ClientStage.NEW: FIRST_REQUEST_TIMEOUT_MS,
@@ -106,7 +106,7 @@
 
     @rule(data=st.data(), wanted=st.integers(1, 10), room=st.integers(-1, 3))
     def make_room(self, data, wanted, room):
-        closes = self.policy.to_make_room(self.now, wanted, room)
+        closes = self.policy.choose_to_make_room(self.now, wanted, room)
         assert len(closes) <= 2 * wanted
         for close in closes:
             least = {ClientStage.NEW: MIN_FIRST_REQUEST_GRACE_MS, ClientStage.IDLE: RESPONSE_DELIVERY_MS}.get(
@@ -117,7 +117,7 @@
 
     @rule(data=st.data())
     def let_ask(self, data):
-        closes = self.policy.to_admit_requests(self.now)
+        closes = self.policy.choose_to_admit_requests(self.now)
         assert all(self.model[close.client] is ClientStage.IDLE and not close.abort for close in closes)
         self.carry_out(closes, data)
 
@@ -133,7 +133,7 @@
         lines = [states.new, states.partial, states.closing, *states.idle]
         assert sum(map(len, lines)) + policy.active_count == len(self.model)
         assert sum(states.new_by_source.values()) == list(self.model.values()).count(ClientStage.NEW)
-        assert 1 <= policy.reserve(self.now) <= max(4, policy.max_clients)
+        assert 1 <= policy.reserve_count(self.now) <= max(4, policy.max_clients)
 
 
 ConnectionPolicyMachine.TestCase.settings = settings(
@@ -145,40 +145,40 @@
 def test_the_source_that_holds_most_without_asking_gives_first():
     policy = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(3):
-        policy.opened(f"a{number}", float(number), "a")
+        policy.record_opened(f"a{number}", float(number), "a")
     for number in range(9):
-        policy.opened(f"b{number}", 10.0 + number, "b")
-    named = [close.client[0] for close in policy.to_make_room(900.0, 4, 1)]
+        policy.record_opened(f"b{number}", 10.0 + number, "b")
+    named = [close.client[0] for close in policy.choose_to_make_room(900.0, 4, 1)]
     assert named == ["b"] * 8
 
 
 def test_who_asks_once_and_stays_goes_before_who_asks_often():
     policy = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(200):  # those that ask once never come back here; the others always do
-        policy.opened(number, float(number), "")
-        policy.request_started(number, float(number))
-        policy.no_open_request(number, float(number), False)
-        policy.closing(number, float(number))
-        policy.closed(number)
-    policy.opened("often", 300.0, "")
+        policy.record_opened(number, float(number), "")
+        policy.record_request_started(number, float(number))
+        policy.record_no_open_request(number, float(number), False)
+        policy.record_closing(number, float(number))
+        policy.record_closed(number)
+    policy.record_opened("often", 300.0, "")
     for _ in range(50):
-        policy.request_started("often", 300.0)
-        policy.no_open_request("often", 300.0, False)
-    policy.opened("once", 390.0, "")
-    policy.request_started("once", 390.0)
-    policy.no_open_request("once", 390.0, False)
-    assert next(close.client for close in policy.to_make_room(500.0, 1, 1)) == "once"
+        policy.record_request_started("often", 300.0)
+        policy.record_no_open_request("often", 300.0, False)
+    policy.record_opened("once", 390.0, "")
+    policy.record_request_started("once", 390.0)
+    policy.record_no_open_request("once", 390.0, False)
+    assert next(close.client for close in policy.choose_to_make_room(500.0, 1, 1)) == "once"
 
 
 def test_a_client_has_about_as_long_to_its_first_request_as_clients_need():
     policy = ClientConnectionPolicy(400, 100, 0.0)
     for number in range(300):
-        policy.opened(number, 1000.0 * number, "")
-        policy.request_started(number, 1000.0 * number + 5.0)
+        policy.record_opened(number, 1000.0 * number, "")
+        policy.record_request_started(number, 1000.0 * number + 5.0)
     assert policy.first_request_grace_ms() == MIN_FIRST_REQUEST_GRACE_MS
     for number in range(300, 900):
-        policy.opened(number, 1000.0 * number, "")
-        policy.request_started(number, 1000.0 * number + 80.0)
+        policy.record_opened(number, 1000.0 * number, "")
+        policy.record_request_started(number, 1000.0 * number + 80.0)
     assert 80.0 < policy.first_request_grace_ms() <= MAX_FIRST_REQUEST_GRACE_MS
 
 
@@ -252,14 +252,14 @@
     # stood beside them.
     policy = ClientConnectionPolicy(100, 30, 0.0)
     for client in ("slow", "silent"):
-        policy.opened(client, 0.0)
-        policy.no_open_request(client, 0.0, True)
+        policy.record_opened(client, 0.0)
+        policy.record_no_open_request(client, 0.0, True)
     for now in range(100, 1500, 100):
-        policy.partial_command_grew("slow", float(now))
-    assert [close.client for close in policy.to_make_room(1500.0, 5, 1)] == ["silent"]
-    assert policy.to_admit_requests(1500.0) == []
+        policy.record_partial_command_bytes("slow", float(now))
+    assert [close.client for close in policy.choose_to_make_room(1500.0, 5, 1)] == ["silent"]
+    assert policy.choose_to_admit_requests(1500.0) == []
     for number in range(28):
-        policy.opened(number, 1500.0)
-        policy.request_started(number, 1500.0)
-    assert [close.client for close in policy.to_admit_requests(1500.0)] == ["slow"]
-    assert [close.client for close in policy.expired(2400.0)] == ["slow", "silent"]
+        policy.record_opened(number, 1500.0)
+        policy.record_request_started(number, 1500.0)
+    assert [close.client for close in policy.choose_to_admit_requests(1500.0)] == ["slow"]
+    assert [close.client for close in policy.choose_expired(2400.0)] == ["slow", "silent"]
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -86,7 +86,7 @@
 
     patch.setattr(Balancer, "handle", handle)
     patch.setattr(NodePools, "leave", lambda self, node: None)
-    patch.setattr(NodeConnectionPolicy, "late", lambda self, node, now: False)
+    patch.setattr(NodeConnectionPolicy, "is_past_grace", lambda self, node, now: False)
 
 
 def never_lets_clients_go(patch):
@@ -117,7 +117,7 @@
 
 
 def sends_on_while_its_close_is_on_the_way(patch):
-    patch.setattr(NodeConnectionPolicy, "reach_ms", lambda self, node: 0.0)
+    patch.setattr(NodeConnectionPolicy, "close_delay_bound_ms", lambda self, node: 0.0)
 
 
 def test_the_judge_catches_an_attempt_that_leaves_before_the_close_arrives(monkeypatch):
@@ -146,7 +146,7 @@
 def test_no_attempt_leaves_while_one_is_out_at_a_node_that_has_not_answered_yet(monkeypatch):
     # Its handshake had told how far it is; the answers of nodes nearby were taken for its distance.
     assert not broken(zones(2, 1.0, per_s=300.0))
-    monkeypatch.setattr(NodeConnectionPolicy, "reach_ms", lambda self, node: 5.0)
+    monkeypatch.setattr(NodeConnectionPolicy, "close_delay_bound_ms", lambda self, node: 5.0)
     assert "once" in broken(zones(2, 1.0, per_s=300.0))
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -224,9 +224,9 @@
 
     monkeypatch.setattr(lab.proxy_testbed, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
     back, now = lab.proxy_testbed.ProxyTestbed().service.back, 1000.0
-    back.left("s0", now)
-    assert not back.late("s0", now + grace_ms - 210.0)
-    assert back.late("s0", now + grace_ms - 200.0)
+    back.record_left("s0", now)
+    assert not back.is_past_grace("s0", now + grace_ms - 210.0)
+    assert back.is_past_grace("s0", now + grace_ms - 200.0)
 
 
 def test_a_marked_node_gets_a_trial_where_probes_are_allowed_but_none_is_carried_out():
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -129,7 +129,7 @@
     # A connection is closed with the loop's next turn. The proxy is stopped before that, for longer than the
     # close may take on its way: the next attempt would meet the first at the node.
     player = Player(settings=SITE | {"limits": SITE["limits"] | {"second-copies": False}})
-    player.service.back.reach_ms = lambda node: 40.0
+    player.service.back.close_delay_bound_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -250,7 +250,7 @@
 def test_a_connection_that_ends_under_a_whole_request_may_have_run_it(rig, end, after_ms, cls, again):
     proxy = rig()
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
-    proxy.service.back.ahead = lambda node, opened, now: 0
+    proxy.service.back.open_ahead_count = lambda node, opened, now: 0
     conn = proxy.client(write(1, cls=cls))
     node = proxy.origin.take()
     proxy.got(node, b"PUT /k1 ")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -34,7 +34,7 @@
     usual 250 ms would have a node marked as missed."""
     made = Rig(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"connect-timeout": 9000.0}})
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
-    made.service.back.ahead = lambda node, opened, now: 0
+    made.service.back.open_ahead_count = lambda node, opened, now: 0
     yield made
     made.close()
 
@@ -272,14 +272,14 @@
 
 @pytest.mark.parametrize("number", BROKEN)
 def test_a_connection_that_breaks_before_the_last_byte_has_not_run_the_request(proxy, outgoing, number):
-    proxy.service.back.use = lambda node, age_ms, unsafe: ConnectionUse.SPLIT
-    proxy.service.back.hold_ms = lambda node: 1500.0
+    proxy.service.back.choose_use = lambda node, age_ms, unsafe: ConnectionUse.HOLD_LAST_BYTE
+    proxy.service.back.hold_back_ms = lambda node: 1500.0
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, value=b"ab"))
     origin = proxy.origin.take()
     assert proxy.got(origin, b"\r\n\r\na").endswith(b"\r\n\r\na")
-    proxy.service.back.hold_ms = lambda node: 5.0
+    proxy.service.back.hold_back_ms = lambda node: 5.0
     origin.sendall(b"x")
     second = whole(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
     assert second is not origin
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -103,7 +103,7 @@
 def test_a_second_attempt_that_waits_for_the_close_of_the_first(stays):
     # Where a request may not have two attempts out together, the next waits until the close has arrived.
     player = Player(settings=settings_with("limits", **{"second-copies": False}))
-    player.service.back.reach_ms = lambda node: 40.0
+    player.service.back.close_delay_bound_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
