--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -12,7 +12,7 @@
 from cloverwell.back.node_connection import NodeConnection
 from cloverwell.back.pool_context import PoolContext
 from cloverwell.connections.budget import DescriptorSide
-from cloverwell.connections.connect_retry import RETRY_MS, ConnectRetry
+from cloverwell.connections.connect_retry import CONNECT_RETRY_MS, ConnectRetry
 from cloverwell.connections.metrics import ConnectionEvent
 from cloverwell.system_calls import LocalFault, connect_fault
 
@@ -61,7 +61,7 @@
     def open(self) -> None:
         """Begins a connection to the node's address as it is now."""
         self.count += 1
-        self._context.budget.take(DescriptorSide.NODES)
+        self._context.budget.acquire(DescriptorSide.NODES)
         assert self._pool.address is not None  # no attempt waits at a node without one
         host, port = self._pool.address
         opener = ConnectionOpener(self, (host, port), self._wheel.now())
@@ -92,9 +92,9 @@
         node, standing = self._pool.node, len(self._pool.connections)
         self._context.metrics.add(ConnectionEvent.CONNECT_REFUSED, node)
         if refused:
-            self._policy.connect_refused(node, standing, self._wheel.now())
+            self._policy.record_connect_refused(node, standing, self._wheel.now())
         else:
-            self._policy.timed_out(node, standing, asked_ms, self._wheel.now())
+            self._policy.record_connect_timeout(node, standing, asked_ms, self._wheel.now())
         self._pool.open_failed()
         if others_waited:
             self._pool.open_for_waiting()
@@ -102,10 +102,10 @@
     def not_started(self, fault: LocalFault) -> None:
         """Tries again soon, since this machine could not begin a connection."""
         self._ended()
-        self._context.metrics.add(ConnectionEvent.NOT_OPENED, self._pool.node)
+        self._context.metrics.add(ConnectionEvent.CONNECT_NOT_BEGUN, self._pool.node)
         now = self._wheel.now()
         if self._retry.record_fault(fault):
-            self._wheel.not_before(now + RETRY_MS, self._try_again)
+            self._wheel.not_before(now + CONNECT_RETRY_MS, self._try_again)
         self._pool.open_not_started(now)
 
     def _try_again(self) -> None:
@@ -115,7 +115,7 @@
     def _ended(self) -> None:
         self.count -= 1
         self._context.wake(self._pool)
-        self._context.budget.give_back(DescriptorSide.NODES)
+        self._context.budget.release(DescriptorSide.NODES)
 
 
 class ConnectionOpener(ClientFactory):
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -56,7 +56,7 @@
         self.request_descriptor: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
-        self.back.limits.changed = self._limits_changed
+        self.back.idle_limits.on_change = self._limits_changed
         self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, the longest idle first
         self.partial_answers: dict[NodeConnection, int] = {}  # the checks since more of the answer came
         self._sweep()
@@ -78,7 +78,7 @@
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
-        self.back.limits.tick(now)
+        self.back.idle_limits.forget_old(now)
         self.timer_wheel.at(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
@@ -87,7 +87,7 @@
             self._remove(pool)
             return
         wanted = not pool.left and pool.open_ahead(now)
-        self._schedule.at(pool, now if wanted else pool.due_ms(now))
+        self._schedule.visit_at(pool, now if wanted else pool.due_ms(now))
 
     def _remove(self, pool: Pool) -> None:
         del self._pools[pool.node]
@@ -132,7 +132,7 @@
             pool = self._add(node, origin)
         pool.left = False
         self.wake(pool)
-        self.back.listed(node, pool.kind, cold_until_ms)
+        self.back.record_listed(node, pool.kind, cold_until_ms)
         if pool.address != (host, port):
             pool.close_idle()
             for connection in pool.connections:
@@ -145,7 +145,7 @@
         That the connections may be stale is no reason here: their ages are known better, and are checked
         before each use.
         """
-        if (pool := self._pools.get(node)) is not None and self.back.needs_idle_closed(node):
+        if (pool := self._pools.get(node)) is not None and self.back.should_close_idle(node):
             pool.close_idle()
 
     def leave(self, node: str) -> None:
@@ -153,7 +153,7 @@
         if (pool := self._pools.get(node)) is not None:
             pool.left = True
             self.wake(pool)
-            self.back.left(node, self.timer_wheel.now())
+            self.back.record_left(node, self.timer_wheel.now())
             pool.close_idle()
 
     def may_open(self, pool: Pool) -> bool:
@@ -163,9 +163,9 @@
         """
         if not self.back.may_open(pool.node, pool.held, self.timer_wheel.now()):
             return False
-        if not self.budget.room(DescriptorSide.NODES) and not self.release_descriptor():
+        if not self.budget.available(DescriptorSide.NODES) and not self.release_descriptor():
             self.request_descriptor()
-        return self.budget.room(DescriptorSide.NODES) > 0
+        return self.budget.available(DescriptorSide.NODES) > 0
 
     def release_descriptor(self) -> bool:
         """Closes the connection that has been idle longest. Returns False if there is none."""
@@ -177,9 +177,9 @@
 
     def shrink(self) -> None:
         """Closes idle connections until the rest fits into a budget that has become smaller."""
-        while self.budget.over and self.release_descriptor():
+        while self.budget.excess and self.release_descriptor():
             pass
 
     def may_open_spare(self) -> bool:
         """Tells whether a connection may be opened that no attempt waits for, with descriptors to spare."""
-        return self.budget.room(DescriptorSide.NODES) > SPARE_SHARE * self.budget.total
+        return self.budget.available(DescriptorSide.NODES) > SPARE_SHARE * self.budget.total
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -96,7 +96,7 @@
         self._detector = DisconnectDetector(self.connections, timer_wheel)
         self.reading_paused = self._detector.reading_paused
         self.policy: ClientConnectionPolicy[ClientConnection] = ClientConnectionPolicy(
-            budget.most(DescriptorSide.CLIENTS), max_requesting, timer_wheel.now()
+            budget.max_held(DescriptorSide.CLIENTS), max_requesting, timer_wheel.now()
         )
         self._closer = ClientCloser(self.policy, metrics, timer_wheel)
         self._log = log
@@ -115,34 +115,34 @@
 
     def may_accept(self) -> int:
         """Return how many connections may be accepted in this iteration of the event loop."""
-        return min(MAX_ACCEPTS_PER_ITERATION, self._budget.room(DescriptorSide.CLIENTS))
+        return min(MAX_ACCEPTS_PER_ITERATION, self._budget.available(DescriptorSide.CLIENTS))
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
         """Make the connection of a client; None, which closes it, where there is no descriptor for it."""
         # A `BoundedPort` asks `may_accept` before; a listener that does not is held to the budget here.
-        if not self._budget.room(DescriptorSide.CLIENTS):
+        if not self._budget.available(DescriptorSide.CLIENTS):
             return None
         host = getattr(addr, "host", "")
         connection = ClientConnection(self, f"{host}:{getattr(addr, 'port', 0)}")
-        if (since_ms := self._queue.accepted()) is not None:
+        if (since_ms := self._queue.record_accepted()) is not None:
             connection.waited_in_accept_queue(since_ms)
             if not self._connection_waits():
-                self._queue.empty()
-        self._budget.take(DescriptorSide.CLIENTS)
+                self._queue.record_empty()
+        self._budget.acquire(DescriptorSide.CLIENTS)
         self.connections[connection] = None
-        self._metrics.add(ConnectionEvent.ADMITTED)
-        self.policy.opened(connection, self.timer_wheel.now(), host)
+        self._metrics.add(ConnectionEvent.ACCEPTED)
+        self.policy.record_opened(connection, self.timer_wheel.now(), host)
         self._keep_room()
         return connection
 
     def accept_failed(self, reason: str) -> None:
         """Log that this machine can't accept for a moment; who connects waits in the kernel's queue."""
         self._log.warn("accept", f"failed for a moment: {reason}")
-        self._metrics.add(ConnectionEvent.PAUSED)
+        self._metrics.add(ConnectionEvent.ACCEPT_PAUSED)
 
     def accept_paused(self) -> None:
         """Record that from now on new connections wait in the kernel's queue, with their requests."""
-        self._queue.reading_paused(self.timer_wheel.now())
+        self._queue.record_reading_paused(self.timer_wheel.now())
 
     def _connection_waits(self) -> bool:
         """Return whether a connection may wait to be accepted."""
@@ -152,21 +152,21 @@
         if not self._queue.may_hold_connections or self.port is None:
             return
         if self._connection_waits():
-            self._queue.connections_waiting(self.timer_wheel.now())
+            self._queue.record_connections_waiting(self.timer_wheel.now())
             return
-        self._queue.empty()
+        self._queue.record_empty()
         if not self.port.accepting:
             self.accept_paused()
 
     def _pause_accepting(self) -> None:
-        self._metrics.add(ConnectionEvent.PAUSED)
+        self._metrics.add(ConnectionEvent.ACCEPT_PAUSED)
         self.accept_paused()
         self._full = True
         if self.port is not None:
             self.port.pauseProducing()
 
     def _resume_accepting(self) -> None:
-        if self._full and self._budget.room(DescriptorSide.CLIENTS):
+        if self._full and self._budget.available(DescriptorSide.CLIENTS):
             self._full = False
             self._log.info("accept", "connections are accepted again")
             if self.port is not None:
@@ -176,17 +176,17 @@
 
     def request_started(self, connection: ClientConnection) -> None:
         """Record that the connection has an open request."""
-        self.policy.request_started(connection, self.timer_wheel.now())
+        self.policy.record_request_started(connection, self.timer_wheel.now())
 
     def no_open_request(self, connection: ClientConnection) -> None:
         """Record that the connection has no open request, and perhaps a partial command."""
-        self.policy.no_open_request(
+        self.policy.record_no_open_request(
             connection, self.timer_wheel.now(), connection.has_partial_command, connection.command_begun_ms
         )
 
     def partial_command_grew(self, connection: ClientConnection) -> None:
         """Record that more bytes of a partial command have come."""
-        self.policy.partial_command_grew(connection, self.timer_wheel.now())
+        self.policy.record_partial_command_bytes(connection, self.timer_wheel.now())
 
     def blocked_by_client(self, connection: ClientConnection) -> None:
         """Record that a response is known, and that the connection takes no more."""
@@ -199,7 +199,7 @@
     def closing(self, connection: ClientConnection) -> None:
         """Record that our side is closed: the descriptor must become free though the client never closes."""
         connection.write_closed_ms = self.timer_wheel.now()
-        self.policy.closing(connection, connection.write_closed_ms)
+        self.policy.record_closing(connection, connection.write_closed_ms)
 
     def closed(self, connection: ClientConnection) -> None:
         """Record that the connection is closed on both sides."""
@@ -209,13 +209,13 @@
         self._note_close(connection)
         self.reading_paused.pop(connection, None)
         self._unread_responses.progressed(connection)
-        self._budget.give_back(DescriptorSide.CLIENTS)
-        self.policy.closed(connection)
+        self._budget.release(DescriptorSide.CLIENTS)
+        self.policy.record_closed(connection)
         self._resume_accepting()
 
     def _note_close(self, connection: ClientConnection) -> None:
         reason = connection.close_reason or CloseReason.BY_CLIENT
-        self._metrics.add(ConnectionEvent.CLIENT_CLOSE, reason.value)
+        self._metrics.add(ConnectionEvent.CLIENT_CONNECTION_CLOSED, reason.value)
         self._log.info("close", f"{connection.peer}: {reason.value}, open for {connection.age_ms:.0f} ms")
 
     def rejects(self, request: Request) -> bool:
@@ -275,7 +275,7 @@
             self.timer_wheel.at(now, self._check_policy)
             return
         self.timer_wheel.at(now + POLICY_CHECK_INTERVAL_MS, self._check_policy)
-        expired = self.policy.expired(now)
+        expired = self.policy.choose_expired(now)
         self._closer.close(expired, len(expired))
         for connection in self._unread_responses.to_check(now):
             if self._unread_responses.has_expired(connection, unsent(connection.fileno()), now):
@@ -287,24 +287,24 @@
     def _keep_room(self) -> None:
         """Keep some descriptors free for the next clients that connect."""
         now = self.timer_wheel.now()
-        if choices := self.policy.to_admit_requests(now):
+        if choices := self.policy.choose_to_admit_requests(now):
             self._closer.close(choices, len(choices))
-        room = self._budget.room(DescriptorSide.CLIENTS)
-        wanted = self.policy.reserve(now) - room
+        room = self._budget.available(DescriptorSide.CLIENTS)
+        wanted = self.policy.reserve_count(now) - room
         if wanted > 0:
-            self._closer.close(self.policy.to_make_room(now, wanted, room), wanted)
-        if not self._budget.room(DescriptorSide.CLIENTS) and self._budget.other_can_release(
+            self._closer.close(self.policy.choose_to_make_room(now, wanted, room), wanted)
+        if not self._budget.available(DescriptorSide.CLIENTS) and self._budget.other_can_release(
             DescriptorSide.CLIENTS
         ):
             self.request_descriptor()
-        if not self._full and not self._budget.room(DescriptorSide.CLIENTS):
+        if not self._full and not self._budget.available(DescriptorSide.CLIENTS):
             self._log.warn("accept", f"{len(self.connections)} connections of clients fill their part")
             self._pause_accepting()
 
     def release_descriptor(self) -> None:
         """Close a connection for the nodes' side, if clients hold descriptors beyond their floor."""
         if self._budget.other_can_release(DescriptorSide.NODES):
-            self._closer.close(self.policy.to_make_room(self.timer_wheel.now(), 1, 0), 1)
+            self._closer.close(self.policy.choose_to_make_room(self.timer_wheel.now(), 1, 0), 1)
 
     def describe_held(self) -> str:
         """Return one line on the connections that are open now."""
