--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -49,8 +49,8 @@
 
     Either policy keeps a connection idle for at most half of `args.idle_close_ms`, the platform's limit.
     """
-    back = Fixed if policy == "fixed" else None
-    rig = Rig(args.nodes, args.descriptors, idle_close_ms=args.idle_close_ms, back=back)
+    make_policy = Fixed if policy == "fixed" else None
+    rig = Rig(args.nodes, args.descriptors, idle_close_ms=args.idle_close_ms, make_policy=make_policy)
     PATTERNS[name](rig)
     began_s = cpu_s()
     rig.load(args.per_s, args.seconds)
--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -83,7 +83,7 @@
     counts: Counters
     serving: Serving
     budget: DescriptorBudget
-    back: NodeConnectionPolicy
+    node_policy: NodeConnectionPolicy
     pools: NodePools
     facade: Facade
     dispatcher: Dispatcher
@@ -119,8 +119,8 @@
     timer_wheel = TimerWheel(reactor, settings.granularity_ms, now)
     metrics, counts, serving = ConnectionMetrics(), Counters(), Serving()
     budget = _make_budget(config, predecessor)
-    back = _make_node_policy(settings)
-    pools = _make_pools(reactor, settings, timer_wheel, log, budget, back, metrics)
+    node_policy = _make_node_policy(settings)
+    pools = _make_pools(reactor, settings, timer_wheel, log, budget, node_policy, metrics)
     facade = Facade(settings, config.seed, now)
     dispatcher = Dispatcher(facade, timer_wheel, pools, log, counts)
     endpoint_discovery = EndpointDiscovery(
@@ -133,7 +133,7 @@
         counts,
         serving,
         budget,
-        back,
+        node_policy,
         pools,
         facade,
         dispatcher,
@@ -163,7 +163,7 @@
     timer_wheel: TimerWheel,
     log: Log,
     budget: DescriptorBudget,
-    back: NodeConnectionPolicy,
+    node_policy: NodeConnectionPolicy,
     metrics: ConnectionMetrics,
 ) -> NodePools:
     return NodePools(
@@ -172,11 +172,11 @@
         log,
         build_connection,
         budget,
-        back,
+        node_policy,
         metrics,
         settings.attempts_per_connection,
         settings.connect_timeout_ms,
-        hold=not settings.may_copy,
+        single_attempt_in_flight=not settings.may_copy,
     )
 
 
@@ -207,7 +207,7 @@
 
 def build_connection(pool: Pool, asked_ms: float) -> NodeConnection:
     """A connection in the protocol of the pool's node; `asked_ms`: when it was asked for."""
-    return OriginConnection(pool, asked_ms) if pool.origin else CacheConnection(pool, asked_ms)
+    return OriginConnection(pool, asked_ms) if pool.is_origin else CacheConnection(pool, asked_ms)
 
 
 def _connect(parts: ProxyParts) -> None:
--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -12,7 +12,7 @@
 class CacheConnection(NodeConnection):
     """A connection to a cache node, which may carry several attempts."""
 
-    def command(self, attempt: Attempt) -> bytes:
+    def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the meta command of an attempt, with the propagated deadline in its `P` flag."""
         request = attempt.request
         info = request.info_with(attempt.propagated_ms)
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.back.partial_write import PartialWrite
-from cloverwell.codec.lines import PEEK, RingLineReceiver
+from cloverwell.codec.lines import PEEK_FLAGS, RingLineReceiver
 from cloverwell.codec.steady_socket import TryAgainError
 from cloverwell.connections.close_reason import NodeCloseReason
 from cloverwell.connections.connection_loss import ConnectionLoss
@@ -50,7 +50,7 @@
     partial_answers: dict[NodeConnection, int]  # the checks since the last data, by connection
 
     @property
-    def holds(self) -> bool:
+    def forbids_concurrent_attempts(self) -> bool:
         """Whether a request must not have two attempts in flight at once."""
 
     def now(self) -> float:
@@ -113,7 +113,7 @@
         self._partial_write: PartialWrite | None = None
         self._close_after_answer = False  # nothing may follow on it
 
-    def command(self, attempt: Attempt) -> bytes:
+    def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the bytes of an attempt; a subclass encodes them in its protocol."""
         raise NotImplementedError
 
@@ -157,9 +157,9 @@
         if not self.attempts and self._is_unusable():
             return SendResult.BROKEN
         attempt.propagated_ms = left_ms
-        data = self.command(attempt)
+        data = self.encode_command(attempt)
         rest = data[-1:] if use is ConnectionUse.SPLIT else b""
-        untaken = self.put_command(data[:-1] if rest else data)
+        untaken = self.try_write_command(data[:-1] if rest else data)
         if untaken is None:
             return SendResult.BROKEN
         if not self.attempts:
@@ -191,7 +191,7 @@
         if self._is_unusable() or partial.attempt.exceeded_deadline_by_ms(now) > 0.0:
             self.drop(NodeCloseReason.UNUSABLE)
             return
-        untaken = partial.rest if self._writing else self.put_command(partial.rest)
+        untaken = partial.rest if self._writing else self.try_write_command(partial.rest)
         if untaken is None:
             self.drop(NodeCloseReason.UNUSABLE)
         elif untaken:
@@ -208,7 +208,7 @@
         connection of which the kernel can't tell.
         """
         try:
-            self._socket.recv(1, PEEK)
+            self._socket.recv(1, PEEK_FLAGS)
         except TryAgainError:
             return True
         except BlockingIOError:
@@ -235,7 +235,7 @@
         """Makes the connection free. A late duplicate of an answer without an id must not meet an attempt."""
         if self._close_after_answer:
             self.drop(NodeCloseReason.LAST_ANSWER)
-        elif not self.attempts and self.unparsed:
+        elif not self.attempts and self.unparsed_bytes:
             # A duplicate or noise behind a good answer would be read as the answer of the next attempt.
             self._pool.log.info("answer", f"more than the answer came from {self._pool.node}")
             self.drop(NodeCloseReason.SURPLUS)
@@ -249,7 +249,11 @@
         """Reads data, and has the pool check that an answer which has begun goes on."""
         super().dataReceived(data)
         # The rest of a long value has its own time limit.
-        if not self.ended and self.stream is None and (self._wanted or self._streamed_left or len(self._in)):
+        if (
+            not self.ended
+            and self.stream is None
+            and (self._awaited_bytes or self._streamed_left or len(self._incoming))
+        ):
             self._pool.partial_answers[self] = 0
         else:
             self._pool.partial_answers.pop(self, None)
@@ -304,7 +308,7 @@
             return True
         if attempt not in self.attempts:
             return False
-        if self.stream is not None and not self._pool.holds:
+        if self.stream is not None and not self._pool.forbids_concurrent_attempts:
             # It stands behind a long value, which goes on, and the connection closes after that. The attempt
             # is in flight until then: where a request may have but one, the value breaks off instead.
             self._close_after_answer = True
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -44,7 +44,7 @@
         """Starts without a connection on its way."""
         self._pool = pool
         self._context = context
-        self._policy = context.back
+        self._policy = context.node_policy
         self._wheel = context.timer_wheel
         self._retry = ConnectRetry()
         self.count = 0  # connections on their way
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -25,7 +25,7 @@
         NodeConnection.__init__(self, pool, asked_ms)
         self._reset()
 
-    def command(self, attempt: Attempt) -> bytes:
+    def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the HTTP request of an attempt, with the propagated deadline in `Request-Info`."""
         request = attempt.request
         headers = {
@@ -61,7 +61,7 @@
             self._reset()
             self.end_stream(named=False)
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def answer_received(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Ends the attempt. Raises `MalformedMessageError` for an answer that is not owed or unknown."""
         self._check(headers)
         closing = headers.get("connection", "").lower() == "close"
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -32,10 +32,10 @@
     def __init__(self, context: PoolContext[Pool], node: str, origin: bool) -> None:
         """Starts without a connection; the address is set by the owner of all pools."""
         self._context = context
-        self._policy = context.back
+        self._policy = context.node_policy
         self._metrics = context.metrics
         self.node = node
-        self.origin = origin
+        self.is_origin = origin
         self.kind = "origin" if origin else "cache"
         self.address: tuple[str, int] | None = None
         self.log = context.log
@@ -131,9 +131,9 @@
         # origin's answers bear no id: a duplicate would be taken for the next attempt's.
         attempts = [attempt, *connection.attempts]
         return (
-            not (connection.ended or connection.address_changed or self.origin)
+            not (connection.ended or connection.address_changed or self.is_origin)
             and bool(connection.attempts)
-            and len(attempts) <= self._context.attempts_each
+            and len(attempts) <= self._context.max_attempts_per_connection
             and connection.stream is None
             and not connection.has_partial_write
             and not any(attempt.request.write for attempt in attempts)
@@ -165,14 +165,14 @@
         if not any(connection.give_up(attempt, outcome) for connection in list(self.connections)):
             attempt.end(outcome)
 
-    def unsent(self, attempt: Attempt) -> bool:
+    def is_unsent(self, attempt: Attempt) -> bool:
         """Tells whether the attempt's last byte has certainly not been written, so that it has not run."""
         return attempt.written_ms is None
 
     @property
-    def holds(self) -> bool:
+    def forbids_concurrent_attempts(self) -> bool:
         """Whether a request must not have two attempts in flight at once."""
-        return self._context.hold
+        return self._context.single_attempt_in_flight
 
     def close_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends an attempt in flight whose connection the proxy has closed: its answer is not waited for.
@@ -180,7 +180,7 @@
         Where a request must not have two attempts in flight at once, this one is in flight until the close
         has reached its node: a further attempt, perhaps to a node nearer by, is not written before.
         """
-        if self.holds and attempt.written_ms is not None:
+        if self.forbids_concurrent_attempts and attempt.written_ms is not None:
             request = attempt.request
             closed_ms = self.now() + self._policy.reach_ms(self.node)
             request.next_attempt_from_ms = max(request.next_attempt_from_ms, closed_ms)
@@ -203,7 +203,7 @@
     # Opening ---------------------------------------------------------------------------------------
 
     @property
-    def opening(self) -> int:
+    def opening_count(self) -> int:
         """How many connections are on their way."""
         return self._opening.count
 
@@ -303,7 +303,7 @@
     def _take_idle(self) -> NodeConnection | None:
         """Removes and returns the idle connection that was used last."""
         now = self.now()
-        if self.origin and self._idle.connections and self._is_unresponsive(now):
+        if self.is_origin and self._idle.connections and self._is_unresponsive(now):
             self.close_idle()  # those beside the dead connections are dead as well, or may be
         return self._idle.take_last_used(now)
 
--- a/cloverwell/back/pool_context.py
+++ b/cloverwell/back/pool_context.py
@@ -33,11 +33,11 @@
     timer_wheel: TimerWheel
     log: Log
     budget: DescriptorBudget
-    back: NodeConnectionPolicy
+    node_policy: NodeConnectionPolicy
     metrics: ConnectionMetrics
-    attempts_each: int  # the most on one connection
+    max_attempts_per_connection: int  # the most on one connection
     connect_timeout_ms: float
-    hold: bool  # whether a request must not have two attempts in flight at once
+    single_attempt_in_flight: bool  # whether a request must not have two attempts in flight at once
     idle: OrderedDict[NodeConnection, NodePool]  # of all nodes, the longest idle first
     partial_answers: dict[NodeConnection, int]  # the checks since more of the answer came
     build: Callable[[NodePool, float], NodeConnection]
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -31,32 +31,32 @@
         log: Log,
         build: Callable[[Pool, float], NodeConnection],
         budget: DescriptorBudget,
-        back: NodeConnectionPolicy,
+        node_policy: NodeConnectionPolicy,
         metrics: ConnectionMetrics,
-        attempts_each: int,
+        max_attempts_per_connection: int,
         connect_timeout_ms: float,
-        hold: bool = False,
+        single_attempt_in_flight: bool = False,
     ) -> None:
         """Starts the periodic sweeps.
 
-        `build` makes a connection of a pool that was asked for at that time. `attempts_each` is the most that
-        one connection carries. With `hold`, an attempt that the proxy closes counts as in flight until the
-        close can have reached its node.
+        `build` makes a connection of a pool that was asked for at that time. `max_attempts_per_connection` is
+        the most that one connection carries. With `single_attempt_in_flight`, an attempt that the proxy
+        closes counts as in flight until the close can have reached its node.
         """
         self.reactor = reactor
         self.timer_wheel = timer_wheel
         self.log = log
         self.build = build
         self.budget = budget
-        self.back = back
+        self.node_policy = node_policy
         self.metrics = metrics
-        self.attempts_each = attempts_each
+        self.max_attempts_per_connection = max_attempts_per_connection
         self.connect_timeout_ms = connect_timeout_ms
-        self.hold = hold
+        self.single_attempt_in_flight = single_attempt_in_flight
         self.request_descriptor: Callable[[], None] = lambda: None  # asks the clients' side for a descriptor
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
-        self.back.limits.changed = self._limits_changed
+        self.node_policy.limits.changed = self._limits_changed
         self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, the longest idle first
         self.partial_answers: dict[NodeConnection, int] = {}  # the checks since more of the answer came
         self._sweep()
@@ -78,7 +78,7 @@
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
-        self.back.limits.tick(now)
+        self.node_policy.limits.tick(now)
         self.timer_wheel.at(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
@@ -92,7 +92,7 @@
     def _remove(self, pool: Pool) -> None:
         del self._pools[pool.node]
         self._schedule.discard(pool)
-        self.back.forget(pool.node)
+        self.node_policy.forget(pool.node)
         self.metrics.forget(pool.node)
 
     def wake(self, pool: Pool) -> None:
@@ -121,7 +121,7 @@
             self._add(node, origin=False).left = True
         return self._pools[node]
 
-    def names(self) -> set[str]:
+    def node_names(self) -> set[str]:
         """Returns the names of the nodes that have a pool."""
         return set(self._pools)
 
@@ -132,7 +132,7 @@
             pool = self._add(node, origin)
         pool.left = False
         self.wake(pool)
-        self.back.listed(node, pool.kind, cold_until_ms)
+        self.node_policy.listed(node, pool.kind, cold_until_ms)
         if pool.address != (host, port):
             pool.close_idle()
             for connection in pool.connections:
@@ -145,15 +145,15 @@
         That the connections may be stale is no reason here: their ages are known better, and are checked
         before each use.
         """
-        if (pool := self._pools.get(node)) is not None and self.back.needs_idle_closed(node):
+        if (pool := self._pools.get(node)) is not None and self.node_policy.needs_idle_closed(node):
             pool.close_idle()
 
-    def leave(self, node: str) -> None:
+    def mark_left(self, node: str) -> None:
         """Takes a node off: it drains or is gone, and a connection that becomes idle is closed."""
         if (pool := self._pools.get(node)) is not None:
             pool.left = True
             self.wake(pool)
-            self.back.left(node, self.timer_wheel.now())
+            self.node_policy.left(node, self.timer_wheel.now())
             pool.close_idle()
 
     def may_open(self, pool: Pool) -> bool:
@@ -161,7 +161,7 @@
 
         An idle connection of another node makes room for it.
         """
-        if not self.back.may_open(pool.node, pool.held, self.timer_wheel.now()):
+        if not self.node_policy.may_open(pool.node, pool.held, self.timer_wheel.now()):
             return False
         if not self.budget.room(DescriptorSide.NODES) and not self.release_descriptor():
             self.request_descriptor()
--- a/cloverwell/codec/http.py
+++ b/cloverwell/codec/http.py
@@ -7,7 +7,7 @@
 from twisted.python.failure import Failure
 
 from cloverwell.codec.errors import MalformedMessageError
-from cloverwell.codec.lines import MAX_VALUE, RingLineReceiver
+from cloverwell.codec.lines import MAX_VALUE_BYTES, RingLineReceiver
 
 MAX_HEADERS = 64
 
@@ -24,12 +24,12 @@
 
 
 class HttpReceiver(RingLineReceiver):
-    """Calls `answered` once for each complete answer.
+    """Calls `answer_received` once for each complete answer.
 
     A body has a length, comes in chunks, or ends with the connection, where the answer says that it closes.
     """
 
-    max_body = MAX_VALUE
+    max_body_bytes = MAX_VALUE_BYTES
 
     def __init__(self) -> None:
         """Starts before the first answer."""
@@ -86,12 +86,12 @@
         length = self._headers.get("content-length", "0" if self._status in (204, 304) else "")
         if not length and self._headers.get("connection", "").lower() == "close":
             self._until_close = True
-            self.expect_pieces(self.max_body + 1)
+            self.expect_pieces(self.max_body_bytes + 1)
             return
         usable = length.isascii() and length.isdigit()
         if usable and self.long_body(self._status, self._headers, int(length)):
             return
-        if not usable or int(length) > self.max_body:
+        if not usable or int(length) > self.max_body_bytes:
             raise MalformedMessageError("body of no usable length")
         self._left = int(length)
         self._expect_more()
@@ -106,7 +106,7 @@
             super().pieceReceived(data)
             return
         self._got += len(data)
-        if self._got > self.max_body:
+        if self._got > self.max_body_bytes:
             raise MalformedMessageError("body too long")
         self._body.append(data)
 
@@ -126,7 +126,7 @@
     def _expect_more(self) -> None:
         """Expects the next part of a body, which may be larger than the ring, or completes the answer."""
         if self._left:
-            piece = min(self._left, self.in_bytes // 2)
+            piece = min(self._left, self.max_incoming_bytes // 2)
             self._left -= piece
             self.expect_value(piece)
         else:
@@ -139,7 +139,7 @@
             size = int(line.split(b";")[0], 16)
         except ValueError:
             raise MalformedMessageError("malformed chunk") from None
-        if size < 0 or self._got + size > self.max_body:
+        if size < 0 or self._got + size > self.max_body_bytes:
             raise MalformedMessageError("body too long")
         self._left = 0
         if size:
@@ -158,8 +158,8 @@
     def _complete(self) -> None:
         status, headers, body = self._status, self._headers, b"".join(self._body)
         self._reset()
-        self.answered(status, headers, body)
+        self.answer_received(status, headers, body)
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def answer_received(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Called with each complete answer; the names of headers are in lower case."""
         raise NotImplementedError
--- a/cloverwell/codec/lines.py
+++ b/cloverwell/codec/lines.py
@@ -20,20 +20,20 @@
 
 from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.codec.ring_buffer import RingBuffer
-from cloverwell.codec.steady_socket import steady
+from cloverwell.codec.steady_socket import install_steady_socket
 from cloverwell.codec.transport import StreamTransport
 
-MAX_LINE = 2048
-MAX_VALUE = 1024 * 1024  # bytes of a value that is kept until it is complete
-MAX_WRITE = 64 * 1024  # bytes of the value in a client's command
-PEEK = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PIECE = 64 * 1024  # bytes that the transport is given at once
+MAX_LINE_BYTES = 2048
+MAX_VALUE_BYTES = 1024 * 1024  # bytes of a value that is kept until it is complete
+MAX_WRITE_BYTES = 64 * 1024  # bytes of the value in a client's command
+PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
+PIECE_BYTES = 64 * 1024  # bytes that the transport is given at once
 LAST_DATA_RECEIVED_AT = 52  # of `tcpi_last_data_recv` in Linux's `tcp_info`, bytes
-MAX_DISCARD_READS = 16  # of `PIECE` bytes each
+MAX_DISCARD_READS = 16  # of `PIECE_BYTES` bytes each
 POLL_TRIES = 3  # of a poll that failed for want of memory
 
 
-def hung_up(handles: Iterable[socket.socket | int]) -> set[int]:
+def closed_by_peer(handles: Iterable[socket.socket | int]) -> set[int]:
     """Returns the descriptors whose other side has closed or reset, even if unread bytes come before that.
 
     One call polls them all: 0.1 ms for 200 of them, where a call for each took 0.3 ms.
@@ -45,7 +45,7 @@
     return {descriptor for descriptor, _ in found or ()}  # after a poll that failed the next one will tell
 
 
-def readable(handle: socket.socket | int) -> bool:
+def is_readable(handle: socket.socket | int) -> bool:
     """Tells whether data can be read, or a connection accepted, at once; True if the kernel can't tell."""
     poll = select.poll()
     poll.register(handle, select.POLLIN)
@@ -73,7 +73,7 @@
 def discard_unread(handle: socket.socket) -> None:
     """Reads and drops what has come in, up to a bound: a close over unread bytes would be a reset."""
     for _ in range(MAX_DISCARD_READS):
-        if not read_now(handle, PIECE):
+        if not read_now(handle, PIECE_BYTES):
             return
 
 
@@ -87,7 +87,7 @@
     return float(ago_ms)
 
 
-def unsent(handle: socket.socket | int) -> int:
+def unacknowledged_bytes(handle: socket.socket | int) -> int:
     """Returns the bytes that the kernel has taken and the other side not acknowledged; 0 if it can't tell."""
     try:
         answer = fcntl.ioctl(handle, termios.TIOCOUTQ, struct.pack("i", 0))
@@ -109,28 +109,28 @@
     transport: StreamTransport  # type: ignore[assignment]  # Twisted declares only its smallest interface
 
     delimiter = b"\r\n"
-    MAX_LENGTH = MAX_LINE
-    in_bytes = out_bytes = MAX_VALUE + 2 * MAX_LINE
-    piece_bytes = PIECE
+    MAX_LENGTH = MAX_LINE_BYTES
+    max_incoming_bytes = max_outgoing_bytes = MAX_VALUE_BYTES + 2 * MAX_LINE_BYTES
+    piece_bytes = PIECE_BYTES
 
     def __init__(self) -> None:
         """Makes the two empty rings."""
-        self._in = RingBuffer(self.in_bytes)
-        self._out = RingBuffer(self.out_bytes)
-        self._wanted = 0  # bytes of the value that the last line announced, its line end included
+        self._incoming = RingBuffer(self.max_incoming_bytes)
+        self._outgoing = RingBuffer(self.max_outgoing_bytes)
+        self._awaited_bytes = 0  # bytes of the value that the last line announced, its line end included
         self._streamed_left = 0  # bytes of a long value that are handed on as they arrive
         self._rest = 0  # bytes that have been read and are not in the ring yet
-        self.unparsed = 0  # bytes behind the message in hand
+        self.unparsed_bytes = 0  # bytes behind the message in hand
         self._held = False  # the subclass wants no more for now
         self._writing = False  # the transport has something of ours that it has not sent
         self._parsing = False
-        self._lost = False  # the framing is, so that further data is discarded
+        self._broken = False  # the framing is, so that further data is discarded
         self.ended = False
 
     def connectionMade(self) -> None:
         """Becomes the transport's producer, which fills its buffer from the outgoing ring."""
         self.transport.setTcpNoDelay(True)
-        self._socket = steady(self.transport)
+        self._socket = install_steady_socket(self.transport)
         self.transport.registerProducer(self, False)
 
     def fileno(self) -> int:
@@ -141,12 +141,12 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Hands on the messages that are complete, and keeps the rest."""
-        if not (len(self._in) or self._held or self._lost or self.ended):
+        if not (len(self._incoming) or self._held or self._broken or self.ended):
             data = self._cut(data)
-        while data and not (self.ended or self._lost):
+        while data and not (self.ended or self._broken):
             if self._held:  # the transport has been told to pause, one read is all that is left
-                self._in.bound = max(self._in.bound, len(self._in) + len(data))
-            taken = self._in.write(data)
+                self._incoming.bound = max(self._incoming.bound, len(self._incoming) + len(data))
+            taken = self._incoming.write(data)
             if not taken:
                 self.framingLost("message too long")
                 return
@@ -156,29 +156,34 @@
 
     def parse(self) -> None:
         """Hands on the complete messages in the ring, until there is none or the subclass holds."""
-        if self._parsing or self._held or self._lost or not len(self._in) >= max(1, self._wanted):
+        if (
+            self._parsing
+            or self._held
+            or self._broken
+            or not len(self._incoming) >= max(1, self._awaited_bytes)
+        ):
             return
-        left = self._cut(self._in.read(len(self._in)))
-        if not self._lost:
-            self._in.write(left)
+        left = self._cut(self._incoming.read(len(self._incoming)))
+        if not self._broken:
+            self._incoming.write(left)
 
     def _cut(self, data: bytes) -> bytes:
         """Hands on the complete messages in `data`, and returns what is left."""
         place, end = 0, len(data)
         self._parsing = True
         try:
-            while place < end and not (self.ended or self._held or self._lost):
+            while place < end and not (self.ended or self._held or self._broken):
                 start = place
                 if self._streamed_left:
                     place = min(end, start + self._streamed_left)
                     self._streamed_left -= place - start
-                    self.unparsed = end - place + self._rest
+                    self.unparsed_bytes = end - place + self._rest
                     self.pieceReceived(data[start:place])
-                elif self._wanted:
-                    place += self._wanted
+                elif self._awaited_bytes:
+                    place += self._awaited_bytes
                     if place > end:
                         return data[start:]
-                    self._wanted, self.unparsed = 0, end - place + self._rest
+                    self._awaited_bytes, self.unparsed_bytes = 0, end - place + self._rest
                     self.valueReceived(data[start:place])
                 else:
                     mark = data.find(b"\r\n", start)
@@ -187,7 +192,7 @@
                     if mark < 0:
                         return data[start:]
                     place = mark + 2
-                    self.unparsed = end - place + self._rest
+                    self.unparsed_bytes = end - place + self._rest
                     self.lineReceived(data[start:mark])
         except MalformedMessageError as error:
             self.framingLost(str(error))
@@ -197,7 +202,7 @@
 
     def expect_value(self, number: int) -> None:
         """Has the next `number` bytes handed on at once by `valueReceived`."""
-        self._wanted = number
+        self._awaited_bytes = number
 
     def expect_pieces(self, number: int) -> None:
         """Has the next `number` bytes handed on as they arrive by `pieceReceived`."""
@@ -213,7 +218,7 @@
         """Ends the back-pressure of `hold`."""
         if self._held and not self.ended:
             self._held = False
-            self._in.bound = self.in_bytes
+            self._incoming.bound = self.max_incoming_bytes
             self.transport.resumeProducing()
             self.parse()
 
@@ -235,21 +240,21 @@
 
     # Going out --------------------------------------------------------------------------------
 
-    def put(self, data: bytes) -> bool:
+    def try_write(self, data: bytes) -> bool:
         """Takes all of the data and returns True, or takes none for want of room or of a connection."""
-        if self.ended or len(data) > self._out.room:
+        if self.ended or len(data) > self._outgoing.room:
             return False
         left = self._send_now(data)
         if left:
             self._queue(left)
         return left is not None
 
-    def put_command(self, data: bytes) -> bytes | None:
-        """Does as `put`, except that the last byte is held back where the kernel does not take all at once.
+    def try_write_command(self, data: bytes) -> bytes | None:
+        """Does as `try_write`, but holds the last byte back where the kernel does not take all at once.
 
         Returns what is held back, which may be nothing, or None if no byte was taken.
         """
-        if self.ended or len(data) > self._out.room:
+        if self.ended or len(data) > self._outgoing.room:
             return None
         left = self._send_now(data)
         if left is None:
@@ -271,14 +276,14 @@
             return None
 
     def _queue(self, data: bytes) -> None:
-        self._out.write(data)
+        self._outgoing.write(data)
         if not self._writing:
             self._drain()
 
     def _drain(self) -> None:
-        self._writing = bool(len(self._out))
+        self._writing = bool(len(self._outgoing))
         if self._writing:
-            self.transport.write(self._out.read(self.piece_bytes))
+            self.transport.write(self._outgoing.read(self.piece_bytes))
 
     def resumeProducing(self) -> None:
         """Called once the transport has sent all that it had."""
@@ -291,10 +296,10 @@
     def roomMade(self) -> None:
         """Called when the outgoing ring has room again."""
 
-    def end(self, abort: bool = False, only_ours: bool = False) -> None:
+    def end(self, abort: bool = False, half_close: bool = False) -> None:
         """Closes the connection once all that was put has been sent.
 
-        With `abort` it is reset at once. With `only_ours` the other side is still read, and closes by itself.
+        With `abort` it is reset at once. With `half_close` the other side is still read, and closes itself.
         """
         if self.ended:
             return
@@ -302,10 +307,10 @@
         if abort:
             self.transport.abortConnection()
             return
-        if len(self._out):
-            self.transport.write(self._out.read(len(self._out)))
+        if len(self._outgoing):
+            self.transport.write(self._outgoing.read(len(self._outgoing)))
         self.transport.unregisterProducer()
-        if only_ours:
+        if half_close:
             self.transport.loseWriteConnection()
         else:
             self.transport.loseConnection()
--- a/cloverwell/codec/ring_buffer.py
+++ b/cloverwell/codec/ring_buffer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-SMALLEST = 4096  # bytes of a ring at first and after use, so that idle connections need little memory
+MIN_RING_BYTES = 4096  # bytes of a ring at first and after use, so that idle connections need little memory
 
 
 class RingBuffer:
@@ -39,7 +39,7 @@
         return taken
 
     def _grow(self, needed: int) -> None:
-        size = len(self._data) or SMALLEST
+        size = len(self._data) or MIN_RING_BYTES
         while size < needed:
             size *= 2
         kept = self.peek(self._size)
@@ -63,7 +63,7 @@
             self._head = (self._head + len(data)) % len(self._data)
         else:
             self._head = 0
-            if len(self._data) > SMALLEST:  # one large value must not cost its memory for good
+            if len(self._data) > MIN_RING_BYTES:  # one large value must not cost its memory for good
                 self._data = bytearray()
         return data
 
--- a/cloverwell/codec/steady_socket.py
+++ b/cloverwell/codec/steady_socket.py
@@ -61,7 +61,7 @@
     return TryAgainError(errno.EAGAIN, error.strerror)
 
 
-def steady(transport: Any) -> Any:
+def install_steady_socket(transport: Any) -> Any:
     """Has the transport use its socket as a `SteadySocket`, and returns the handle.
 
     A transport whose handle is not its `socket` attribute, such as one that keeps what is written in memory,
--- a/cloverwell/control/net/connection.py
+++ b/cloverwell/control/net/connection.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from cloverwell.codec.steady_socket import steady
+from cloverwell.codec.steady_socket import install_steady_socket
 from cloverwell.control.messages import MAX_MESSAGE_BYTES, MessageError
 from cloverwell.control.net.errors import FramingError
 from cloverwell.control.net.framing import FrameDecoder, encode_frame
@@ -81,7 +81,7 @@
         """Twisted: the connection is up."""
         self._transport = cast(FrameTransport, self.transport)
         self._transport.setTcpNoDelay(True)
-        handle = steady(self.transport)
+        handle = install_steady_socket(self.transport)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_MS)
         self._transport.registerProducer(self, True)
 
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -107,7 +107,7 @@
         before it, is not sent any more.
         """
         for attempt in list(request.attempts.values()):
-            if not request.write or attempt.pool.unsent(attempt):
+            if not request.write or attempt.pool.is_unsent(attempt):
                 attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
 
     def update_endpoints(self, update: f.EndpointUpdate | f.EndpointUpdateFailed) -> None:
--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from cloverwell.codec.lines import unsent
+from cloverwell.codec.lines import unacknowledged_bytes
 from cloverwell.connections.client_policy import ClientConnectionPolicy, CloseClient
 from cloverwell.connections.close_reason import CloseReason
 from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
@@ -64,4 +64,4 @@
         """Return whether the client may still read what was sent before our side was closed."""
         if self._timer_wheel.now() - connection.write_closed_ms >= LAST_READ_TIMEOUT_MS:
             return False
-        return unsent(connection.fileno()) > 1  # The close itself counts as one byte.
+        return unacknowledged_bytes(connection.fileno()) > 1  # The close itself counts as one byte.
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.codec.lines import PEEK, discard_unread, hung_up, read_now, received_ago_ms
+from cloverwell.codec.lines import PEEK_FLAGS, closed_by_peer, discard_unread, read_now, received_ago_ms
 from cloverwell.codec.meta import CommandFields
 from cloverwell.codec.steady_socket import TryAgainError
 from cloverwell.codec.transport import close_both_sides
@@ -67,7 +67,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Handle bytes from the client."""
-        if self.ended or self._lost:
+        if self.ended or self._broken:
             # Reading goes on, so that the client gets its response rather than a reset; but at little cost.
             self._throttle(DISCARD_PAUSE_MS)
             return
@@ -75,11 +75,11 @@
         # After a wait to be accepted or an event-loop stall, the client's close may be behind these bytes.
         may_be_old = self._nothing_read or unread_delay_ms > STALL_MS
         self._nothing_read = False
-        if may_be_old and hung_up([self._socket]):
+        if may_be_old and closed_by_peer([self._socket]):
             self._owner.clients_disconnected([self])
             return
         if not self._held:  # else these bytes follow others that are not handled yet
-            begins_command = not (len(self._in) or self._wanted)
+            begins_command = not (len(self._incoming) or self._awaited_bytes)
             self._arrival.read(self._owner.timer_wheel.now(), begins_command, unread_delay_ms)
             self._check_buffer_empty()
         super().dataReceived(data)
@@ -121,7 +121,7 @@
 
     def _end_throttle(self) -> None:
         self._throttled = False
-        if self.ended or self._lost:
+        if self.ended or self._broken:
             self.transport.resumeProducing()
         else:
             self.send_responses()
@@ -196,8 +196,8 @@
         self.send_responses()
 
     def _send_last_line(self, data: bytes) -> None:
-        self._lost = True
-        self._in.clear()
+        self._broken = True
+        self._incoming.clear()
         self.hold()
         self._send_line(data)
 
@@ -207,7 +207,7 @@
         self._responses.send()
         if not pending:
             self._owner.no_open_request(self)
-            if self._lost:
+            if self._broken:
                 self._close_after_responses()
                 return
             # A client that always sends its next request at once is never seen idle by the periodic check.
@@ -217,7 +217,7 @@
             self._owner.blocked_by_client(self)
         if len(pending) >= MAX_PIPELINED_COMMANDS:
             self.hold()
-        elif not self._lost and not self._throttled:
+        elif not self._broken and not self._throttled:
             self.release()
 
     def roomMade(self) -> None:
@@ -229,7 +229,7 @@
     @property
     def unsent_bytes(self) -> int:
         """Bytes that wait in the outgoing buffer."""
-        return len(self._out)
+        return len(self._outgoing)
 
     # The end ------------------------------------------------------------------------------------
 
@@ -241,7 +241,7 @@
     @property
     def between_requests(self) -> bool:
         """Whether no response is pending, and no part of a command has come."""
-        return not self._responses.pending and not len(self._in) and not self._wanted
+        return not self._responses.pending and not len(self._incoming) and not self._awaited_bytes
 
     @property
     def has_partial_command(self) -> bool:
@@ -270,11 +270,11 @@
             ended_ms=self.write_closed_ms if self.ended else None,
         )
 
-    def end(self, abort: bool = False, only_ours: bool = False) -> None:
+    def end(self, abort: bool = False, half_close: bool = False) -> None:
         """Close the connection; unless it is aborted, what has been sent leaves first."""
         if not (self.ended or abort):
             self._owner.closing(self)  # a client that reads nothing must not keep the descriptor
-        super().end(abort, only_ours)
+        super().end(abort, half_close)
 
     def abandon(self) -> list[Request]:
         """Abort the connection of a client that has disconnected; return its open requests, to be ended."""
@@ -301,7 +301,7 @@
         """Close a connection that has had no open request for too long; return whether it could be closed."""
         if not self.has_partial_command:
             return self.close_between_requests(reason)
-        if self.ended or self._lost or self._throttled or self.has_unread_bytes():
+        if self.ended or self._broken or self._throttled or self.has_unread_bytes():
             return False
         self.closing_because(reason)
         self.reject_and_close("half a command")
@@ -340,7 +340,7 @@
         close, and the client sends it elsewhere.
         """
         self._handle_unread()
-        if not (self.ended or self._lost or self._responses.pending or self._writing):
+        if not (self.ended or self._broken or self._responses.pending or self._writing):
             self._close_our_side(reason)
 
     def _handle_unread(self) -> None:
@@ -352,11 +352,11 @@
 
     def _handle_waiting_commands(self) -> None:
         """Handle what has been read and waits behind malformed commands, or at the pipeline limit."""
-        while (self._held or self._throttled) and not (self._lost or self.ended or self._responses.pending):
-            waiting_bytes = len(self._in)
+        while (self._held or self._throttled) and not (self._broken or self.ended or self._responses.pending):
+            waiting_bytes = len(self._incoming)
             self._throttled = False
             self.release()
-            if waiting_bytes and len(self._in) == waiting_bytes:
+            if waiting_bytes and len(self._incoming) == waiting_bytes:
                 return
 
     def close_now(self, reason: CloseReason) -> list[Request]:
@@ -380,13 +380,13 @@
         A close of both sides with bytes unread would be a reset, and the client might not read the response.
         """
         if not self.ended:
-            self.end(only_ours=True)
+            self.end(half_close=True)
             self.transport.resumeProducing()
 
     def has_unread_bytes(self) -> bool:
         """Return whether a request may be in the socket's buffer, which a close would lose."""
         try:
-            return bool(self._socket.recv(1, PEEK))
+            return bool(self._socket.recv(1, PEEK_FLAGS))
         except TryAgainError:
             return True  # It could not be checked.
         except OSError:
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -8,7 +8,7 @@
 from twisted.internet.interfaces import IAddress
 
 from balancer.api import Settings
-from cloverwell.codec.lines import unsent
+from cloverwell.codec.lines import unacknowledged_bytes
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
 from cloverwell.connections.client_policy import MAX_ACCEPTS_PER_ITERATION, ClientConnectionPolicy
@@ -190,7 +190,9 @@
 
     def blocked_by_client(self, connection: ClientConnection) -> None:
         """Record that a response is known, and that the connection takes no more."""
-        self._unread_responses.blocked(connection, unsent(connection.fileno()), self.timer_wheel.now())
+        self._unread_responses.blocked(
+            connection, unacknowledged_bytes(connection.fileno()), self.timer_wheel.now()
+        )
 
     def client_has_read(self, connection: ClientConnection) -> None:
         """Record that the connection takes more again."""
@@ -278,7 +280,7 @@
         expired = self.policy.expired(now)
         self._closer.close(expired, len(expired))
         for connection in self._unread_responses.to_check(now):
-            if self._unread_responses.has_expired(connection, unsent(connection.fileno()), now):
+            if self._unread_responses.has_expired(connection, unacknowledged_bytes(connection.fileno()), now):
                 self.closing_process.close_now(connection, CloseReason.NOT_READING)
         self._keep_room()
         self._resume_accepting()
--- a/cloverwell/front/command_receiver.py
+++ b/cloverwell/front/command_receiver.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from cloverwell.codec.lines import MAX_LINE, MAX_WRITE, RingLineReceiver
+from cloverwell.codec.lines import MAX_LINE_BYTES, MAX_WRITE_BYTES, RingLineReceiver
 from cloverwell.codec.meta import CommandError, CommandFields
 from cloverwell.connections.arrival import CommandArrival
 from cloverwell.front.meta_commands import LostFramingError, parse_get, parse_set, parse_value_length
@@ -17,7 +17,7 @@
     found behind it.
     """
 
-    in_bytes = MAX_WRITE + 2 * MAX_LINE
+    max_incoming_bytes = MAX_WRITE_BYTES + 2 * MAX_LINE_BYTES
 
     def __init__(self, classes: Mapping[str, int], tenants: Mapping[str, int]) -> None:
         """`classes`, `tenants`: the number of each request class and of each tenant, by name."""
@@ -60,7 +60,7 @@
                 self._handle_set(words)
             case _:
                 self.reject_command("unknown command")
-        if not self._wanted:
+        if not self._awaited_bytes:
             self._arrival.command_complete()
 
     def _handle_get(self, words: list[str]) -> None:
@@ -89,7 +89,7 @@
         self.expect_value(value_bytes)
 
     def _discard_value(self) -> None:
-        piece_bytes = min(self._bytes_to_discard, MAX_WRITE)
+        piece_bytes = min(self._bytes_to_discard, MAX_WRITE_BYTES)
         self._bytes_to_discard -= piece_bytes
         self.expect_value(piece_bytes)
 
--- a/cloverwell/front/disconnect_detector.py
+++ b/cloverwell/front/disconnect_detector.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from cloverwell.codec.lines import hung_up
+from cloverwell.codec.lines import closed_by_peer
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.timer_wheel import STALL_MS, TimerWheel
 
@@ -55,5 +55,5 @@
         by_descriptor = {
             connection.fileno(): connection for connection in connections if not connection.ended
         }
-        disconnected = hung_up(by_descriptor) if by_descriptor else set()
+        disconnected = closed_by_peer(by_descriptor) if by_descriptor else set()
         return [by_descriptor[descriptor] for descriptor in by_descriptor if descriptor in disconnected]
--- a/cloverwell/front/meta_commands.py
+++ b/cloverwell/front/meta_commands.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from cloverwell.codec.lines import MAX_WRITE
+from cloverwell.codec.lines import MAX_WRITE_BYTES
 from cloverwell.codec.meta import CommandError, CommandFields, read_fields
 
 # The value of a command that is rejected is read and thrown away up to this size; for a longer one the
@@ -39,6 +39,6 @@
     words: list[str], length_bytes: int, classes: Mapping[str, int], tenants: Mapping[str, int]
 ) -> CommandFields:
     """Parse `ms KEY LENGTH FLAGS`, whose length is known; raises `CommandError`."""
-    if length_bytes > MAX_WRITE:
+    if length_bytes > MAX_WRITE_BYTES:
         raise CommandError("value too large")
     return read_fields(words[1], words[3:], classes, tenants)
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.codec.steady_socket import steady
+from cloverwell.codec.steady_socket import install_steady_socket
 from cloverwell.front.port import BoundedFactory
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
@@ -137,7 +137,7 @@
 
     def connectionMade(self) -> None:
         """Start the call's timeout."""
-        steady(self.transport)
+        install_steady_socket(self.transport)
         timer_wheel = self._owner.timer_wheel
         self._timer = timer_wheel.at(
             timer_wheel.now() + CALL_TIMEOUT_MS, lambda: self.close("it took too long")
--- a/cloverwell/front/port.py
+++ b/cloverwell/front/port.py
@@ -19,7 +19,7 @@
 from twisted.internet.interfaces import IReactorTCP
 from twisted.internet.protocol import Factory
 
-from cloverwell.codec.lines import readable
+from cloverwell.codec.lines import is_readable
 from cloverwell.system_calls import ABORTED_CONNECTION_ERRORS, SHORTAGE
 
 # Rounds of accepts before a port closes, each of as many connections as the factory accepts at once; the
@@ -178,7 +178,7 @@
 
     def waits(self) -> bool:
         """Return whether a connection waits in the kernel's queue."""
-        return readable(self.fileno())  # type: ignore[no-untyped-call]
+        return is_readable(self.fileno())  # type: ignore[no-untyped-call]
 
     def share(self) -> int:
         """Return the descriptor for another process, which from now on accepts from the same queue."""
--- a/cloverwell/front/response_queue.py
+++ b/cloverwell/front/response_queue.py
@@ -25,7 +25,7 @@
     def has_unsent_responses(self) -> bool:
         """Whether the kernel has not taken all that was put."""
 
-    def put(self, data: bytes) -> bool:
+    def try_write(self, data: bytes) -> bool:
         """Send all of the data, or return False."""
 
     def end(self, abort: bool = False) -> None:
@@ -77,7 +77,7 @@
                 # It broke before it was its turn, and nothing of it has been sent.
                 data = response.data = FAILED
                 response.stream = None
-            if not self._connection.put(data):
+            if not self._connection.try_write(data):
                 return
             if response.stream is None:
                 pending.popleft()
@@ -114,7 +114,7 @@
         self.pending.popleft()
         if complete:
             self._stream_end_unsent = True
-            self._connection.put(
+            self._connection.try_write(
                 b"\r\n"
             )  # There is room: the buffer is larger than what streams leave in it.
             self._connection.send_responses()
--- a/cloverwell/front/response_stream.py
+++ b/cloverwell/front/response_stream.py
@@ -25,7 +25,7 @@
     def unsent_bytes(self) -> int:
         """Bytes that wait in the connection's buffer."""
 
-    def put(self, data: bytes) -> bool:
+    def try_write(self, data: bytes) -> bool:
         """Send all of the data, or return False."""
 
 
@@ -62,7 +62,7 @@
         self._owner.stream_count -= 1
 
     def _send(self, data: bytes) -> None:
-        if not self._connection.put(data):
+        if not self._connection.try_write(data):
             self.close()
             self._value.drop()
             self._user.stream_failed()
--- a/cloverwell/membership/endpoint_table.py
+++ b/cloverwell/membership/endpoint_table.py
@@ -90,9 +90,9 @@
         ready = {entry.server for entry in update.entries if entry.state is ServerState.READY}
         draining = {entry.server for entry in update.entries} - ready
         if update.complete:
-            draining |= self._pools.names() - ready
+            draining |= self._pools.node_names() - ready
         for node in sorted(draining):  # sorted, so that every process has the same order
-            self._pools.leave(node)
+            self._pools.mark_left(node)
 
     def _open_pools(self, entries: Sequence[ServerEntry], addresses: Sequence[tuple[str, int]]) -> None:
         for entry, (host, port) in zip(entries, addresses, strict=True):
--- a/cloverwell/membership/watch_connection.py
+++ b/cloverwell/membership/watch_connection.py
@@ -49,7 +49,7 @@
 class WatchConnection(HttpReceiver):
     """A connection to discovery that is kept from one poll to the next."""
 
-    max_body = MAX_LIST_BYTES
+    max_body_bytes = MAX_LIST_BYTES
 
     def __init__(self, observer: PollObserver, target: str, host: str) -> None:
         """Poll `target`, an HTTP request target, once connected; `host` is for the Host header."""
@@ -75,9 +75,9 @@
         """Send a poll. The one before it must have been answered."""
         self._target = target
         self._answer_begun = False
-        self.put(encode_request("GET", target, self._host, {}))
+        self.try_write(encode_request("GET", target, self._host, {}))
 
-    def answered(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def answer_received(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Report an answer, after closing the connection if discovery closes it too."""
         if headers.get("connection", "").lower() == "close":
             self.end()
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -91,7 +91,7 @@
         self.counts = parts.counts
         self.serving = parts.serving
         self.budget = parts.budget
-        self.back = parts.back
+        self.node_policy = parts.node_policy
         self.pools = parts.pools
         self.facade = parts.facade
         self.dispatcher = parts.dispatcher
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -56,7 +56,7 @@
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends the attempt with that outcome, whether it waits for a connection or is on one."""
 
-    def unsent(self, attempt: Attempt) -> bool:
+    def is_unsent(self, attempt: Attempt) -> bool:
         """Tells whether the attempt's last byte has certainly not been sent."""
 
 
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -49,25 +49,27 @@
         nodes: int,
         descriptors: int = 512,
         idle_close_ms: float = 120_000.0,
-        back: Callable[[float, float], NodeConnectionPolicy] | None = None,
+        make_policy: Callable[[float, float], NodeConnectionPolicy] | None = None,
     ) -> None:
-        """Makes the nodes and their pools; `back` makes a policy from an idle time and the time."""
+        """Makes the nodes and their pools; `make_policy` makes a policy from an idle time and the time."""
         self.net = Net()
         self.now = self.net.now_ms
         self.timer_wheel = TimerWheel(self.net, 5.0, self.now)
         self.metrics = ConnectionMetrics()
         self.budget = DescriptorBudget(descriptors)
         idle_ms = 0.5 * idle_close_ms
-        self.back = back(idle_ms, self.now()) if back else NodeConnectionPolicy(idle_ms, GRACE_MS)
+        self.node_policy = (
+            make_policy(idle_ms, self.now()) if make_policy else NodeConnectionPolicy(idle_ms, GRACE_MS)
+        )
         self.pools = NodePools(
             self.net,
             self.timer_wheel,
             Log(self.now, io.StringIO()),
             lambda pool, asked_ms: CacheConnection(pool, asked_ms),
             self.budget,
-            self.back,
+            self.node_policy,
             self.metrics,
-            attempts_each=8,
+            max_attempts_per_connection=8,
             connect_timeout_ms=250.0,
         )
         self.tally = AttemptCount()
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -1,7 +1,7 @@
 """Sockets whose system calls fail, or do a part of their work, as a test says.
 
-`Calls` are the faults of one kind of call, in the order in which they come: error numbers, or `None` for a
-call that does its work. Behind the last one all calls do it, unless `always` is set.
+`CallFaults` are the faults of one kind of call, in the order in which they come: error numbers, or `None`
+for a call that does its work. Behind the last one all calls do it, unless `always` is set.
 """
 
 import os
@@ -12,7 +12,7 @@
 SOCKET = socket.socket
 
 
-class Calls:
+class CallFaults:
     def __init__(self, *faults, always=None, most=None):
         self.faults, self.always, self.most = list(faults), always, most
         self.count = 0  # calls that were made
@@ -31,7 +31,8 @@
 
 
 class FaultySocket(SOCKET):
-    """`recv`, `peek` (a `recv` that leaves all where it is), `send` and `connect` are `Calls`, or None."""
+    """`recv`, `peek` (a `recv` that leaves all where it is), `send` and `connect` are `CallFaults`, or
+    None."""
 
     recv_calls = peek_calls = send_calls = connect_calls = error_calls = None
 
@@ -62,7 +63,7 @@
         return super().getsockopt(level, option, *more) if number is None else number
 
 
-class Outgoing:
+class OutgoingSockets:
     """The sockets of the proxy's own connections, by the address that they lead to."""
 
     def __init__(self, monkeypatch):
@@ -77,7 +78,7 @@
         return calls
 
     def fail_socket(self, address, *faults, always=None):
-        calls = self.socket_calls[address] = Calls(*faults, always=always)
+        calls = self.socket_calls[address] = CallFaults(*faults, always=always)
         return calls
 
     def make(self, client):
@@ -91,11 +92,11 @@
         return made
 
 
-class Listening:
+class FaultyListeningSocket:
     """A listening socket: `accept` fails as `calls` has it, and gives sockets with `accepted` calls."""
 
     def __init__(self, listening, calls=None, **accepted):
-        self.listening, self.calls, self.accepted = listening, calls or Calls(), accepted
+        self.listening, self.calls, self.accepted = listening, calls or CallFaults(), accepted
 
     def accept(self):
         self.calls.check()
@@ -109,13 +110,13 @@
         return getattr(self.listening, name)
 
 
-def accepting(port, calls=None, **accepted):
+def inject_accept_faults(port, calls=None, **accepted):
     """Has the port's listening socket do so from now on."""
-    port.socket._listening = made = Listening(port.socket._listening, calls, **accepted)
+    port.socket._listening = made = FaultyListeningSocket(port.socket._listening, calls, **accepted)
     return made
 
 
-def take_watch_back(proxy):
+def cancel_watch(proxy):
     """Discovery has not been asked yet: the start may have begun a call before its faults are set."""
     endpoint_discovery = proxy.service.endpoint_discovery
     endpoint_discovery._cancel_pending_poll()
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from faulty_sockets import Calls, accepting
+from faulty_sockets import CallFaults, inject_accept_faults
 from rig import Rig, read, write
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import Protocol
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("number", [*SHORTAGES, errno.EINVAL])
 def test_a_port_that_can_not_accept_is_tried_now_and_then_and_not_in_each_iteration(listening, number):
     made = listening(3)
-    calls = accepting(made.port, Calls(always=number)).calls
+    calls = inject_accept_faults(made.port, CallFaults(always=number)).calls
     made.loop.iterate(ITERATIONS)
     assert calls.count <= 1
     for _ in range(50):  # a second
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("number", SHORTAGES)
 def test_failed_accepts_are_reported_once_a_second(listening, number):
     made = listening(1)
-    accepting(made.port, Calls(always=number))
+    inject_accept_faults(made.port, CallFaults(always=number))
     for _ in range(150):
         made.loop.iterate()
         made.loop.advance(0.02)
@@ -115,7 +115,7 @@
 
 def test_each_backoff_is_reported_also_where_its_reason_is_not(listening):
     made = listening(1)
-    calls = accepting(made.port, Calls(errno.ENFILE)).calls
+    calls = inject_accept_faults(made.port, CallFaults(errno.ENFILE)).calls
     made.loop.iterate()
     made.loop.advance(0.02)
     made.loop.iterate()
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("number", ENDED)
 def test_a_connection_that_has_ended_in_the_queue_holds_none_behind_it_up(listening, number):
     made = listening(3)
-    calls = accepting(made.port, Calls(None, number, number)).calls
+    calls = inject_accept_faults(made.port, CallFaults(None, number, number)).calls
     made.loop.iterate()
     assert len(made.factory.accepted) == 3
     assert calls.failed == 2
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("number", ENDED)
 def test_a_queue_in_which_all_have_ended_does_not_stall_the_loop(listening, number):
     made = listening(1)
-    calls = accepting(made.port, Calls(always=number)).calls
+    calls = inject_accept_faults(made.port, CallFaults(always=number)).calls
     made.loop.iterate(ITERATIONS)
     assert calls.count <= 16
     calls.always = None
@@ -154,7 +154,7 @@
 
 def test_a_pause_and_a_backoff_end_each_by_itself(listening):
     made = listening(1)
-    calls = accepting(made.port, Calls(errno.ENFILE, errno.ENFILE)).calls
+    calls = inject_accept_faults(made.port, CallFaults(errno.ENFILE, errno.ENFILE)).calls
     made.loop.iterate()
     made.port.pauseProducing()
     made.loop.advance(0.02)
@@ -175,7 +175,7 @@
 
 def test_a_port_accepts_only_while_it_neither_backs_off_nor_is_paused(listening):
     made = listening(1)
-    accepting(made.port, Calls(errno.ENFILE))
+    inject_accept_faults(made.port, CallFaults(errno.ENFILE))
     assert made.port.accepting
     assert made.port.waits()
     made.loop.iterate()
@@ -192,7 +192,7 @@
 
 def test_a_port_that_closes_while_it_backs_off_stays_closed(listening):
     made = listening(0)
-    accepting(made.port, Calls(errno.ENFILE))
+    inject_accept_faults(made.port, CallFaults(errno.ENFILE))
     made.loop.iterate()
     made.port.stopListening()
     made.loop.advance(0.0)
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("number", [*SHORTAGES, *ENDED])
 def test_what_waits_at_the_end_is_accepted_though_accepts_fail(listening, number):
     made = listening(3)
-    accepting(made.port, Calls(number, None, number, number))
+    inject_accept_faults(made.port, CallFaults(number, None, number, number))
     made.port.stopListening()
     assert len(made.factory.accepted) == 3
     assert all(still_open(client) for client in made.clients)
@@ -224,7 +224,7 @@
 def test_a_machine_that_is_short_of_something_for_a_moment_does_not_end_the_start(
     number, pauses, monkeypatch
 ):
-    calls, make = Calls(number, number), BoundedPort.createInternetSocket
+    calls, make = CallFaults(number, number), BoundedPort.createInternetSocket
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check() or make(port))
     port = listen(Loop(), "127.0.0.1", 0, RecordingFactory(), 50)
     assert port.getHost().port
@@ -234,7 +234,7 @@
 
 @pytest.mark.parametrize(("number", "tries"), [(errno.EADDRINUSE, 1), (errno.EACCES, 1), (errno.ENFILE, 25)])
 def test_a_start_that_can_not_succeed_ends(number, tries, pauses, monkeypatch):
-    calls = Calls(always=number)
+    calls = CallFaults(always=number)
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check())
     with pytest.raises(CannotListenError):
         listen(Loop(), "127.0.0.1", 0, RecordingFactory(), 50)
@@ -243,7 +243,7 @@
 
 def test_a_socket_that_is_taken_over_is_taken_though_the_machine_is_short(pauses, monkeypatch):
     listening = socket.create_server(("127.0.0.1", 0))
-    calls, make = Calls(errno.ENFILE), socket.fromfd
+    calls, make = CallFaults(errno.ENFILE), socket.fromfd
     monkeypatch.setattr(socket, "fromfd", lambda *where: calls.check() or make(*where))
     port = adopt(Loop(), listening.detach(), RecordingFactory())
     assert port.getHost().port
@@ -260,7 +260,7 @@
     try:
         inside = proxy.client(b"mn\r\n")
         proxy.got(inside, b"MN")
-        calls = accepting(proxy.service._port, Calls(always=number)).calls
+        calls = inject_accept_faults(proxy.service._port, CallFaults(always=number)).calls
         outside = proxy.client(read(2))
         inside.sendall(read(1))
         node = proxy.nodes[0].take()
@@ -303,7 +303,7 @@
 
 def test_a_request_behind_a_second_backoff_is_sent_with_the_time_that_is_left(backing_off):
     # The port once reported one backoff a second; requests that waited for the others kept all their time.
-    calls = accepting(backing_off.service._port, Calls(errno.ENFILE)).calls
+    calls = inject_accept_faults(backing_off.service._port, CallFaults(errno.ENFILE)).calls
     first = backing_off.client(b"mn\r\n")
     backing_off.until(lambda: calls.failed == 1)
     end_backoff(backing_off)
@@ -317,7 +317,7 @@
 
 def test_a_request_that_comes_late_in_a_backoff_is_sent_with_the_time_that_is_left(backing_off):
     # A check that found the queue empty once ended the record of a backoff that went on.
-    calls = accepting(backing_off.service._port, Calls(None, errno.ENFILE)).calls
+    calls = inject_accept_faults(backing_off.service._port, CallFaults(None, errno.ENFILE)).calls
     backing_off.got(backing_off.client(b"mn\r\n"), b"MN")
     backing_off.until(lambda: calls.failed == 1)
     backing_off.skip(200)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -146,7 +146,7 @@
 
 def test_the_baseline_loses_attempts_where_nodes_close_in_silence():
     # That the measure above can fail: the fixed idle time of before, on the same nodes and attempts.
-    rig = Rig(12, back=Fixed)
+    rig = Rig(12, make_policy=Fixed)
     PATTERNS["silent after 0.5 s"](rig)
     rig.load(100.0, 30.0)
     assert rig.stale > 0.02 * rig.tally.attempts
@@ -193,7 +193,7 @@
         rig.attempt(0)
     rig.net.run_for(0.01)
     told = rig.net.seconds()
-    rig.pools.leave("s0")
+    rig.pools.mark_left("s0")
     for _ in range(150):
         rig.attempt(0, timeout_ms=2000.0)
         rig.net.run_for(0.01)
@@ -202,8 +202,8 @@
     assert rig.tally.outcomes[AttemptOutcome.NOT_CONNECTED] >= 50
     rig.net.run_for(5.0)
     rig.pools._sweep()
-    assert rig.pools.names() == {"s1"}
-    assert len(rig.back) == 1
+    assert rig.pools.node_names() == {"s1"}
+    assert len(rig.node_policy) == 1
 
 
 def test_a_node_that_holds_no_more_is_not_asked_again_and_again():
@@ -239,7 +239,7 @@
     ahead = rig.metrics.total(ConnectionEvent.AHEAD)
     assert ahead > 0
     assert ahead < 0.1 * rig.tally.attempts
-    rig.pools.leave("s0")
+    rig.pools.mark_left("s0")
     before = len(rig.nodes[0].opened_at)
     rig.net.run_for(3.0)
     assert len(rig.nodes[0].opened_at) == before
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -187,7 +187,7 @@
 def test_an_attempt_that_waits_for_the_close_of_the_one_before_is_not_sent_by_that_tick(rig, begun, leave):
     limits = SETTINGS["limits"] | {"second-copies": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
-    proxy.service.back.reach_ms = lambda node: 40.0
+    proxy.service.node_policy.reach_ms = lambda node: 40.0
     conn = taken(proxy, begun, read(1))
     begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from faulty_sockets import Calls, Outgoing, take_watch_back
+from faulty_sockets import CallFaults, OutgoingSockets, cancel_watch
 from rig import read, write
 from scenario import Player
 from twisted.internet.error import ConnectError, TimeoutError, getConnectError
@@ -27,14 +27,14 @@
 
 @pytest.fixture
 def outgoing(monkeypatch):
-    return Outgoing(monkeypatch)
+    return OutgoingSockets(monkeypatch)
 
 
 def fail(outgoing, address, stage, *faults, always=None):
     """Has that step of connections to the address fail so."""
     if stage == "socket":
         return outgoing.fail_socket(address, *faults, always=always)
-    calls = Calls(*faults, always=always)
+    calls = CallFaults(*faults, always=always)
     if stage == "error":
         calls.faults = [
             one for fault in calls.faults for one in (None, fault)
@@ -86,7 +86,7 @@
     assert "marked missed" not in proxy.log.getvalue()
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.pool_of("s1")
-    assert pool.opening == 0
+    assert pool.opening_count == 0
     assert proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
     assert proxy.origin._accept() is None
 
@@ -238,7 +238,7 @@
 def test_discovery_is_asked_soon_where_this_machine_could_not(rig, outgoing, stage, number):
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
-    take_watch_back(proxy)
+    cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
     reached(proxy, proxy.discovery, b"GET /v1/servers")
     assert failing.failed >= 1
@@ -250,7 +250,7 @@
     proxy = rig()
     failing = fail(outgoing, proxy.discovery.address, "socket", always=errno.ENFILE)
     proxy.service.endpoint_discovery._revision = None  # a call that does not wait for news
-    take_watch_back(proxy)
+    cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
     begun_ms = proxy.now()
     proxy.skip(1950)
@@ -265,7 +265,7 @@
 def test_a_discovery_that_can_not_be_reached_has_failed(rig, outgoing, number):
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
-    take_watch_back(proxy)
+    cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
     proxy.until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -18,7 +18,7 @@
 def test_a_node_that_was_cut_off_gets_as_many_connections_as_it_needs_at_once():
     # lesrooster-nl split+brink, seed 13: capped at one connection by the cut, it got one more each 2 s.
     rig = Rig(1)
-    rig.pools.pool_of("s0").origin = True  # its attempts never stand behind one another
+    rig.pools.pool_of("s0").is_origin = True  # its attempts never stand behind one another
     rig.nodes[0].work_s = 0.4  # one attempt is out all the while, on the connection that stands
     rig.attempt(0)
     rig.net.run_for(0.01)
@@ -40,7 +40,7 @@
 def test_beside_an_attempt_that_is_silent_for_long_the_origins_idle_connections_are_not_used(origin, served):
     # A cut leaves all connections dead and silent: each idle one would take an attempt and hold it.
     rig = Rig(1)
-    rig.pools.pool_of("s0").origin = origin
+    rig.pools.pool_of("s0").is_origin = origin
     for _ in range(3):
         rig.attempt(0)
     rig.net.run_for(0.05)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -186,7 +186,7 @@
     epoch_ms = EPOCH_MS + HOUR_MS
     new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
     new.start(adopt=lambda reactor, descriptor, factory: None)
-    cold_ms = {name: new.back._nodes[name].cold_until_ms - old.now() for name in up_since_ms_of}
+    cold_ms = {name: new.node_policy._nodes[name].cold_until_ms - old.now() for name in up_since_ms_of}
     assert cold_ms["warm"] < 0.0
     assert cold_ms["cold"] == pytest.approx(900.0, abs=1.0)
 
--- a/tests/test_handover_calls.py
+++ b/tests/test_handover_calls.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from faulty_sockets import Calls
+from faulty_sockets import CallFaults
 from twisted.internet.task import Clock
 
 from cloverwell.handover import predecessor as handover
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("number", [*PASSING, errno.EAGAIN])
 def test_a_predecessor_learns_that_we_serve_and_is_not_taken_for_gone(number):
     gone, reactor = [], Reactor()
-    conversation = Conversation(Calls(number), Calls(number, None, number, most=6))
+    conversation = Conversation(CallFaults(number), CallFaults(number, None, number, most=6))
     predecessor = Predecessor(None, -1, conversation)
     predecessor.watch(reactor, lambda: gone.append(True))
     for _ in range(6):
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -28,7 +28,7 @@
         real(self, attempt, outcome, body)
         if outcome is facade.AttemptOutcome.SERVED and attempt.request.over:
             side = attempt.request.answer.func.__self__
-            side.put(f"VA {len(body)} O{attempt.request.id}\r\n".encode() + body + b"\r\n")
+            side.try_write(f"VA {len(body)} O{attempt.request.id}\r\n".encode() + body + b"\r\n")
 
     return ended
 
@@ -72,8 +72,8 @@
 
 
 def tries_without_end(patch):
-    real = CacheConnection.command
-    patch.setattr(CacheConnection, "command", lambda self, attempt: 4 * real(self, attempt))
+    real = CacheConnection.encode_command
+    patch.setattr(CacheConnection, "encode_command", lambda self, attempt: 4 * real(self, attempt))
 
 
 def keeps_using_a_drained_node(patch):
@@ -85,7 +85,7 @@
         return real(self, now, event)
 
     patch.setattr(Balancer, "handle", handle)
-    patch.setattr(NodePools, "leave", lambda self, node: None)
+    patch.setattr(NodePools, "mark_left", lambda self, node: None)
     patch.setattr(NodeConnectionPolicy, "late", lambda self, node, now: False)
 
 
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -15,7 +15,7 @@
 
 from cloverwell.codec import lines
 from cloverwell.codec.lines import RingLineReceiver
-from cloverwell.codec.steady_socket import SteadySocket, steady
+from cloverwell.codec.steady_socket import SteadySocket, install_steady_socket
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.front.port import ACCEPT_BACKOFF_S
@@ -113,7 +113,7 @@
 
 
 def ends_a_connection_at_errors_that_pass(patch):
-    patch.setattr(lines, "steady", lambda transport: transport.getHandle())
+    patch.setattr(lines, "install_steady_socket", lambda transport: transport.getHandle())
 
 
 MUTANTS = [
@@ -325,7 +325,7 @@
 def test_a_connection_on_a_steady_socket_outlives_errors_that_pass(kind, name):
     machine = Machine(kind, [name])
     net, client, server = connected(machine)
-    steady(server.built[0].transport)
+    install_steady_socket(server.built[0].transport)
     client.built[0].transport.write(b"asked")
     server.built[0].transport.write(b"answer")
     net.run_for(0.1)
@@ -343,9 +343,11 @@
 
     for transport in (Transport(), Elsewhere()):
         before = dict(vars(transport))
-        assert steady(transport) is transport
+        assert install_steady_socket(transport) is transport
         assert vars(transport) == before
-    assert isinstance(steady(connected(Machine("send_fails"))[2].built[0].transport), SteadySocket)
+    assert isinstance(
+        install_steady_socket(connected(Machine("send_fails"))[2].built[0].transport), SteadySocket
+    )
 
 
 def test_a_listener_rests_and_tells_its_factory_of_it_as_the_real_port_does():
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -60,7 +60,9 @@
     player.play("wait 400")
     # A pool whose connection attempt is unanswered waits for it; all others have been removed.
     pools = player.service.pools
-    assert not [name for name in pools.names() if name[0] == "b" and not pools.pool_of(name).opening]
+    assert not [
+        name for name in pools.node_names() if name[0] == "b" and not pools.pool_of(name).opening_count
+    ]
     assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
 
 
@@ -85,5 +87,5 @@
     send_list(player, 42, [member, {**member, "phase": "terminated"}, {**member, "phase": "terminated"}])
     assert_serves(player)
     player.play("wait 400")
-    assert "s1" not in player.service.pools.names()
+    assert "s1" not in player.service.pools.node_names()
     assert "s1" not in {member.id for member in player.service.endpoint_discovery.listing().members}
--- a/tests/test_node_starts.py
+++ b/tests/test_node_starts.py
@@ -59,7 +59,7 @@
     def cold_ms(self, node):
         """Return how long the node still warms up, to the connections and to the balancer."""
         service = self.player.service
-        cold_ms = service.back._nodes[node].cold_until_ms - self.now
+        cold_ms = service.node_policy._nodes[node].cold_until_ms - self.now
         server = service.facade._balancer._servers[node]
         assert server.warm_from_ms + WARM_UP_MS - self.now == pytest.approx(cold_ms, abs=0.01)
         return max(0.0, cold_ms)
@@ -335,7 +335,7 @@
     straight, updates = play(events, EPOCH_MS, stepped=False)
     player, updates_stepped = play(events, EPOCH_MS + at_start_ms, stepped=True)
     assert without_starts(updates) == without_starts(updates_stepped)
-    assert straight.service.pools.names() == player.service.pools.names()
+    assert straight.service.pools.node_names() == player.service.pools.node_names()
     assert listed_nodes(straight) == listed_nodes(player)
     assert player.log.getvalue() == straight.log.getvalue()
     known, list_before = {}, -math.inf
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,29 +15,29 @@
 from balancer.settings import SettingsError, read_settings
 from cloverwell import facade as f
 from cloverwell.__main__ import install_signal_handlers
-from cloverwell.codec.ring_buffer import SMALLEST, RingBuffer
+from cloverwell.codec.ring_buffer import MIN_RING_BYTES, RingBuffer
 from cloverwell.config import ConfigError, read_config
 from cloverwell.log import MAX_LINES_PER_SECOND, Log
 from cloverwell.timer_wheel import TimerWheel
 
 
 def test_ring_keeps_order_round_its_end_and_takes_no_more_than_its_bound():
-    ring, sent, got = RingBuffer(2 * SMALLEST), b"", b""
+    ring, sent, got = RingBuffer(2 * MIN_RING_BYTES), b"", b""
     for number in range(40):
         piece = bytes([number]) * 997
         sent += piece[: ring.write(piece)]
         assert len(ring) <= ring.bound
         got += ring.read(701)
-    assert ring.write(b"x" * 3 * SMALLEST) + len(ring) >= ring.bound
+    assert ring.write(b"x" * 3 * MIN_RING_BYTES) + len(ring) >= ring.bound
     assert ring.room == 0
     left = ring.read(ring.bound)
     assert (got + left).startswith(sent)
 
 
 def test_ring_finds_a_mark_that_lies_round_its_end():
-    ring = RingBuffer(SMALLEST)
-    ring.write(b"x" * (SMALLEST - 1))
-    ring.read(SMALLEST - 2)
+    ring = RingBuffer(MIN_RING_BYTES)
+    ring.write(b"x" * (MIN_RING_BYTES - 1))
+    ring.read(MIN_RING_BYTES - 2)
     ring.write(b"\r\nrest")
     assert ring.find(b"\r\n") == 1
     assert ring.peek(7) == b"x\r\nrest"
@@ -223,7 +223,7 @@
     import lab.proxy_testbed
 
     monkeypatch.setattr(lab.proxy_testbed, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
-    back, now = lab.proxy_testbed.ProxyTestbed().service.back, 1000.0
+    back, now = lab.proxy_testbed.ProxyTestbed().service.node_policy, 1000.0
     back.left("s0", now)
     assert not back.late("s0", now + grace_ms - 210.0)
     assert back.late("s0", now + grace_ms - 200.0)
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -110,14 +110,14 @@
     # Nodes drop a repeat for 1500 ms from when the first came. The proxy is stopped for 100 ms between the
     # write of its last byte and the next look at the clock.
     player = Player()
-    write = NodeConnection.put_command
+    write = NodeConnection.try_write_command
 
     def write_and_stop(connection, data):
         kept = write(connection, data)
         late(player, 100)
         return kept
 
-    monkeypatch.setattr(NodeConnection, "put_command", write_and_stop)
+    monkeypatch.setattr(NodeConnection, "try_write_command", write_and_stop)
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=1950|a\norigin expect PUT *")
     monkeypatch.undo()
     player.play("wait 1300\norigin close")
@@ -129,7 +129,7 @@
     # A connection is closed with the loop's next turn. The proxy is stopped before that, for longer than the
     # close may take on its way: the next attempt would meet the first at the node.
     player = Player(settings=SITE | {"limits": SITE["limits"] | {"second-copies": False}})
-    player.service.back.reach_ms = lambda node: 40.0
+    player.service.node_policy.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -36,7 +36,7 @@
     assert rows[0].lines == 2
     final = proxy.final_list()
     assert (final.revision, final.digest) == (7, digest(MEMBERS))
-    assert proxy.service.pools.names() == {"node-0", "node-1"}
+    assert proxy.service.pools.node_names() == {"node-0", "node-1"}
 
 
 def test_it_opens_no_port():
@@ -107,4 +107,4 @@
     assert (rows[-1].revision, rows[-1].lines, rows[-1].held) == (8, 1, False)
     assert rows[-1].cpu_ms > 0.0
     assert rows[0].cpu_ms == 0.0
-    assert proxy.service.pools.names() == {"node-0", "node-1", "node-2"}
+    assert proxy.service.pools.node_names() == {"node-0", "node-1", "node-2"}
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,7 +7,7 @@
 from scenario import Player, Transport
 
 from cloverwell.__main__ import tune_garbage_collector
-from cloverwell.codec.ring_buffer import SMALLEST
+from cloverwell.codec.ring_buffer import MIN_RING_BYTES
 from cloverwell.connections.budget import DescriptorBudget, DescriptorSide
 from cloverwell.connections.client_policy import RESERVE
 from cloverwell.request import Request
@@ -132,7 +132,7 @@
     )
     player.play('discovery send 200 {"revision":42,"complete":true,"members":[]}')
     player.play("wait 150\ns1 send VA 1 O1|a\nclient expect VA 1 O1|a\ns1 expect end\nwait 150")
-    assert player.service.pools.names() == set()
+    assert player.service.pools.node_names() == set()
 
 
 def test_a_connection_with_a_request_that_is_not_read_yet_is_not_closed():
@@ -202,7 +202,7 @@
     # What else it sends is thrown away, a piece a tick, and no further word is said.
     protocol.dataReceived(b"frob\r\n" * 1000)
     assert transport.producerState == "paused"
-    assert not len(protocol._in)
+    assert not len(protocol._incoming)
     player.play("wait 10")
     assert transport.producerState == "producing"
     assert not transport.aborted
@@ -240,7 +240,7 @@
         f"s1 send EN O2\norigin expect GET *\norigin send 200 {body}\nclient expect VA {size} O2|{body}"
     )
     # What was needed for it is given back.
-    assert len(protocol._in._data) <= SMALLEST
+    assert len(protocol._incoming._data) <= MIN_RING_BYTES
 
 
 def test_an_answer_that_is_not_read_is_kept_for_as_long_as_any_request_may_last():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -250,7 +250,7 @@
 def test_a_connection_that_ends_under_a_whole_request_may_have_run_it(rig, end, after_ms, cls, again):
     proxy = rig()
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
-    proxy.service.back.ahead = lambda node, opened, now: 0
+    proxy.service.node_policy.ahead = lambda node, opened, now: 0
     conn = proxy.client(write(1, cls=cls))
     node = proxy.origin.take()
     proxy.got(node, b"PUT /k1 ")
@@ -295,12 +295,12 @@
     proxy.nodes[0].jam()
     held = dict(proxy.service.budget.held)
     conn = proxy.client(read(1, 900))
-    proxy.until(lambda: proxy.service.pools.pool_of("s1").opening)
+    proxy.until(lambda: proxy.service.pools.pool_of("s1").opening_count)
     proxy.until(lambda: not proxy.service.dispatcher.open_count, "the attempt went on")
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     conn.close()
     proxy.until(lambda: proxy.service.budget.held == held, "its descriptor was kept")
-    assert not proxy.service.pools.pool_of("s1").opening
+    assert not proxy.service.pools.pool_of("s1").opening_count
     assert not proxy.service.pools.pool_of("s1")._waiting.attempts
 
 
@@ -309,7 +309,7 @@
     proxy = rig(backlog=0, settings=SETTINGS | {"limits": limits})
     held = proxy.nodes[0].jam()
     conn = proxy.client(read(1, 400))
-    proxy.until(lambda: proxy.service.pools.pool_of("s1").opening)
+    proxy.until(lambda: proxy.service.pools.pool_of("s1").opening_count)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     assert not proxy.service.pools.pool_of("s1")._waiting.attempts
     for one in held:
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -168,7 +168,10 @@
             node.rest = node.rest[STREAM_READ_BYTES:]
     side = player.service.side
     assert side.stream_count == number
-    held = sum(len(slow.held) + len(slow.transport.protocol._out) + len(node._in) for node, _, slow in pairs)
+    held = sum(
+        len(slow.held) + len(slow.transport.protocol._outgoing) + len(node._incoming)
+        for node, _, slow in pairs
+    )
     assert held <= number * (STREAM_PIECE_BYTES + AHEAD[1] + 2 * STREAM_READ_BYTES)
     player.play("wait 5000")
     for place, (node, transport, slow) in enumerate(pairs, 1):
@@ -208,7 +211,7 @@
 def test_an_attempt_behind_a_long_value_is_not_left_out_where_copies_are_refused(copies):
     player = Player()
     _, (node, transport) = asked(player)
-    player.service.pools.hold = not copies
+    player.service.pools.single_attempt_in_flight = not copies
     behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
     choice = SendAttempt("O2", "s1", 0, 400.0)
--- a/tests/test_sweep.py
+++ b/tests/test_sweep.py
@@ -47,7 +47,7 @@
     for part in range(4):
         rig.load(rng.choice((3.0, 40.0, 150.0)), rng.uniform(1.0, 6.0), seed=100 * seed + part)
         place = rng.randrange(nodes)
-        rig.pools.leave(f"s{place}")
+        rig.pools.mark_left(f"s{place}")
         rig.net.run_for(rng.uniform(0.1, 6.0))
         cold_until_ms = rig.now() + rng.choice((-1.0, 700.0))
         rig.pools.add(f"s{place}", *rig.nodes[place].address, False, cold_until_ms)
@@ -105,12 +105,12 @@
     rig.nodes[0].work_s = 0.4
     rig.attempt(0)
     rig.net.run_for(0.1)
-    rig.pools.leave("s0")
+    rig.pools.mark_left("s0")
     seen = visits(monkeypatch, rig, 5.0)
     assert set(seen) == {"s0"}
     assert 4 <= len(seen) <= 20
-    assert rig.pools.names() == {"s1", "s2"}
-    assert len(rig.back) == 2
+    assert rig.pools.node_names() == {"s1", "s2"}
+    assert len(rig.node_policy) == 2
 
 
 ITEMS = st.sampled_from("abcdef")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,11 +9,11 @@
 from types import SimpleNamespace
 
 import pytest
-from faulty_sockets import Calls, Outgoing, accepting, take_watch_back
+from faulty_sockets import CallFaults, OutgoingSockets, cancel_watch, inject_accept_faults
 from rig import Rig, read, write
 
 from cloverwell.codec import lines
-from cloverwell.codec.lines import hung_up, readable, received_ago_ms
+from cloverwell.codec.lines import closed_by_peer, is_readable, received_ago_ms
 from cloverwell.connections.close_reason import CloseReason
 from cloverwell.connections.node_policy import ConnectionUse
 from lab.proxy_testbed import SETTINGS
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def outgoing(monkeypatch):
-    return Outgoing(monkeypatch)
+    return OutgoingSockets(monkeypatch)
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
     usual 250 ms would have a node marked as missed."""
     made = Rig(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"connect-timeout": 9000.0}})
     # On a busy machine handshakes take long enough for one more to be opened ahead of need.
-    made.service.back.ahead = lambda node, opened, now: 0
+    made.service.node_policy.ahead = lambda node, opened, now: 0
     yield made
     made.close()
 
@@ -76,8 +76,8 @@
 @pytest.mark.parametrize("calls", ["recv", "send"])
 @pytest.mark.parametrize("number", PASSING)
 def test_an_error_that_passes_changes_nothing_for_a_client(proxy, number, calls):
-    failing = Calls(number, number)
-    accepting(proxy.service._port, **{calls: failing})
+    failing = CallFaults(number, number)
+    inject_accept_faults(proxy.service._port, **{calls: failing})
     exchange(proxy, proxy.client(), 1)
     assert failing.failed == 2
 
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("calls", ["recv", "send"])
 @pytest.mark.parametrize("number", PASSING)
 def test_an_error_that_passes_changes_nothing_at_a_node_or_the_origin(proxy, outgoing, number, calls):
-    at_node, at_origin = Calls(number, number), Calls(number, number)
+    at_node, at_origin = CallFaults(number, number), CallFaults(number, number)
     outgoing.at(proxy.nodes[0].address, **{calls: at_node})
     outgoing.at(proxy.origin.address, **{calls: at_origin})
     exchange(proxy, proxy.client(), 1)
@@ -98,9 +98,9 @@
 @pytest.mark.parametrize("calls", ["recv", "send"])
 @pytest.mark.parametrize("number", PASSING)
 def test_an_error_that_passes_changes_nothing_for_the_watch(proxy, outgoing, number, calls):
-    failing = Calls(number)
+    failing = CallFaults(number)
     outgoing.at(proxy.discovery.address, **{calls: failing})
-    take_watch_back(proxy)
+    cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
     discovery = whole(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
@@ -112,8 +112,8 @@
 
 def test_a_connection_that_can_not_be_looked_at_is_not_closed_for_it(proxy):
     # A request may stand unread in it: that one is taken, and the close would lose it.
-    peek = Calls()
-    accepting(proxy.service._port, peek=peek)
+    peek = CallFaults()
+    inject_accept_faults(proxy.service._port, peek=peek)
     conn = proxy.client()
     exchange(proxy, conn, 1)
     peek.faults = [errno.ENOMEM]
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("number", PASSING)
 def test_a_nodes_connection_that_can_not_be_looked_at_is_not_used(proxy, outgoing, number):
-    peek = Calls()
+    peek = CallFaults()
     outgoing.at(proxy.nodes[0].address, peek=peek)
     conn = proxy.client(read(1))
     node = proxy.nodes[0].take()
@@ -153,9 +153,9 @@
 # A byte a turn of the loop would be too slow to leave within the time that a command tells its node.
 @pytest.mark.parametrize(("calls", "most"), [("recv", 1), ("recv", 7), ("send", 16), ("send", 50)])
 def test_short_reads_and_writes_change_nothing(proxy, outgoing, calls, most):
-    accepting(proxy.service._port, **{calls: Calls(most=most)})
+    inject_accept_faults(proxy.service._port, **{calls: CallFaults(most=most)})
     for node in (proxy.nodes[0], proxy.origin):
-        outgoing.at(node.address, **{calls: Calls(most=most)})
+        outgoing.at(node.address, **{calls: CallFaults(most=most)})
     conn = proxy.client()
     exchange(proxy, conn, 1)
     exchange(proxy, conn, 3)
@@ -210,7 +210,7 @@
     """Has so many polls in a row fail for want of memory."""
 
     def fail(times):
-        calls = Calls(*[errno.ENOMEM] * times)
+        calls = CallFaults(*[errno.ENOMEM] * times)
 
         class Poll:
             def __init__(self):
@@ -233,7 +233,7 @@
     ours, theirs = socket.socketpair()
     with ours:
         theirs.close()
-        assert hung_up([ours]) == ({ours.fileno()} if seen else set())
+        assert closed_by_peer([ours]) == ({ours.fileno()} if seen else set())
 
 
 @pytest.mark.parametrize(("fails", "seen"), [(0, False), (2, False), (3, True)])
@@ -243,7 +243,7 @@
     failing_polls(fails)
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        assert readable(ours) is seen
+        assert is_readable(ours) is seen
 
 
 # What ends a connection ----------------------------------------------------------------------------
@@ -252,7 +252,7 @@
 @pytest.mark.parametrize("number", BROKEN)
 @pytest.mark.parametrize(("cls", "again"), [("order", False), ("adjust", True)])
 def test_a_broken_connection_under_a_whole_request_may_have_run_it(proxy, outgoing, number, cls, again):
-    broken = Calls(number)
+    broken = CallFaults(number)
     outgoing.at(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, cls=cls))
     origin = proxy.origin.take()
@@ -272,14 +272,14 @@
 
 @pytest.mark.parametrize("number", BROKEN)
 def test_a_connection_that_breaks_before_the_last_byte_has_not_run_the_request(proxy, outgoing, number):
-    proxy.service.back.use = lambda node, age_ms, unsafe: ConnectionUse.SPLIT
-    proxy.service.back.hold_ms = lambda node: 1500.0
-    broken = Calls(number)
+    proxy.service.node_policy.use = lambda node, age_ms, unsafe: ConnectionUse.SPLIT
+    proxy.service.node_policy.hold_ms = lambda node: 1500.0
+    broken = CallFaults(number)
     outgoing.at(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, value=b"ab"))
     origin = proxy.origin.take()
     assert proxy.got(origin, b"\r\n\r\na").endswith(b"\r\n\r\na")
-    proxy.service.back.hold_ms = lambda node: 5.0
+    proxy.service.node_policy.hold_ms = lambda node: 5.0
     origin.sendall(b"x")
     second = whole(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
     assert second is not origin
@@ -290,7 +290,7 @@
 
 @pytest.mark.parametrize("number", [*BROKEN, errno.EPIPE])
 def test_a_command_of_which_not_a_byte_left_goes_by_another_connection(proxy, outgoing, number):
-    broken = Calls(number)
+    broken = CallFaults(number)
     outgoing.at(proxy.origin.address, send=broken)
     conn = proxy.client(write(1))
     whole(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
@@ -302,7 +302,7 @@
 @pytest.mark.parametrize("number", BROKEN)
 @pytest.mark.parametrize("head", [b"Connection: close\r\n", b"Content-Length: 9\r\n"])
 def test_an_answer_whose_connection_breaks_is_never_a_whole_one(proxy, outgoing, number, head):
-    outgoing.at(proxy.origin.address, recv=Calls(None, number))
+    outgoing.at(proxy.origin.address, recv=CallFaults(None, number))
     conn = proxy.client(write(1, 900))
     origin = proxy.origin.take()
     proxy.got(origin, b"PUT /k1 ")
@@ -330,7 +330,7 @@
 
 @pytest.mark.parametrize("number", BROKEN)
 def test_a_clients_connection_that_breaks_is_a_client_that_has_left(proxy, outgoing, number):
-    accepting(proxy.service._port, recv=Calls(None, number))
+    inject_accept_faults(proxy.service._port, recv=CallFaults(None, number))
     failing = outgoing.fail_socket(proxy.origin.address, always=errno.ENFILE)
     conn = proxy.client(write(1, 1900))
     proxy.until(lambda: proxy.service.dispatcher.open_count == 1)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -277,14 +277,14 @@
     informed_s = player.reactor.rightNow
     player.reactor.rightNow += waited_ms / 1000.0
     written_s = []
-    put = RingLineReceiver.put_command
+    put = RingLineReceiver.try_write_command
 
     def held_up(connection, data):
         player.reactor.rightNow += STALL_MS / 1000.0
         written_s.append(player.reactor.rightNow)
         return put(connection, data)
 
-    monkeypatch.setattr(RingLineReceiver, "put_command", held_up)
+    monkeypatch.setattr(RingLineReceiver, "try_write_command", held_up)
     player.connection("s1", 0)
     assert bool(written_s) == (waited_ms < GRACE_MS - STALL_MS - WAY_MS)
     assert all(at - informed_s <= (GRACE_MS - WAY_MS) / 1000.0 + 1e-6 for at in written_s)
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -99,7 +99,7 @@
     proxy.endpoint_discovery.watch()
     net.run_for(6.0)
     assert len(proxy.endpoint_discovery.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
-    assert len(proxy.pools.names()) == NODES + 1
+    assert len(proxy.pools.node_names()) == NODES + 1
 
 
 def test_every_one_of_1024_nodes_is_asked_for_its_keys():
@@ -147,7 +147,7 @@
     net.run_for(1.0)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(proxy.pools.names()) == nodes + 1
+    assert len(proxy.pools.node_names()) == nodes + 1
     return size
 
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -66,7 +66,7 @@
 
 def test_a_further_attempt_that_waits_for_the_close_of_the_first_tells_what_is_left_then():
     player = Player(settings=without_copies())
-    player.service.back.reach_ms = lambda node: 60.0
+    player.service.node_policy.reach_ms = lambda node: 60.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
@@ -96,8 +96,10 @@
 
 def split(player):
     """An order whose last byte is kept back, on a connection that has stood idle where others broke."""
-    player.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT if dear else ConnectionUse.WHOLE
-    player.service.back.hold_ms = lambda node: 40.0
+    player.service.node_policy.use = lambda node, age_ms, dear: (
+        ConnectionUse.SPLIT if dear else ConnectionUse.WHOLE
+    )
+    player.service.node_policy.hold_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a")
     return sent(player, "origin")
 
@@ -116,7 +118,7 @@
     # The loop is held up while the byte is kept back: the command would tell so much too much.
     player = Player()
     first = split(player)
-    player.service.back.hold_ms = lambda node: 1.0
+    player.service.node_policy.hold_ms = lambda node: 1.0
     late(player, held_up_ms)
     player.play("wait 5")
     assert sent(player, "origin") == first, "the last byte left all the same"
@@ -133,7 +135,7 @@
     guarantees = SETTINGS["guarantees"] | {"drain-grace": 210.0}
     player = Player(settings=SETTINGS | {"guarantees": guarantees})
     first = split(player)
-    player.service.back.left("origin", player.now())
+    player.service.node_policy.left("origin", player.now())
     player.play("wait 45")
     assert sent(player, "origin") == first
 
@@ -210,7 +212,7 @@
 def test_over_any_order_of_waits_closes_lags_and_writes_nothing_tells_more_than_is_left(steps, kept_back):
     player = Watched()
     if kept_back:
-        player.service.back.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
+        player.service.node_policy.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
     asked = 0
     for step, *more in steps:
         match step, more:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -77,7 +77,7 @@
     count = 40  # more than the origin is asked for at once
     for place in range(1, count + 1):
         player.play(f"client#{place} send ms k{place} 1 O{place} Pc=order,t=acme,d=1900|a")
-    out = player.service.pools.pool_of("origin").opening
+    out = player.service.pools.pool_of("origin").opening_count
     assert 1 < out < count
     for place in range(1, out + 1):
         assert b"PUT" in sent(player, "origin", place)
@@ -103,7 +103,7 @@
 def test_a_second_attempt_that_waits_for_the_close_of_the_first(stays):
     # Where a request may not have two attempts out together, the next waits until the close has arrived.
     player = Player(settings=settings_with("limits", **{"second-copies": False}))
-    player.service.back.reach_ms = lambda node: 40.0
+    player.service.node_policy.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
@@ -151,7 +151,7 @@
     factory = player.next_asked("s1")
     assert factory.buildProtocol(None) is None
     player.play("s1b expect mg k2 *\ns1b send VA 1 O2|b\nclient#2 expect VA 1 O2|b")
-    assert player.service.pools.pool_of("s1").opening == 0
+    assert player.service.pools.pool_of("s1").opening_count == 0
 
 
 @pytest.mark.parametrize("after_ms", [0, 3, 12])
