--- a/cloverwell/client_port.py
+++ b/cloverwell/client_port.py
@@ -10,7 +10,7 @@
 class SharedListeningPort(ListeningPort, Protocol):
     """A listening port whose socket can be given to another process."""
 
-    def share(self) -> int:
+    def share_socket(self) -> int:
         """The descriptor of the socket; connections in its queue wait for both processes."""
 
     def stopListening(self) -> object:
--- a/cloverwell/control/server/port.py
+++ b/cloverwell/control/server/port.py
@@ -68,7 +68,7 @@
 
     # Called by the listening port
 
-    def may_accept(self) -> int:
+    def accept_limit(self) -> int:
         """Returns how many more connections may be accepted."""
         return MAX_CONNECTIONS - len(self.connections)
 
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -27,7 +27,7 @@
 
 MAX_PIPELINED_COMMANDS = 64  # pipelining limit: with so many responses pending, the connection is not read
 # Malformed commands in a row: so many cost no pause of reading, and so many close the connection.
-FREE_MALFORMED_COMMANDS = 8
+UNTHROTTLED_MALFORMED_COMMANDS = 8
 MAX_MALFORMED_COMMANDS = 24
 MALFORMED_COMMAND_PAUSE_MS = 50.0
 DISCARD_PAUSE_MS = 5.0  # between two reads of what is discarded once framing is lost
@@ -97,12 +97,12 @@
     def hold(self) -> None:
         """Read no more until `release`."""
         super().hold()
-        self._owner.reading_paused[self] = None
+        self._owner.paused_connections[self] = None
         self._arrival.reading_paused(self._owner.timer_wheel.now())
 
     def release(self) -> None:
         """Read on."""
-        self._owner.reading_paused.pop(self, None)
+        self._owner.paused_connections.pop(self, None)
         if self._held:
             self._check_buffer_empty()
         super().release()
@@ -158,7 +158,7 @@
         self._owner.request_started(self)
         if len(self._responses.pending) >= MAX_PIPELINED_COMMANDS:
             self.hold()
-        if self._owner.rejects(request):
+        if self._owner.should_reject(request):
             request.finish(Rejected(self._owner.retry_after_ms))
         else:
             self._owner.dispatcher.accept(request)
@@ -169,7 +169,7 @@
         if self._malformed_count >= MAX_MALFORMED_COMMANDS:
             self.reject_and_close(reason)
             return
-        if self._malformed_count > FREE_MALFORMED_COMMANDS:
+        if self._malformed_count > UNTHROTTLED_MALFORMED_COMMANDS:
             # A client that repeats malformed commands at once must not take the others' time.
             self.hold()
             self._throttle(MALFORMED_COMMAND_PAUSE_MS)
@@ -211,8 +211,8 @@
                 self._close_after_responses()
                 return
             # A client that always sends its next request at once is never seen idle by the periodic check.
-            if self._owner.closing_process.is_closing and not self._parsing:
-                self._owner.closing_process.advance(self)
+            if self._owner.drainer.is_closing and not self._parsing:
+                self._owner.drainer.advance(self)
         elif pending[0].data is not None:
             self._owner.blocked_by_client(self)
         if len(pending) >= MAX_PIPELINED_COMMANDS:
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -17,8 +17,8 @@
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.front.client_closer import ClientCloser
 from cloverwell.front.client_connection import ClientConnection
-from cloverwell.front.connection_closing import ConnectionClosing
-from cloverwell.front.connection_report import describe_held
+from cloverwell.front.connection_closing import ConnectionDrainer
+from cloverwell.front.connection_report import describe_open_connections
 from cloverwell.front.disconnect_detector import DisconnectDetector
 from cloverwell.front.port import BoundedFactory
 from cloverwell.front.unread_responses import UnreadResponses
@@ -42,10 +42,10 @@
     """The port that clients connect to."""
 
     @property
-    def accepting(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether it is read now."""
 
-    def waits(self) -> bool:
+    def has_waiting_connections(self) -> bool:
         """Return whether a connection waits in the kernel's queue."""
 
     def pauseProducing(self) -> None:
@@ -94,7 +94,7 @@
         self.retry_after_ms = min(RETRY_AFTER_MS, settings.max_retry_after_ms)
         self.connections: dict[ClientConnection, None] = {}  # in the order in which they were accepted
         self._detector = DisconnectDetector(self.connections, timer_wheel)
-        self.reading_paused = self._detector.reading_paused
+        self.paused_connections = self._detector.paused_connections
         self.policy: ClientConnectionPolicy[ClientConnection] = ClientConnectionPolicy(
             budget.most(DescriptorSide.CLIENTS), max_requesting, timer_wheel.now()
         )
@@ -104,7 +104,7 @@
         self._metrics = metrics
         self._full = False
         self._unread_responses: UnreadResponses[ClientConnection] = UnreadResponses()
-        self.closing_process = ConnectionClosing(self.connections, serving, dispatcher, timer_wheel)
+        self.drainer = ConnectionDrainer(self.connections, serving, dispatcher, timer_wheel)
         self._queue = AcceptQueue(BACKLOG + 1)  # Linux lets one more connection wait than the backlog.
         self.request_descriptor: Callable[[], object] = lambda: None  # of the nodes' side
         timer_wheel.on_stall = self._check_after_stall
@@ -113,13 +113,13 @@
 
     # Accepting ----------------------------------------------------------------------------------
 
-    def may_accept(self) -> int:
+    def accept_limit(self) -> int:
         """Return how many connections may be accepted in this iteration of the event loop."""
         return min(MAX_ACCEPTS_PER_ITERATION, self._budget.room(DescriptorSide.CLIENTS))
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
         """Make the connection of a client; None, which closes it, where there is no descriptor for it."""
-        # A `BoundedPort` asks `may_accept` before; a listener that does not is held to the budget here.
+        # A `BoundedPort` asks `accept_limit` before; a listener that does not is held to the budget here.
         if not self._budget.room(DescriptorSide.CLIENTS):
             return None
         host = getattr(addr, "host", "")
@@ -146,7 +146,7 @@
 
     def _connection_waits(self) -> bool:
         """Return whether a connection may wait to be accepted."""
-        return self.port is None or self.port.waits()
+        return self.port is None or self.port.has_waiting_connections()
 
     def _check_accept_queue(self) -> None:
         if not self._queue.may_hold_connections or self.port is None:
@@ -155,7 +155,7 @@
             self._queue.connections_waiting(self.timer_wheel.now())
             return
         self._queue.empty()
-        if not self.port.accepting:
+        if not self.port.is_accepting:
             self.accept_paused()
 
     def _pause_accepting(self) -> None:
@@ -207,7 +207,7 @@
             return
         self.connections.pop(connection)
         self._note_close(connection)
-        self.reading_paused.pop(connection, None)
+        self.paused_connections.pop(connection, None)
         self._unread_responses.progressed(connection)
         self._budget.give_back(DescriptorSide.CLIENTS)
         self.policy.closed(connection)
@@ -218,12 +218,12 @@
         self._metrics.add(ConnectionEvent.CLIENT_CLOSE, reason.value)
         self._log.info("close", f"{connection.peer}: {reason.value}, open for {connection.age_ms:.0f} ms")
 
-    def rejects(self, request: Request) -> bool:
+    def should_reject(self, request: Request) -> bool:
         """Return whether this new request is rejected: its connection should be closed, or too many are used.
 
         Without the second, descriptors would run out: an accept that fails would lose requests.
         """
-        if self.closing_process.rejects_requests:
+        if self.drainer.rejects_requests:
             self.dispatcher.note_rejected(request, "ending")
             return True
         if self.policy.states.active_count <= self._budget.max_active_clients:
@@ -246,14 +246,14 @@
         """
         self._abandon(self._detector.with_others(connections))
 
-    def check_not_read(self) -> None:
+    def check_paused_connections(self) -> None:
         """Check the connections that are not read: nothing else tells that their clients have closed."""
         self._abandon(self._detector.among_not_read())
 
     def _check_disconnected_periodically(self) -> None:
         now = self.timer_wheel.now()
         self.timer_wheel.at(now + DISCONNECT_CHECK_INTERVAL_MS, self._check_disconnected_periodically)
-        self.check_not_read()
+        self.check_paused_connections()
 
     def _check_after_stall(self) -> None:
         """Check before anything is sent: the event loop has not read for a while."""
@@ -261,7 +261,7 @@
 
     def _abandon(self, connections: list[ClientConnection]) -> None:
         for connection in connections:
-            self.reading_paused.pop(connection, None)
+            self.paused_connections.pop(connection, None)
         self.dispatcher.client_disconnected(
             [request for connection in connections for request in connection.abandon()]
         )
@@ -279,7 +279,7 @@
         self._closer.close(expired, len(expired))
         for connection in self._unread_responses.to_check(now):
             if self._unread_responses.has_expired(connection, unsent(connection.fileno()), now):
-                self.closing_process.close_now(connection, CloseReason.NOT_READING)
+                self.drainer.close_now(connection, CloseReason.NOT_READING)
         self._keep_room()
         self._resume_accepting()
         self._check_accept_queue()
@@ -306,6 +306,6 @@
         if self._budget.other_can_release(DescriptorSide.NODES):
             self._closer.close(self.policy.to_make_room(self.timer_wheel.now(), 1, 0), 1)
 
-    def describe_held(self) -> str:
+    def describe_open_connections(self) -> str:
         """Return one line on the connections that are open now."""
-        return describe_held(self.connections)
+        return describe_open_connections(self.connections)
--- a/cloverwell/front/connection_closing.py
+++ b/cloverwell/front/connection_closing.py
@@ -18,7 +18,7 @@
 REJECTING_READ_BYTES = 8 * 1024
 
 
-class ConnectionClosing:
+class ConnectionDrainer:
     """Carries out the step that is due for each connection.
 
     Attributes:
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -13,7 +13,7 @@
 ClosedT = TypeVar("ClosedT", contravariant=True)
 
 
-class ClosingProcess(Protocol[ClosedT]):
+class Drainer(Protocol[ClosedT]):
     """What closes the connections of a process that is drained or stops."""
 
     is_closing: bool  # connections are closed between requests
@@ -34,7 +34,7 @@
         not_read: connections whose reading is paused.
         retry_after_ms: for clients whose requests are rejected; 0 to send none.
         stream_count: streamed values that are being sent.
-        closing_process: closes connections while this process is drained or stops.
+        drainer: closes connections while this process is drained or stops.
     """
 
     dispatcher: Dispatcher
@@ -42,7 +42,7 @@
     timer_wheel: TimerWheel
     classes: dict[str, int]
     tenants: dict[str, int]
-    reading_paused: dict[ConnectionT, None]
+    paused_connections: dict[ConnectionT, None]
     retry_after_ms: float
     stream_count: int
 
@@ -70,11 +70,11 @@
     def clients_disconnected(self, connections: list[ConnectionT]) -> None:
         """End all that is open for clients that have closed their connections, at once."""
 
-    def rejects(self, request: Request) -> bool:
+    def should_reject(self, request: Request) -> bool:
         """Return whether a new request is rejected because too many clients have open ones."""
 
     @property
-    def closing_process(self) -> ClosingProcess[ConnectionT]:
+    def drainer(self) -> Drainer[ConnectionT]:
         """Return what closes connections while this process is drained or stops."""
 
     def stream_buffer_bytes(self) -> int:
--- a/cloverwell/front/connection_report.py
+++ b/cloverwell/front/connection_report.py
@@ -31,7 +31,7 @@
         """How long ago it was accepted."""
 
 
-def describe_held(connections: Collection[ReportedConnection]) -> str:
+def describe_open_connections(connections: Collection[ReportedConnection]) -> str:
     """Return one line on the connections: each one's client, state, age and open requests."""
     if not connections:
         return "no connection of a client is held"
--- a/cloverwell/front/disconnect_detector.py
+++ b/cloverwell/front/disconnect_detector.py
@@ -24,11 +24,11 @@
         self._connections = connections
         self._timer_wheel = timer_wheel
         self._checked_ms = timer_wheel.now()  # when all that have something pending were checked
-        self.reading_paused: dict[ClientConnection, None] = {}  # the connections whose reading is paused
+        self.paused_connections: dict[ClientConnection, None] = {}  # the connections whose reading is paused
 
     def among_not_read(self) -> list[ClientConnection]:
         """Return the connections whose reading is paused and whose clients have disconnected."""
-        return self._disconnected_among(self.reading_paused) if self.reading_paused else []
+        return self._disconnected_among(self.paused_connections) if self.paused_connections else []
 
     def after_stall(self) -> list[ClientConnection]:
         """Return the disconnected clients, unless all were checked since the event loop stalled."""
@@ -48,7 +48,7 @@
         return self._disconnected_among(
             connection
             for connection in self._connections
-            if connection.has_open_request or connection in self.reading_paused
+            if connection.has_open_request or connection in self.paused_connections
         )
 
     def _disconnected_among(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -59,7 +59,7 @@
     headers: list[tuple[str, str]]  # beside those that each response has
 
 
-class Operators(BoundedFactory):
+class OperatorHttpFactory(BoundedFactory):
     """Accepts operators' connections, and answers their calls."""
 
     def __init__(self, service: OperatorService, timer_wheel: TimerWheel, log: Log) -> None:
@@ -76,7 +76,7 @@
 
     # Accepting ----------------------------------------------------------------------------------
 
-    def may_accept(self) -> int:
+    def accept_limit(self) -> int:
         """Return the most connections there may be: older ones make room for new ones."""
         return MAX_OPERATOR_CONNECTIONS
 
@@ -125,7 +125,7 @@
 
     transport: Any  # Twisted's TCP transport
 
-    def __init__(self, owner: Operators) -> None:
+    def __init__(self, owner: OperatorHttpFactory) -> None:
         """Create the connection of an operator that has just been accepted."""
         self._owner = owner
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
--- a/cloverwell/front/port.py
+++ b/cloverwell/front/port.py
@@ -27,7 +27,7 @@
 MAX_FINAL_ACCEPT_ROUNDS = 32
 MAX_FAILED_ACCEPTS = 16  # connections in a row that ended before they were accepted; then the port backs off
 ACCEPT_BACKOFF_S = 0.02  # after an accept that failed: trying again at once would keep the event loop busy
-ACCEPT_FAILURE_REPORT_S = 1.0  # between two reports to the factory that accepts fail
+ACCEPT_FAILURE_REPORT_INTERVAL_S = 1.0  # between two reports to the factory that accepts fail
 START_ATTEMPTS = 25  # to open the first socket, while the machine is short of something
 START_RETRY_S = 0.02
 # An address that is in use, or not this machine's, is an error that a retry does not help.
@@ -41,7 +41,7 @@
 
     noisy = False
 
-    def may_accept(self) -> int:
+    def accept_limit(self) -> int:
         """Return how many connections may be accepted now."""
         raise NotImplementedError
 
@@ -106,7 +106,7 @@
     _guarded: _GuardedSocket
 
     @property
-    def accepting(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether the port is read: it neither backs off nor is paused."""
         return self._backoff is None and not self._paused
 
@@ -120,7 +120,7 @@
             self._backoff = self.reactor.callLater(ACCEPT_BACKOFF_S, self._end_backoff)
             self.factory.accept_paused()
         now_s = self.reactor.seconds()
-        if self._last_report_s is None or now_s - self._last_report_s >= ACCEPT_FAILURE_REPORT_S:
+        if self._last_report_s is None or now_s - self._last_report_s >= ACCEPT_FAILURE_REPORT_INTERVAL_S:
             self._last_report_s = now_s
             self.factory.accept_failed(str(error))
 
@@ -176,11 +176,11 @@
             created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         return created
 
-    def waits(self) -> bool:
+    def has_waiting_connections(self) -> bool:
         """Return whether a connection waits in the kernel's queue."""
         return readable(self.fileno())  # type: ignore[no-untyped-call]
 
-    def share(self) -> int:
+    def share_socket(self) -> int:
         """Return the descriptor for another process, which from now on accepts from the same queue."""
         self._shouldShutdown = False  # This process closes its descriptor; the socket must go on listening.
         descriptor: int = self.fileno()  # type: ignore[no-untyped-call]
@@ -199,7 +199,7 @@
     @property
     def numberAccepts(self) -> int:
         """How many connections Twisted accepts in one iteration of the event loop."""
-        return self.factory.may_accept()
+        return self.factory.accept_limit()
 
     @numberAccepts.setter
     def numberAccepts(self, adapted: int) -> None:
--- a/cloverwell/graceful_shutdown.py
+++ b/cloverwell/graceful_shutdown.py
@@ -53,7 +53,7 @@
         no further checks.
         """
         self._dispatcher.answer_all_by(self._serving.answer_by_ms())
-        self._side.closing_process.check()
+        self._side.drainer.check()
         self._schedule_report()
         self._schedule_check()
 
@@ -77,7 +77,7 @@
         after_stall = self._timer_wheel.just_stalled
         if now >= self._serving.answer_by_ms() and not after_stall:
             self._dispatcher.fail_all_open()
-        self._side.closing_process.check()
+        self._side.drainer.check()
         if self._serving.state is ServingState.STOPPING and not after_stall and self._is_over(now):
             self._end()
 
@@ -88,7 +88,7 @@
 
     def _end(self) -> None:
         if self._side.connections:
-            self._log.warn("held", self._side.describe_held())
+            self._log.warn("held", self._side.describe_open_connections())
         self._over = True
         self._all_answered()
 
@@ -105,4 +105,4 @@
         if self._serving.state is not ServingState.DRAINED or self._serving.since_ms != began_ms:
             return
         write = self._log.warn if self._side.connections else self._log.info
-        write("held", self._side.describe_held())
+        write("held", self._side.describe_open_connections())
--- a/cloverwell/handover_coordinator.py
+++ b/cloverwell/handover_coordinator.py
@@ -122,7 +122,7 @@
             self._parts.endpoint_discovery.listing(),
             self._parts.endpoint_discovery.node_starts(),
         )
-        return handover_state, self._client_port.listening.share()
+        return handover_state, self._client_port.listening.share_socket()
 
     def succeeded(self) -> None:
         """The successor serves: it accepts all further connections."""
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -141,9 +141,9 @@
 
     def _open_operator_port(self, listen: Listen, host: str, port: int) -> None:
         # Imported here, so that a proxy without the port does not load the HTTP parser for it.
-        from cloverwell.front.operators import Operators
+        from cloverwell.front.operators import OperatorHttpFactory
 
-        operators = Operators(self, self.timer_wheel, self._log)
+        operators = OperatorHttpFactory(self, self.timer_wheel, self._log)
         self._operator_port = listen(self._reactor, host, port, operators, OPERATOR_BACKLOG)
         self._log.info("operator", f"calls are answered at {host}:{port}")
 
--- a/lab/listener.py
+++ b/lab/listener.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cloverwell.front.port import ACCEPT_BACKOFF_S, ACCEPT_FAILURE_REPORT_S, MAX_FINAL_ACCEPT_ROUNDS
+from cloverwell.front.port import ACCEPT_BACKOFF_S, ACCEPT_FAILURE_REPORT_INTERVAL_S, MAX_FINAL_ACCEPT_ROUNDS
 from lab.system_call_faults import calls_of
 
 Address = tuple[str, int]
@@ -57,11 +57,11 @@
         self._told_s: float | None = None  # when the factory heard last why accepts fail
 
     @property
-    def accepting(self) -> bool:
+    def is_accepting(self) -> bool:
         """The port is read: it neither rests nor is paused."""
         return not (self._resting or self._paused)
 
-    def waits(self) -> bool:
+    def has_waiting_connections(self) -> bool:
         """A connection waits in the machine's queue."""
         return bool(self.queue)
 
@@ -97,7 +97,7 @@
 
     def _taker(self) -> Listener | None:
         """The process that takes the next connection, if one does now."""
-        return next((listener for listener in reversed(self.shares) if listener.accepting), None)
+        return next((listener for listener in reversed(self.shares) if listener.is_accepting), None)
 
     def accept_failed(self, error_number: int) -> None:
         """As `port.BackoffPort`: it rests, and tells its factory of each rest, and why once a second."""
@@ -106,7 +106,7 @@
             self.net.callLater(ACCEPT_BACKOFF_S, self._go_on)
             self.factory.accept_paused()
         now_s = self.net.seconds()
-        if self._told_s is None or now_s - self._told_s >= ACCEPT_FAILURE_REPORT_S:
+        if self._told_s is None or now_s - self._told_s >= ACCEPT_FAILURE_REPORT_INTERVAL_S:
             self._told_s = now_s
             self.factory.accept_failed(os.strerror(error_number))
 
@@ -114,7 +114,7 @@
         self._resting = False
         self._accept_waiting()
 
-    def share(self) -> Listener:
+    def share_socket(self) -> Listener:
         """As `port.BoundedPort`: what another process adopts."""
         return self
 
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self.accepted, self.failures, self.backoffs = [], [], 0
 
-    def may_accept(self):
+    def accept_limit(self):
         return 64
 
     def accept_failed(self, reason=""):
@@ -176,18 +176,18 @@
 def test_a_port_accepts_only_while_it_neither_backs_off_nor_is_paused(listening):
     made = listening(1)
     accepting(made.port, Calls(errno.ENFILE))
-    assert made.port.accepting
-    assert made.port.waits()
+    assert made.port.is_accepting
+    assert made.port.has_waiting_connections()
     made.loop.iterate()
-    assert not made.port.accepting
+    assert not made.port.is_accepting
     made.port.pauseProducing()
     made.loop.advance(0.02)
-    assert not made.port.accepting
-    assert made.port.waits()
+    assert not made.port.is_accepting
+    assert made.port.has_waiting_connections()
     made.port.resumeProducing()
     made.loop.iterate()
-    assert made.port.accepting
-    assert not made.port.waits()
+    assert made.port.is_accepting
+    assert not made.port.has_waiting_connections()
 
 
 def test_a_port_that_closes_while_it_backs_off_stays_closed(listening):
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -14,9 +14,9 @@
 from cloverwell.dispatcher import Dispatcher
 from cloverwell.facade import AttemptOutcome
 from cloverwell.front.client_connection import (
-    FREE_MALFORMED_COMMANDS,
     MAX_MALFORMED_COMMANDS,
     MAX_PIPELINED_COMMANDS,
+    UNTHROTTLED_MALFORMED_COMMANDS,
 )
 from cloverwell.front.client_connections import DISCONNECT_CHECK_INTERVAL_MS, ClientConnections
 from cloverwell.timer_wheel import STALL_MS
@@ -62,7 +62,7 @@
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
     proxy.skip(20)
-    assert errors > FREE_MALFORMED_COMMANDS + 4
+    assert errors > UNTHROTTLED_MALFORMED_COMMANDS + 4
     assert not begun
     leave(conn)
     proxy.skip(50 * errors)
@@ -106,9 +106,9 @@
     for conn in conns[:20]:
         conn.close()
     monkeypatch.setattr(lines.select, "poll", Counted)
-    side.check_not_read()
+    side.check_paused_connections()
     assert len(calls) == 1
-    assert len(side.reading_paused) == 40
+    assert len(side.paused_connections) == 40
 
 
 # Connections that wait to be accepted -------------------------------------------------------------
@@ -262,7 +262,7 @@
     conn.sendall(
         b"".join(read(number) for number in range(2, 2 + 2 * MAX_PIPELINED_COMMANDS)) + b"ms k9 70 O9"
     )
-    proxy.until(lambda: proxy.service.side.reading_paused)
+    proxy.until(lambda: proxy.service.side.paused_connections)
     leave(conn)
     proxy.skip(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -6,8 +6,8 @@
 
 from cloverwell.connections.closing import ClosingState
 from cloverwell.dispatcher import Dispatcher
-from cloverwell.front.connection_closing import ConnectionClosing
-from cloverwell.front.connection_report import MAX_CONNECTIONS, MAX_REQUEST_IDS, describe_held
+from cloverwell.front.connection_closing import ConnectionDrainer
+from cloverwell.front.connection_report import MAX_CONNECTIONS, MAX_REQUEST_IDS, describe_open_connections
 from cloverwell.graceful_shutdown import DRAIN_REPORT_MS
 from cloverwell.log import MAX_LINES_PER_SECOND
 
@@ -72,7 +72,7 @@
 
 
 def test_at_the_end_of_a_drain_what_is_held_is_named(rig, monkeypatch):
-    monkeypatch.setattr(ConnectionClosing, "advance", lambda closing, connection: None)
+    monkeypatch.setattr(ConnectionDrainer, "advance", lambda closing, connection: None)
     monkeypatch.setattr(Dispatcher, "fail_all_open", lambda dispatcher: None)
     monkeypatch.setattr(Dispatcher, "answer_all_by", lambda dispatcher, when_ms: None)
     proxy = rig()
@@ -119,7 +119,7 @@
 
 def test_the_line_of_what_is_held_is_bounded():
     connections = [Held(MAX_REQUEST_IDS + 2) for _ in range(MAX_CONNECTIONS + 3)]
-    line = describe_held(connections)
+    line = describe_open_connections(connections)
     assert line.startswith(
         f"{len(connections)} connections of clients are held: 127.0.0.9:1, open for 1234 ms"
     )
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -233,7 +233,7 @@
 
 def test_no_more_are_let_in_than_there_is_room_for(port):
     port.connect()
-    assert port.may_accept() == MAX_CONNECTIONS - 1
+    assert port.accept_limit() == MAX_CONNECTIONS - 1
 
 
 # A link to another node -----------------------------------------------------------------------------
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -10,7 +10,7 @@
 from cloverwell.control.entry import START, Entry
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
 from cloverwell.control.proxy.proxy_control import CHECK_INTERVAL_MS, ProxyControl
-from cloverwell.front.operators import Operators
+from cloverwell.front.operators import OperatorHttpFactory
 from cloverwell.timer_wheel import TimerWheel
 from lab.proxy_testbed import SETTINGS
 
@@ -170,6 +170,6 @@
         def configuration(self):
             return described
 
-    answer = Operators(OperatorService(), None, Lines()).answer(method, "/configuration")
+    answer = OperatorHttpFactory(OperatorService(), None, Lines()).answer(method, "/configuration")
     assert answer[0] == status
     assert status != 200 or answer[1] == described
--- a/tests/test_lab_system_calls.py
+++ b/tests/test_lab_system_calls.py
@@ -352,8 +352,8 @@
     machine = Machine("accept_fails", ["ENOMEM"])
     net, _, server = connected(machine)
     listener = net.listeners[ADDRESS]
-    assert listener.waits()
-    assert not listener.accepting
+    assert listener.has_waiting_connections()
+    assert not listener.is_accepting
     assert (server.rests, server.failures) == (1, [os.strerror(errno.ENOMEM)])
     net.run_for(0.5)
     assert 20 <= server.rests <= 26
@@ -363,8 +363,8 @@
     machine.system_calls.end("accept_fails")
     net.run_for(ACCEPT_BACKOFF_S)
     assert server.built
-    assert listener.accepting
-    assert not listener.waits()
+    assert listener.is_accepting
+    assert not listener.has_waiting_connections()
 
 
 def test_a_connection_that_comes_during_a_rest_waits_behind_the_others():
--- a/tests/test_port.py
+++ b/tests/test_port.py
@@ -17,7 +17,7 @@
     def __init__(self, room):
         self.room, self.accepted, self.failures = room, [], 0
 
-    def may_accept(self):
+    def accept_limit(self):
         return self.room - len(self.accepted)
 
     def accept_failed(self, reason):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -105,7 +105,7 @@
 def test_who_is_turned_away_for_want_of_descriptors_is_told_the_sites_own_time(limits, answer):
     # It was 1000 ms also where clients are told none.
     player = Player(settings=SETTINGS | {"limits": SETTINGS["limits"] | limits})
-    player.service.side.rejects = lambda request: True
+    player.service.side.should_reject = lambda request: True
     player.play(f"client send mg k v O1 Pc=page,t=acme,d=900\nclient expect SERVER_ERROR {answer}")
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -92,7 +92,7 @@
 def test_a_crowd_of_clients_does_not_shut_operators_out():
     player = Player(sockets=64, operator=True)
     player.service.side.port, place = Transport(), 0
-    while player.service.side.may_accept():
+    while player.service.side.accept_limit():
         place += 1
         player.play(f"client#{place} send ms k 9 O{place} Pc=order,t=acme,d=1900|a")
     player.play("operator send GET /ready\noperator expect HTTP/1.1 200 *yes")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -26,7 +26,7 @@
     proxy.nodes[0].jam()
     conn = proxy.client(b"".join(read(number) for number in range(3 * MAX_PIPELINED_COMMANDS)))
     proxy.until(lambda: proxy.service.dispatcher.open_count == MAX_PIPELINED_COMMANDS)
-    assert proxy.service.side.reading_paused
+    assert proxy.service.side.paused_connections
     leave(conn)
     proxy.skip(100)
     assert proxy.service.dispatcher.open_count == 0
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 from cloverwell.codec.lines import RingLineReceiver
 from cloverwell.connections.accept_queue import AcceptQueue
 from cloverwell.connections.client_policy import ClientStage
-from cloverwell.front.client_connection import FREE_MALFORMED_COMMANDS, MAX_PIPELINED_COMMANDS
+from cloverwell.front.client_connection import MAX_PIPELINED_COMMANDS, UNTHROTTLED_MALFORMED_COMMANDS
 from lab.proxy_testbed import SETTINGS
 from lab.scenario import load
 from lab.simulation import Simulation
@@ -91,7 +91,7 @@
     stop_ms = proxy.now()
     proxy.service.stop()
     play_until(proxy, stop_ms + 400)
-    errors = FREE_MALFORMED_COMMANDS + 9  # the last of their pauses is over 200 ms behind the cut
+    errors = UNTHROTTLED_MALFORMED_COMMANDS + 9  # the last of their pauses is over 200 ms behind the cut
     conn = proxy.client(b"no\r\n" * errors + write(1, 900) + write(2, 900))
     proxy.skip(1500)
     assert proxy.ended(resting).endswith(b"END")
@@ -150,14 +150,14 @@
 def test_a_connection_that_was_not_read_for_a_while_is_read_as_any_other_afterwards(rig):
     proxy = rig()
     conn = proxy.client(b"".join(read(number) for number in range(MAX_PIPELINED_COMMANDS)))
-    proxy.until(lambda: proxy.service.side.reading_paused)
+    proxy.until(lambda: proxy.service.side.paused_connections)
     conn.sendall(
         read(MAX_PIPELINED_COMMANDS)
     )  # it stands unread when the first answer lets the reading go on
     proxy.turn(5)
     # All answers are there at once, so that the connection is not held a second time.
     answer_reads(proxy, proxy.nodes[0])
-    proxy.until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.reading_paused)
+    proxy.until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
     proxy.skip(3000)
     conn.sendall(write(100))
     proxy.got(proxy.origin.take(), b"PUT /k100 ")  # not refused as late
