--- a/tests/closing_states.py
+++ b/tests/closing_states.py
@@ -51,9 +51,9 @@
         """Reads what has come, and answers what is due."""
         (node,) = self._rig.nodes
         for taker in (node, self._rig.origin):
-            while taker._accept() is not None:
+            while taker.accept_nowait() is not None:
                 pass
-        for conn in node.taken:
+        for conn in node.accepted:
             self._read(conn)
         while self._due and self._due[0][0] <= self._rig.now():
             _, conn, data = self._due.popleft()
@@ -94,13 +94,13 @@
             self.conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.receive_buffer)
         self.conn.connect(rig.address)
         self.conn.setblocking(False)
-        rig.socks.append(self.conn)
+        rig.client_sockets.append(self.conn)
         if self.is_accepted:
-            rig.turn()
+            rig.run_iterations()
         self.peer = "{}:{}".format(*self.conn.getsockname())
         self.begin()
         if self.is_accepted:
-            rig.turn()
+            rig.run_iterations()
 
     def begin(self):
         """Brings the connection into its state."""
@@ -197,7 +197,7 @@
     def begin(self):
         commands = [write("hang", 30_000)[0] for _ in range(self.sent)]
         self.send(b"".join(commands[:MAX_PIPELINED_COMMANDS]))
-        self.rig.turn()
+        self.rig.run_iterations()
         self.send(b"".join(commands[MAX_PIPELINED_COMMANDS:]))  # these stay in the kernel
 
 
@@ -353,7 +353,7 @@
 
     def begin(self):
         self.send(read("hang", 30_000)[0])
-        self.rig.turn()
+        self.rig.run_iterations()
         reset(self.conn)
         self.was_reset = True
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,8 +1,8 @@
 """A whole proxy on real sockets, one turn of its loop at a time: the crossing of two events is forced.
 
-The proxy runs in this process on a reactor of its own, which turns only when `turn` or `until` is called;
-what the test does in between happens at one instant for the proxy. Its neighbours are plain sockets in the
-test's hands. `skip` moves its clock on without waiting.
+The proxy runs in this process on a reactor of its own, which turns only when `run_iterations` or `run_until`
+is called; what the test does in between happens at one instant for the proxy. Its neighbours are plain
+sockets in the test's hands. `advance_clock` moves its clock on without waiting.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 from cloverwell.timer_wheel import monotonic_ms
 from lab.proxy_testbed import SETTINGS
 
-PATIENCE_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 RESET = struct.pack("ii", 1, 0)
 
 
@@ -68,26 +68,26 @@
         self.listening.listen(backlog)
         self.listening.setblocking(False)
         self.address = self.listening.getsockname()
-        self.taken = []
-        self.jammed = set()  # who fills the queue
+        self.accepted = []
+        self.queue_fillers = set()  # who fills the queue
 
-    def take(self):
+    def accept(self):
         """The next connection of the proxy."""
-        return self.rig.until(self._accept, "no connection came")
+        return self.rig.run_until(self.accept_nowait, "no connection came")
 
-    def _accept(self):
+    def accept_nowait(self):
         try:
             conn, peer = self.listening.accept()
         except BlockingIOError:
             return None
-        if peer in self.jammed:
+        if peer in self.queue_fillers:
             conn.close()
-            return self._accept()
+            return self.accept_nowait()
         conn.setblocking(False)
-        self.taken.append(conn)
+        self.accepted.append(conn)
         return conn
 
-    def jam(self):
+    def fill_accept_queue(self):
         """Fills the queue, so that connections don't come up; the list of what must be closed to let them."""
         held = []
         for _ in range(8):
@@ -96,19 +96,19 @@
             with contextlib.suppress(BlockingIOError):
                 conn.connect(self.address)
             held.append(conn)
-            self.jammed.add(conn.getsockname())
-        self.rig.socks += held
+            self.queue_fillers.add(conn.getsockname())
+        self.rig.client_sockets += held
         return held
 
     def close(self):
-        for conn in [*self.taken, self.listening]:
+        for conn in [*self.accepted, self.listening]:
             conn.close()
 
 
 class Rig:
     def __init__(self, nodes=1, settings=SETTINGS, sockets=256, backlog=64):
-        self.offset = 0.0
-        self.socks = []
+        self.clock_offset_ms = 0.0
+        self.client_sockets = []
         self.reactor = Reactor()
         self.origin, self.discovery = Node(self), Node(self)
         self.nodes = [Node(self, backlog) for _ in range(nodes)]
@@ -123,22 +123,22 @@
         self.address = ("127.0.0.1", self.service._port.getHost().port)
 
     def now(self):
-        return monotonic_ms() + self.offset
+        return monotonic_ms() + self.clock_offset_ms
 
-    def skip(self, ms):
+    def advance_clock(self, ms):
         """The proxy's clock moves on, and what is due by then is done."""
-        end = self.offset + ms
-        while self.offset < end:  # a tick of the wheel at a time, as in life
-            self.offset = min(end, self.offset + 5.0)
-            self.turn(1)
-        self.turn()
+        end = self.clock_offset_ms + ms
+        while self.clock_offset_ms < end:  # a tick of the wheel at a time, as in life
+            self.clock_offset_ms = min(end, self.clock_offset_ms + 5.0)
+            self.run_iterations(1)
+        self.run_iterations()
 
-    def lag(self, ms):
+    def stall(self, ms):
         """The loop is held up for so long: then its timers come first, before what has come is read."""
-        self.offset += ms
+        self.clock_offset_ms += ms
         time.sleep(0.01)  # the reactor's own clock has to reach the wheel's next tick
 
-    def turn(self, times=3):
+    def run_iterations(self, times=3):
         for _ in range(times):
             self.reactor.runUntilCurrent()
             if self.reactor.stopped:
@@ -146,26 +146,26 @@
             elif self.reactor._selectables:
                 self.reactor.doIteration(0.002)
 
-    def until(self, what, complaint="it did not happen"):
+    def run_until(self, what, complaint="it did not happen"):
         """Turns until `what` gives something, and hands that over."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end:
             if got := what():
                 return got
-            self.turn(1)
+            self.run_iterations(1)
         raise AssertionError(f"{complaint}\n{self.log.getvalue()}")
 
     def client(self, data=b""):
         conn = socket.create_connection(self.address)
         conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         conn.setblocking(False)
-        self.socks.append(conn)
+        self.client_sockets.append(conn)
         if data:
             conn.sendall(data)
-            self.turn()
+            self.run_iterations()
         return conn
 
-    def got(self, conn, wanted, times=1):
+    def receive_until(self, conn, wanted, times=1):
         """Turns until so many of the wanted bytes have come, and hands over all that came."""
         data = b""
 
@@ -175,10 +175,10 @@
                 data += conn.recv(1 << 20)
             return data.count(wanted) >= times
 
-        self.until(more, f"{wanted!r} did not come")
+        self.run_until(more, f"{wanted!r} did not come")
         return data
 
-    def ended(self, conn):
+    def receive_to_end(self, conn):
         """What still came before the proxy's end of the connection; a reset counts as one, behind `RESET`."""
         data = b""
 
@@ -193,10 +193,10 @@
             data += piece
             return None if piece else data + b"END"
 
-        return self.until(end, "it was not closed")
+        return self.run_until(end, "it was not closed")
 
     def close(self):
-        for conn in self.socks:
+        for conn in self.client_sockets:
             conn.close()
         for node in [*self.nodes, self.origin, self.discovery]:
             node.close()
--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -259,18 +259,18 @@
     proxy = Rig()
     try:
         inside = proxy.client(b"mn\r\n")
-        proxy.got(inside, b"MN")
+        proxy.receive_until(inside, b"MN")
         calls = accepting(proxy.service._port, Calls(always=number)).calls
         outside = proxy.client(read(2))
         inside.sendall(read(1))
-        node = proxy.nodes[0].take()
-        proxy.got(node, b"mg k1 ")
+        node = proxy.nodes[0].accept()
+        proxy.receive_until(node, b"mg k1 ")
         node.sendall(b"VA 1 O1\r\nx\r\n")
-        assert proxy.got(inside, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
+        assert proxy.receive_until(inside, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
         calls.always = None
-        proxy.got(node, b"mg k2 ")
+        proxy.receive_until(node, b"mg k2 ")
         node.sendall(b"VA 1 O2\r\ny\r\n")
-        assert proxy.got(outside, b"y\r\n") == b"VA 1 O2\r\ny\r\n"
+        assert proxy.receive_until(outside, b"y\r\n") == b"VA 1 O2\r\ny\r\n"
     finally:
         proxy.close()
 
@@ -296,21 +296,21 @@
 def sent_deadline_ms_after_waiting(proxy):
     """Return the deadline sent with a request of 1900 ms that has waited in the queue of such a port."""
     proxy.client(write(1, 1900))
-    proxy.skip(WAIT_MS)
+    proxy.advance_clock(WAIT_MS)
     end_backoff(proxy)
-    return int(re.search(rb"d=(\d+)", proxy.got(proxy.origin.take(), b"\r\n"))[1])
+    return int(re.search(rb"d=(\d+)", proxy.receive_until(proxy.origin.accept(), b"\r\n"))[1])
 
 
 def test_a_request_behind_a_second_backoff_is_sent_with_the_time_that_is_left(backing_off):
     # The port once reported one backoff a second; requests that waited for the others kept all their time.
     calls = accepting(backing_off.service._port, Calls(errno.ENFILE)).calls
     first = backing_off.client(b"mn\r\n")
-    backing_off.until(lambda: calls.failed == 1)
+    backing_off.run_until(lambda: calls.failed == 1)
     end_backoff(backing_off)
-    backing_off.got(first, b"MN")
+    backing_off.receive_until(first, b"MN")
     calls.faults.append(errno.ENFILE)
     second = backing_off.client()
-    backing_off.until(lambda: calls.failed == 2)
+    backing_off.run_until(lambda: calls.failed == 2)
     assert sent_deadline_ms_after_waiting(backing_off) <= 1900 - WAIT_MS
     second.close()
 
@@ -318,7 +318,7 @@
 def test_a_request_that_comes_late_in_a_backoff_is_sent_with_the_time_that_is_left(backing_off):
     # A check that found the queue empty once ended the record of a backoff that went on.
     calls = accepting(backing_off.service._port, Calls(None, errno.ENFILE)).calls
-    backing_off.got(backing_off.client(b"mn\r\n"), b"MN")
-    backing_off.until(lambda: calls.failed == 1)
-    backing_off.skip(200)
+    backing_off.receive_until(backing_off.client(b"mn\r\n"), b"MN")
+    backing_off.run_until(lambda: calls.failed == 1)
+    backing_off.advance_clock(200)
     assert sent_deadline_ms_after_waiting(backing_off) <= 1900 - WAIT_MS
--- a/tests/test_bounded_waits.py
+++ b/tests/test_bounded_waits.py
@@ -27,7 +27,7 @@
 def play_until(proxy, event, by_ms):
     """Passes time until the event; tells whether it came in time."""
     while not event() and proxy.now() < by_ms:
-        proxy.skip(20)
+        proxy.advance_clock(20)
     return event()
 
 
@@ -40,20 +40,20 @@
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
     conn.connect(proxy.address)
     conn.setblocking(False)
-    proxy.socks.append(conn)
-    proxy.turn()
+    proxy.client_sockets.append(conn)
+    proxy.run_iterations()
     conn.sendall(data)
-    proxy.turn()
+    proxy.run_iterations()
     return conn
 
 
 def test_a_long_value_that_breaks_off_frees_its_connection_though_the_client_reads_nothing(rig):
     proxy = rig()
     unreading_client(proxy, read("long")[0])
-    node = proxy.nodes[0].take()
-    name = proxy.got(node, b"\r\n").split()[3][1:]
+    node = proxy.nodes[0].accept()
+    name = proxy.receive_until(node, b"\r\n").split()[3][1:]
     node.sendall(b"VA %d O%s\r\n" % (len(LONG_VALUE), name))
-    proxy.until(lambda: proxy.service.side.stream_count)
+    proxy.run_until(lambda: proxy.service.side.stream_count)
 
     def passed_on():
         try:
@@ -62,7 +62,7 @@
             return True
         return False
 
-    proxy.until(passed_on)  # as far as the client's kernel, ours and the buffers between take it
+    proxy.run_until(passed_on)  # as far as the client's kernel, ours and the buffers between take it
     still_ms = proxy.now() + STREAM_STALL_MS + SLACK_MS
     assert play_until(proxy, lambda: not proxy.service.side.stream_count, still_ms)
     by_ms = proxy.now() + LAST_READ_TIMEOUT_MS + SLACK_MS
@@ -74,7 +74,7 @@
     proxy = rig()
     conn = proxy.client(b"mn\r\n")
     assert play_until(proxy, lambda: not connections(proxy), proxy.now() + IDLE_TIMEOUT_MS + 2000.0)
-    assert proxy.ended(conn).startswith(b"MN\r\n")
+    assert proxy.receive_to_end(conn).startswith(b"MN\r\n")
     assert "idle, open for 11" in proxy.log.getvalue()
     assert CLOSE_TIMEOUT_MS == 1000.0
 
@@ -85,7 +85,7 @@
     NotReadingMuch(proxy)
     served_ms = proxy.now() + 3000.0
     while proxy.now() < served_ms:
-        proxy.skip(20)
+        proxy.advance_clock(20)
         driver.step()
     by_ms = proxy.now() + READ_TIMEOUT_MS + CHECK_INTERVAL_MS + SLACK_MS
     assert play_until(proxy, lambda: not connections(proxy), by_ms)
@@ -98,7 +98,7 @@
     client = NotReadingMuch(proxy)
     by_ms = proxy.now() + 1.5 * READ_TIMEOUT_MS
     while proxy.now() < by_ms:
-        proxy.skip(20)
+        proxy.advance_clock(20)
         driver.step()
         client.read_some(SLOW_READ_BYTES)
     assert connections(proxy)
@@ -107,9 +107,9 @@
 def test_a_write_that_runs_on_for_a_client_that_left_does_not_hold_a_process_that_stops(rig):
     proxy = rig()
     conn = proxy.client(write(1, 30_000))
-    proxy.got(proxy.origin.take(), b"PUT /k1 ")
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k1 ")
     conn.close()
-    proxy.until(lambda: not connections(proxy))
+    proxy.run_until(lambda: not connections(proxy))
     assert proxy.service.dispatcher.open_count
     longest_ms = max(cls.deadline_ms for cls in proxy.service.facade.settings.classes)
     kill_ms = proxy.now() + min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
@@ -123,19 +123,19 @@
     # threw away what it had not read. The policy's choice, where no descriptor is left, is forced here.
     proxy = rig()
     slow = unreading_client(proxy, read("k")[0])
-    node = proxy.nodes[0].take()
-    name = proxy.got(node, b"\r\n").split()[3][1:]
+    node = proxy.nodes[0].accept()
+    name = proxy.receive_until(node, b"\r\n").split()[3][1:]
     answer = b"VA %d O%s\r\n" % (len(LARGE_VALUE), name) + LARGE_VALUE + b"\r\n"
     node.sendall(answer)
     (connection,) = connections(proxy)
-    proxy.until(lambda: not (connection.has_open_request or connection.has_unsent_responses))
+    proxy.run_until(lambda: not (connection.has_open_request or connection.has_unsent_responses))
     proxy.service.side._closer.close([CloseClient(connection, reason, abort=True)], 1)
-    proxy.until(lambda: not connections(proxy))  # its descriptor is free
+    proxy.run_until(lambda: not connections(proxy))  # its descriptor is free
     got = b""
     while len(got) < len(answer):
-        got += proxy.until(lambda: received(slow), "the rest of the answer did not come")
+        got += proxy.run_until(lambda: received(slow), "the rest of the answer did not come")
     assert got == answer
-    assert proxy.ended(slow) == b"END"
+    assert proxy.receive_to_end(slow) == b"END"
 
 
 def received(conn):
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -42,7 +42,7 @@
 
 def nothing_begins(proxy, begun, before):
     """Return whether nothing is open, and no attempt was sent to a node since there were so many."""
-    proxy.skip(600)
+    proxy.advance_clock(600)
     left = [attempt for attempt in begun[before:] if attempt.written_ms is not None]
     return not left and not proxy.service.dispatcher.open_count
 
@@ -61,11 +61,11 @@
     proxy = rig()
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
-    proxy.skip(20)
+    proxy.advance_clock(20)
     assert errors > UNTHROTTLED_MALFORMED_COMMANDS + 4
     assert not begun
     leave(conn)
-    proxy.skip(50 * errors)
+    proxy.advance_clock(50 * errors)
     assert not begun
     assert not proxy.service.side.connections
 
@@ -73,13 +73,13 @@
 @LEAVE
 def test_a_close_behind_unread_commands_is_known_within_half_the_time(rig, leave):
     proxy = rig(backlog=0)
-    proxy.nodes[0].jam()
+    proxy.nodes[0].fill_accept_queue()
     conn = proxy.client(
         b"".join(read(number) for number in range(3 * MAX_PIPELINED_COMMANDS)) + b"mg half a comm"
     )
-    proxy.until(lambda: proxy.service.dispatcher.open_count == MAX_PIPELINED_COMMANDS)
+    proxy.run_until(lambda: proxy.service.dispatcher.open_count == MAX_PIPELINED_COMMANDS)
     leave(conn)
-    proxy.skip(DISCONNECT_LIMIT_MS / 2 - 10)
+    proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.side.connections
 
@@ -88,7 +88,7 @@
     proxy = rig(sockets=512)
     conns = [proxy.client() for _ in range(60)]
     side = proxy.service.side
-    proxy.until(lambda: len(side.connections) == 60)
+    proxy.run_until(lambda: len(side.connections) == 60)
     for connection in side.connections:
         connection.hold()
     calls = []
@@ -121,10 +121,10 @@
     proxy.service._port.pauseProducing()  # as when the descriptors are used up
     conn = proxy.client(data)
     leave(conn)
-    proxy.skip(400)
-    proxy.until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
+    proxy.advance_clock(400)
+    proxy.run_until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
     proxy.service._port.resumeProducing()
-    proxy.skip(400)
+    proxy.advance_clock(400)
     assert not begun
     assert not proxy.service.dispatcher.open_count
 
@@ -135,7 +135,7 @@
 def taken(proxy, begun, data, number=1):
     """A client whose requests are sent to a node, or queued."""
     conn = proxy.client(data)
-    proxy.until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
+    proxy.run_until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
     return conn
 
 
@@ -147,7 +147,7 @@
     conn = taken(proxy, begun, read(1))
     (node,) = begun[0].pool.connections
     leave(conn)
-    proxy.offset += LAG_MS
+    proxy.clock_offset_ms += LAG_MS
     node.dataReceived(answer)
     assert all(attempt.over for attempt in begun)
     assert nothing_begins(proxy, begun, 1)
@@ -157,13 +157,13 @@
 def test_a_place_that_comes_free_behind_a_lag_is_not_given_to_a_client_that_left(rig, begun, leave):
     proxy = rig(nodes=0, sockets=512)
     conns = [proxy.client(read(number)) for number in range(60)]
-    proxy.turn(5)
+    proxy.run_iterations(5)
     before = len(begun)
     assert 1 < before < 60
     (first,) = [conn for conn in proxy.service.pools.pool_of("origin").connections if conn.attempts][:1]
     for conn in conns:
         leave(conn)
-    proxy.offset += LAG_MS
+    proxy.clock_offset_ms += LAG_MS
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
     assert nothing_begins(proxy, begun, before)
     assert len(begun) <= before + 1
@@ -177,8 +177,8 @@
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     conn = taken(proxy, begun, read(1))
     leave(conn)
-    proxy.lag(1000.0)  # the attempt's time, half of the request's
-    proxy.turn(1)
+    proxy.stall(1000.0)  # the attempt's time, half of the request's
+    proxy.run_iterations(1)
     assert len(begun) == 1
     assert nothing_begins(proxy, begun, 1)
 
@@ -193,8 +193,8 @@
     assert proxy.service.dispatcher.open_count == 1
     assert len(begun) == 1
     leave(conn)
-    proxy.lag(LAG_MS)
-    proxy.turn(1)
+    proxy.stall(LAG_MS)
+    proxy.run_iterations(1)
     assert len(begun) == 1
     assert nothing_begins(proxy, begun, 1)
 
@@ -203,14 +203,14 @@
 def test_a_connection_that_comes_up_behind_a_lag_is_not_used_for_a_client_that_left(rig, begun, leave):
     proxy = rig()
     conn = proxy.client()
-    proxy.turn()
+    proxy.run_iterations()
     (connection,) = proxy.service.side.connections
     connection.dataReceived(write(1))  # taken: its connection to the origin is on the way
     proxy.reactor.runUntilCurrent()
     opening = [one for one in proxy.reactor._selectables.values() if isinstance(one, tcp.BaseClient)]
     (connector,) = [one for one in opening if one.addr == proxy.origin.address]
     leave(conn)
-    proxy.offset += LAG_MS / 2
+    proxy.clock_offset_ms += LAG_MS / 2
     connector.doConnect()
     assert nothing_begins(proxy, begun, 0)
 
@@ -224,13 +224,13 @@
     # Each close once cancelled an open read; its place at the origin went to the next disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
-    proxy.until(lambda: len(proxy.service.side.connections) == number)
-    proxy.turn(5)
+    proxy.run_until(lambda: len(proxy.service.side.connections) == number)
+    proxy.run_iterations(5)
     before = len(begun)
     assert 1 < before < number
     for conn in conns:
         leave(conn)
-    proxy.turn(5)
+    proxy.run_iterations(5)
     assert len(begun) == before
     assert not proxy.service.dispatcher.open_count
 
@@ -238,11 +238,11 @@
 def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, begun):
     proxy = rig(nodes=0)
     conn = proxy.client(b"".join(read(n) for n in range(MAX_PIPELINED_COMMANDS - 1)))
-    proxy.turn(5)
+    proxy.run_iterations(5)
     before = len(begun)
     assert 1 < before < MAX_PIPELINED_COMMANDS - 1
     conn.close()
-    proxy.turn(5)
+    proxy.run_iterations(5)
     assert len(begun) == before
     assert not proxy.service.dispatcher.open_count
 
@@ -254,17 +254,17 @@
 def test_what_waits_behind_a_long_value_is_not_sent_for_a_client_that_left(rig, begun, leave):
     proxy = rig(backlog=0)
     conn = taken(proxy, begun, read(1))
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
-    proxy.until(lambda: proxy.service.side.stream_count)
-    proxy.nodes[0].jam()
+    proxy.run_until(lambda: proxy.service.side.stream_count)
+    proxy.nodes[0].fill_accept_queue()
     conn.sendall(
         b"".join(read(number) for number in range(2, 2 + 2 * MAX_PIPELINED_COMMANDS)) + b"ms k9 70 O9"
     )
-    proxy.until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.side.paused_connections)
     leave(conn)
-    proxy.skip(DISCONNECT_LIMIT_MS / 2 - 10)
+    proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.side.connections
     assert not proxy.service.side.stream_count
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -31,10 +31,10 @@
 def test_a_close_by_the_client_and_one_with_an_open_request_are_told_apart(rig):
     proxy = rig()
     idle, waiting = proxy.client(b"mn\r\n"), proxy.client(read(1))
-    proxy.got(proxy.nodes[0].take(), b"mg k1 ")
+    proxy.receive_until(proxy.nodes[0].accept(), b"mg k1 ")
     idle.close()
     waiting.close()
-    proxy.until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.side.connections)
     assert sorted(reasons(proxy, "close")) == ["by_client", "left"]
 
 
@@ -50,10 +50,10 @@
 def test_a_close_by_this_side_has_its_reason(rig, first_bytes, wait_ms, reason):
     proxy = rig()
     conn = proxy.client(first_bytes)
-    proxy.skip(wait_ms)
-    assert proxy.ended(conn).endswith(b"END")
+    proxy.advance_clock(wait_ms)
+    assert proxy.receive_to_end(conn).endswith(b"END")
     conn.close()
-    proxy.until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.side.connections)
     assert reasons(proxy, "close") == [reason]
 
 
@@ -77,13 +77,13 @@
     monkeypatch.setattr(Dispatcher, "answer_all_by", lambda dispatcher, when_ms: None)
     proxy = rig()
     proxy.client(write(1, 9000) + write(2, 9000))
-    proxy.got(proxy.origin.take(), b"PUT /k1 ")
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k1 ")
     proxy.service.drain()
     over_ms = proxy.service.serving.since_ms + DRAIN_REPORT_MS
     while proxy.now() < over_ms - 100:
-        proxy.skip(5)
+        proxy.advance_clock(5)
     assert not lines(proxy, "held")
-    proxy.skip(150)
+    proxy.advance_clock(150)
     (line,) = lines(proxy, "held")
     assert line.startswith("1 connections of clients are held: 127.0.0.1:")
     assert "responses pending" in line
@@ -94,12 +94,12 @@
     proxy = rig()
     proxy.client()
     proxy.service.drain()
-    proxy.skip(500)
+    proxy.advance_clock(500)
     proxy.service.undrain()
-    proxy.skip(4000)
+    proxy.advance_clock(4000)
     assert not lines(proxy, "held")
     proxy.service.drain()
-    proxy.skip(4100)
+    proxy.advance_clock(4100)
     assert lines(proxy, "held") == ["no connection of a client is held"]
 
 
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -52,9 +52,9 @@
     heard = {}
 
     def look():
-        while node._accept() is not None:
+        while node.accept_nowait() is not None:
             pass
-        for conn in node.taken:
+        for conn in node.accepted:
             try:
                 heard[conn] = heard.get(conn, b"") + conn.recv(1 << 16)
             except (BlockingIOError, ConnectionResetError):
@@ -63,7 +63,7 @@
         assert sum(data.count(wanted) for data in heard.values()) <= 1
         return found[0] if found else None
 
-    return proxy.until(look, f"{wanted!r} did not come")
+    return proxy.run_until(look, f"{wanted!r} did not come")
 
 
 def answers(proxy, conn):
@@ -81,14 +81,14 @@
     conn = proxy.client(read(1))
     node = reached(proxy, proxy.nodes[0], b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
-    assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
+    assert proxy.receive_until(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
     assert failing.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.pool_of("s1")
     assert pool.opening == 0
     assert proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
-    assert proxy.origin._accept() is None
+    assert proxy.origin.accept_nowait() is None
 
 
 @pytest.mark.parametrize(("stage", "number"), LOCAL)
@@ -98,9 +98,9 @@
     conn = proxy.client(write(1))
     node = reached(proxy, proxy.origin, b"PUT /k1 ")
     node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1")
-    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
-    proxy.skip(300)
-    assert proxy.origin._accept() is None
+    assert proxy.receive_until(conn, b"\r\n") == b"HD O1 cr1\r\n"
+    proxy.advance_clock(300)
+    assert proxy.origin.accept_nowait() is None
 
 
 @pytest.mark.parametrize("make", [read, write])
@@ -111,7 +111,7 @@
     failing = [fail(outgoing, address, stage, always=number) for address in (origin, cache)]
     begun_ms = proxy.now()
     conn = proxy.client(make(1, 1990))
-    proxy.skip(400)
+    proxy.advance_clock(400)
     assert answers(proxy, conn) == b""
     assert proxy.service.dispatcher.open_count == 1
     # One try in 20 ms at the most, at each of the two; a loop without a pause would make thousands.
@@ -120,15 +120,15 @@
     for calls in failing:
         calls.always = None
     if make is read:
-        node = proxy.until(lambda: proxy.nodes[0]._accept() or proxy.origin._accept())
+        node = proxy.run_until(lambda: proxy.nodes[0].accept_nowait() or proxy.origin.accept_nowait())
     else:
-        node = proxy.origin.take()
-    wanted = proxy.got(node, b"\r\n")
+        node = proxy.origin.accept()
+    wanted = proxy.receive_until(node, b"\r\n")
     assert b"k1 " in wanted
     node.sendall(
         b"VA 1 O1\r\nx\r\n" if wanted.startswith(b"mg") else b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
     )
-    assert proxy.got(conn, b"\r\n").startswith(b"VA 1 O1" if make is read else b"HD O1 cx")
+    assert proxy.receive_until(conn, b"\r\n").startswith(b"VA 1 O1" if make is read else b"HD O1 cx")
     assert "marked missed" not in proxy.log.getvalue()
 
 
@@ -138,9 +138,9 @@
     for address in (proxy.origin.address, proxy.nodes[0].address):
         fail(outgoing, address, "socket", always=errno.ENFILE)
     conn = proxy.client(make(1, 400))
-    proxy.skip(399)
-    assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
-    proxy.skip(500)
+    proxy.advance_clock(399)
+    assert proxy.receive_until(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
+    proxy.advance_clock(500)
     assert answers(proxy, conn) == b""
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.budget.held[DescriptorSide.NODES]
@@ -175,37 +175,37 @@
     addresses = (proxy.origin.address, proxy.nodes[0].address)
     failing = [fail(outgoing, address, "socket", always=errno.ENFILE) for address in addresses]
     conn = proxy.client(make(1, 1900))
-    proxy.skip(200)
+    proxy.advance_clock(200)
     conn.close()
-    proxy.skip(50)
+    proxy.advance_clock(50)
     assert not proxy.service.dispatcher.open_count
     for calls in failing:
         calls.always = None
-    proxy.skip(300)
-    assert proxy.origin._accept() is None
-    assert proxy.nodes[0]._accept() is None
+    proxy.advance_clock(300)
+    assert proxy.origin.accept_nowait() is None
+    assert proxy.nodes[0].accept_nowait() is None
 
 
 def test_with_one_connection_in_hand_the_others_can_not_be_opened_and_all_are_served(rig, outgoing):
     proxy = rig()
     conn = proxy.client(read(1))
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     failing = fail(outgoing, proxy.nodes[0].address, "socket", always=errno.ENFILE)
     others = proxy.client(b"".join(read(number) for number in range(2, 12)))
-    proxy.skip(30)
+    proxy.advance_clock(30)
     # However many wait, they are tried for by one.
     assert 1 <= failing.failed <= 10 + 3
     failing.always = None
     node.sendall(b"VA 1 O1\r\nx\r\n")
-    proxy.got(conn, b"x\r\n")
+    proxy.receive_until(conn, b"x\r\n")
     served, told = set(), b""
 
     def play():
         nonlocal told
-        while proxy.nodes[0]._accept() is not None:
+        while proxy.nodes[0].accept_nowait() is not None:
             pass
-        for one in proxy.nodes[0].taken:
+        for one in proxy.nodes[0].accepted:
             try:
                 data = one.recv(1 << 16)
             except BlockingIOError:
@@ -217,7 +217,7 @@
         told += answers(proxy, others)
         return told.count(b"\r\ny\r\n") == 10
 
-    proxy.until(play, "not all were served")
+    proxy.run_until(play, "not all were served")
     assert "marked missed" not in proxy.log.getvalue()
 
 
@@ -227,7 +227,7 @@
     proxy = rig()
     fail(outgoing, proxy.nodes[0].address, stage, number)
     proxy.client(read(1))
-    proxy.until(lambda: "s1 marked missed" in proxy.log.getvalue())
+    proxy.run_until(lambda: "s1 marked missed" in proxy.log.getvalue())
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
 
 
@@ -253,7 +253,7 @@
     take_watch_back(proxy)
     proxy.service.endpoint_discovery.watch()
     begun_ms = proxy.now()
-    proxy.skip(1950)
+    proxy.advance_clock(1950)
     assert "call failed: no answer in time" in proxy.log.getvalue()
     assert 20 <= failing.failed <= (proxy.now() - begun_ms) / 50 + 3
     failing.always = None
@@ -267,7 +267,7 @@
     fail(outgoing, proxy.discovery.address, "connect", number)
     take_watch_back(proxy)
     proxy.service.endpoint_discovery.watch()
-    proxy.until(lambda: "call failed: not connected" in proxy.log.getvalue())
+    proxy.run_until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
 
 # The judgement by itself ---------------------------------------------------------------------------
--- a/tests/test_drain_ends.py
+++ b/tests/test_drain_ends.py
@@ -107,8 +107,8 @@
     longest_ms = max(cls.deadline_ms for cls in proxy.service.facade.settings.classes)
     kill_ms = proxy.now() + min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
     proxy.client(write(1, 30_000))
-    proxy.got(proxy.origin.take(), b"PUT /k1 ")
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k1 ")
     proxy.service.stop()
     while proxy.now() < kill_ms and not proxy.reactor.stopped:
-        proxy.skip(5)
+        proxy.advance_clock(5)
     assert proxy.reactor.stopped
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -2,7 +2,7 @@
 meanwhile is read before anything is judged by its age.
 
 The proxy may have been stopped anywhere. Two orders are forced: its sockets are read before the late tick
-(`late`), or the tick comes before they are read (`Rig.lag`).
+(`late`), or the tick comes before they are read (`Rig.stall`).
 """
 
 import io
@@ -200,26 +200,26 @@
 
 def test_a_long_value_goes_on_behind_a_hold_up(rig):
     client = rig.client(read(1))
-    node = rig.nodes[0].take()
-    rig.got(node, b"mg k1")
+    node = rig.nodes[0].accept()
+    rig.receive_until(node, b"mg k1")
     value = b"v" * (LONG + 1000)
     node.sendall(b"VA %d O1\r\n%s" % (len(value), value[:1000]))
-    rig.got(client, b"v")
+    rig.receive_until(client, b"v")
     node.sendall(value[1000:] + b"\r\n")
-    rig.lag(STREAM_STALL_MS + 50.0)
-    rig.turn()
-    assert rig.got(client, b"v\r\n")
+    rig.stall(STREAM_STALL_MS + 50.0)
+    rig.run_iterations()
+    assert rig.receive_until(client, b"v\r\n")
 
 
 def test_a_long_value_that_stands_still_is_given_up_all_the_same(rig):
     client = rig.client(read(1))
-    node = rig.nodes[0].take()
-    rig.got(node, b"mg k1")
+    node = rig.nodes[0].accept()
+    rig.receive_until(node, b"mg k1")
     node.sendall(b"VA %d O1\r\n%s" % (LONG + 1000, b"v" * 1000))
-    rig.got(client, b"v")
-    rig.lag(STREAM_STALL_MS + 50.0)
-    rig.skip(100)
-    rig.ended(client)
+    rig.receive_until(client, b"v")
+    rig.stall(STREAM_STALL_MS + 50.0)
+    rig.advance_clock(100)
+    rig.receive_to_end(client)
 
 
 def test_half_an_answer_is_given_up_by_looks_and_not_by_a_clock_that_ran_on_unread():
--- a/tests/test_states_against_ends.py
+++ b/tests/test_states_against_ends.py
@@ -19,7 +19,7 @@
     Record,
     SlowReader,
 )
-from rig import PATIENCE_S, Rig
+from rig import WAIT_TIMEOUT_S, Rig
 
 from cloverwell import serving
 from cloverwell.serving import KILL_MARGIN_MS
@@ -55,7 +55,7 @@
         """Passes time: nodes answer, and clients go on with what they do."""
         end_ms = self.rig.now() + ms
         while self.rig.now() < end_ms:
-            self.rig.skip(STEP_MS)
+            self.rig.advance_clock(STEP_MS)
             self.driver.step()
             for client in self.clients.values():
                 client.advance(self.rig.now())
@@ -92,10 +92,10 @@
 
     def _read_to_the_end(self, client):
         """What the kernel holds for a client comes piece by piece, as the client's buffer has room."""
-        end_s = time.monotonic() + PATIENCE_S
+        end_s = time.monotonic() + WAIT_TIMEOUT_S
         while not (client.eof or client.was_reset) and time.monotonic() < end_s:
             client.read_some()
-            self.rig.turn(1)
+            self.rig.run_iterations(1)
             time.sleep(0.001)
 
 
@@ -240,7 +240,7 @@
     try:
         for number in range(90):
             play.clients[number] = Crowding(play.rig)
-        play.rig.turn()
+        play.rig.run_iterations()
         assert play.rig.service.side._full
         end(play)
         play.finish()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -46,13 +46,13 @@
     received = {}
 
     def look():
-        node._accept()
-        for one in node.taken:
+        node.accept_nowait()
+        for one in node.accepted:
             with contextlib.suppress(BlockingIOError, ConnectionResetError):
                 received[one] = received.get(one, b"") + one.recv(1 << 16)
         return [one for one, data in received.items() if begin in data and data.endswith(end)]
 
-    (found,) = proxy.until(look, f"{begin!r} did not come")
+    (found,) = proxy.run_until(look, f"{begin!r} did not come")
     assert received[found].count(begin) == 1
     return found
 
@@ -62,12 +62,14 @@
     conn.sendall(read(number))
     node = whole(proxy, proxy.nodes[0], f"mg k{number} v O{number} Pc=page,t=acme,d=".encode(), b"\r\n")
     node.sendall(f"VA {len(value)} O{number}\r\n".encode() + value + b"\r\n")
-    assert proxy.got(conn, b"\r\n", 2) == f"VA {len(value)} O{number}\r\n".encode() + value + b"\r\n"
+    assert (
+        proxy.receive_until(conn, b"\r\n", 2) == f"VA {len(value)} O{number}\r\n".encode() + value + b"\r\n"
+    )
     conn.sendall(write(number + 1, value=value))
     origin = whole(proxy, proxy.origin, f"PUT /k{number + 1} ".encode(), value)
     origin.sendall(RECEIPT)
-    assert proxy.got(conn, b"\r\n") == f"HD O{number + 1} cr1\r\n".encode()
-    proxy.skip(20)  # the origin's answer bears no id: its connection rests
+    assert proxy.receive_until(conn, b"\r\n") == f"HD O{number + 1} cr1\r\n".encode()
+    proxy.advance_clock(20)  # the origin's answer bears no id: its connection rests
 
 
 # What passes ---------------------------------------------------------------------------------------
@@ -91,8 +93,8 @@
     exchange(proxy, proxy.client(), 1)
     assert at_node.failed == at_origin.failed == 2
     if calls == "recv":
-        assert len(proxy.nodes[0].taken) == len(proxy.origin.taken) == 1
-        assert proxy.origin._accept() is None
+        assert len(proxy.nodes[0].accepted) == len(proxy.origin.accepted) == 1
+        assert proxy.origin.accept_nowait() is None
 
 
 @pytest.mark.parametrize("calls", ["recv", "send"])
@@ -105,7 +107,7 @@
     discovery = whole(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    proxy.got(discovery, b"GET /v1/servers?after=42")
+    proxy.receive_until(discovery, b"GET /v1/servers?after=42")
     assert failing.failed == 1
     assert "call failed" not in proxy.log.getvalue()
 
@@ -122,10 +124,10 @@
     # As the sweep does with one that is overdue.
     assert not connection.close_overdue(CloseReason.PARTIAL_COMMAND)
     assert peek.failed == 1
-    (node,) = proxy.nodes[0].taken
-    proxy.got(node, b"mg k5 ")
+    (node,) = proxy.nodes[0].accepted
+    proxy.receive_until(node, b"mg k5 ")
     node.sendall(b"VA 1 O5\r\ny\r\n")
-    assert proxy.got(conn, b"y\r\n") == b"VA 1 O5\r\ny\r\n"
+    assert proxy.receive_until(conn, b"y\r\n") == b"VA 1 O5\r\ny\r\n"
 
 
 @pytest.mark.parametrize("number", PASSING)
@@ -133,17 +135,17 @@
     peek = Calls()
     outgoing.at(proxy.nodes[0].address, peek=peek)
     conn = proxy.client(read(1))
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
-    proxy.got(conn, b"x\r\n")
+    proxy.receive_until(conn, b"x\r\n")
     node.sendall(b"VA 1 O1\r\nx\r\n")  # a second copy, that the look would have found
     peek.faults = [number]
     next(iter(proxy.service.side.connections)).dataReceived(read(2))
-    second = proxy.nodes[0].take()
-    proxy.got(second, b"mg k2 ")
+    second = proxy.nodes[0].accept()
+    proxy.receive_until(second, b"mg k2 ")
     second.sendall(b"VA 3 O2\r\ntwo\r\n")
-    assert proxy.got(conn, b"two\r\n") == b"VA 3 O2\r\ntwo\r\n"
+    assert proxy.receive_until(conn, b"two\r\n") == b"VA 3 O2\r\ntwo\r\n"
     assert peek.failed == 1
 
 
@@ -255,18 +257,18 @@
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, cls=cls))
-    origin = proxy.origin.take()
-    proxy.got(origin, b"PUT /k1 ")
+    origin = proxy.origin.accept()
+    proxy.receive_until(origin, b"PUT /k1 ")
     origin.sendall(RECEIPT)  # it has come, and the machine tells of the break instead
     if again:
-        second = proxy.origin.take()
-        proxy.got(second, b"PUT /k1 ")
+        second = proxy.origin.accept()
+        proxy.receive_until(second, b"PUT /k1 ")
         second.sendall(RECEIPT)
-        assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
+        assert proxy.receive_until(conn, b"\r\n") == b"HD O1 cr1\r\n"
     else:
-        assert proxy.got(conn, b"\r\n") == b"SERVER_ERROR failed\r\n"
-        proxy.skip(300)
-        assert proxy.origin._accept() is None
+        assert proxy.receive_until(conn, b"\r\n") == b"SERVER_ERROR failed\r\n"
+        proxy.advance_clock(300)
+        assert proxy.origin.accept_nowait() is None
     assert broken.failed == 1
 
 
@@ -277,14 +279,14 @@
     broken = Calls(number)
     outgoing.at(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, value=b"ab"))
-    origin = proxy.origin.take()
-    assert proxy.got(origin, b"\r\n\r\na").endswith(b"\r\n\r\na")
+    origin = proxy.origin.accept()
+    assert proxy.receive_until(origin, b"\r\n\r\na").endswith(b"\r\n\r\na")
     proxy.service.back.hold_ms = lambda node: 5.0
     origin.sendall(b"x")
     second = whole(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
     assert second is not origin
     second.sendall(RECEIPT)
-    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
+    assert proxy.receive_until(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
 
 
@@ -294,7 +296,7 @@
     outgoing.at(proxy.origin.address, send=broken)
     conn = proxy.client(write(1))
     whole(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
-    assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
+    assert proxy.receive_until(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
 
@@ -304,28 +306,28 @@
 def test_an_answer_whose_connection_breaks_is_never_a_whole_one(proxy, outgoing, number, head):
     outgoing.at(proxy.origin.address, recv=Calls(None, number))
     conn = proxy.client(write(1, 900))
-    origin = proxy.origin.take()
-    proxy.got(origin, b"PUT /k1 ")
+    origin = proxy.origin.accept()
+    proxy.receive_until(origin, b"PUT /k1 ")
     origin.sendall(b"HTTP/1.1 200 OK\r\n" + head + b"\r\nreceipt")
-    proxy.turn()
+    proxy.run_iterations()
     origin.close()  # an end that would do, but the machine tells of a break
-    assert proxy.got(conn, b"\r\n") == b"SERVER_ERROR failed\r\n"
+    assert proxy.receive_until(conn, b"\r\n") == b"SERVER_ERROR failed\r\n"
 
 
 @pytest.mark.parametrize("answer", [b"VA 5 O1\r\nhello", b"VA 5 O1\r\n", b"EN", b"VA 5 O1\r\nhello\r"])
 def test_the_end_of_a_connection_makes_no_nodes_answer_whole(proxy, answer):
     conn = proxy.client(read(1))
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     node.sendall(answer)
-    proxy.turn()
+    proxy.run_iterations()
     node.close()
-    second = proxy.until(lambda: proxy.nodes[0]._accept() or proxy.origin._accept())
-    if b"GET" in proxy.got(second, b"\r\n"):
+    second = proxy.run_until(lambda: proxy.nodes[0].accept_nowait() or proxy.origin.accept_nowait())
+    if b"GET" in proxy.receive_until(second, b"\r\n"):
         second.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nworld")
     else:
         second.sendall(b"VA 5 O1\r\nworld\r\n")
-    assert proxy.got(conn, b"\r\n", 2) == b"VA 5 O1\r\nworld\r\n"
+    assert proxy.receive_until(conn, b"\r\n", 2) == b"VA 5 O1\r\nworld\r\n"
 
 
 @pytest.mark.parametrize("number", BROKEN)
@@ -333,12 +335,12 @@
     accepting(proxy.service._port, recv=Calls(None, number))
     failing = outgoing.fail_socket(proxy.origin.address, always=errno.ENFILE)
     conn = proxy.client(write(1, 1900))
-    proxy.until(lambda: proxy.service.dispatcher.open_count == 1)
+    proxy.run_until(lambda: proxy.service.dispatcher.open_count == 1)
     conn.sendall(b"m")
-    proxy.until(lambda: not proxy.service.dispatcher.open_count)
+    proxy.run_until(lambda: not proxy.service.dispatcher.open_count)
     failing.always = None
-    proxy.skip(300)
-    assert proxy.origin._accept() is None
+    proxy.advance_clock(300)
+    assert proxy.origin.accept_nowait() is None
     assert not proxy.service.side.connections
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -34,26 +34,26 @@
     proxy = rig()
     proxy.service.stop()
     conn = proxy.client()  # its request is on the way
-    proxy.lag(600)  # the port closes before the reactor has looked at it
-    proxy.turn()
+    proxy.stall(600)  # the port closes before the reactor has looked at it
+    proxy.run_iterations()
     assert proxy.service.side.connections
     assert proxy.service._port is None
     conn.sendall(read(1, 900))
-    proxy.skip(10)
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    proxy.advance_clock(10)
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     node.sendall(HIT % 1)
-    assert proxy.ended(conn) == HIT % 1 + b"END"
+    assert proxy.receive_to_end(conn) == HIT % 1 + b"END"
 
 
 def test_a_drained_process_answers_who_connects_before_it_asks(rig):
     proxy = rig()
     proxy.service.drain()
-    proxy.skip(1000)
+    proxy.advance_clock(1000)
     conn = proxy.client()
-    proxy.skip(10)
+    proxy.advance_clock(10)
     conn.sendall(b"mn\r\n")
-    assert proxy.ended(conn) == b"SERVER_ERROR draining\r\nEND"
+    assert proxy.receive_to_end(conn) == b"SERVER_ERROR draining\r\nEND"
 
 
 # A client that stops in the middle of a request ---------------------------------------------------
@@ -65,23 +65,23 @@
 def play_until(proxy, end_ms):
     """`skip` takes real time too."""
     while proxy.now() < end_ms:
-        proxy.skip(5)
+        proxy.advance_clock(5)
 
 
 def test_half_a_command_behind_a_long_request_is_told_within_three_seconds_of_its_first_byte(rig):
     proxy = rig()
     first_byte_ms = proxy.now()
     conn = proxy.client(write(1) + b"mg k2 v O2")
-    node = proxy.origin.take()
-    proxy.got(node, b"PUT /k1 ")
+    node = proxy.origin.accept()
+    proxy.receive_until(node, b"PUT /k1 ")
     play_until(proxy, first_byte_ms + 1500)
     node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1")
-    proxy.got(conn, b"HD O1 cr1\r\n")
+    proxy.receive_until(conn, b"HD O1 cr1\r\n")
     play_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
     assert (
         proxy.service.side.policy.stage_of(next(iter(proxy.service.side.connections))) is ClientStage.CLOSING
     )
-    assert proxy.ended(conn) == b"CLIENT_ERROR half a command\r\nEND"
+    assert proxy.receive_to_end(conn) == b"CLIENT_ERROR half a command\r\nEND"
 
 
 def test_whole_commands_behind_malformed_ones_are_not_cut_as_half_a_command(rig):
@@ -93,9 +93,9 @@
     play_until(proxy, stop_ms + 400)
     errors = UNTHROTTLED_MALFORMED_COMMANDS + 9  # the last of their pauses is over 200 ms behind the cut
     conn = proxy.client(b"no\r\n" * errors + write(1, 900) + write(2, 900))
-    proxy.skip(1500)
-    assert proxy.ended(resting).endswith(b"END")
-    answers = proxy.ended(conn)
+    proxy.advance_clock(1500)
+    assert proxy.receive_to_end(resting).endswith(b"END")
+    answers = proxy.receive_to_end(conn)
     assert answers.count(b"CLIENT_ERROR") == errors
     assert answers.count(b"SERVER_ERROR") == 2
     assert answers.endswith(b"END")
@@ -116,18 +116,18 @@
     proxy = rig()
     proxy.service.facade._balancer._origins[0].limit = 1.0
     proxy.client(write(9))
-    proxy.got(proxy.origin.take(), b"PUT /k9 ")
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k9 ")
     conn = proxy.client(out + read(1))
     for number in (7, 1) if out else (1,):
-        node = proxy.nodes[0].take()
-        proxy.got(node, b"mg k%d " % number)
+        node = proxy.nodes[0].accept()
+        proxy.receive_until(node, b"mg k%d " % number)
     node.sendall(b"EN O1\r\n")
-    proxy.turn()
+    proxy.run_iterations()
     conn.sendall(read(2).replace(b"k2", b"k1"))
-    proxy.until(lambda: proxy.service.dispatcher.open_count == 3 + bool(out))
+    proxy.run_until(lambda: proxy.service.dispatcher.open_count == 3 + bool(out))
     before = len(begun)
     conn.close()
-    proxy.skip(60)
+    proxy.advance_clock(60)
     assert proxy.service.dispatcher.open_count == 1
     assert len(begun) == before
     assert places_taken(proxy) == {"9"}
@@ -138,9 +138,9 @@
 
 def answer_reads(proxy, node):
     """All that stands at the node's connections is answered."""
-    while node._accept() is not None:
+    while node.accept_nowait() is not None:
         pass
-    for conn in node.taken:
+    for conn in node.accepted:
         with contextlib.suppress(BlockingIOError, ConnectionResetError):
             for line in conn.recv(1 << 16).split(b"\r\n"):
                 if line.startswith(b"mg "):
@@ -150,22 +150,22 @@
 def test_a_connection_that_was_not_read_for_a_while_is_read_as_any_other_afterwards(rig):
     proxy = rig()
     conn = proxy.client(b"".join(read(number) for number in range(MAX_PIPELINED_COMMANDS)))
-    proxy.until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.side.paused_connections)
     conn.sendall(
         read(MAX_PIPELINED_COMMANDS)
     )  # it stands unread when the first answer lets the reading go on
-    proxy.turn(5)
+    proxy.run_iterations(5)
     # All answers are there at once, so that the connection is not held a second time.
     answer_reads(proxy, proxy.nodes[0])
-    proxy.until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
-    proxy.skip(3000)
+    proxy.run_until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
+    proxy.advance_clock(3000)
     conn.sendall(write(100))
-    proxy.got(proxy.origin.take(), b"PUT /k100 ")  # not refused as late
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k100 ")  # not refused as late
 
 
 def propagated_deadline_ms(conn, proxy):
     """The time that an attempt gives its node."""
-    return int(re.search(rb"d=(\d+)", proxy.got(conn, b"\r\n"))[1])
+    return int(re.search(rb"d=(\d+)", proxy.receive_until(conn, b"\r\n"))[1])
 
 
 def test_a_request_that_waited_to_be_accepted_tells_its_node_what_is_left_then(rig):
@@ -176,8 +176,8 @@
     conn = proxy.client()
     conn.sendall(write(1, 1900))
     sent_ms = proxy.now()
-    while (node := proxy.origin._accept()) is None and proxy.now() < sent_ms + 1900:
-        proxy.skip(5)
+    while (node := proxy.origin.accept_nowait()) is None and proxy.now() < sent_ms + 1900:
+        proxy.advance_clock(5)
     waited_ms = proxy.now() - sent_ms
     assert waited_ms > 2 * SLACK_MS
     assert propagated_deadline_ms(node, proxy) <= 1900 - waited_ms + SLACK_MS
@@ -188,28 +188,28 @@
     # bound of what is left, and the kernel knows when the bytes came.
     proxy = rig(sockets=64)
     crowd = [proxy.client() for _ in range(60)]
-    proxy.turn()
+    proxy.run_iterations()
     assert proxy.service.side._full
     conn = proxy.client()
     conn.sendall(write(1, 300))
     time.sleep(0.6)  # of the kernel's clock, which no test moves
     for idle in crowd:
         idle.close()
-    assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
-    assert proxy.origin._accept() is None
+    assert proxy.receive_until(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
+    assert proxy.origin.accept_nowait() is None
 
 
 def test_who_connects_when_the_crowd_is_over_has_all_of_its_time(rig):
     proxy = rig(sockets=64)
     crowd = [proxy.client() for _ in range(60)]
-    proxy.turn()
+    proxy.run_iterations()
     assert proxy.service.side._full
-    proxy.skip(300)
+    proxy.advance_clock(300)
     for conn in crowd:
         conn.close()
-    proxy.skip(200)
+    proxy.advance_clock(200)
     proxy.client(write(1, 900))
-    assert propagated_deadline_ms(proxy.origin.take(), proxy) > 900 - SLACK_MS
+    assert propagated_deadline_ms(proxy.origin.accept(), proxy) > 900 - SLACK_MS
 
 
 class QueueModel:
@@ -311,8 +311,8 @@
 def test_no_small_write_is_held_back_by_the_machine(rig):
     proxy = rig()
     proxy.client(read(1) + write(2))
-    proxy.until(lambda: proxy.service.pools.pool_of("s1").connections)
-    proxy.until(lambda: proxy.service.pools.pool_of("origin").connections)
+    proxy.run_until(lambda: proxy.service.pools.pool_of("s1").connections)
+    proxy.run_until(lambda: proxy.service.pools.pool_of("origin").connections)
     pools = [proxy.service.pools.pool_of(name) for name in ("s1", "origin")]
     made = [*proxy.service.side.connections, *(one for pool in pools for one in pool.connections)]
     assert len(made) == 3
@@ -333,8 +333,8 @@
     conn = proxy.client()
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     conn.sendall(read(1))
-    node = proxy.nodes[0].take()
-    proxy.got(node, b"mg k1 ")
+    node = proxy.nodes[0].accept()
+    proxy.receive_until(node, b"mg k1 ")
     answer = memoryview(b"VA %d O1\r\n" % len(VALUE) + VALUE + b"\r\n")
     got = bytearray()
     side = proxy.service.side
@@ -347,10 +347,10 @@
             got.extend(conn.recv(10_000))
         return not (answer or side.stream_count)
 
-    proxy.until(pass_on)
+    proxy.run_until(pass_on)
     proxy.service.drain()  # all has left for the machine, and the connection is let go
-    proxy.skip(2000)
+    proxy.advance_clock(2000)
     assert len(got) < len(VALUE)
-    rest = proxy.ended(conn)
+    rest = proxy.receive_to_end(conn)
     assert rest.endswith(b"v\r\nEND")
     assert len(got) + len(rest) > len(VALUE)
