--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -99,7 +99,6 @@
     player.service.node_policy.choose_use = lambda node, age_ms, dear: (
         ConnectionUse.HOLD_LAST_BYTE if dear else ConnectionUse.WRITE_ALL
     )
-    )
     player.service.node_policy.hold_back_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a")
     return sent(player, "origin")
