--- a/cloverwell/back/__init__.py
+++ b/cloverwell/back/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to cache nodes and the origin: pools of them, and the attempts they carry."""
+"""Connections to cache nodes and the origin: their pools, and the attempts that they carry."""
--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -1,4 +1,7 @@
-"""Attempts to a cache node, in memcache meta commands: `mg` for a read and `ms` for a write."""
+"""Encodes attempts at cache nodes as memcache meta commands, and decodes the answers.
+
+A read is an `mg` command, and a write an `ms` command.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class CacheConnection(NodeConnection):
-    """A connection to a cache node, which may carry several attempts."""
+    """A connection to a cache node, which may carry several attempts at a time."""
 
     def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the meta command of an attempt, with the propagated deadline in its `P` flag."""
@@ -22,9 +25,9 @@
         return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
-        """Reads the head of an answer. Raises `MalformedMessageError` also for one that is not owed."""
+        """Reads the first line of an answer. Raises `MalformedMessageError`, also without an attempt."""
         if not self.attempts:
-            raise MalformedMessageError("an answer that no attempt waits for")
+            raise MalformedMessageError("an answer without an attempt")
         words = line.split()
         match words[:1]:
             case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
@@ -38,26 +41,26 @@
                 self._check(words[1:], write=True)
                 receipts = [word[1:] for word in words[1:] if word.startswith(b"c")]
                 if not receipts:
-                    raise MalformedMessageError("a receipt is missing")
+                    raise MalformedMessageError("an HD line without a receipt")
                 self.finish_attempt(AttemptOutcome.SERVED, receipts[0])
             case [b"EN"]:
                 self._check(words[1:])
                 self.finish_attempt(AttemptOutcome.MISS)
             case [b"SERVER_ERROR"] if words[1:2] == [b"busy"]:
-                self.finish_attempt(AttemptOutcome.BUSY, named=False)
+                self.finish_attempt(AttemptOutcome.BUSY, has_id=False)
             case [b"SERVER_ERROR"] if words[1:2] == [b"failed"]:
-                self.finish_attempt(AttemptOutcome.ERROR, named=False)
+                self.finish_attempt(AttemptOutcome.ERROR, has_id=False)
             case _:
                 raise MalformedMessageError(f"unknown line {line[:60]!r}")
 
     def pieceReceived(self, data: bytes) -> None:
-        """Passes on a piece of a long value, and awaits the line end behind the last one."""
+        """Passes on a piece of a long value, and expects the line end after the last piece."""
         super().pieceReceived(data)
         if self.stream is not None and not self.stream.left:
             self.expect_value(len(self.delimiter))
 
     def valueReceived(self, data: bytes) -> None:
-        """Takes a whole value with its line end, or the line end of a long value."""
+        """Reads a whole value with its line end, or only the line end after a long value."""
         if not data.endswith(self.delimiter):
             raise MalformedMessageError("a value without its line end")
         if self.stream is not None:
@@ -66,10 +69,12 @@
             self.finish_attempt(AttemptOutcome.SERVED, data[: -len(self.delimiter)])
 
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
-        # An answer under another id is another request's: it must not reach this one. Nor may a receipt be
-        # taken for a value.
+        """Checks that an answer has the id of the oldest attempt and, if `write` is given, is of its kind.
+
+        The answer of another request must not reach this one, and a receipt must not be served as a value.
+        """
         request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
-            raise MalformedMessageError("an answer under another id")
+            raise MalformedMessageError("an answer with the id of another request")
         if write not in (None, request.write):
-            raise MalformedMessageError("an answer of another kind")
+            raise MalformedMessageError("a value for a write, or a receipt for a read")
--- a/cloverwell/back/idle_connections.py
+++ b/cloverwell/back/idle_connections.py
@@ -11,33 +11,33 @@
 
 
 class IdleConnections(Generic[NodePool]):
-    """One node's idle connections, which are also listed with those of all nodes."""
+    """The idle connections to one node, which are also kept in a list of those to all nodes."""
 
     def __init__(self, pool: NodePool, of_all_nodes: OrderedDict[NodeConnection, NodePool]) -> None:
-        """Starts empty, as part of `of_all_nodes`, which has the longest idle first."""
+        """Starts empty. `of_all_nodes` gets each connection too, and has the longest idle one first."""
         self._pool = pool
         self._of_all_nodes = of_all_nodes
-        self.connections: list[NodeConnection] = []  # the one used last at the end
+        self.connections: list[NodeConnection] = []  # the one that was used last is at the end
 
     def add(self, connection: NodeConnection) -> None:
-        """Adds a connection that has become idle just now."""
+        """Adds a connection that became idle just now."""
         self.connections.append(connection)
         self._of_all_nodes[connection] = self._pool
 
     def remove(self, connection: NodeConnection) -> None:
-        """Removes a connection, which must be here."""
+        """Removes a connection, which must be one of these."""
         self.connections.remove(connection)
         del self._of_all_nodes[connection]
 
     def discard(self, connection: NodeConnection) -> None:
-        """Removes a connection if it is here."""
+        """Removes a connection if it is one of these."""
         if self._of_all_nodes.pop(connection, None) is not None:
             self.connections.remove(connection)
 
     def take_last_used(self, now: float) -> NodeConnection | None:
         """Removes and returns the usable connection that was used last, or None if there is none.
 
-        One behind whose last answer no data can be late is preferred.
+        A connection on which late data after its last answer is still possible is used only if all are so.
         """
         usable = [connection for connection in self.connections if connection.usable_from_ms <= now]
         if not usable:
@@ -49,5 +49,5 @@
         return found
 
     def count_unusable(self, now: float) -> int:
-        """Returns how many connections will be usable a few milliseconds from now."""
+        """Returns the number of connections that rest, and will be usable a few milliseconds from now."""
         return sum(connection.usable_from_ms > now for connection in self.connections)
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -1,7 +1,7 @@
-"""A connection to a cache node or the origin, independent of the protocol that it speaks.
+"""A connection to a cache node or the origin, independent of its protocol.
 
-It writes attempts, all at once or with the last byte held back, and ends each with the answer whose turn it
-is.
+Each attempt is written at once, or with its last byte held back. Answers arrive in the order of the attempts:
+each answer ends the oldest attempt on the connection.
 """
 
 from __future__ import annotations
@@ -27,185 +27,186 @@
 from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import Timer
 
-STREAM_READ_BYTES = 32 * 1024  # of a long value that are read at once, and wait for a slow reader
-FRESH_MS = 10.0  # a connection that came up so lately has not stood idle
-LATE_DATA_MS = 15.0  # a duplicate of an answer, or noise behind it, may arrive so much later
+STREAM_READ_BYTES = 32 * 1024  # bytes of a long value that are read at once, and buffered for a slow client
+FRESH_MS = 10.0  # a connection that was opened less than this ago does not count as idle
+LATE_DATA_MS = 15.0  # a duplicate of an answer, or data after it, may arrive up to this much later
 
 
 class SendResult(Enum):
-    """What became of an attempt that a connection was given."""
+    """The result of writing an attempt to a connection."""
 
-    OUT = auto()  # its first byte has been written
-    BROKEN = auto()  # no byte has been: the connection is unusable
-    LATE = auto()  # no byte has been: the attempt has no time left to propagate to its node
+    WRITTEN = auto()  # its first byte has been written; the last one may be held back
+    BROKEN = auto()  # no byte was written, since the connection is unusable
+    TOO_LATE = auto()  # no byte was written, since no time is left for the node to work on the attempt
 
 
 class ConnectionPool(Protocol):
-    """What a connection needs of its pool. Times are milliseconds of the timer wheel's clock."""
+    """The methods of a pool that its connections call. Times are milliseconds of the timer wheel's clock."""
 
     node: str
     address: tuple[str, int] | None
     log: Log
-    tick_ms: float  # by so much `later` may be late
-    partial_answers: dict[NodeConnection, int]  # the checks since the last data, by connection
+    tick_ms: float  # the most that `call_at` is late
+    partial_answers: dict[NodeConnection, int]  # the number of checks since the last data of an answer
 
     @property
     def forbids_concurrent_attempts(self) -> bool:
         """Whether a request must not have two attempts in flight at once."""
 
     def now(self) -> float:
-        """Returns the time."""
+        """Returns the current time."""
 
-    def later(self, when_ms: float, call: Callable[[], None]) -> Timer:
-        """Calls back at that time or up to a tick later."""
+    def call_at(self, when_ms: float, call: Callable[[], None]) -> Timer:
+        """Calls `call` at the time `when_ms`, or up to a tick later."""
 
     def hold_ms(self) -> float:
-        """Returns how long a last byte is held back."""
+        """Returns how long the last byte of an attempt is held back."""
 
-    def too_late(self, attempt: Attempt) -> bool:
-        """Tells whether no byte of the attempt may be written any more."""
+    def is_too_late(self, attempt: Attempt) -> bool:
+        """Returns whether it is too late to write a byte of the attempt."""
 
-    def opened(self, connection: NodeConnection) -> None:
-        """Takes a connection that has come up."""
+    def add(self, connection: NodeConnection) -> None:
+        """Adds a connection that has been opened."""
 
-    def became_free(self, connection: NodeConnection) -> None:
-        """Takes notice that the connection carries one attempt less, or none."""
+    def connection_freed(self, connection: NodeConnection) -> None:
+        """Is called when the connection has one attempt less; it may carry another if it has none."""
 
-    def lost(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
-        """Forgets a connection that has ended; `requests` are the ids of those with an attempt on it."""
+    def remove(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
+        """Removes a connection that has ended; `requests` are the ids of the requests with attempts on it."""
 
     def reassign(self, attempt: Attempt) -> None:
-        """Gives an attempt whose connection ended before its last byte to another connection."""
+        """Writes an attempt to another connection, since its own ended before the last byte was written."""
 
     def close_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends an attempt in flight whose connection the proxy itself has closed."""
 
-    def answered(self, age_ms: float | None, first_byte_ms: float) -> None:
-        """Learns from an answer; `age_ms` is how long the connection had stood idle, None on a fresh one."""
+    def record_answer(self, idle_age_ms: float | None, first_byte_ms: float) -> None:
+        """Records an answer; `idle_age_ms` is the idle time before it, None on a fresh connection."""
 
-    def silent(self, age_ms: float | None, first_byte_ms: float) -> None:
-        """Learns from an attempt that was given up without a byte of an answer."""
+    def record_silence(self, idle_age_ms: float | None, first_byte_ms: float) -> None:
+        """Records an attempt that was given up before any byte of its answer arrived."""
 
-    def closed_idle_by_node(self) -> None:
-        """Learns that the node closed a connection without an attempt."""
+    def record_idle_close(self) -> None:
+        """Records that the node closed a connection without an attempt on it."""
 
-    def closed_by_node(self, loss: ConnectionLoss) -> None:
-        """Learns that the node closed a connection with an attempt."""
+    def record_loss(self, loss: ConnectionLoss) -> None:
+        """Records that the node closed a connection with an attempt on it."""
 
 
 class NodeConnection(RingLineReceiver):
     """A connection to a node, with its attempts in the order in which their answers are due."""
 
-    def __init__(self, pool: ConnectionPool, asked_ms: float) -> None:
-        """Makes the protocol of a connection that `pool` asked for at `asked_ms`."""
+    def __init__(self, pool: ConnectionPool, open_started_ms: float) -> None:
+        """Starts without an attempt; `pool` began to open the connection at `open_started_ms`."""
         super().__init__()
         self._pool = pool
         self.attempts: deque[Attempt] = deque()
-        self.asked_ms = asked_ms
-        self.idle_since_ms = 0.0
-        self.served = False  # an attempt has ended on it
-        self.usable_from_ms = 0.0  # no attempt is written to it before
-        self.address_changed = False  # the node has moved: attempts in flight here may finish
-        self.stream: StreamedValue | None = None  # the long value that is arriving
-        self.stream_data_ms = 0.0  # when a piece of it last arrived
-        self._age_ms: float | None = None  # how long it had stood idle before its oldest attempt
-        self._first_byte_ms = 0.0  # when that attempt's first byte was written
-        self._partial_write: PartialWrite | None = None
-        self._close_after_answer = False  # nothing may follow on it
+        self.open_started_ms = open_started_ms
+        self.idle_since_ms = 0.0  # the time from which it has been idle
+        self.has_served = False  # whether an attempt on it was answered
+        self.usable_from_ms = 0.0  # the time before which no attempt is written to it
+        self.address_changed = False  # whether the node has moved; attempts in flight here go on
+        self.stream: StreamedValue | None = None  # the long value that is arriving, if any
+        self.last_stream_data_ms = 0.0  # the time at which the last piece of it arrived
+        self._idle_age_ms: float | None = None  # how long it had been idle before its oldest attempt
+        self._first_byte_ms = 0.0  # the time at which the first byte of that attempt was written
+        self._partial_write: PartialWrite | None = None  # the attempt whose last byte is held back
+        self._close_after_answer = False  # whether the answer that is arriving is the last one here
 
     def encode_command(self, attempt: Attempt) -> bytes:
-        """Returns the bytes of an attempt; a subclass encodes them in its protocol."""
+        """Returns the command of an attempt, which a subclass encodes in its protocol."""
         raise NotImplementedError
 
     def connectionMade(self) -> None:
-        """Joins the pool."""
+        """Adds the connection to its pool."""
         super().connectionMade()
-        self._pool.opened(self)
+        self._pool.add(self)
 
     @property
-    def free(self) -> bool:
-        """Whether it may be given an attempt."""
+    def is_free(self) -> bool:
+        """Whether an attempt may be written to it."""
         return not (self.ended or self.attempts or self._partial_write or self.stream)
 
     @property
     def has_partial_write(self) -> bool:
-        """Whether a command has been written in part."""
+        """Whether a command has been written except for its last byte."""
         return self._partial_write is not None
 
-    def age_ms(self, now: float) -> float | None:
-        """Returns how long it has stood idle, None on a fresh one."""
+    def idle_age_ms(self, now: float) -> float | None:
+        """Returns how long the connection has been idle, or None if it is fresh and has not been used."""
         age = now - self.idle_since_ms
-        return age if self.served or age > FRESH_MS else None
+        return age if self.has_served or age > FRESH_MS else None
 
     def is_settled(self, now: float) -> bool:
-        """Tells whether data that comes late behind the last answer has arrived by now.
+        """Returns whether any late data after the last answer must have arrived by now.
 
-        The check before the next attempt then finds it.
+        The check before the next attempt finds such data.
         """
-        return not self.served or now - self.idle_since_ms >= LATE_DATA_MS
+        return not self.has_served or now - self.idle_since_ms >= LATE_DATA_MS
 
     # Writing an attempt ---------------------------------------------------------------------------
 
     def send(self, attempt: Attempt, use: ConnectionUse = ConnectionUse.WHOLE) -> SendResult:
-        """Writes an attempt, with its last byte held back where `use` is `SPLIT`."""
+        """Writes an attempt; if `use` is `SPLIT`, its last byte is held back."""
         now = self._pool.now()
         hold_ms = self._pool.hold_ms() if use is ConnectionUse.SPLIT else 0.0
-        # The timer wheel rounds the wait up to its next tick.
+        # The timer wheel rounds the time at which the last byte is written up to its next tick.
         left_ms = attempt.left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
         if left_ms < MIN_PROPAGATED_MS:
-            return SendResult.LATE
+            return SendResult.TOO_LATE
         if not self.attempts and self._is_unusable():
             return SendResult.BROKEN
         attempt.propagated_ms = left_ms
         data = self.encode_command(attempt)
         rest = data[-1:] if use is ConnectionUse.SPLIT else b""
-        untaken = self.try_write_command(data[:-1] if rest else data)
-        if untaken is None:
+        held_back = self.try_write_command(data[:-1] if rest else data)
+        if held_back is None:
             return SendResult.BROKEN
         if not self.attempts:
-            self._age_ms, self._first_byte_ms = self.age_ms(now), now
-        if rest := untaken + rest:
-            timer = self._pool.later(now + hold_ms, self._write_rest)
+            self._idle_age_ms, self._first_byte_ms = self.idle_age_ms(now), now
+        if rest := held_back + rest:
+            timer = self._pool.call_at(now + hold_ms, self._write_last_byte)
             self._partial_write = PartialWrite(attempt, rest, timer)
         else:
-            self._written(attempt, now)
-        return SendResult.OUT
+            self._record_written(attempt, now)
+        return SendResult.WRITTEN
 
-    def _written(self, attempt: Attempt, before_ms: float) -> None:
-        """Takes an attempt as in flight; `before_ms` is the clock before the write, which can stall."""
+    def _record_written(self, attempt: Attempt, before_ms: float) -> None:
+        """Records that an attempt is in flight; `before_ms` is the time before the write, which can stall."""
         attempt.written_from_ms = before_ms
         attempt.written_ms = self._pool.now()
         self.attempts.append(attempt)
 
-    def _write_rest(self) -> None:
-        """Writes the last byte: no reset has come, so the node is there, and the attempt may run."""
+    def _write_last_byte(self) -> None:
+        """Writes the last byte, so that the attempt runs, unless the node has closed the connection."""
         partial = self._partial_write
-        assert partial is not None  # the timer is cancelled with it
-        if self._pool.too_late(partial.attempt):
+        assert partial is not None  # its timer, which makes this call, is cancelled when it is removed
+        if self._pool.is_too_late(partial.attempt):
             self._partial_write = None
             self.drop(NodeCloseReason.TOO_LATE)
             partial.attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         now = self._pool.now()
-        # The propagated deadline counts from the last byte on: a command that is later is written anew.
+        # A last byte that is later than planned would let the node work for too long: the command is written
+        # again, with less time, to another connection.
         if self._is_unusable() or partial.attempt.exceeded_deadline_by_ms(now) > 0.0:
             self.drop(NodeCloseReason.UNUSABLE)
             return
-        untaken = partial.rest if self._writing else self.try_write_command(partial.rest)
-        if untaken is None:
+        held_back = partial.rest if self._writing else self.try_write_command(partial.rest)
+        if held_back is None:
             self.drop(NodeCloseReason.UNUSABLE)
-        elif untaken:
-            partial.rest = untaken
-            partial.timer = self._pool.later(self._pool.now() + self._pool.tick_ms, self._write_rest)
+        elif held_back:
+            partial.rest = held_back
+            partial.timer = self._pool.call_at(self._pool.now() + self._pool.tick_ms, self._write_last_byte)
         else:
             self._partial_write = None
-            self._written(partial.attempt, now)
+            self._record_written(partial.attempt, now)
 
     def _is_unusable(self) -> bool:
-        """Tells whether the node has closed the connection, or sent data that no attempt is owed.
+        """Returns whether the node has closed the connection or sent data that answers no attempt.
 
-        That data would be read as the next attempt's answer, or the attempt be reset after it ran. So is a
-        connection of which the kernel can't tell.
+        Such data would be read as the next attempt's answer, and after a close that attempt would be reset,
+        perhaps after it ran. A connection whose state the kernel can't tell is unusable too.
         """
         try:
             self._socket.recv(1, PEEK_FLAGS)
@@ -219,82 +220,85 @@
 
     # Answers --------------------------------------------------------------------------------------
 
-    def finish_attempt(self, outcome: AttemptOutcome, body: bytes = b"", named: bool = True) -> None:
-        """Ends the oldest attempt, which has its answer; `named` tells that the answer bore its id."""
-        attempt = self._take_answered()
-        self._answer_ended(named)
+    def finish_attempt(self, outcome: AttemptOutcome, body: bytes = b"", has_id: bool = True) -> None:
+        """Ends the oldest attempt with its answer; `has_id` says whether the answer contained its id."""
+        attempt = self._remove_answered_attempt()
+        self._answer_complete(has_id)
         attempt.end(outcome, body)
 
-    def _take_answered(self) -> Attempt:
+    def _remove_answered_attempt(self) -> Attempt:
         attempt = self.attempts.popleft()
-        self._pool.answered(self._age_ms, self._first_byte_ms)
-        self._age_ms, self.served = None, True
+        self._pool.record_answer(self._idle_age_ms, self._first_byte_ms)
+        self._idle_age_ms, self.has_served = None, True
         return attempt
 
-    def _answer_ended(self, named: bool = True) -> None:
-        """Makes the connection free. A late duplicate of an answer without an id must not meet an attempt."""
+    def _answer_complete(self, has_id: bool = True) -> None:
+        """Frees the connection after a complete answer, or closes it.
+
+        After an answer without an id it rests: a late duplicate would be read as the next attempt's answer.
+        """
         if self._close_after_answer:
             self.drop(NodeCloseReason.LAST_ANSWER)
         elif not self.attempts and self.unparsed_bytes:
-            # A duplicate or noise behind a good answer would be read as the answer of the next attempt.
-            self._pool.log.info("answer", f"more than the answer came from {self._pool.node}")
+            # A duplicate, or other data after the answer, would be read as the answer of the next attempt.
+            self._pool.log.info("answer", f"{self._pool.node} sent surplus data after an answer")
             self.drop(NodeCloseReason.SURPLUS)
         else:
             if not self.attempts:
                 self.idle_since_ms = self._pool.now()
-                self.usable_from_ms = 0.0 if named else self.idle_since_ms + LATE_DATA_MS
-            self._pool.became_free(self)
+                self.usable_from_ms = 0.0 if has_id else self.idle_since_ms + LATE_DATA_MS
+            self._pool.connection_freed(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Reads data, and has the pool check that an answer which has begun goes on."""
+        """Parses data, and lets the pool watch an answer that has begun, in case it never ends."""
         super().dataReceived(data)
-        # The rest of a long value has its own time limit.
+        # A long value is not watched here, since it has a time limit of its own.
         if (
             not self.ended
             and self.stream is None
-            and (self._awaited_bytes or self._streamed_left or len(self._incoming))
+            and (self._awaited_bytes or self._streamed_bytes_left or len(self._incoming))
         ):
             self._pool.partial_answers[self] = 0
         else:
             self._pool.partial_answers.pop(self, None)
 
     def framingLost(self, reason: str) -> None:
-        """Drops the connection: what the node sent is malformed, or stopped short."""
-        self._pool.log.warn("answer", f"malformed answer of {self._pool.node}: {reason}")
+        """Drops the connection, since the node sent a malformed answer, or only a part of one."""
+        self._pool.log.warn("answer", f"malformed answer from {self._pool.node}: {reason}")
         self.drop(NodeCloseReason.MALFORMED)
 
     # A long value ---------------------------------------------------------------------------------
 
     def begin_stream(self, length: int) -> None:
-        """Ends the oldest attempt with a long value whose head is sound and whose body follows."""
-        attempt = self._take_answered()
+        """Ends the oldest attempt with a long value, of which only the valid head has arrived."""
+        attempt = self._remove_answered_attempt()
         stream = self.stream = StreamedValue(
             length, self.hold, self.release, lambda: self.drop(NodeCloseReason.VALUE_DROPPED)
         )
-        self.stream_data_ms = self._pool.now()
+        self.last_stream_data_ms = self._pool.now()
         self.transport.bufferSize = STREAM_READ_BYTES
         self.expect_pieces(length)
-        self.hold()  # until its turn has come at the client
+        self.hold()  # until the earlier answers to the same client have been sent
         attempt.end(AttemptOutcome.SERVED, stream)
-        if not stream.wanted:  # too late, or its client has disconnected
+        if not stream.wanted:  # The answer is too late, or the client has disconnected.
             stream.drop()
 
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value."""
-        self.stream_data_ms = self._pool.now()
-        assert self.stream is not None  # pieces are expected only for one
+        self.last_stream_data_ms = self._pool.now()
+        assert self.stream is not None  # pieces are expected only while a long value arrives
         self.stream.piece(data)
 
-    def end_stream(self, named: bool = True) -> None:
-        """Completes a long value, all of which has come and whose end is sound."""
+    def end_stream(self, has_id: bool = True) -> None:
+        """Completes a long value that has arrived whole, with a valid end."""
         stream, self.stream = self.stream, None
         assert stream is not None
-        del self.transport.bufferSize  # the class has its own
+        del self.transport.bufferSize  # The default of the class applies again.
         stream.whole()
         if not self.ended:
-            self._answer_ended(named)
+            self._answer_complete(has_id)
 
-    def _break_stream(self) -> None:
+    def _end_broken_stream(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.broken()
@@ -302,21 +306,21 @@
     # The end --------------------------------------------------------------------------------------
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> bool:
-        """Ends that attempt and with it the connection. Returns False if the attempt is not here."""
+        """Ends an attempt, and closes the connection. Returns False if the attempt is not on it."""
         if self._partial_write is not None and self._partial_write.attempt is attempt:
             self.drop(NodeCloseReason.GIVEN_UP, outcome, attempt)
             return True
         if attempt not in self.attempts:
             return False
         if self.stream is not None and not self._pool.forbids_concurrent_attempts:
-            # It stands behind a long value, which goes on, and the connection closes after that. The attempt
-            # is in flight until then: where a request may have but one, the value breaks off instead.
+            # The attempt waits behind a long value, after which the connection is closed. Until then it may
+            # run: where a request may have only one attempt in flight, the value is broken off instead.
             self._close_after_answer = True
             self.attempts.remove(attempt)
             attempt.end(outcome)
             return True
         if attempt is self.attempts[0] and self not in self._pool.partial_answers:
-            self._pool.silent(self._age_ms, self._first_byte_ms)
+            self._pool.record_silence(self._idle_age_ms, self._first_byte_ms)
         self.drop(NodeCloseReason.GIVEN_UP, outcome, attempt)
         return True
 
@@ -326,29 +330,29 @@
         outcome: AttemptOutcome = AttemptOutcome.RESET,
         target: Attempt | None = None,
     ) -> None:
-        """Closes the connection, and ends `target` with that outcome and each other attempt with a reset."""
+        """Closes the connection; ends `target` with `outcome`, and each other attempt with a reset."""
         requests = self._request_ids()
-        unsent = self._take_unsent()
+        unsent = self._take_partly_written()
         attempts, self.attempts = self.attempts, deque()
         self.end(abort=True)
-        self._pool.lost(self, reason, requests)
-        self._break_stream()
+        self._pool.remove(self, reason, requests)
+        self._end_broken_stream()
         for attempt in attempts:
             self._pool.close_attempt(attempt, outcome if attempt is target else AttemptOutcome.RESET)
         if unsent is not None and unsent is target:
-            # Without its last byte it can't have run: to cancel it, or time it out, leaves nothing behind.
+            # Its last byte was not written, so it has not run: a timeout counts as a failure to connect.
             unsent.end(AttemptOutcome.NOT_CONNECTED if outcome is AttemptOutcome.TIMED_OUT else outcome)
         elif unsent is not None:
             self._pool.reassign(unsent)
 
     def _request_ids(self) -> list[str]:
-        """Returns the ids of the requests that have an attempt here, one that is not written whole last."""
+        """Returns the ids of the requests with an attempt here; a partly written one is last."""
         ids = [attempt.request.id for attempt in self.attempts]
         if self._partial_write is not None:
             ids.append(self._partial_write.attempt.request.id)
         return ids
 
-    def _take_unsent(self) -> Attempt | None:
+    def _take_partly_written(self) -> Attempt | None:
         """Removes and returns the attempt whose last byte has not been written, if there is one."""
         partial, self._partial_write = self._partial_write, None
         if partial is None:
@@ -361,12 +365,12 @@
         by_node = not self.ended
         super().connectionLost(reason)
         requests = self._request_ids()
-        unsent = self._take_unsent()
+        unsent = self._take_partly_written()
         attempts, self.attempts = self.attempts, deque()
         if by_node:
             self._report_closed_by_node(attempts, unsent, by_reset=not reason.check(ConnectionDone))
-        self._pool.lost(self, NodeCloseReason.RESET if requests else NodeCloseReason.BY_NODE, requests)
-        self._break_stream()
+        self._pool.remove(self, NodeCloseReason.RESET if requests else NodeCloseReason.BY_NODE, requests)
+        self._end_broken_stream()
         for attempt in attempts:
             attempt.end(AttemptOutcome.RESET)
         if unsent is not None:
@@ -376,18 +380,18 @@
         self, attempts: deque[Attempt], unsent: Attempt | None, by_reset: bool
     ) -> None:
         if not attempts and unsent is None:
-            self._pool.closed_idle_by_node()
+            self._pool.record_idle_close()
             return
-        # From the last bytes on: how long they were held back says nothing of the network.
+        # The time counts from the last byte: how long that was held back says nothing about the network.
         written_ms = attempts[0].written_ms if attempts else None
         since_ms = self._first_byte_ms if written_ms is None else written_ms
-        self._pool.closed_by_node(
+        self._pool.record_loss(
             ConnectionLoss(
-                idle_age_ms=self._age_ms,
+                idle_age_ms=self._idle_age_ms,
                 after_ms=self._pool.now() - since_ms,
                 answer_begun=self in self._pool.partial_answers,
                 attempt_unsent=unsent is not None,
                 by_reset=by_reset,
-                had_served=self.served,
+                had_served=self.has_served,
             )
         )
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -1,4 +1,4 @@
-"""Connections to one node that are being opened, and what becomes of them."""
+"""Opens connections to one node, and reports to its pool whether they were established."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OpeningPool(Protocol):
-    """What opening connections needs of the pool that they are for."""
+    """The methods of a pool that are called when one of its connections was opened, or was not."""
 
     node: str
     address: tuple[str, int] | None
@@ -28,80 +28,83 @@
         """Opens the connections that attempts wait for."""
 
     def open_failed(self) -> None:
-        """Ends an attempt that waits for a connection, since one was refused or never came up."""
+        """Ends an attempt that waits for a connection, since one was refused or timed out."""
 
     def open_not_started(self, now: float) -> None:
-        """Gives up the attempts that have waited for long, since this machine can't begin a connection."""
+        """Gives up the attempts that have waited for long, since this machine can't open a connection."""
 
 
-OnePool = TypeVar("OnePool", bound=OpeningPool)
+NodePool = TypeVar("NodePool", bound=OpeningPool)
 
 
-class OpeningConnections(Generic[OnePool]):
-    """Opens connections for one pool, and pauses while this machine can't begin any."""
+class OpeningConnections(Generic[NodePool]):
+    """Opens connections for one pool, and pauses while this machine can't open any."""
 
-    def __init__(self, pool: OnePool, context: PoolContext[OnePool]) -> None:
-        """Starts without a connection on its way."""
+    def __init__(self, pool: NodePool, context: PoolContext[NodePool]) -> None:
+        """Starts without a connection that is being opened."""
         self._pool = pool
         self._context = context
         self._policy = context.node_policy
         self._wheel = context.timer_wheel
         self._retry = ConnectRetry()
-        self.count = 0  # connections on their way
+        self.count = 0  # connections that are being opened
 
     @property
     def fault(self) -> LocalFault | None:
-        """Why this machine could not begin the last connection, or None if it could."""
+        """The fault for which this machine could not open the last connection, or None if there was none."""
         return self._retry.fault
 
     def may_try(self) -> bool:
-        """Tells whether this machine may be asked for a connection now."""
+        """Returns whether a connection may be opened now, after a fault of this machine."""
         return self._retry.may_try(self.count)
 
     def open(self) -> None:
-        """Begins a connection to the node's address as it is now."""
+        """Begins to open a connection to the current address of the node."""
         self.count += 1
         self._context.budget.take(DescriptorSide.NODES)
-        assert self._pool.address is not None  # no attempt waits at a node without one
+        assert self._pool.address is not None  # no attempt waits for a node without an address
         host, port = self._pool.address
         opener = ConnectionOpener(self, (host, port), self._wheel.now())
         timeout_s = self._context.connect_timeout_ms / 1000.0
         self._context.reactor.connectTCP(host, port, opener, timeout=timeout_s)
 
-    def build(self, address: tuple[str, int], asked_ms: float) -> NodeConnection | None:
-        """Makes the protocol of a connection that has come up.
+    def build(self, address: tuple[str, int], open_started_ms: float) -> NodeConnection | None:
+        """Returns the protocol of a connection that was established.
 
-        Returns None, which closes it, if the node has moved meanwhile; another one is opened instead.
+        Returns None, so that it is closed, if the node's address has changed; another is opened instead.
         """
         if address != self._pool.address:
-            self._ended()
+            self._opening_ended()
             self._pool.open_for_waiting()
             return None
-        return self._context.build(self._pool, asked_ms)
+        return self._context.build(self._pool, open_started_ms)
 
-    def came_up(self) -> bool:
-        """Takes notice that a connection is up. Returns whether others have waited for that to be tried."""
+    def connected(self) -> bool:
+        """Records that a connection was established.
+
+        Returns whether further connections were held back by a fault, and may be opened now.
+        """
         self.count -= 1
         self._context.wake(self._pool)
         return self._retry.record_reply()
 
-    def failed(self, asked_ms: float, refused: bool) -> None:
-        """Takes notice that the node refused a connection, or else that it never came up."""
-        self._ended()
-        others_waited = self._retry.record_reply()
-        node, standing = self._pool.node, len(self._pool.connections)
+    def connect_failed(self, open_started_ms: float, refused: bool) -> None:
+        """Records that the node refused a connection, or that it timed out if `refused` is False."""
+        self._opening_ended()
+        others_held_back = self._retry.record_reply()
+        node, open_count = self._pool.node, len(self._pool.connections)
         self._context.metrics.add(ConnectionEvent.CONNECT_REFUSED, node)
         if refused:
-            self._policy.connect_refused(node, standing, self._wheel.now())
+            self._policy.connect_refused(node, open_count, self._wheel.now())
         else:
-            self._policy.timed_out(node, standing, asked_ms, self._wheel.now())
+            self._policy.timed_out(node, open_count, open_started_ms, self._wheel.now())
         self._pool.open_failed()
-        if others_waited:
+        if others_held_back:
             self._pool.open_for_waiting()
 
     def not_started(self, fault: LocalFault) -> None:
-        """Tries again soon, since this machine could not begin a connection."""
-        self._ended()
+        """Tries again after a pause, since this machine could not open a connection."""
+        self._opening_ended()
         self._context.metrics.add(ConnectionEvent.NOT_OPENED, self._pool.node)
         now = self._wheel.now()
         if self._retry.record_fault(fault):
@@ -112,31 +115,33 @@
         self._retry.end_pause()
         self._pool.open_for_waiting()
 
-    def _ended(self) -> None:
+    def _opening_ended(self) -> None:
         self.count -= 1
         self._context.wake(self._pool)
         self._context.budget.give_back(DescriptorSide.NODES)
 
 
 class ConnectionOpener(ClientFactory):
-    """The factory of one connection."""
+    """The Twisted factory of one connection."""
 
     noisy = False
 
-    def __init__(self, owner: OpeningConnections[Any], address: tuple[str, int], asked_ms: float) -> None:
-        """Remembers the address, and when the connection was asked for."""
+    def __init__(
+        self, owner: OpeningConnections[Any], address: tuple[str, int], open_started_ms: float
+    ) -> None:
+        """Remembers the address, and the time at which opening the connection began."""
         self._owner = owner
         self._address = address
-        self._asked_ms = asked_ms
+        self._asked_ms = open_started_ms
 
     def buildProtocol(self, _addr: IAddress | None) -> NodeConnection | None:
-        """Makes the protocol of the connection, or returns None, which closes it."""
+        """Returns the protocol of the connection, or None, so that it is closed."""
         return self._owner.build(self._address, self._asked_ms)
 
     def clientConnectionFailed(self, _connector: IConnector, reason: Failure) -> None:
-        """Tells why there is no connection: a fault of this machine, or one of the network or the node."""
+        """Reports that a connection failed by a fault of this machine, or of the network or the node."""
         fault = None if reason.value is None else connect_fault(reason.value)
         if fault is not None:
             self._owner.not_started(fault)
         else:
-            self._owner.failed(self._asked_ms, reason.check(ConnectionRefusedError) is not None)
+            self._owner.connect_failed(self._asked_ms, reason.check(ConnectionRefusedError) is not None)
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -1,4 +1,7 @@
-"""Attempts to the origin, in HTTP/1.1: `GET` for a read and `PUT` for a write."""
+"""Encodes attempts at the origin as HTTP/1.1 requests, and decodes the answers.
+
+A read is a `GET` request, and a write a `PUT` request.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,15 @@
 from cloverwell.request import Attempt
 from cloverwell.streamed_value import LONG, LONGEST
 
-RECEIPT = re.compile(rb"[!-~]{1,250}")  # it becomes a flag of the client's answer, so one word
+RECEIPT = re.compile(rb"[!-~]{1,250}")  # It is sent to the client as a flag, which is one word.
 
 
 class OriginConnection(HttpReceiver, NodeConnection):
     """A connection to the origin, which carries one attempt at a time."""
 
-    def __init__(self, pool: Pool, asked_ms: float) -> None:
-        """Makes the protocol of a connection that `pool` asked for at `asked_ms`."""
-        NodeConnection.__init__(self, pool, asked_ms)
+    def __init__(self, pool: Pool, open_started_ms: float) -> None:
+        """Starts without an attempt; `pool` began to open the connection at `open_started_ms`."""
+        NodeConnection.__init__(self, pool, open_started_ms)
         self._reset()
 
     def encode_command(self, attempt: Attempt) -> bytes:
@@ -33,18 +36,19 @@
             "Request-Info": request.info_with(attempt.propagated_ms),
         }
         method, body = ("PUT", request.value) if request.write else ("GET", None)
-        assert self._pool.address is not None  # it was opened to one
+        assert self._pool.address is not None  # the pool had one when it opened the connection
         host, port = self._pool.address
         return encode_request(method, "/" + quote(request.key), f"{host}:{port}", headers, body)
 
     def _check(self, headers: dict[str, str]) -> None:
+        """Checks that an attempt waits, and that the answer does not have the id of another request."""
         if not self.attempts:
-            raise MalformedMessageError("an answer that no attempt waits for")
+            raise MalformedMessageError("an answer without an attempt")
         if headers.get("request-id", self.attempts[0].request.id) != self.attempts[0].request.id:
-            raise MalformedMessageError("an answer under another id")
+            raise MalformedMessageError("an answer with the id of another request")
 
-    def long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
-        """Begins a long value, and returns True, if the body is one."""
+    def begin_long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
+        """Begins a long value and returns True if the body is one; returns False for any other body."""
         if status != 200 or not LONG < length <= LONGEST:
             return False
         self._check(headers)
@@ -55,20 +59,20 @@
         return True
 
     def pieceReceived(self, data: bytes) -> None:
-        """Passes on a piece of a long value, and completes it with the last one."""
+        """Passes on a piece of a long value, and completes the value after the last piece."""
         super().pieceReceived(data)
         if self.stream is not None and not self.stream.left:
             self._reset()
-            self.end_stream(named=False)
+            self.end_stream(has_id=False)
 
     def answer_received(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Ends the attempt. Raises `MalformedMessageError` for an answer that is not owed or unknown."""
+        """Ends the attempt. Raises `MalformedMessageError` if no attempt waits, or for an unknown answer."""
         self._check(headers)
         closing = headers.get("connection", "").lower() == "close"
         if closing:
-            self.ended = True  # no further attempt is written to it
+            self.ended = True  # No further attempt may be written to it when this one ends.
         outcome = self._outcome(status, headers, body)
-        self.finish_attempt(outcome, body if outcome is AttemptOutcome.SERVED else b"", named=False)
+        self.finish_attempt(outcome, body if outcome is AttemptOutcome.SERVED else b"", has_id=False)
         if closing:
             self.ended = False
             self.drop(NodeCloseReason.LAST_ANSWER)
@@ -76,8 +80,8 @@
     def _outcome(self, status: int, headers: dict[str, str], body: bytes) -> AttemptOutcome:
         if status == 200:
             if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
-                # In the client's line it would be noise, or a second flag.
-                raise MalformedMessageError("not a receipt")
+                # In the answer to the client it would be invalid, or read as a second flag.
+                raise MalformedMessageError("the body of a write's answer is not a receipt")
             return AttemptOutcome.SERVED
         if status in (503, 504) and headers.get("not-started") == "1":
             return AttemptOutcome.BUSY
--- a/cloverwell/back/partial_write.py
+++ b/cloverwell/back/partial_write.py
@@ -1,4 +1,4 @@
-"""An attempt that has been written to a connection except for its last bytes."""
+"""The state of an attempt that has been written to a connection except for its last bytes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 @dataclass(slots=True)
 class PartialWrite:
-    """An attempt whose last bytes are held back: without them it can't run at the node."""
+    """An attempt whose last bytes are held back, and without which it can't run at the node."""
 
     attempt: Attempt
-    rest: bytes
-    timer: Timer  # writes the rest when it fires
+    rest: bytes  # the bytes that are held back
+    timer: Timer  # the timer that writes `rest`
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -1,9 +1,9 @@
-"""The connections to one node, and the attempts on them or waiting for one.
+"""The pool of connections to one node, with the attempts that are on them or wait for one.
 
-The pool carries out what `connections.node_policy` decides. An attempt takes an idle connection, the one used
-last; else one more is opened, and the attempt takes whichever becomes free first. Only when no more may be
-opened are attempts written behind others: such an attempt waits for those before it, and giving one up closes
-the connection for all.
+The pool carries out what `connections.node_policy` decides. An attempt is written to the idle connection
+that was used last. If none is idle, one more is opened, and the attempt takes whichever becomes free first.
+Only if no more may be opened is it written to a connection that already carries attempts: it then waits for
+their answers, and giving up one of them closes the connection for all.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
 
-STREAM_STALL_MS = 10_000.0  # a long value of which nothing is read, or taken, for so long is given up
-MAX_REASSIGNMENTS = 4  # connections that one attempt may find closed before its last byte
+STREAM_STALL_MS = 10_000.0  # the time without data after which a long value is given up
+MAX_REASSIGNMENTS = 4  # connections that may fail under one attempt before its last byte is written
 
 
 class Pool:
-    """One node's connections."""
+    """The connections to one node, and the attempts that are on them or wait for one."""
 
-    def __init__(self, context: PoolContext[Pool], node: str, origin: bool) -> None:
-        """Starts without a connection; the address is set by the owner of all pools."""
+    def __init__(self, context: PoolContext[Pool], node: str, is_origin: bool) -> None:
+        """Starts without a connection and an address; `NodePools` sets the address."""
         self._context = context
         self._policy = context.node_policy
         self._metrics = context.metrics
         self.node = node
-        self.is_origin = origin
-        self.kind = "origin" if origin else "cache"
+        self.is_origin = is_origin
+        self.kind = "origin" if is_origin else "cache"
         self.address: tuple[str, int] | None = None
         self.log = context.log
         self.now = context.timer_wheel.now
-        self.later = context.timer_wheel.not_before
+        self.call_at = context.timer_wheel.not_before
         self.tick_ms = context.timer_wheel.granularity_ms
         self.connections: list[NodeConnection] = []
-        self.left = False  # the endpoint list has the node no more
+        self.has_left = False  # whether the node drains, or is no longer in the endpoint list
         self.partial_answers = context.partial_answers
         self._idle = IdleConnections(self, context.idle)
         self._waiting = WaitingAttempts(context.timer_wheel, self._give_up_unsent)
@@ -51,11 +51,11 @@
 
     # Attempts --------------------------------------------------------------------------------------
 
-    def too_late(self, attempt: Attempt) -> bool:
-        """Tells whether no byte of the attempt may be written any more.
+    def is_too_late(self, attempt: Attempt) -> bool:
+        """Returns whether it is too late to write a byte of the attempt.
 
-        It may have waited for a connection, or for the close of the attempt before, and timers can be late;
-        its client may have disconnected meanwhile, or its node have left.
+        The attempt may have waited for a connection, or for the close of an earlier attempt, and timers can
+        be late. Meanwhile its client may have disconnected, or its node may have left.
         """
         self._context.timer_wheel.check_after_stall()
         now = self.now()
@@ -65,35 +65,35 @@
 
     def start(self, attempt: Attempt) -> None:
         """Writes a new attempt to a connection, or has it wait for one."""
-        if self.too_late(attempt):
+        if self.is_too_late(attempt):
             attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         now = self.now()
-        in_use = len(self.connections) - len(self._idle.connections) + 1
-        self._policy.started(self.node, in_use, now)
+        in_use_count = len(self.connections) - len(self._idle.connections) + 1
+        self._policy.started(self.node, in_use_count, now)
         if self._policy.may_open_ahead(self.node):
             self._context.wake(self)
         self._write_or_wait(attempt)
 
     def reassign(self, attempt: Attempt) -> None:
-        """Gives an attempt whose connection ended before its last byte to another connection."""
+        """Writes an attempt to another connection, since its own ended before the last byte was written."""
         attempt.reassignments += 1
         if attempt.over:
             return
-        if attempt.reassignments > MAX_REASSIGNMENTS or self.too_late(attempt):
+        if attempt.reassignments > MAX_REASSIGNMENTS or self.is_too_late(attempt):
             attempt.end(AttemptOutcome.NOT_CONNECTED)
         else:
             self._write_or_wait(attempt)
 
     def _write_or_wait(self, attempt: Attempt) -> None:
         while (connection := self._take_idle()) is not None:
-            sent = self._write(connection, attempt)
-            if sent is SendResult.LATE:
-                self.became_free(connection)
+            result = self._write(connection, attempt)
+            if result is SendResult.TOO_LATE:
+                self.connection_freed(connection)
                 attempt.end(AttemptOutcome.NOT_CONNECTED)
-            if sent is not SendResult.BROKEN:
+            if result is not SendResult.BROKEN:
                 return
-        one_is_free_soon = self._soon_free() > len(self._waiting.attempts)
+        one_is_free_soon = self._count_soon_free() > len(self._waiting.attempts)
         if one_is_free_soon or self._context.may_open(self):
             self._wait(attempt)
             if not one_is_free_soon and self._opening.may_try():
@@ -102,33 +102,37 @@
         self._write_behind_others(attempt)
 
     def _write(self, connection: NodeConnection, attempt: Attempt) -> SendResult:
-        """Writes an attempt to a free connection, as the policy decides."""
-        age_ms = connection.age_ms(self.now())
-        use = self._policy.use(self.node, age_ms, attempt.costly)
+        """Writes an attempt to an idle connection, or closes the connection, as the policy decides."""
+        idle_age_ms = connection.idle_age_ms(self.now())
+        use = self._policy.use(self.node, idle_age_ms, attempt.costly)
         if use is ConnectionUse.RETIRE:
             self.retire(connection)
             return SendResult.BROKEN
-        sent = connection.send(attempt, use)
-        if sent is SendResult.BROKEN:
+        result = connection.send(attempt, use)
+        if result is SendResult.BROKEN:
             connection.drop(NodeCloseReason.UNUSABLE)
-        elif sent is SendResult.OUT and age_ms is not None:
+        elif result is SendResult.WRITTEN and idle_age_ms is not None:
             self._metrics.add(ConnectionEvent.REUSED, self.node)
-        return sent
+        return result
 
     def _write_behind_others(self, attempt: Attempt) -> None:
-        """Writes an attempt to the connection with the fewest, or has it wait if it may share none."""
+        """Writes an attempt to the connection with the fewest attempts, or queues it if it may share none."""
         shared = [connection for connection in self.connections if self._may_share(connection, attempt)]
-        sent = SendResult.BROKEN
+        result = SendResult.BROKEN
         if shared:
-            sent = min(shared, key=lambda connection: len(connection.attempts)).send(attempt)
-        if sent is SendResult.LATE:
+            result = min(shared, key=lambda connection: len(connection.attempts)).send(attempt)
+        if result is SendResult.TOO_LATE:
             attempt.end(AttemptOutcome.NOT_CONNECTED)
-        elif sent is SendResult.BROKEN:
+        elif result is SendResult.BROKEN:
             self._wait(attempt)
 
     def _may_share(self, connection: NodeConnection, attempt: Attempt) -> bool:
-        # Giving up one attempt resets all behind it, and a write that is reset may never be retried. The
-        # origin's answers bear no id: a duplicate would be taken for the next attempt's.
+        """Returns whether the attempt may be written to a connection that already carries attempts.
+
+        Giving up one attempt resets all of them, so a write never shares a connection: if it is reset, it may
+        not be retried. Nor does an attempt at the origin, whose answers contain no id: a duplicate answer
+        would be read as that of the next attempt.
+        """
         attempts = [attempt, *connection.attempts]
         return (
             not (connection.ended or connection.address_changed or self.is_origin)
@@ -146,27 +150,27 @@
             attempt.end(self._unsent_outcome)
 
     def _give_up_unsent(self, attempt: Attempt) -> None:
-        """Too long without a connection is a failure to connect: nothing was written, so it has not run."""
+        """Ends an attempt that has waited for a connection for too long; it has not run."""
         self.give_up(attempt, self._unsent_outcome)
 
     @property
     def _unsent_outcome(self) -> AttemptOutcome:
-        """Of an attempt that found no connection."""
+        """The outcome of an attempt that found no connection."""
         return AttemptOutcome.NOT_CONNECTED if self._opening.fault is None else AttemptOutcome.NOT_SENT
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Ends an attempt with that outcome, whether it waits or is on a connection."""
+        """Ends an attempt with `outcome`, whether it waits or is on a connection."""
         if attempt.over:
             return
         if self._waiting.remove(attempt):
-            # No byte of it was written: to cancel it, or time it out, leaves nothing that may have run.
+            # No byte of it was written, so it has not run: a timeout counts as a failure to connect.
             attempt.end(self._unsent_outcome if outcome is AttemptOutcome.TIMED_OUT else outcome)
             return
         if not any(connection.give_up(attempt, outcome) for connection in list(self.connections)):
             attempt.end(outcome)
 
     def is_unsent(self, attempt: Attempt) -> bool:
-        """Tells whether the attempt's last byte has certainly not been written, so that it has not run."""
+        """Returns whether the last byte of the attempt was not written, so that it can't have run."""
         return attempt.written_ms is None
 
     @property
@@ -175,10 +179,10 @@
         return self._context.single_attempt_in_flight
 
     def close_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Ends an attempt in flight whose connection the proxy has closed: its answer is not waited for.
+        """Ends an attempt in flight whose connection the proxy itself has closed.
 
-        Where a request must not have two attempts in flight at once, this one is in flight until the close
-        has reached its node: a further attempt, perhaps to a node nearer by, is not written before.
+        Where a request must not have two attempts in flight at once, this one counts as in flight until the
+        close has reached its node. A further attempt is not written before, since its node may be nearer.
         """
         if self.forbids_concurrent_attempts and attempt.written_ms is not None:
             request = attempt.request
@@ -186,70 +190,71 @@
             request.next_attempt_from_ms = max(request.next_attempt_from_ms, closed_ms)
         attempt.end(outcome)
 
-    def answered(self, age_ms: float | None, first_byte_ms: float) -> None:
-        """Passes an answer on to the policy."""
+    def record_answer(self, idle_age_ms: float | None, first_byte_ms: float) -> None:
+        """Reports an answer to the policy."""
         now = self.now()
-        self._policy.answered(self.node, age_ms, now - first_byte_ms, now)
+        self._policy.answered(self.node, idle_age_ms, now - first_byte_ms, now)
 
-    def silent(self, age_ms: float | None, first_byte_ms: float) -> None:
-        """Passes an attempt that was given up without a byte of an answer on to the policy."""
+    def record_silence(self, idle_age_ms: float | None, first_byte_ms: float) -> None:
+        """Reports to the policy that an attempt was given up before any byte of its answer arrived."""
         now = self.now()
-        self._policy.silent(self.node, age_ms, now - first_byte_ms, now)
+        self._policy.silent(self.node, idle_age_ms, now - first_byte_ms, now)
 
     def hold_ms(self) -> float:
-        """Returns how long a last byte is held back."""
+        """Returns how long the last byte of an attempt is held back."""
         return self._policy.hold_ms(self.node)
 
     # Opening ---------------------------------------------------------------------------------------
 
     @property
     def opening_count(self) -> int:
-        """How many connections are on their way."""
+        """The number of connections that are being opened."""
         return self._opening.count
 
-    def opened(self, connection: NodeConnection) -> None:
-        """Takes a connection that has come up."""
-        others_waited = self._opening.came_up()
+    def add(self, connection: NodeConnection) -> None:
+        """Adds a connection that has been opened."""
+        others_held_back = self._opening.connected()
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
         self._metrics.add(ConnectionEvent.OPENED, self.node)
-        self._policy.connected(self.node, now - connection.asked_ms, now)
-        self.became_free(connection)
-        if others_waited:
+        self._policy.connected(self.node, now - connection.open_started_ms, now)
+        self.connection_freed(connection)
+        if others_held_back:
             self.open_for_waiting()
 
     def open_failed(self) -> None:
-        """Ends the attempt that has waited longest, since a connection failed; others have their own."""
-        if len(self._waiting.attempts) > self._soon_free():
+        """Ends the attempt that has waited longest, unless other connections are enough for all that wait."""
+        if len(self._waiting.attempts) > self._count_soon_free():
             self._waiting.take_first().end(AttemptOutcome.NOT_CONNECTED)
 
     def open_not_started(self, now: float) -> None:
-        """Gives up the attempts that have waited for long, since this machine can't begin a connection.
+        """Gives up the attempts that have waited for long, since this machine can't open a connection.
 
-        Another node may have an idle connection, and this one must not seem to be silent.
+        Another node may have an idle connection for their requests. They end before they time out, since this
+        node would otherwise count as one that does not answer.
         """
         for attempt in self._waiting.older_than(MAX_WAIT_MS, now):
             self.give_up(attempt, AttemptOutcome.NOT_SENT)
 
     def open_for_waiting(self) -> None:
-        """Opens the connections that attempts wait for, as far as they may be opened."""
-        while len(self._waiting.attempts) > self._soon_free() and self._opening.may_try():
+        """Opens connections for the attempts that wait, as far as the limits allow."""
+        while len(self._waiting.attempts) > self._count_soon_free() and self._opening.may_try():
             if not self._context.may_open(self):
                 return
             self._opening.open()
 
-    def _soon_free(self) -> int:
-        """Returns how many connections the waiting attempts will soon have."""
+    def _count_soon_free(self) -> int:
+        """Returns the number of connections that are being opened or rest, and will soon be free."""
         return self._opening.count + self._idle.count_unusable(self.now())
 
     def open_ahead(self, now: float) -> bool:
         """Opens connections before attempts need them.
 
-        Returns whether any were wanted: then more may be, or there was no room for them.
+        Returns whether the policy wanted any, so that the next sweep has to ask it again.
         """
         if self._opening.fault is not None:
             return False
-        wanted = self._policy.ahead(self.node, self.held, now)
+        wanted = self._policy.ahead(self.node, self.connection_count, now)
         for _ in range(wanted):
             if not self._context.may_open_spare():
                 break
@@ -260,54 +265,56 @@
     # Connections -----------------------------------------------------------------------------------
 
     @property
-    def held(self) -> int:
-        """How many connections there are, with those on their way."""
+    def connection_count(self) -> int:
+        """The number of connections, including those that are being opened."""
         return len(self.connections) + self._opening.count
 
     @property
-    def unused(self) -> bool:
-        """Whether nothing is left here."""
+    def is_unused(self) -> bool:
+        """Whether there are no connections and no waiting attempts."""
         return not (self.connections or self._opening.count or self._waiting.attempts)
 
-    def became_free(self, connection: NodeConnection) -> None:
-        """Gives the attempt that has waited longest to a connection that carries one less, or none."""
-        unusable_ms = connection.usable_from_ms - self.now()
+    def connection_freed(self, connection: NodeConnection) -> None:
+        """Writes the attempt that has waited longest to a connection that is free, or lists it as idle."""
+        rest_ms = connection.usable_from_ms - self.now()
         while (
-            connection.free
+            connection.is_free
             and self._waiting.attempts
             and not connection.address_changed
-            and unusable_ms <= 0.0
+            and rest_ms <= 0.0
         ):
             attempt = self._waiting.take_first()
-            sent = SendResult.LATE if self.too_late(attempt) else self._write(connection, attempt)
-            if sent is SendResult.LATE:
+            result = SendResult.TOO_LATE if self.is_too_late(attempt) else self._write(connection, attempt)
+            if result is SendResult.TOO_LATE:
                 attempt.end(AttemptOutcome.NOT_CONNECTED)
-            elif sent is SendResult.BROKEN:
+            elif result is SendResult.BROKEN:
                 self.start(attempt)
                 return
-        if not connection.free:
+        if not connection.is_free:
             return
-        if self.left or connection.address_changed:
+        if self.has_left or connection.address_changed:
             connection.drop(NodeCloseReason.NODE_LEFT)
             self.open_for_waiting()
             return
         self._idle.add(connection)
-        if unusable_ms > 0.0:
-            self.later(connection.usable_from_ms, lambda: self._became_usable(connection))
+        if rest_ms > 0.0:
+            self.call_at(connection.usable_from_ms, lambda: self._became_usable(connection))
 
     def _became_usable(self, connection: NodeConnection) -> None:
         if connection in self._idle.connections and self._waiting.attempts:
             self._idle.remove(connection)
-            self.became_free(connection)
+            self.connection_freed(connection)
 
     def _take_idle(self) -> NodeConnection | None:
-        """Removes and returns the idle connection that was used last."""
+        """Removes and returns the usable idle connection that was used last, or None if there is none."""
         now = self.now()
         if self.is_origin and self._idle.connections and self._is_unresponsive(now):
-            self.close_idle()  # those beside the dead connections are dead as well, or may be
+            # What broke the connection of the overdue attempt may have broken the idle ones too.
+            self.close_idle()
         return self._idle.take_last_used(now)
 
     def _is_unresponsive(self, now: float) -> bool:
+        """Returns whether the oldest attempt is overdue, and no other was answered since it was written."""
         oldest = [connection.attempts[0] for connection in self.connections if connection.attempts]
         written_ms = [attempt.written_ms for attempt in oldest if attempt.written_ms is not None]
         return bool(written_ms) and self._policy.unresponsive(self.node, min(written_ms), now)
@@ -322,12 +329,12 @@
         for connection in list(self._idle.connections):
             self.retire(connection)
 
-    def closed_idle_by_node(self) -> None:
+    def record_idle_close(self) -> None:
         """Counts a connection that the node closed without an attempt on it."""
         self._metrics.add(ConnectionEvent.CLOSED, self.node)
 
-    def closed_by_node(self, loss: ConnectionLoss) -> None:
-        """Counts a connection that the node closed with an attempt on it, and learns from that."""
+    def record_loss(self, loss: ConnectionLoss) -> None:
+        """Counts a connection that the node closed with an attempt on it, and reports it to the policy."""
         if loss.attempt_unsent:
             event = ConnectionEvent.CAUGHT
         elif loss.idle_age_ms is not None and not loss.answer_begun:
@@ -339,49 +346,53 @@
             self._policy.connect_refused(self.node, len(self.connections) - 1, self.now())
         self._policy.lost(self.node, loss, self.now())
 
-    def lost(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
-        """Forgets a connection that has ended; `requests` are the ids of those with an attempt on it."""
+    def remove(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
+        """Removes a connection that has ended; `requests` are the ids of the requests with attempts on it."""
         self.partial_answers.pop(connection, None)
         if connection in self.connections:
-            self._note_close(reason, requests)
+            self._record_close(reason, requests)
             self.connections.remove(connection)
             self._context.wake(self)
             self._context.budget.give_back(DescriptorSide.NODES)
         self._idle.discard(connection)
 
-    def _note_close(self, reason: NodeCloseReason, requests: list[str]) -> None:
+    def _record_close(self, reason: NodeCloseReason, requests: list[str]) -> None:
         self._metrics.add(ConnectionEvent.NODE_CLOSE, reason.value)
-        asked = f", requests {' '.join(requests)}" if requests else ""
-        self.log.info("node_close", f"{self.node}: {reason.value}{asked}")
+        request_ids = f", requests {' '.join(requests)}" if requests else ""
+        self.log.info("node_close", f"{self.node}: {reason.value}{request_ids}")
 
     # The periodic sweep ----------------------------------------------------------------------------
 
     def sweep(self, now: float) -> None:
-        """Retires connections that are too old, and opens those that are waited for."""
+        """Closes stalled and old connections, and opens those for which attempts wait."""
         stalled = [
             connection
             for connection in self.connections
-            if connection.stream is not None and now - connection.stream_data_ms >= STREAM_STALL_MS
+            if connection.stream is not None and now - connection.last_stream_data_ms >= STREAM_STALL_MS
         ]
         for connection in stalled:
-            connection.framingLost("a long value stands still")
+            connection.framingLost("a long value has stalled")
         limit_ms = self._policy.idle_limit_ms(self.node)
         idle = self._idle.connections
         while idle and now - idle[0].idle_since_ms >= limit_ms:
             self.retire(idle[0])
         self.open_for_waiting()
 
-    def due_ms(self, now: float) -> float:
-        """Returns until when a pool that was just swept needs no other sweep, unless its state changes.
+    def next_sweep_ms(self, now: float) -> float:
+        """Returns when a pool that was just swept needs its next sweep, unless its state changes before.
 
-        A connection that becomes idle, or begins a long value, after now is due only later.
+        A connection that becomes idle, or begins a long value, after `now` is due only after that time.
         """
-        if self._waiting.attempts or self.left:
+        if self._waiting.attempts or self.has_left:
             return now
-        again_ms = self._policy.ahead_again_ms(self.node)
+        ahead_again_ms = self._policy.ahead_again_ms(self.node)
         if not self.connections:
-            return again_ms
-        data_ms = min((one.stream_data_ms for one in self.connections if one.stream), default=now)
+            return ahead_again_ms
+        last_data_ms = min((one.last_stream_data_ms for one in self.connections if one.stream), default=now)
         idle = self._idle.connections
         idle_since_ms = idle[0].idle_since_ms if idle else now
-        return min(data_ms + STREAM_STALL_MS, idle_since_ms + self._policy.idle_limit_ms(self.node), again_ms)
+        return min(
+            last_data_ms + STREAM_STALL_MS,
+            idle_since_ms + self._policy.idle_limit_ms(self.node),
+            ahead_again_ms,
+        )
--- a/cloverwell/back/pool_context.py
+++ b/cloverwell/back/pool_context.py
@@ -1,4 +1,4 @@
-"""What the pool of one node needs of the pools of all nodes."""
+"""The interface of the pools of all nodes that the pool of one node uses."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class TcpConnector(Protocol):
-    """What a pool needs of the reactor; the methods of `IReactorTCP` have no types for callers."""
+    """The part of the reactor that opens connections; `IReactorTCP` itself has no types for callers."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> object:
-        """Opens a connection; `timeout` is in seconds."""
+        """Opens a connection; gives up after `timeout` seconds."""
 
 
 NodePool = TypeVar("NodePool")  # the type of one node's pool, `back.pool.Pool`
 
 
 class PoolContext(Protocol[NodePool]):
-    """The shared parts and limits of all nodes' pools, as one of them sees them."""
+    """What all pools share: the policy, the limits, and the lists of connections of all nodes."""
 
     reactor: TcpConnector
     timer_wheel: TimerWheel
@@ -35,18 +35,18 @@
     budget: DescriptorBudget
     node_policy: NodeConnectionPolicy
     metrics: ConnectionMetrics
-    max_attempts_per_connection: int  # the most on one connection
+    max_attempts_per_connection: int  # at the same time
     connect_timeout_ms: float
     single_attempt_in_flight: bool  # whether a request must not have two attempts in flight at once
-    idle: OrderedDict[NodeConnection, NodePool]  # of all nodes, the longest idle first
-    partial_answers: dict[NodeConnection, int]  # the checks since more of the answer came
+    idle: OrderedDict[NodeConnection, NodePool]  # those of all nodes, the longest idle one first
+    partial_answers: dict[NodeConnection, int]  # the number of checks since the last data of an answer
     build: Callable[[NodePool, float], NodeConnection]
 
     def may_open(self, pool: NodePool) -> bool:
-        """Tells whether the pool may open a connection within its node's cap and the descriptor budget."""
+        """Returns whether the pool may open a connection within its node's cap and the descriptor budget."""
 
     def may_open_spare(self) -> bool:
-        """Tells whether a connection may be opened that no attempt waits for."""
+        """Returns whether a connection may be opened before an attempt needs it."""
 
     def wake(self, pool: NodePool) -> None:
-        """Has the next sweep visit the pool, whose state has changed."""
+        """Makes the next sweep visit the pool, since its state has changed."""
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -15,10 +15,10 @@
 from cloverwell.log import Log
 from cloverwell.timer_wheel import TimerWheel
 
-SWEEP_MS = 50.0
-CHECK_MS = 25.0  # between two checks of the answers that have begun
-MAX_CHECKS_WITHOUT_DATA = 4  # so often may an answer have made no progress before it is given up
-SPARE_SHARE = 0.1  # of the descriptors, which stays free when connections are opened ahead
+SWEEP_MS = 50.0  # between two sweeps of the pools
+CHECK_MS = 25.0  # between two checks of the answers that have begun to arrive
+MAX_CHECKS_WITHOUT_DATA = 4  # checks without new data after which a partial answer is given up
+SPARE_SHARE = 0.1  # the share of the descriptors that connections opened ahead leave free
 
 
 class NodePools:
@@ -39,9 +39,10 @@
     ) -> None:
         """Starts the periodic sweeps.
 
-        `build` makes a connection of a pool that was asked for at that time. `max_attempts_per_connection` is
-        the most that one connection carries. With `single_attempt_in_flight`, an attempt that the proxy
-        closes counts as in flight until the close can have reached its node.
+        `build` returns a connection for a pool, which began to open it at the given time.
+        `max_attempts_per_connection` is the most that one connection carries at a time. With
+        `single_attempt_in_flight`, an attempt that the proxy closes counts as in flight until the close can
+        have reached its node.
         """
         self.reactor = reactor
         self.timer_wheel = timer_wheel
@@ -57,23 +58,26 @@
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
         self.node_policy.limits.changed = self._limits_changed
-        self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, the longest idle first
-        self.partial_answers: dict[NodeConnection, int] = {}  # the checks since more of the answer came
+        self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, longest idle first
+        self.partial_answers: dict[NodeConnection, int] = {}  # checks since the last data
         self._sweep()
         self._check_partial_answers()
 
     def _check_partial_answers(self) -> None:
-        # Checks are counted, not time: after an event-loop stall, data that came meanwhile is not read yet.
+        """Closes connections on which an answer has begun and does not go on.
+
+        Checks are counted instead of time: after an event-loop stall, data that arrived meanwhile is unread.
+        """
         for connection, checks in list(self.partial_answers.items()):
             if checks >= MAX_CHECKS_WITHOUT_DATA:
-                connection.framingLost("it stopped short")
+                connection.framingLost("the answer stopped before its end")
             else:
                 self.partial_answers[connection] = checks + 1
         self.timer_wheel.not_before(self.timer_wheel.now() + CHECK_MS, self._check_partial_answers)
 
     def _sweep(self) -> None:
         now = self.timer_wheel.now()
-        if self.timer_wheel.just_stalled:  # nothing is too old before the data that came meanwhile is read
+        if self.timer_wheel.just_stalled:  # Data that arrived during the stall must be read before the sweep.
             self.timer_wheel.at(now, self._sweep)
             return
         for pool in self._schedule.sweep(now):
@@ -83,11 +87,11 @@
 
     def _visit(self, pool: Pool, now: float) -> None:
         pool.sweep(now)
-        if pool.left and pool.unused:  # nodes that come later have new names: these pools would accumulate
+        if pool.has_left and pool.is_unused:  # New nodes have new names: old pools would accumulate.
             self._remove(pool)
             return
-        wanted = not pool.left and pool.open_ahead(now)
-        self._schedule.at(pool, now if wanted else pool.due_ms(now))
+        wanted = not pool.has_left and pool.open_ahead(now)
+        self._schedule.at(pool, now if wanted else pool.next_sweep_ms(now))
 
     def _remove(self, pool: Pool) -> None:
         del self._pools[pool.node]
@@ -96,41 +100,41 @@
         self.metrics.forget(pool.node)
 
     def wake(self, pool: Pool) -> None:
-        """Has the next sweep visit the pool, whose state has changed."""
+        """Makes the next sweep visit the pool, since its state has changed."""
         self._schedule.wake(pool)
 
     def _limits_changed(self, node: str | None) -> None:
-        """Visits a node's pool, or with None each pool, whose idle limit may have become shorter."""
+        """Wakes the pool of a node, or all pools for None, since its idle limit may have become shorter."""
         if node is None:
             self._schedule.wake_all()
         elif (pool := self._pools.get(node)) is not None:
             self._schedule.wake(pool)
 
-    def _add(self, node: str, origin: bool) -> Pool:
-        pool = self._pools[node] = Pool(self, node, origin)
+    def _add(self, node: str, is_origin: bool) -> Pool:
+        pool = self._pools[node] = Pool(self, node, is_origin)
         self._schedule.add(pool)
         return pool
 
     def pool_of(self, node: str) -> Pool:
         """Returns the pool of a node.
 
-        A node that left while a decision for it was on its way has one without an address, where each attempt
+        A node that left after an attempt at it was decided gets a pool without an address, where each attempt
         ends as not connected.
         """
         if node not in self._pools:
-            self._add(node, origin=False).left = True
+            self._add(node, is_origin=False).has_left = True
         return self._pools[node]
 
     def node_names(self) -> set[str]:
         """Returns the names of the nodes that have a pool."""
         return set(self._pools)
 
-    def add(self, node: str, host: str, port: int, origin: bool, cold_until_ms: float) -> None:
-        """Takes a node that the endpoint list has, with its address as it is now."""
+    def add(self, node: str, host: str, port: int, is_origin: bool, cold_until_ms: float) -> None:
+        """Adds a node of the endpoint list, or updates its address."""
         pool = self._pools.get(node)
         if pool is None:
-            pool = self._add(node, origin)
-        pool.left = False
+            pool = self._add(node, is_origin)
+        pool.has_left = False
         self.wake(pool)
         self.node_policy.listed(node, pool.kind, cold_until_ms)
         if pool.address != (host, port):
@@ -140,28 +144,27 @@
             pool.address = (host, port)
 
     def close_idle(self, node: str) -> None:
-        """Closes a node's idle connections if it needs their room; attempts in flight there may finish.
+        """Closes a node's idle connections if the node needs them closed; attempts in flight go on.
 
-        That the connections may be stale is no reason here: their ages are known better, and are checked
-        before each use.
+        They are not closed merely because they may be stale: the age of each is checked before it is used.
         """
         if (pool := self._pools.get(node)) is not None and self.node_policy.needs_idle_closed(node):
             pool.close_idle()
 
     def mark_left(self, node: str) -> None:
-        """Takes a node off: it drains or is gone, and a connection that becomes idle is closed."""
+        """Marks a node that drains or is gone: its connections are closed as soon as they are idle."""
         if (pool := self._pools.get(node)) is not None:
-            pool.left = True
+            pool.has_left = True
             self.wake(pool)
             self.node_policy.left(node, self.timer_wheel.now())
             pool.close_idle()
 
     def may_open(self, pool: Pool) -> bool:
-        """Tells whether the pool may open a connection within its node's cap and the budget.
+        """Returns whether the pool may open a connection within its node's cap and the descriptor budget.
 
-        An idle connection of another node makes room for it.
+        If the budget is used up, an idle connection is closed for it, or the clients' side is asked for one.
         """
-        if not self.node_policy.may_open(pool.node, pool.held, self.timer_wheel.now()):
+        if not self.node_policy.may_open(pool.node, pool.connection_count, self.timer_wheel.now()):
             return False
         if not self.budget.room(DescriptorSide.NODES) and not self.release_descriptor():
             self.request_descriptor()
@@ -176,10 +179,10 @@
         return True
 
     def shrink(self) -> None:
-        """Closes idle connections until the rest fits into a budget that has become smaller."""
+        """Closes idle connections until the others fit into a budget that has become smaller."""
         while self.budget.over and self.release_descriptor():
             pass
 
     def may_open_spare(self) -> bool:
-        """Tells whether a connection may be opened that no attempt waits for, with descriptors to spare."""
+        """Returns whether enough descriptors are free to open a connection before an attempt needs it."""
         return self.budget.room(DescriptorSide.NODES) > SPARE_SHARE * self.budget.total
--- a/cloverwell/back/waiting_attempts.py
+++ b/cloverwell/back/waiting_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that wait for a connection to one node, in the order of their arrival."""
+"""The queue of attempts that wait for a connection to one node, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from cloverwell.request import Attempt
 from cloverwell.timer_wheel import TimerWheel
 
-MAX_WAITING = 256  # attempts at one node
+MAX_WAITING = 256  # attempts that wait for one node
 
 
 class WaitingAttempts:
-    """A bounded queue, from which each attempt is given up once it may not be written any more."""
+    """A bounded queue of attempts; one that can't be written in time any more is given up."""
 
     def __init__(self, timer_wheel: TimerWheel, give_up: Callable[[Attempt], None]) -> None:
         """Starts empty; `give_up` is called with an attempt that has waited too long."""
@@ -37,12 +37,12 @@
         return self.attempts.popleft()
 
     def remove(self, attempt: Attempt) -> bool:
-        """Removes an attempt. Returns False if it does not wait here."""
+        """Removes an attempt. Returns False if it is not in the queue."""
         if attempt not in self.attempts:
             return False
         self.attempts.remove(attempt)
         return True
 
     def older_than(self, age_ms: float, now: float) -> list[Attempt]:
-        """Returns the attempts that were asked for at least `age_ms` ago."""
+        """Returns the attempts that were started at least `age_ms` ago."""
         return [attempt for attempt in self.attempts if now - attempt.asked_ms >= age_ms]
--- a/cloverwell/codec/errors.py
+++ b/cloverwell/codec/errors.py
@@ -1,11 +1,11 @@
-"""The errors of bytes that can't be decoded."""
+"""The exceptions that are raised for bytes that can't be decoded."""
 
 from __future__ import annotations
 
 
 class CodecError(Exception):
-    """The base class of the errors in this package."""
+    """The base class of the exceptions in this package."""
 
 
 class MalformedMessageError(CodecError):
-    """The received bytes can't be cut into messages any more."""
+    """The received bytes are malformed, so that nothing after them can be cut into messages either."""
--- a/cloverwell/codec/lines.py
+++ b/cloverwell/codec/lines.py
@@ -1,6 +1,6 @@
-"""Twisted's LineReceiver over two ring buffers, one for incoming and one for outgoing bytes.
+"""A line receiver with two ring buffers, one for incoming and one for outgoing bytes.
 
-Beside it stand questions to the kernel about a socket, which take no turn of the event loop.
+The functions ask the kernel about a socket at once, without waiting for a turn of the event loop.
 """
 
 from __future__ import annotations
@@ -24,46 +24,47 @@
 from cloverwell.codec.transport import StreamTransport
 
 MAX_LINE_BYTES = 2048
-MAX_VALUE_BYTES = 1024 * 1024  # bytes of a value that is kept until it is complete
-MAX_WRITE_BYTES = 64 * 1024  # bytes of the value in a client's command
+MAX_VALUE_BYTES = 1024 * 1024  # the longest value that is buffered until it is complete
+MAX_WRITE_BYTES = 64 * 1024  # the longest value in a client's write command
 PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PIECE_BYTES = 64 * 1024  # bytes that the transport is given at once
-LAST_DATA_RECEIVED_AT = 52  # of `tcpi_last_data_recv` in Linux's `tcp_info`, bytes
-MAX_DISCARD_READS = 16  # of `PIECE_BYTES` bytes each
-POLL_TRIES = 3  # of a poll that failed for want of memory
+PIECE_BYTES = 64 * 1024  # the most that the transport is given, or that is discarded, at once
+LAST_DATA_RECEIVED_OFFSET = 52  # the offset of `tcpi_last_data_recv` in Linux's `tcp_info`, in bytes
+MAX_DISCARD_READS = 16  # the most reads, of `PIECE_BYTES` each, that discard unread data
+POLL_TRIES = 3  # how often a poll is tried that fails because the kernel is short of memory
 
 
 def closed_by_peer(handles: Iterable[socket.socket | int]) -> set[int]:
-    """Returns the descriptors whose other side has closed or reset, even if unread bytes come before that.
+    """Returns the descriptors that the other side has closed or reset, even if there are unread bytes.
 
-    One call polls them all: 0.1 ms for 200 of them, where a call for each took 0.3 ms.
+    One call polls all of them: 0.1 ms for 200 descriptors, against 0.3 ms with a call for each.
     """
     poll = select.poll()
     for handle in handles:
         poll.register(handle, select.POLLRDHUP)
     found = _poll_now(poll)
-    return {descriptor for descriptor, _ in found or ()}  # after a poll that failed the next one will tell
+    # If the poll failed, no descriptor is returned; the caller finds the closed ones by its next call.
+    return {descriptor for descriptor, _ in found or ()}
 
 
 def is_readable(handle: socket.socket | int) -> bool:
-    """Tells whether data can be read, or a connection accepted, at once; True if the kernel can't tell."""
+    """Returns whether data can be read, or a connection accepted, at once; True if the kernel can't tell."""
     poll = select.poll()
     poll.register(handle, select.POLLIN)
     return _poll_now(poll) != []
 
 
 def _poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
-    """Returns what is ready at once, or None if the kernel could not poll."""
+    """Returns the descriptors and events that are ready now, or None if the kernel could not poll."""
     for _ in range(POLL_TRIES):
         try:
             return poll.poll(0)
-        except OSError:  # for want of memory
+        except OSError:  # The kernel is short of memory.
             continue
     return None
 
 
 def read_now(handle: socket.socket, size: int) -> bytes:
-    """Returns what can be read at once of a socket that does not block; nothing if that is not known."""
+    """Returns at most `size` bytes that a non-blocking socket can read at once; none after an error."""
     try:
         return handle.recv(size)
     except OSError:
@@ -71,24 +72,27 @@
 
 
 def discard_unread(handle: socket.socket) -> None:
-    """Reads and drops what has come in, up to a bound: a close over unread bytes would be a reset."""
+    """Reads and drops unread data, up to a bound.
+
+    The kernel resets a connection that is closed while data is unread.
+    """
     for _ in range(MAX_DISCARD_READS):
         if not read_now(handle, PIECE_BYTES):
             return
 
 
 def received_ago_ms(handle: socket.socket) -> float:
-    """Returns how long ago the last bytes came in, read or not; 0 if the kernel can't tell."""
+    """Returns how many ms ago the last bytes arrived, read or not; 0 if the kernel can't tell."""
     try:
-        info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_AT + 4)
-        (ago_ms,) = struct.unpack_from("I", info, LAST_DATA_RECEIVED_AT)
+        info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_OFFSET + 4)
+        (ago_ms,) = struct.unpack_from("I", info, LAST_DATA_RECEIVED_OFFSET)
     except (OSError, struct.error):
         return 0.0
     return float(ago_ms)
 
 
 def unacknowledged_bytes(handle: socket.socket | int) -> int:
-    """Returns the bytes that the kernel has taken and the other side not acknowledged; 0 if it can't tell."""
+    """Returns how many sent bytes the other side has not acknowledged; 0 if the kernel can't tell."""
     try:
         answer = fcntl.ioctl(handle, termios.TIOCOUTQ, struct.pack("i", 0))
     except (OSError, ValueError):
@@ -99,14 +103,15 @@
 
 @implementer(IPullProducer)
 class RingLineReceiver(LineReceiver):
-    """Calls `lineReceived` and, for a value that a line announced, `valueReceived` with the whole of it.
+    """Cuts incoming bytes into lines, whole values and pieces of long values, and sends outgoing bytes.
 
-    Complete messages are cut from the data as it was read; the remainder stays in the incoming ring, which is
-    bounded. Outgoing bytes are handed to the socket at once; those that it does not take stay in the outgoing
-    ring, whose room bounds how far this side gets ahead of a slow reader.
+    A subclass gets each line by `lineReceived` and each whole value by `valueReceived`. Complete messages are
+    cut from the data as it was read; an incomplete one stays in the bounded ring of incoming bytes. Outgoing
+    bytes are written to the socket at once; those that it does not take are buffered in the ring of outgoing
+    bytes, whose size bounds what is buffered for a slow reader.
     """
 
-    transport: StreamTransport  # type: ignore[assignment]  # Twisted declares only its smallest interface
+    transport: StreamTransport  # type: ignore[assignment]  # Twisted declares only a part of it
 
     delimiter = b"\r\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -114,21 +119,21 @@
     piece_bytes = PIECE_BYTES
 
     def __init__(self) -> None:
-        """Makes the two empty rings."""
+        """Starts with two empty rings, before the first line."""
         self._incoming = RingBuffer(self.max_incoming_bytes)
         self._outgoing = RingBuffer(self.max_outgoing_bytes)
-        self._awaited_bytes = 0  # bytes of the value that the last line announced, its line end included
-        self._streamed_left = 0  # bytes of a long value that are handed on as they arrive
-        self._rest = 0  # bytes that have been read and are not in the ring yet
-        self.unparsed_bytes = 0  # bytes behind the message in hand
-        self._held = False  # the subclass wants no more for now
-        self._writing = False  # the transport has something of ours that it has not sent
-        self._parsing = False
-        self._broken = False  # the framing is, so that further data is discarded
-        self.ended = False
+        self._awaited_bytes = 0  # the size of the value that comes next, with its line end; 0 before a line
+        self._streamed_bytes_left = 0  # bytes of a long value that have not arrived
+        self._unbuffered_bytes = 0  # bytes that have been read from the socket, but are not in the ring yet
+        self.unparsed_bytes = 0  # bytes that arrived after the message that is being handled
+        self._held = False  # whether `hold` has paused the reading
+        self._writing = False  # whether the transport has bytes that it has not sent yet
+        self._parsing = False  # whether `_parse_messages` is running; it is not reentrant
+        self._broken = False  # whether the received bytes were malformed: further data is discarded
+        self.ended = False  # whether the connection was lost, or this side has begun to close it
 
     def connectionMade(self) -> None:
-        """Becomes the transport's producer, which fills its buffer from the outgoing ring."""
+        """Registers as the transport's producer, so that outgoing bytes that were buffered are sent."""
         self.transport.setTcpNoDelay(True)
         self._socket = install_steady_socket(self.transport)
         self.transport.registerProducer(self, False)
@@ -137,25 +142,25 @@
         """Returns the descriptor of the connection's socket."""
         return int(self._socket.fileno())
 
-    # Coming in --------------------------------------------------------------------------------
+    # Incoming --------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        """Hands on the messages that are complete, and keeps the rest."""
+        """Passes on the messages that are complete, and keeps the rest."""
         if not (len(self._incoming) or self._held or self._broken or self.ended):
-            data = self._cut(data)
+            data = self._parse_messages(data)
         while data and not (self.ended or self._broken):
-            if self._held:  # the transport has been told to pause, one read is all that is left
+            if self._held:  # The transport was told to pause, so that only this read exceeds the bound.
                 self._incoming.bound = max(self._incoming.bound, len(self._incoming) + len(data))
             taken = self._incoming.write(data)
             if not taken:
                 self.framingLost("message too long")
                 return
             data = data[taken:]
-            self._rest = len(data)
+            self._unbuffered_bytes = len(data)
             self.parse()
 
     def parse(self) -> None:
-        """Hands on the complete messages in the ring, until there is none or the subclass holds."""
+        """Passes on the complete messages in the ring, until there is none or the subclass calls `hold`."""
         if (
             self._parsing
             or self._held
@@ -163,59 +168,59 @@
             or not len(self._incoming) >= max(1, self._awaited_bytes)
         ):
             return
-        left = self._cut(self._incoming.read(len(self._incoming)))
+        remainder = self._parse_messages(self._incoming.read(len(self._incoming)))
         if not self._broken:
-            self._incoming.write(left)
+            self._incoming.write(remainder)
 
-    def _cut(self, data: bytes) -> bytes:
-        """Hands on the complete messages in `data`, and returns what is left."""
-        place, end = 0, len(data)
+    def _parse_messages(self, data: bytes) -> bytes:
+        """Passes on the complete messages in `data`, and returns the bytes after them."""
+        position, end = 0, len(data)
         self._parsing = True
         try:
-            while place < end and not (self.ended or self._held or self._broken):
-                start = place
-                if self._streamed_left:
-                    place = min(end, start + self._streamed_left)
-                    self._streamed_left -= place - start
-                    self.unparsed_bytes = end - place + self._rest
-                    self.pieceReceived(data[start:place])
+            while position < end and not (self.ended or self._held or self._broken):
+                start = position
+                if self._streamed_bytes_left:
+                    position = min(end, start + self._streamed_bytes_left)
+                    self._streamed_bytes_left -= position - start
+                    self.unparsed_bytes = end - position + self._unbuffered_bytes
+                    self.pieceReceived(data[start:position])
                 elif self._awaited_bytes:
-                    place += self._awaited_bytes
-                    if place > end:
+                    position += self._awaited_bytes
+                    if position > end:
                         return data[start:]
-                    self._awaited_bytes, self.unparsed_bytes = 0, end - place + self._rest
-                    self.valueReceived(data[start:place])
+                    self._awaited_bytes, self.unparsed_bytes = 0, end - position + self._unbuffered_bytes
+                    self.valueReceived(data[start:position])
                 else:
-                    mark = data.find(b"\r\n", start)
-                    if mark - start > self.MAX_LENGTH or (mark < 0 and end - start > self.MAX_LENGTH):
+                    line_end = data.find(b"\r\n", start)
+                    if line_end - start > self.MAX_LENGTH or (line_end < 0 and end - start > self.MAX_LENGTH):
                         raise MalformedMessageError("line too long")
-                    if mark < 0:
+                    if line_end < 0:
                         return data[start:]
-                    place = mark + 2
-                    self.unparsed_bytes = end - place + self._rest
-                    self.lineReceived(data[start:mark])
+                    position = line_end + 2
+                    self.unparsed_bytes = end - position + self._unbuffered_bytes
+                    self.lineReceived(data[start:line_end])
         except MalformedMessageError as error:
             self.framingLost(str(error))
         finally:
             self._parsing = False
-        return data[place:]
+        return data[position:]
 
-    def expect_value(self, number: int) -> None:
-        """Has the next `number` bytes handed on at once by `valueReceived`."""
-        self._awaited_bytes = number
+    def expect_value(self, size_bytes: int) -> None:
+        """Makes the next message a value of `size_bytes`, which is passed on whole by `valueReceived`."""
+        self._awaited_bytes = size_bytes
 
-    def expect_pieces(self, number: int) -> None:
-        """Has the next `number` bytes handed on as they arrive by `pieceReceived`."""
-        self._streamed_left = number
+    def expect_pieces(self, size_bytes: int) -> None:
+        """Makes the next message a long value, which is passed on by `pieceReceived` as it arrives."""
+        self._streamed_bytes_left = size_bytes
 
     def hold(self) -> None:
-        """Exerts back-pressure: no more is read or handed on until `release`."""
+        """Stops reading and passing on messages until `release`, so that the sender has to wait."""
         if not self._held:
             self._held = True
             self.transport.pauseProducing()
 
     def release(self) -> None:
-        """Ends the back-pressure of `hold`."""
+        """Continues reading and passing on messages after `hold`."""
         if self._held and not self.ended:
             self._held = False
             self._incoming.bound = self.max_incoming_bytes
@@ -223,51 +228,55 @@
             self.parse()
 
     def lineReceived(self, line: bytes) -> None:
-        """Called with each line, without its line end."""
+        """Is called with each line, without its line end."""
         raise NotImplementedError
 
     def valueReceived(self, data: bytes) -> None:
-        """Called with a whole value that `expect_value` announced."""
+        """Is called with the whole value that `expect_value` announced."""
         raise NotImplementedError
 
     def pieceReceived(self, data: bytes) -> None:
-        """Called with each piece of what `expect_pieces` announced."""
+        """Is called with each piece of the long value that `expect_pieces` announced."""
         raise NotImplementedError
 
     def framingLost(self, reason: str) -> None:
-        """Called once the received bytes can't be cut into messages any more."""
+        """Is called when the received bytes are malformed; all that follow are discarded."""
         raise NotImplementedError
 
-    # Going out --------------------------------------------------------------------------------
+    # Outgoing --------------------------------------------------------------------------------
 
     def try_write(self, data: bytes) -> bool:
-        """Takes all of the data and returns True, or takes none for want of room or of a connection."""
+        """Sends or buffers all of the data and returns True.
+
+        Returns False, and sends nothing, if the buffer is too full or the connection has ended.
+        """
         if self.ended or len(data) > self._outgoing.room:
             return False
-        left = self._send_now(data)
-        if left:
-            self._queue(left)
-        return left is not None
+        unsent = self._send_now(data)
+        if unsent:
+            self._append_outgoing(unsent)
+        return unsent is not None
 
     def try_write_command(self, data: bytes) -> bytes | None:
-        """Does as `try_write`, but holds the last byte back where the kernel does not take all at once.
+        """Sends or buffers a command, except its last byte if the socket does not take all of it at once.
 
-        Returns what is held back, which may be nothing, or None if no byte was taken.
+        Without its last byte a command can't run at the node. Returns the byte that the caller has to send
+        later, b"" if there is none, or None if nothing was sent or buffered.
         """
         if self.ended or len(data) > self._outgoing.room:
             return None
-        left = self._send_now(data)
-        if left is None:
+        unsent = self._send_now(data)
+        if unsent is None:
             return None
-        if len(left) > 1:
-            self._queue(left[:-1])
-        return left[-1:]
+        if len(unsent) > 1:
+            self._append_outgoing(unsent[:-1])
+        return unsent[-1:]
 
     def _send_now(self, data: bytes) -> bytes | None:
-        """Gives the socket what it takes at once, and returns the rest, None if the connection is broken."""
+        """Writes what the socket takes at once; returns the rest, or None if the connection is broken."""
         if self._writing:
             return data
-        # Through the reactor it would be two system calls more, and a turn of the loop later.
+        # A write through the reactor costs two more system calls and a turn of the event loop.
         try:
             return data[self._socket.send(data) :]
         except BlockingIOError:
@@ -275,31 +284,32 @@
         except OSError:
             return None
 
-    def _queue(self, data: bytes) -> None:
+    def _append_outgoing(self, data: bytes) -> None:
         self._outgoing.write(data)
         if not self._writing:
-            self._drain()
+            self._write_next_piece()
 
-    def _drain(self) -> None:
+    def _write_next_piece(self) -> None:
         self._writing = bool(len(self._outgoing))
         if self._writing:
             self.transport.write(self._outgoing.read(self.piece_bytes))
 
     def resumeProducing(self) -> None:
-        """Called once the transport has sent all that it had."""
-        self._drain()
+        """Is called when the transport has sent all that it had: gives it the next bytes."""
+        self._write_next_piece()
         self.roomMade()
 
     def stopProducing(self) -> None:
-        """Called as the connection is lost, of which `connectionLost` tells too."""
+        """Is called when the connection is lost; does nothing, since `connectionLost` is called as well."""
 
     def roomMade(self) -> None:
-        """Called when the outgoing ring has room again."""
+        """Is called when the transport has sent what it had, so that the outgoing ring has room again."""
 
     def end(self, abort: bool = False, half_close: bool = False) -> None:
-        """Closes the connection once all that was put has been sent.
+        """Closes the connection once all that was written has been sent.
 
-        With `abort` it is reset at once. With `half_close` the other side is still read, and closes itself.
+        With `abort` it is reset at once. With `half_close` only this side is closed; data of the other side
+        is read until that closes too.
         """
         if self.ended:
             return
@@ -316,5 +326,5 @@
             self.transport.loseConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Marks the connection as ended."""
+        """Marks the connection as ended when it has been closed or lost."""
         self.ended = True
--- a/cloverwell/codec/meta.py
+++ b/cloverwell/codec/meta.py
@@ -1,10 +1,10 @@
-"""Reads the flags of a client's memcache meta command into typed fields. No I/O.
+"""Decodes the flags of a client's memcache meta commands, which have two forms. No I/O.
 
     mg KEY v O<id> P<name=value,...>
     ms KEY LENGTH O<id> P<name=value,...>
 
-`P` names the class (`c`), the tenant (`t`) and the time in ms for which the client waits (`d`); whatever else
-it holds is passed on unchanged.
+The flag `P` gives the class (`c`), the tenant (`t`) and the time in ms for which the client waits (`d`). Any
+other value in it is passed on unchanged.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 
 from cloverwell.codec.errors import CodecError
 
-MAX_KEY = 250  # characters
-MAX_ID = 64  # characters
-MAX_WAIT_MS = 3_600_000
+MAX_KEY_LENGTH = 250  # characters
+MAX_ID_LENGTH = 64  # characters
+MAX_WAIT_MS = 3_600_000  # the longest time that a client may say it waits
 
 
 class CommandError(CodecError):
-    """A command is wrong; the message says how, in words for the client."""
+    """A client's command is invalid; the message is the reason that is sent to the client."""
 
 
 @dataclass(slots=True, frozen=True)
 class CommandFields:
-    """The fields of a read or a write, except its value."""
+    """The fields of a read or a write command, except its value."""
 
     id: str
     key: str
-    class_number: int  # the place of its class in the settings
-    tenant: int  # the place of its tenant in the settings, 0 where none is named
-    wait_ms: float  # counted from the client's first byte
-    info: str  # all names and values, as they came
+    class_number: int  # the index of its class in the settings
+    tenant: int  # the index of its tenant in the settings, or 0 if the command names none
+    wait_ms: float  # how long the client waits, counted from the first byte of the command
+    info: str  # all names and values of the flag `P`, as they were received
 
 
 def read_fields(
     key: str, flags: list[str], classes: Mapping[str, int], tenants: Mapping[str, int]
 ) -> CommandFields:
-    """Reads the fields of a command.
+    """Returns the fields of a command, or raises `CommandError`.
 
-    `classes` and `tenants` map the names in the settings to their places. Raises `CommandError`.
+    `classes` and `tenants` map the names in the settings to their indexes.
     """
-    if not 0 < len(key) <= MAX_KEY or not key.isprintable():
+    if not 0 < len(key) <= MAX_KEY_LENGTH or not key.isprintable():
         raise CommandError("bad key")
-    named = {flag[:1]: flag[1:] for flag in flags if flag}
-    name, info = named.get("O", ""), named.get("P", "")
-    if len(flags) != 2 or set(named) != {"O", "P"}:
+    value_by_flag = {flag[:1]: flag[1:] for flag in flags if flag}
+    request_id, info = value_by_flag.get("O", ""), value_by_flag.get("P", "")
+    if len(flags) != 2 or set(value_by_flag) != {"O", "P"}:
         raise CommandError("needs the flags O and P")
-    if not 0 < len(name) <= MAX_ID or not name.isprintable():
+    if not 0 < len(request_id) <= MAX_ID_LENGTH or not request_id.isprintable():
         raise CommandError("bad id")
     if not info.isprintable():
         raise CommandError("bad P")
@@ -61,4 +61,4 @@
     if not wait.isdigit() or not 0 < len(wait) <= 9 or not 0 < int(wait) <= MAX_WAIT_MS:
         raise CommandError("missing or bad d")
     tenant = tenants.get(values.get("t", ""), 0)
-    return CommandFields(name, key, classes[values["c"]], tenant, float(wait), info)
+    return CommandFields(request_id, key, classes[values["c"]], tenant, float(wait), info)
--- a/cloverwell/codec/ring_buffer.py
+++ b/cloverwell/codec/ring_buffer.py
@@ -1,19 +1,19 @@
-"""A bounded ring of bytes, of which each connection has one per direction."""
+"""A bounded ring buffer of bytes. Each connection has one for each direction."""
 
 from __future__ import annotations
 
-MIN_RING_BYTES = 4096  # bytes of a ring at first and after use, so that idle connections need little memory
+MIN_RING_BYTES = 4096  # the first allocation: it is small, so that idle connections need little memory
 
 
 class RingBuffer:
-    """A ring that doubles up to its bound; the caller has to hold back what does not fit."""
+    """A ring buffer that doubles its size when needed, up to a bound; it takes no more than fits."""
 
     def __init__(self, bound: int) -> None:
-        """Starts empty; `bound` is the most bytes that it takes, and may be changed later."""
+        """Starts empty; `bound` is the most bytes that it holds, and may be changed later."""
         self.bound = bound
-        self._data = bytearray()  # none before the first byte, since many connections stay silent
-        self._head = 0  # where the oldest byte is
-        self._size = 0
+        self._data = bytearray()  # empty until the first write, since many connections never send anything
+        self._head = 0  # the index of the oldest byte
+        self._size = 0  # the number of bytes in the ring
 
     def __len__(self) -> int:
         """Returns the number of bytes in the ring."""
@@ -21,22 +21,22 @@
 
     @property
     def room(self) -> int:
-        """How many more bytes fit."""
+        """The number of bytes that can still be written."""
         return self.bound - self._size
 
     def write(self, data: bytes | memoryview) -> int:
-        """Takes as much of the data as there is room for, and returns how many bytes that was."""
-        taken = min(len(data), self.room)
-        if not taken:
+        """Writes as much of the data as there is room for, and returns how many bytes that was."""
+        written = min(len(data), self.room)
+        if not written:
             return 0
-        if self._size + taken > len(self._data):
-            self._grow(self._size + taken)
+        if self._size + written > len(self._data):
+            self._grow(self._size + written)
         start = (self._head + self._size) % len(self._data)
-        first = min(taken, len(self._data) - start)
-        self._data[start : start + first] = data[:first]
-        self._data[: taken - first] = data[first:taken]
-        self._size += taken
-        return taken
+        before_wrap = min(written, len(self._data) - start)
+        self._data[start : start + before_wrap] = data[:before_wrap]
+        self._data[: written - before_wrap] = data[before_wrap:written]
+        self._size += written
+        return written
 
     def _grow(self, needed: int) -> None:
         size = len(self._data) or MIN_RING_BYTES
@@ -47,23 +47,23 @@
         self._data[: len(kept)] = kept
         self._head = 0
 
-    def peek(self, number: int) -> bytes:
-        """Returns at most `number` of the oldest bytes, and leaves them in the ring."""
-        number = min(number, self._size)
-        end = self._head + number
+    def peek(self, count: int) -> bytes:
+        """Returns at most `count` of the oldest bytes, and leaves them in the ring."""
+        count = min(count, self._size)
+        end = self._head + count
         if end <= len(self._data):
             return bytes(self._data[self._head : end])
         return bytes(self._data[self._head :] + self._data[: end - len(self._data)])
 
-    def read(self, number: int) -> bytes:
-        """Removes and returns at most `number` of the oldest bytes."""
-        data = self.peek(number)
+    def read(self, count: int) -> bytes:
+        """Removes and returns at most `count` of the oldest bytes."""
+        data = self.peek(count)
         self._size -= len(data)
         if self._size:
             self._head = (self._head + len(data)) % len(self._data)
         else:
             self._head = 0
-            if len(self._data) > MIN_RING_BYTES:  # one large value must not cost its memory for good
+            if len(self._data) > MIN_RING_BYTES:  # The memory for one large value must not stay allocated.
                 self._data = bytearray()
         return data
 
@@ -72,9 +72,9 @@
         self._data, self._head, self._size = bytearray(), 0, 0
 
     def find(self, mark: bytes) -> int:
-        """Returns how many bytes stand before the first such mark, or -1 if there is none."""
+        """Returns the number of bytes before the first occurrence of `mark`, or -1 if there is none."""
         end = self._head + self._size
         if end <= len(self._data):
-            place = self._data.find(mark, self._head, end)
-            return place - self._head if place >= 0 else -1
+            index = self._data.find(mark, self._head, end)
+            return index - self._head if index >= 0 else -1
         return self.peek(self._size).find(mark)
--- a/cloverwell/codec/steady_socket.py
+++ b/cloverwell/codec/steady_socket.py
@@ -1,8 +1,8 @@
-"""A connection's socket on which a momentary error looks like EAGAIN.
+"""Wraps a connection's socket so that a transient error of the kernel does not close the connection.
 
-Twisted ends a connection at any error of `recv` except EAGAIN, and at any of `send` except EAGAIN and
-ENOBUFS. A want of memory is over a moment later, and must not lose the answers that are owed on the
-connection.
+Twisted closes a connection after any error of `recv` except EAGAIN, and after any of `send` except EAGAIN and
+ENOBUFS. A shortage of memory is over a moment later, and must not lose the answers that are due on the
+connection. So transient errors are reported to Twisted as EAGAIN.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class TryAgainError(BlockingIOError):
-    """The call failed for the moment; what it would have found is not known."""
+    """A system call failed with a transient error, so whether there was data to read is not known."""
 
 
 class ConnectedSocket(Protocol):
-    """What is called of the socket under a transport: a real one, or a simulated one."""
+    """The methods of a connected socket that are used here; it may be a real or a simulated one."""
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
         """Receives at most `size` bytes."""
 
     def send(self, data: bytes | memoryview, flags: int = 0, /) -> int:
-        """Sends the first bytes of `data`, and returns how many."""
+        """Sends the first bytes of `data`, and returns how many it sent."""
 
 
 class SteadySocket:
@@ -44,14 +44,17 @@
             raise _translated(error) from None
 
     def send(self, data: bytes | memoryview, flags: int = 0) -> int:
-        """Sends the first bytes of `data`. Raises `TryAgainError` if the same call may succeed later."""
+        """Sends the first bytes of `data`, and returns how many it sent.
+
+        Raises `TryAgainError` if the same call may succeed later.
+        """
         try:
             return self._socket.send(data, flags)
         except OSError as error:
             raise _translated(error) from None
 
     def __getattr__(self, name: str) -> object:
-        """Returns all else of the wrapped socket."""
+        """Returns any other attribute of the wrapped socket."""
         return getattr(self._socket, name)
 
 
@@ -62,10 +65,11 @@
 
 
 def install_steady_socket(transport: Any) -> Any:
-    """Has the transport use its socket as a `SteadySocket`, and returns the handle.
+    """Wraps the socket of a transport in a `SteadySocket`, and returns the socket that the transport uses.
 
-    A transport whose handle is not its `socket` attribute, such as one that keeps what is written in memory,
-    stays as it is: it would not use a socket that is put there. Real and simulated transports share no type.
+    A transport whose handle is not its `socket` attribute, such as one that writes to memory, is not changed,
+    since it would not use a socket that is set there. The argument has no type, since real and simulated
+    transports have no type in common.
     """
     handle = transport.getHandle()
     if getattr(transport, "socket", None) is not handle:
--- a/cloverwell/codec/transport.py
+++ b/cloverwell/codec/transport.py
@@ -1,4 +1,4 @@
-"""What the codecs call of a connection's transport."""
+"""The type of a connection's transport, as the codecs use it."""
 
 from __future__ import annotations
 
@@ -9,48 +9,48 @@
 
 
 class StreamTransport(Protocol):
-    """The methods of Twisted's TCP transport, whose own interfaces have no types for callers."""
+    """The methods of Twisted's TCP transport that are used; its own interfaces have no types for callers."""
 
-    bufferSize: int  # bytes that are read at once
+    bufferSize: int  # the most bytes that are read at once
 
     def getHandle(self) -> object:
         """Returns the socket."""
 
     def setTcpNoDelay(self, enabled: bool, /) -> None:
-        """Sends small messages at once (TCP_NODELAY)."""
+        """Sets TCP_NODELAY, so that small messages are sent at once."""
 
     def registerProducer(self, producer: object, streaming: bool, /) -> None:
-        """Calls the producer whenever the transport has sent all that it had."""
+        """Registers a producer, which is called whenever the transport has sent all that it had."""
 
     def unregisterProducer(self) -> None:
-        """Ends that."""
+        """Removes the registered producer."""
 
     def write(self, data: bytes, /) -> None:
-        """Sends bytes, or buffers them."""
+        """Sends the bytes, or buffers them."""
 
     def pauseProducing(self) -> None:
-        """Reads no more."""
+        """Stops reading."""
 
     def resumeProducing(self) -> None:
-        """Reads again."""
+        """Continues reading."""
 
     def loseConnection(self) -> None:
         """Closes the connection once the buffer has been sent."""
 
     def loseWriteConnection(self) -> None:
-        """Closes this side once the buffer has been sent, and goes on reading."""
+        """Closes this side once the buffer has been sent, and continues reading."""
 
     def abortConnection(self) -> None:
-        """Closes the connection at once."""
+        """Resets the connection at once."""
 
     def connectionLost(self, reason: Failure, /) -> None:
-        """Closes the socket and tells the protocol why, as the reactor does at the end of a connection."""
+        """Closes the socket and tells the protocol, as the reactor does when a connection ends."""
 
 
 def close_both_sides(transport: StreamTransport) -> None:
-    """Closes the socket now, in order: what the kernel has taken still reaches the other side.
+    """Closes the socket now, without a reset: what was written to the kernel still reaches the other side.
 
     `loseConnection` would wait until the other side has read enough, and `abortConnection` would reset the
-    connection, with all that is unread. What the transport itself still holds is dropped.
+    connection, which discards what the other side has not read. Bytes in the transport's own buffer are lost.
     """
     transport.connectionLost(Failure(ConnectionDone()))
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -1,4 +1,8 @@
-"""Long values are passed on while they arrive: cut anywhere, stalled, malformed, broken, in line, many."""
+"""Long values, which are passed on to the client while they arrive from a node.
+
+They must be the same however the data is cut, and must never look complete if they are malformed or broken
+off. Slow clients bound what is buffered.
+"""
 
 import pytest
 from hypothesis import given
@@ -16,59 +20,59 @@
 HEAD = f"VA {SIZE} O1\r\n".encode()
 
 
-class Slow:
-    """Makes a client's transport take no more than it is told to."""
+class SlowClient:
+    """A client that reads slowly: its transport takes only as many bytes as `read` has allowed."""
 
     def __init__(self, transport):
-        self.transport, self.room, self.got = transport, 0, bytearray()
+        self.transport, self.room, self.received = transport, 0, bytearray()
         transport.send, transport.write = self.send, self.write
-        self.held = bytearray()
+        self.unsent = bytearray()
 
     def send(self, data):
         taken = bytes(data[: self.room])
         if not taken:
             raise BlockingIOError
         self.room -= len(taken)
-        self.got += taken
+        self.received += taken
         return len(taken)
 
     def write(self, data):
-        self.held += data
+        self.unsent += data
 
     def read(self, number):
-        """The client reads so many bytes."""
-        while number and self.held:
-            taken = self.held[:number]
-            del self.held[: len(taken)]
-            self.got += taken
+        """Lets the client read `number` bytes."""
+        while number and self.unsent:
+            taken = self.unsent[:number]
+            del self.unsent[: len(taken)]
+            self.received += taken
             number -= len(taken)
-            if not self.held:
+            if not self.unsent:
                 self.transport.protocol.resumeProducing()
         self.room += number
 
 
-def asked(player, name="O1", client="client", node="s1"):
+def send_read(player, name="O1", client="client", node="s1"):
     player.play(f"{client} send mg k{name} v {name} Pc=page,t=acme,d=1900\n{node} expect mg k{name} *")
-    return ends(player, client, node)
+    return both_ends(player, client, node)
 
 
-def ends(player, client="client", node="s1"):
-    places = [(party.partition("#")[0], int(party.partition("#")[2] or 1) - 1) for party in (client, node)]
-    return player.connection(*places[0])[1], player.connection(*places[1])
+def both_ends(player, client="client", node="s1"):
+    indexes = [(party.partition("#")[0], int(party.partition("#")[2] or 1) - 1) for party in (client, node)]
+    return player.connection(*indexes[0])[1], player.connection(*indexes[1])
 
 
-def test_it_is_passed_on_as_it_comes_but_for_its_last_byte():
+def test_a_value_is_passed_on_as_it_arrives_except_for_its_last_byte():
     player = Player()
-    client, (node, _) = asked(player)
+    client, (node, _) = send_read(player)
     node.dataReceived(HEAD + VALUE[:100])
     assert client.value() == HEAD + VALUE[:100]
     node.dataReceived(VALUE[100:])
     assert client.value() == HEAD + VALUE[:-1]
-    player.play("wait 2500")  # its time is over, and nothing of it is cut off or held back
+    player.play("wait 2500")  # The deadline of the request has passed; the value goes on all the same.
     node.dataReceived(b"\r\n")
     assert client.value() == HEAD + VALUE + b"\r\n"
     client.clear()
-    asked(player, "O2")  # the connections of both sides go on
+    send_read(player, "O2")  # The connections of both sides can be used again.
     node.dataReceived(b"VA 1 O2\r\na\r\n")
     assert client.value() == b"VA 1 O2\r\na\r\n"
 
@@ -76,18 +80,18 @@
 @pytest.mark.parametrize(
     "place", [*range(1, len(HEAD) + 3), SIZE // 2, *range(SIZE - 2, SIZE + len(HEAD) + 2)]
 )
-def test_cut_at_any_boundary_it_is_the_same(place):
+def test_a_value_is_the_same_wherever_its_data_is_cut(place):
     player = Player()
-    client, (node, _) = asked(player)
+    client, (node, _) = send_read(player)
     data = HEAD + VALUE + b"\r\n"
     node.dataReceived(data[:place])
     node.dataReceived(data[place:])
     assert client.value() == data
 
 
-def test_in_small_pieces_from_the_origin_it_is_the_same():
+def test_a_value_from_the_origin_is_the_same_in_small_pieces():
     player = Player()
-    client, _ = asked(player)
+    client, _ = send_read(player)
     player.play("s1 send EN O1\norigin expect GET /kO1 *")
     origin = player.connection("origin", 0)[0]
     data = f"HTTP/1.1 200 OK\r\nContent-Length: {SIZE}\r\n\r\n".encode() + VALUE
@@ -99,12 +103,12 @@
     player.play("origin send 200 r\nclient expect HD O2 cr")
 
 
-@pytest.mark.parametrize("how", ["spoilt", "broken"])
-def test_one_that_does_not_end_as_it_must_never_looks_whole(how):
+@pytest.mark.parametrize("ending", ["malformed", "broken"])
+def test_a_malformed_or_broken_value_never_looks_complete(ending):
     player = Player()
-    client, (node, transport) = asked(player)
+    client, (node, transport) = send_read(player)
     node.dataReceived(HEAD + VALUE)
-    if how == "spoilt":
+    if ending == "malformed":
         node.dataReceived(b"??")
         assert transport.aborted
     else:
@@ -113,10 +117,10 @@
     assert client.value() == HEAD + VALUE[:-1]
 
 
-def test_before_its_turn_it_is_held_back_and_a_break_is_told_in_a_line():
+def test_a_value_waits_for_earlier_answers_and_if_it_breaks_then_an_error_line_is_sent():
     player = Player()
-    client, _ = asked(player, "O1")
-    _, (second, transport) = asked(player, "O2", node="s1#2")
+    client, _ = send_read(player, "O1")
+    _, (second, transport) = send_read(player, "O2", node="s1#2")
     second.dataReceived(f"VA {SIZE} O2\r\n".encode() + VALUE[:100])
     assert client.value() == b""
     assert transport.producerState == "paused"
@@ -126,39 +130,39 @@
     client.clear()
     second.dataReceived(VALUE[100:] + b"\r\n")
     client.clear()
-    asked(player, "O3", node="s1#2")
-    _, (fourth, _) = asked(player, "O4")
+    send_read(player, "O3", node="s1#2")
+    _, (fourth, _) = send_read(player, "O4")
     fourth.dataReceived(f"VA {SIZE} O4\r\n".encode() + VALUE[:100])
     player.play("s1 close\ns1#2 send VA 1 O3|a")
     assert client.value() == b"VA 1 O3\r\na\r\nSERVER_ERROR failed\r\n"
     assert not client.ended
 
 
-def test_a_client_that_leaves_ends_the_attempt_and_nothing_is_kept():
+def test_a_value_is_dropped_when_its_client_disconnects():
     player = Player()
-    _, (node, transport) = asked(player)
+    _, (node, transport) = send_read(player)
     node.dataReceived(HEAD + VALUE[:100])
     player.play("client close")
     assert transport.aborted
     assert not player.service.side.stream_count
 
 
-def test_one_too_long_is_refused_and_the_read_goes_on_elsewhere():
+def test_a_value_above_the_limit_is_refused_and_the_read_is_retried():
     player = Player()
-    client, (node, transport) = asked(player)
+    client, (node, transport) = send_read(player)
     node.dataReceived(f"VA {LONGEST + 1} O1\r\n".encode() + VALUE)
     assert transport.aborted
     assert client.value() == b""
-    player.play("wait 25")  # the close must reach the node before the next attempt leaves
+    player.play("wait 25")  # The close must reach the node before the next attempt is sent.
     player.play("s1#2 expect mg kO1 *")
 
 
-def test_readers_that_stall_bound_what_is_held_and_lose_nothing():
+def test_what_is_buffered_for_slow_clients_is_bounded_and_nothing_is_lost():
     player = Player()
     pairs, number = [], 12
     for place in range(1, number + 1):
-        _, (node, transport) = asked(player, f"O{place}", f"client#{place}", f"s1#{place}")
-        pairs.append((node, transport, Slow(player.connection("client", place - 1)[1])))
+        _, (node, transport) = send_read(player, f"O{place}", f"client#{place}", f"s1#{place}")
+        pairs.append((node, transport, SlowClient(player.connection("client", place - 1)[1])))
     value = b"v" * LONGEST
     for place, (node, transport, _) in enumerate(pairs, 1):
         data = f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
@@ -168,26 +172,26 @@
             node.rest = node.rest[STREAM_READ_BYTES:]
     side = player.service.side
     assert side.stream_count == number
-    held = sum(
-        len(slow.held) + len(slow.transport.protocol._outgoing) + len(node._incoming)
-        for node, _, slow in pairs
+    buffered_bytes = sum(
+        len(slow_client.unsent) + len(slow_client.transport.protocol._outgoing) + len(node._incoming)
+        for node, _, slow_client in pairs
     )
-    assert held <= number * (STREAM_PIECE_BYTES + AHEAD[1] + 2 * STREAM_READ_BYTES)
+    assert buffered_bytes <= number * (STREAM_PIECE_BYTES + AHEAD[1] + 2 * STREAM_READ_BYTES)
     player.play("wait 5000")
-    for place, (node, transport, slow) in enumerate(pairs, 1):
+    for place, (node, transport, slow_client) in enumerate(pairs, 1):
         while node.rest:
-            slow.read(50_000)
+            slow_client.read(50_000)
             if transport.producerState == "producing":
                 node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
                 node.rest = node.rest[STREAM_READ_BYTES:]
-        slow.read(LONGEST)
-        assert bytes(slow.got) == f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
+        slow_client.read(LONGEST)
+        assert bytes(slow_client.received) == f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
     assert not side.stream_count
 
 
-def test_one_that_stands_still_for_long_is_given_up_on_both_sides():
+def test_a_value_that_stalls_for_long_is_given_up_on_both_sides():
     player = Player()
-    client, (node, transport) = asked(player)
+    client, (node, transport) = send_read(player)
     node.dataReceived(HEAD + VALUE[:100])
     player.play("wait 9900")
     assert not client.ended
@@ -196,9 +200,9 @@
     assert transport.aborted
 
 
-def test_the_end_waits_for_a_value_that_still_comes():
+def test_a_shutdown_waits_for_a_value_that_still_arrives():
     player = Player()
-    client, (node, _) = asked(player)
+    client, (node, _) = send_read(player)
     node.dataReceived(HEAD + VALUE[:100])
     player.play("proxy close\nwait 2000")
     assert not player.reactor.hasStopped
@@ -208,46 +212,46 @@
 
 
 @pytest.mark.parametrize("copies", [False, True])
-def test_an_attempt_behind_a_long_value_is_not_left_out_where_copies_are_refused(copies):
+def test_an_attempt_behind_a_long_value_ends_its_connection_if_copies_are_forbidden(copies):
     player = Player()
-    _, (node, transport) = asked(player)
+    _, (node, transport) = send_read(player)
     player.service.pools.single_attempt_in_flight = not copies
     behind = Request("O2", 0, 0, "k2", False, 500.0, b"", "c=page", lambda *_: None)
     ends = []
     choice = SendAttempt("O2", "s1", 0, 400.0)
     attempt = Attempt(choice, behind, 1e9, lambda attempt, outcome, _: ends.append(outcome), node._pool, 1e9)
-    assert node.send(attempt) is SendResult.OUT
+    assert node.send(attempt) is SendResult.WRITTEN
     node.dataReceived(HEAD + VALUE[:100])
     assert node.give_up(attempt, AttemptOutcome.TIMED_OUT)
     assert ends == [AttemptOutcome.TIMED_OUT]
-    # the value goes on, or breaks off so that the attempt is out no more
+    # The value goes on, or it is broken off, so that the attempt is no longer in flight.
     assert transport.aborted is not copies
     assert (behind.next_attempt_from_ms > 0.0) is not copies
 
 
 @given(st.binary(min_size=1, max_size=60), st.lists(st.integers(1, 20), max_size=8), st.sampled_from("wbd"))
-def test_the_sink_gets_what_came_once_and_its_end_once(value, cuts, how):
+def test_the_sink_gets_each_byte_once_and_the_end_once(value, cuts, ending):
     got, ended, stopped = [], [], []
-    flow = StreamedValue(len(value), lambda: None, lambda: None, lambda: stopped.append(1))
-    flow.open(got.append, ended.append)
+    value_stream = StreamedValue(len(value), lambda: None, lambda: None, lambda: stopped.append(1))
+    value_stream.open(got.append, ended.append)
     rest = value
     for cut in cuts:
         piece, rest = rest[:cut], rest[cut:]
         if piece:
-            flow.piece(piece)
-    if how == "w" and rest:
-        flow.piece(rest)
+            value_stream.piece(piece)
+    if ending == "w" and rest:
+        value_stream.piece(rest)
         rest = b""
-    {"w": flow.whole, "b": flow.broken, "d": flow.drop}[how]()
-    flow.drop()
-    came = value[: len(value) - len(rest)]
-    assert b"".join(got) == (value if how == "w" else came if rest else came[:-1])
-    assert ended == {"w": [True], "b": [False], "d": []}[how]
-    assert len(stopped) == (how == "d")
+    {"w": value_stream.whole, "b": value_stream.broken, "d": value_stream.drop}[ending]()
+    value_stream.drop()
+    arrived = value[: len(value) - len(rest)]
+    assert b"".join(got) == (value if ending == "w" else arrived if rest else arrived[:-1])
+    assert ended == {"w": [True], "b": [False], "d": []}[ending]
+    assert len(stopped) == (ending == "d")
 
 
 @given(st.integers(0, 10**9), st.integers(0, 10**4))
-def test_all_streams_together_stay_in_their_room_where_there_is_any(room, streams):
+def test_all_streams_together_stay_within_the_memory_if_it_is_enough(room, streams):
     each = ahead(room, streams)
     assert AHEAD[0] <= each <= AHEAD[1]
     assert each == AHEAD[0] or each * streams <= room
