--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -1,7 +1,7 @@
-"""Sockets whose system calls fail, or do a part of their work, as a test says.
+"""Sockets whose system calls fail, or transfer only a part of the data, as a test plans it.
 
-`CallFaults` are the faults of one kind of call, in the order in which they come: error numbers, or `None`
-for a call that does its work. Behind the last one all calls do it, unless `always` is set.
+`CallFaults` holds the planned results of one kind of call, in order: an error number, or `None` for a call
+that succeeds. After the last one, every call succeeds, or fails with the error number `always`.
 """
 
 import os
@@ -13,26 +13,32 @@
 
 
 class CallFaults:
+    """The planned faults of one kind of system call; with `most`, a call transfers at most so many bytes."""
+
     def __init__(self, *faults, always=None, most=None):
         self.faults, self.always, self.most = list(faults), always, most
         self.count = 0  # calls that were made
-        self.failed = 0
+        self.failed = 0  # calls that failed
 
     def fault(self):
-        """The error number of the call that is made now, or None."""
+        """Counts a call, and returns the error number with which it fails, or None."""
         self.count += 1
         number = self.faults.pop(0) if self.faults else self.always
         self.failed += number is not None
         return number
 
     def check(self):
+        """Counts a call, and raises its error if it is planned to fail."""
         if (number := self.fault()) is not None:
             raise OSError(number, os.strerror(number))
 
 
 class FaultySocket(SOCKET):
-    """`recv`, `peek` (a `recv` that leaves all where it is), `send` and `connect` are `CallFaults`, or
-    None."""
+    """A socket whose calls fail as the `CallFaults` of their kind says; `None` is no fault.
+
+    A `peek` is a `recv` with flags, which leaves the data in the socket. An `error` is the result of a
+    connect in progress, which is read with SO_ERROR.
+    """
 
     recv_calls = peek_calls = send_calls = connect_calls = error_calls = None
 
@@ -64,20 +70,21 @@
 
 
 class OutgoingSockets:
-    """The sockets of the proxy's own connections, by the address that they lead to."""
+    """The sockets of the connections that the proxy opens, by the address to which they are opened."""
 
     def __init__(self, monkeypatch):
         monkeypatch.setattr(tcp.Client, "createInternetSocket", lambda client: self.make(client))
-        self.socket_calls = {}
-        self.plan = {}  # address: attributes of its sockets
-        self.made = {}
+        self.socket_calls = {}  # the faults of the calls that make a socket, by address
+        self.plan = {}  # the faults of the calls of each kind, by address
+        self.made = {}  # the sockets that were made, by address
 
-    def at(self, address, **calls):
-        """What befalls the sockets to the address that are opened from now on."""
+    def plan_calls(self, address, **calls):
+        """Plans the faults of the sockets that are opened to the address from now on."""
         self.plan[address] = calls
         return calls
 
     def fail_socket(self, address, *faults, always=None):
+        """Plans faults of the calls that make sockets for the address."""
         calls = self.socket_calls[address] = CallFaults(*faults, always=always)
         return calls
 
@@ -93,15 +100,18 @@
 
 
 class FaultyListeningSocket:
-    """A listening socket: `accept` fails as `calls` has it, and gives sockets with `accepted` calls."""
+    """A listening socket whose `accept` fails as `calls` has planned.
+
+    The sockets that it accepts have the faults `accepted`, by kind of call.
+    """
 
     def __init__(self, listening, calls=None, **accepted):
         self.listening, self.calls, self.accepted = listening, calls or CallFaults(), accepted
 
     def accept(self):
         self.calls.check()
-        plain, address = self.listening.accept()
-        made = FaultySocket(fileno=plain.detach())
+        accepted_socket, address = self.listening.accept()
+        made = FaultySocket(fileno=accepted_socket.detach())
         for name, calls in self.accepted.items():
             setattr(made, f"{name}_calls", calls)
         return made, address
@@ -111,13 +121,13 @@
 
 
 def inject_accept_faults(port, calls=None, **accepted):
-    """Has the port's listening socket do so from now on."""
+    """Replaces the port's listening socket by one with these faults, and returns it."""
     port.socket._listening = made = FaultyListeningSocket(port.socket._listening, calls, **accepted)
     return made
 
 
 def cancel_watch(proxy):
-    """Discovery has not been asked yet: the start may have begun a call before its faults are set."""
+    """Cancels the poll of discovery that the start may have begun before the test has planned its faults."""
     endpoint_discovery = proxy.service.endpoint_discovery
     endpoint_discovery._cancel_pending_poll()
     endpoint_discovery._close_connection()
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -1,4 +1,8 @@
-"""Connections to nodes: reuse, validation, retirement and caps, against stand-ins that count what is lost."""
+"""The policy and the pools of connections to nodes, against simulated nodes that count the lost attempts.
+
+The tests cover reuse, validation before the last byte, the idle limit, opening ahead, and the limits of
+connections and descriptors.
+"""
 
 import pytest
 from hypothesis import settings
@@ -21,7 +25,7 @@
 
 
 def reset(age_ms, after_ms):
-    """The loss of a connection that had stood idle for so long, by a reset so long after an attempt."""
+    """Returns the loss of a connection, idle for `age_ms`, by a reset `after_ms` after a write."""
     return ConnectionLoss(
         idle_age_ms=age_ms,
         after_ms=after_ms,
@@ -33,83 +37,88 @@
 
 
 class CacheNodes(RuleBasedStateMachine):
-    """Any order of news and attempts: no use past the limit, nothing to a node that has left, nothing
-    kept."""
+    """Endpoint changes, attempts and their outcomes in any order, against the policy.
+
+    No connection is used past its idle limit, nothing is opened to a node that has left, and no state is kept
+    of a node that was forgotten.
+    """
 
     @initialize()
     def start(self):
-        self.now, self.back = 1000.0, NodeConnectionPolicy(2500.0, GRACE_MS)
-        self.named: dict[str, float | None] = {}
+        self.now, self.policy = 1000.0, NodeConnectionPolicy(2500.0, GRACE_MS)
+        self.listed_nodes: dict[str, float | None] = {}
 
     @rule(node=st.sampled_from("abcdef"), cold=st.booleans())
-    def is_named(self, node, cold):
-        self.back.listed(node, "origin" if node == "a" else "cache", self.now + 500.0 if cold else -1.0)
-        self.named[node] = None
+    def list_node(self, node, cold):
+        self.policy.listed(node, "origin" if node == "a" else "cache", self.now + 500.0 if cold else -1.0)
+        self.listed_nodes[node] = None
 
-    @precondition(lambda self: self.named)
+    @precondition(lambda self: self.listed_nodes)
     @rule(data=st.data())
-    def leaves(self, data):
-        node = data.draw(st.sampled_from(sorted(self.named)))
-        self.back.left(node, self.now)
-        self.named[node] = self.now if self.named[node] is None else self.named[node]
+    def remove_node(self, data):
+        node = data.draw(st.sampled_from(sorted(self.listed_nodes)))
+        self.policy.left(node, self.now)
+        self.listed_nodes[node] = self.now if self.listed_nodes[node] is None else self.listed_nodes[node]
 
-    @precondition(lambda self: self.named)
+    @precondition(lambda self: self.listed_nodes)
     @rule(data=st.data())
-    def is_forgotten(self, data):
-        node = data.draw(st.sampled_from(sorted(self.named)))
-        self.back.forget(node)
-        del self.named[node]
+    def forget_node(self, data):
+        node = data.draw(st.sampled_from(sorted(self.listed_nodes)))
+        self.policy.forget(node)
+        del self.listed_nodes[node]
 
     @rule(
         node=st.sampled_from("abcdef"),
-        age=st.one_of(st.none(), st.floats(0.0, 4000.0)),
-        how=st.sampled_from(["answered", "lost", "silent", "refused", "timed out", "connected", "started"]),
-        took=st.floats(0.0, 900.0),
+        age_ms=st.one_of(st.none(), st.floats(0.0, 4000.0)),
+        event=st.sampled_from(["answered", "lost", "silent", "refused", "timed out", "connected", "started"]),
+        elapsed_ms=st.floats(0.0, 900.0),
     )
-    def happens(self, node, age, how, took):
-        match how:
+    def report_event(self, node, age_ms, event, elapsed_ms):
+        match event:
             case "answered":
-                self.back.answered(node, age, took, self.now)
+                self.policy.answered(node, age_ms, elapsed_ms, self.now)
             case "lost":
-                self.back.lost(node, reset(age, took), self.now)
+                self.policy.lost(node, reset(age_ms, elapsed_ms), self.now)
             case "silent":
-                self.back.silent(node, age, took, self.now)
+                self.policy.silent(node, age_ms, elapsed_ms, self.now)
             case "refused":
-                self.back.connect_refused(node, 3, self.now)
+                self.policy.connect_refused(node, 3, self.now)
             case "timed out":
-                self.back.timed_out(node, 3, self.now - took, self.now)
+                self.policy.timed_out(node, 3, self.now - elapsed_ms, self.now)
             case "connected":
-                self.back.connected(node, took, self.now)
+                self.policy.connected(node, elapsed_ms, self.now)
             case "started":
-                self.back.started(node, 1 + int(took) % 9, self.now)
+                self.policy.started(node, 1 + int(elapsed_ms) % 9, self.now)
 
     @rule(ms=st.sampled_from([1.0, 60.0, 960.0, 40_000.0]))
-    def time_passes(self, ms):
+    def advance_time(self, ms):
         self.now += ms
-        self.back.limits.tick(self.now)
+        self.policy.limits.tick(self.now)
 
     @rule(
-        node=st.sampled_from("abcdef"), age=st.one_of(st.none(), st.floats(0.0, 4000.0)), costly=st.booleans()
+        node=st.sampled_from("abcdef"),
+        age_ms=st.one_of(st.none(), st.floats(0.0, 4000.0)),
+        costly=st.booleans(),
     )
-    def is_asked(self, node, age, costly):
-        use, limit = self.back.use(node, age, costly), self.back.idle_limit_ms(node)
+    def check_decisions(self, node, age_ms, costly):
+        use, limit = self.policy.use(node, age_ms, costly), self.policy.idle_limit_ms(node)
         assert limit <= 2500.0
-        if node in self.named:
-            assert (use is ConnectionUse.RETIRE) == (age is not None and age >= limit)
-        assert MIN_HOLD_MS <= self.back.hold_ms(node) <= MAX_HOLD_MS
-        left = self.named.get(node)
+        if node in self.listed_nodes:
+            assert (use is ConnectionUse.RETIRE) == (age_ms is not None and age_ms >= limit)
+        assert MIN_HOLD_MS <= self.policy.hold_ms(node) <= MAX_HOLD_MS
+        left = self.listed_nodes.get(node)
         late = left is not None and self.now - left >= GRACE_MS
-        assert self.back.late(node, self.now) == late
-        assert not (late and self.back.may_open(node, 0, self.now))
-        ahead = self.back.ahead(node, 0, self.now)
+        assert self.policy.late(node, self.now) == late
+        assert not (late and self.policy.may_open(node, 0, self.now))
+        ahead = self.policy.ahead(node, 0, self.now)
         assert 0 <= ahead <= MAX_AHEAD
         assert not (ahead and left is not None)
 
     @invariant()
-    def keeps_only_what_is_named(self):
-        if hasattr(self, "back"):
-            assert len(self.back) == len(self.named)
-            assert set(self.back.limits._nodes) <= set(self.named)
+    def state_is_kept_only_for_listed_nodes(self):
+        if hasattr(self, "policy"):
+            assert len(self.policy) == len(self.listed_nodes)
+            assert set(self.policy.limits._nodes) <= set(self.listed_nodes)
 
 
 CacheNodes.TestCase.settings = settings(
@@ -118,7 +127,7 @@
 TestCacheNodes = CacheNodes.TestCase
 
 
-def test_figures_of_nodes_that_are_gone_do_not_gather():
+def test_counters_of_nodes_that_are_gone_do_not_accumulate():
     metrics = ConnectionMetrics()
     for number in range(3 * MAX_NAMES):
         metrics.add(ConnectionEvent.OPENED, f"s{number}")
@@ -129,23 +138,23 @@
     assert metrics.by(ConnectionEvent.OPENED)[OTHERS] > 0
 
 
-# Before stand-in nodes -------------------------------------------------------------------------
+# With simulated nodes --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("name", PATTERNS)
-def test_hardly_an_attempt_is_lost_whatever_nodes_do_with_idle_connections(name):
-    # With one idle time for all, 1 to 8% of attempts were lost where nodes close sooner and say nothing.
+def test_few_attempts_are_lost_however_nodes_close_idle_connections(name):
+    # With one idle limit for all nodes, 1 to 8% of attempts were lost if nodes closed earlier in silence.
     rig = Rig(12)
     PATTERNS[name](rig)
-    rig.load(100.0, 250.0 if rig.nodes[0].drops_flow else 150.0)  # silence is found out slowly
+    rig.load(100.0, 250.0 if rig.nodes[0].drops_flow else 150.0)  # Silence is detected slowly.
     assert rig.tally.attempts > 12_000
     assert rig.stale < 0.001 * rig.tally.attempts, rig.tally.outcomes
     assert rig.tally.costly_lost <= 2
-    assert rig.percentile(0.99) <= 30.0  # from its choice to its last byte out, a handshake included
+    assert rig.percentile(0.99) <= 30.0  # from the decision to the last byte, with the handshake
 
 
-def test_the_baseline_loses_attempts_where_nodes_close_in_silence():
-    # That the measure above can fail: the fixed idle time of before, on the same nodes and attempts.
+def test_a_fixed_idle_limit_loses_attempts_if_nodes_close_silently():
+    # The check above can fail: with one fixed idle limit, the same nodes and attempts exceed its bounds.
     rig = Rig(12, make_policy=Fixed)
     PATTERNS["silent after 0.5 s"](rig)
     rig.load(100.0, 30.0)
@@ -153,7 +162,7 @@
     assert rig.tally.costly_lost > 5
 
 
-def test_an_attempt_whose_loss_is_costly_finds_a_closed_connection_before_its_last_byte():
+def test_a_costly_attempt_detects_a_closed_connection_before_its_last_byte():
     rig = Rig(1)
     node = rig.nodes[0]
     node.idle_s = lambda now_s: 0.3
@@ -167,38 +176,39 @@
     assert node.requests == 2
 
 
-def test_a_close_reaches_its_node_within_a_round_trip_of_late():
-    back = NodeConnectionPolicy(2500.0, GRACE_MS)
+def test_a_close_reaches_its_node_within_a_recent_round_trip():
+    policy = NodeConnectionPolicy(2500.0, GRACE_MS)
     for node in ("near", "far"):
-        back.listed(node, "cache")
-    assert back.reach_ms("far") == back.reach_ms("nobody") == MAX_REACH_MS
-    back.connected("near", 0.4, 0.0)
-    back.connected("far", 31.0, 0.0)  # no answer yet: the handshake tells, and no other node's figure does
-    back.answered("far", None, 30.0, 5.0)
-    back.answered("far", None, 400.0, 9.0)  # work, not the way
-    assert (back.reach_ms("near"), back.reach_ms("far")) == (0.4, 30.0)
-    back.answered("far", None, 52.0, 10_100.0)  # the way is longer now
-    assert back.reach_ms("far") == 52.0
-    back.answered("far", None, 500.0, 20_200.0)
-    assert back.reach_ms("far") == MAX_REACH_MS
+        policy.listed(node, "cache")
+    assert policy.reach_ms("far") == policy.reach_ms("nobody") == MAX_REACH_MS
+    policy.connected("near", 0.4, 0.0)
+    policy.connected("far", 31.0, 0.0)  # Without an answer, only its own handshake counts.
+    policy.answered("far", None, 30.0, 5.0)
+    policy.answered("far", None, 400.0, 9.0)  # The node worked for long; the round trip is still 30 ms.
+    assert (policy.reach_ms("near"), policy.reach_ms("far")) == (0.4, 30.0)
+    policy.answered("far", None, 52.0, 10_100.0)  # An old estimate is replaced: the round trip is longer now.
+    assert policy.reach_ms("far") == 52.0
+    policy.answered("far", None, 500.0, 20_200.0)
+    assert policy.reach_ms("far") == MAX_REACH_MS
 
 
 @pytest.mark.parametrize("latency_ms", [1, 40, 120])
-def test_nothing_is_opened_or_written_late_to_a_node_that_leaves(latency_ms):
-    # A drain while connections open: what was asked for before may come up, and takes no attempt after 1 s.
+def test_nothing_is_opened_or_written_to_a_node_after_its_drain_time(latency_ms):
+    # Connections that were being opened when the drain began may be established, but take no attempt after
+    # the drain time.
     rig = Rig(2)
     for node in rig.nodes:
         rig.net.path(node.address).latency_s = latency_ms / 1000.0
     for _ in range(5):
         rig.attempt(0)
     rig.net.run_for(0.01)
-    told = rig.net.seconds()
+    left_s = rig.net.seconds()
     rig.pools.mark_left("s0")
     for _ in range(150):
         rig.attempt(0, timeout_ms=2000.0)
         rig.net.run_for(0.01)
-    asked = [at - latency_ms / 1000.0 for at in rig.nodes[0].opened_at]
-    assert max(asked) <= told + GRACE_MS / 1000.0
+    opened_s = [at - latency_ms / 1000.0 for at in rig.nodes[0].opened_at]
+    assert max(opened_s) <= left_s + GRACE_MS / 1000.0
     assert rig.tally.outcomes[AttemptOutcome.NOT_CONNECTED] >= 50
     rig.net.run_for(5.0)
     rig.pools._sweep()
@@ -206,18 +216,18 @@
     assert len(rig.node_policy) == 1
 
 
-def test_a_node_that_holds_no_more_is_not_asked_again_and_again():
+def test_a_node_at_its_connection_limit_refuses_few_connections():
     rig = Rig(1)
     node = rig.nodes[0]
     node.most, node.work_s = 5, 0.2
     rig.load(60.0, 20.0)
-    # Each refusal that is not learnt from is a handshake's work for a node that is full already.
+    # Each refused connection costs a node that is full already the work of a handshake.
     assert node.refused < 60, node.refused
     assert len(node.connections) <= 5
     assert rig.tally.outcomes[AttemptOutcome.SERVED] > 0.9 * rig.tally.attempts
 
 
-def test_one_refused_connection_is_no_full_node():
+def test_one_refused_connection_does_not_limit_a_node():
     rig = Rig(1)
     rig.attempt(0)
     rig.net.run_for(0.01)
@@ -231,32 +241,32 @@
     assert rig.tally.outcomes == {AttemptOutcome.SERVED: 7, AttemptOutcome.NOT_CONNECTED: 1}
 
 
-def test_connections_are_opened_ahead_where_handshakes_are_dear():
+def test_connections_are_opened_ahead_if_handshakes_are_slow():
     rig = Rig(2)
     for node in rig.nodes:
         rig.net.path(node.address).latency_s = 0.012
     rig.load(150.0, 20.0)
-    ahead = rig.metrics.total(ConnectionEvent.AHEAD)
-    assert ahead > 0
-    assert ahead < 0.1 * rig.tally.attempts
+    ahead_count = rig.metrics.total(ConnectionEvent.AHEAD)
+    assert ahead_count > 0
+    assert ahead_count < 0.1 * rig.tally.attempts
     rig.pools.mark_left("s0")
-    before = len(rig.nodes[0].opened_at)
+    count_before = len(rig.nodes[0].opened_at)
     rig.net.run_for(3.0)
-    assert len(rig.nodes[0].opened_at) == before
+    assert len(rig.nodes[0].opened_at) == count_before
 
 
 @pytest.mark.parametrize(("nodes", "descriptors", "per_s"), [(14, 64, 400.0), (1000, 4096, 1500.0)])
-def test_few_descriptors_many_nodes(nodes, descriptors, per_s):
+def test_the_descriptor_budget_holds_with_many_nodes(nodes, descriptors, per_s):
     rig = Rig(nodes, descriptors)
     peak = 0
 
-    def look():
+    def check_budget():
         nonlocal peak
         peak = max(peak, rig.budget.held[DescriptorSide.NODES])
         assert len(rig.pools.idle) <= rig.budget.held[DescriptorSide.NODES]
-        rig.net.callLater(0.01, look)
+        rig.net.callLater(0.01, check_budget)
 
-    look()
+    check_budget()
     rig.load(per_s, 4.0)
     assert peak <= rig.budget.most(DescriptorSide.NODES)
     assert rig.tally.outcomes[AttemptOutcome.SERVED] > 0.99 * rig.tally.attempts
@@ -266,9 +276,9 @@
     )
 
 
-def test_the_last_descriptors_go_to_whoever_needs_them():
-    # The clients' side holds all between the floors; for an attempt without room one of its idle ones is
-    # closed.
+def test_the_clients_side_releases_descriptors_for_attempts():
+    # Clients use all descriptors beyond the floor of the nodes' side. For an attempt without a descriptor an
+    # idle connection of a client is closed.
     rig = Rig(4, descriptors=20)
     while rig.budget.room(DescriptorSide.CLIENTS):
         rig.budget.take(DescriptorSide.CLIENTS)
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -1,4 +1,7 @@
-"""Connections that this machine can't begin, and those that servers refuse: who is held to account."""
+"""Connections that fail to open, by a fault of this machine or by one of the server.
+
+A fault of this machine must not count against the server, and its request is tried again while it has time.
+"""
 
 import contextlib
 import errno
@@ -31,60 +34,65 @@
 
 
 def fail(outgoing, address, stage, *faults, always=None):
-    """Has that step of connections to the address fail so."""
+    """Makes a step of connecting to the address fail, with these faults in order or with one each time.
+
+    The step is the making of the socket, the connect call, or the result of a connect in progress.
+    """
     if stage == "socket":
         return outgoing.fail_socket(address, *faults, always=always)
     calls = CallFaults(*faults, always=always)
     if stage == "error":
-        calls.faults = [
-            one for fault in calls.faults for one in (None, fault)
-        ]  # the second look is the result
-    outgoing.at(address, **{stage: calls})
+        # SO_ERROR is read twice for each connection; the second time it is the result.
+        calls.faults = [number for fault in calls.faults for number in (None, fault)]
+    outgoing.plan_calls(address, **{stage: calls})
     return calls
 
 
-def figure(proxy, what):
+def total(proxy, what):
     return proxy.service.metrics.total(what)
 
 
-def reached(proxy, node, wanted):
-    """The first connection on which the wanted bytes come: one that failed behind its handshake has none."""
-    heard = {}
+def connection_with(proxy, node, wanted):
+    """Returns the first connection on which the wanted bytes arrive, and checks that they arrive only once.
+
+    A connection that fails after its handshake carries no bytes.
+    """
+    received = {}
 
-    def look():
+    def find():
         while node._accept() is not None:
             pass
         for conn in node.taken:
             try:
-                heard[conn] = heard.get(conn, b"") + conn.recv(1 << 16)
+                received[conn] = received.get(conn, b"") + conn.recv(1 << 16)
             except (BlockingIOError, ConnectionResetError):
                 continue
-        found = [conn for conn, data in heard.items() if wanted in data]
-        assert sum(data.count(wanted) for data in heard.values()) <= 1
+        found = [conn for conn, data in received.items() if wanted in data]
+        assert sum(data.count(wanted) for data in received.values()) <= 1
         return found[0] if found else None
 
-    return proxy.until(look, f"{wanted!r} did not come")
+    return proxy.until(find, f"{wanted!r} did not come")
 
 
-def answers(proxy, conn):
+def read_now(proxy, conn):
     with contextlib.suppress(BlockingIOError):
         return conn.recv(1 << 16)
     return b""
 
 
 @pytest.mark.parametrize(("stage", "number"), LOCAL)
-def test_a_read_whose_connection_could_not_be_begun_is_sent_soon_and_its_node_not_blamed(
+def test_a_read_is_sent_soon_after_a_local_fault_which_does_not_count_against_its_node(
     rig, outgoing, stage, number
 ):
     proxy = rig()
     failing = fail(outgoing, proxy.nodes[0].address, stage, number)
     conn = proxy.client(read(1))
-    node = reached(proxy, proxy.nodes[0], b"mg k1 ")
+    node = connection_with(proxy, proxy.nodes[0], b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
     assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
     assert failing.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
-    assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
+    assert total(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.pool_of("s1")
     assert pool.opening_count == 0
     assert proxy.service.budget.held[DescriptorSide.NODES] == len(pool.connections)
@@ -92,11 +100,11 @@
 
 
 @pytest.mark.parametrize(("stage", "number"), LOCAL)
-def test_an_order_whose_connection_could_not_be_begun_is_sent_once(rig, outgoing, stage, number):
+def test_an_order_is_sent_once_after_a_local_fault(rig, outgoing, stage, number):
     proxy = rig()
     fail(outgoing, proxy.origin.address, stage, number)
     conn = proxy.client(write(1))
-    node = reached(proxy, proxy.origin, b"PUT /k1 ")
+    node = connection_with(proxy, proxy.origin, b"PUT /k1 ")
     node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1")
     assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
     proxy.skip(300)
@@ -105,18 +113,18 @@
 
 @pytest.mark.parametrize("make", [read, write])
 @pytest.mark.parametrize(("stage", "number"), [("socket", errno.ENFILE), ("connect", errno.EADDRNOTAVAIL)])
-def test_a_shortage_that_lasts_ends_no_request_that_has_time(rig, outgoing, make, stage, number):
+def test_a_lasting_shortage_does_not_end_a_request_that_has_time_left(rig, outgoing, make, stage, number):
     proxy = rig()
     origin, cache = proxy.origin.address, proxy.nodes[0].address
     failing = [fail(outgoing, address, stage, always=number) for address in (origin, cache)]
-    begun_ms = proxy.now()
+    started_ms = proxy.now()
     conn = proxy.client(make(1, 1990))
     proxy.skip(400)
-    assert answers(proxy, conn) == b""
+    assert read_now(proxy, conn) == b""
     assert proxy.service.dispatcher.open_count == 1
-    # One try in 20 ms at the most, at each of the two; a loop without a pause would make thousands.
+    # Each server is tried once in 20 ms at most; a loop without a pause would try thousands of times.
     tries = sum(calls.failed for calls in failing)
-    assert 5 <= tries <= 2 * (proxy.now() - begun_ms) / 20 + 3
+    assert 5 <= tries <= 2 * (proxy.now() - started_ms) / 20 + 3
     for calls in failing:
         calls.always = None
     if make is read:
@@ -133,7 +141,7 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-def test_a_shortage_that_outlasts_a_request_ends_it_by_one_refusal_in_time(rig, outgoing, make):
+def test_a_request_is_refused_once_and_in_time_if_the_shortage_lasts_longer(rig, outgoing, make):
     proxy = rig()
     for address in (proxy.origin.address, proxy.nodes[0].address):
         fail(outgoing, address, "socket", always=errno.ENFILE)
@@ -141,13 +149,13 @@
     proxy.skip(399)
     assert proxy.got(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     proxy.skip(500)
-    assert answers(proxy, conn) == b""
+    assert read_now(proxy, conn) == b""
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.budget.held[DescriptorSide.NODES]
 
 
 def fail_all_connects(player):
-    """Each connection to a node that has been asked for ends by a fault of this machine."""
+    """Makes each connection to a node that is being opened fail by a fault of this machine."""
     asked = player.reactor.tcpClients[player.asked :]
     player.asked += len(asked)
     for _, port, factory, *_ in asked:
@@ -156,11 +164,12 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-def test_wherever_its_last_try_falls_between_two_ticks_such_a_request_is_refused(make):
-    # A request's guard is rounded down to a tick and the wait for a try up: the guard must not be first.
+def test_such_a_request_is_refused_wherever_its_last_try_falls_between_two_ticks(make):
+    # The deadline timer of a request is rounded down to a tick, and the time of the next try up. If the timer
+    # fired first, the request would end as failed instead of refused.
     for wait_ms in range(400, 470):
         player = Player()
-        player.reactor.advance(0.0002)  # each tick comes a little late from now on, as in life
+        player.reactor.advance(0.0002)  # Each tick is a little late from now on, as on a real machine.
         protocol, transport = player.connection("client", 0)
         protocol.dataReceived(make(1, wait_ms))
         for _ in range(wait_ms):
@@ -170,7 +179,7 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-def test_a_client_that_leaves_while_its_request_can_not_be_sent_has_nothing_sent_later(rig, outgoing, make):
+def test_a_request_that_could_not_be_sent_is_dropped_when_its_client_disconnects(rig, outgoing, make):
     proxy = rig()
     addresses = (proxy.origin.address, proxy.nodes[0].address)
     failing = [fail(outgoing, address, "socket", always=errno.ENFILE) for address in addresses]
@@ -186,7 +195,7 @@
     assert proxy.nodes[0]._accept() is None
 
 
-def test_with_one_connection_in_hand_the_others_can_not_be_opened_and_all_are_served(rig, outgoing):
+def test_all_requests_are_served_if_only_one_connection_could_be_opened_at_first(rig, outgoing):
     proxy = rig()
     conn = proxy.client(read(1))
     node = proxy.nodes[0].take()
@@ -194,15 +203,15 @@
     failing = fail(outgoing, proxy.nodes[0].address, "socket", always=errno.ENFILE)
     others = proxy.client(b"".join(read(number) for number in range(2, 12)))
     proxy.skip(30)
-    # However many wait, they are tried for by one.
+    # However many attempts wait, only one connection is tried at a time.
     assert 1 <= failing.failed <= 10 + 3
     failing.always = None
     node.sendall(b"VA 1 O1\r\nx\r\n")
     proxy.got(conn, b"x\r\n")
-    served, told = set(), b""
+    served, answers = set(), b""
 
-    def play():
-        nonlocal told
+    def answer_reads():
+        nonlocal answers
         while proxy.nodes[0]._accept() is not None:
             pass
         for one in proxy.nodes[0].taken:
@@ -214,55 +223,55 @@
                 assert line not in served
                 served.add(line)
                 one.sendall(b"VA 1 " + line.split()[3] + b"\r\ny\r\n")
-        told += answers(proxy, others)
-        return told.count(b"\r\ny\r\n") == 10
+        answers += read_now(proxy, others)
+        return answers.count(b"\r\ny\r\n") == 10
 
-    proxy.until(play, "not all were served")
+    proxy.until(answer_reads, "not all were served")
     assert "marked missed" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("number", SERVERS)
 @pytest.mark.parametrize("stage", ["connect", "error"])
-def test_a_node_that_can_not_be_reached_is_held_to_account_as_before(rig, outgoing, stage, number):
+def test_a_failure_to_reach_a_node_counts_against_it(rig, outgoing, stage, number):
     proxy = rig()
     fail(outgoing, proxy.nodes[0].address, stage, number)
     proxy.client(read(1))
     proxy.until(lambda: "s1 marked missed" in proxy.log.getvalue())
-    assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
+    assert total(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
 
 
 # Discovery -----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("stage", "number"), LOCAL)
-def test_discovery_is_asked_soon_where_this_machine_could_not(rig, outgoing, stage, number):
+def test_discovery_is_polled_soon_after_a_local_fault(rig, outgoing, stage, number):
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
-    reached(proxy, proxy.discovery, b"GET /v1/servers")
+    connection_with(proxy, proxy.discovery, b"GET /v1/servers")
     assert failing.failed >= 1
     assert "call failed" not in proxy.log.getvalue()
     assert not proxy.service.endpoint_discovery._backoff.failing
 
 
-def test_a_call_to_discovery_that_can_not_be_made_in_its_time_is_a_failed_one(rig, outgoing):
+def test_a_poll_of_discovery_that_can_not_be_sent_in_time_has_failed(rig, outgoing):
     proxy = rig()
     failing = fail(outgoing, proxy.discovery.address, "socket", always=errno.ENFILE)
-    proxy.service.endpoint_discovery._revision = None  # a call that does not wait for news
+    proxy.service.endpoint_discovery._revision = None  # a poll that is answered at once
     cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
-    begun_ms = proxy.now()
+    started_ms = proxy.now()
     proxy.skip(1950)
     assert "call failed: no answer in time" in proxy.log.getvalue()
-    assert 20 <= failing.failed <= (proxy.now() - begun_ms) / 50 + 3
+    assert 20 <= failing.failed <= (proxy.now() - started_ms) / 50 + 3
     failing.always = None
-    # Its pause counts from its beginning, and is short behind a call that took so long.
-    reached(proxy, proxy.discovery, b"GET /v1/servers")
+    # The pause between polls counts from the beginning of the failed one, so little of it is left.
+    connection_with(proxy, proxy.discovery, b"GET /v1/servers")
 
 
 @pytest.mark.parametrize("number", SERVERS)
-def test_a_discovery_that_can_not_be_reached_has_failed(rig, outgoing, number):
+def test_a_poll_fails_if_discovery_can_not_be_reached(rig, outgoing, number):
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
     cancel_watch(proxy)
@@ -270,18 +279,18 @@
     proxy.until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
 
-# The judgement by itself ---------------------------------------------------------------------------
+# The classification by itself ---------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("number", sorted({number for _, number in LOCAL}))
-def test_a_fault_of_this_machine_is_told_from_a_servers(number):
+def test_errors_of_this_machine_are_classified_as_local_faults(number):
     from cloverwell.system_calls import connect_fault
 
     assert connect_fault(getConnectError((number, os.strerror(number)))) is not None
     assert connect_fault(OSError(number, os.strerror(number))) is not None
 
 
-def test_a_connection_that_ended_without_a_number_never_began_but_a_time_out_did():
+def test_a_failure_without_an_error_number_is_local_but_a_timeout_is_not():
     from cloverwell.system_calls import connect_fault
 
     assert connect_fault(ConnectError(string="closed")) is not None
@@ -300,7 +309,7 @@
 TICK_MS = 5.0
 
 
-def test_a_request_that_nothing_was_sent_for_is_decided_again_while_there_is_time_for_it():
+def test_an_unsent_request_is_decided_again_while_there_is_time():
     latest_ms = 1000.0 - MARGIN_TICKS * TICK_MS - RETRY_DELAY_MS
     assert retry_at_ms(UNSENT, latest_ms - 0.1, TICK_MS) == latest_ms - 0.1 + RETRY_DELAY_MS
     assert retry_at_ms(UNSENT, latest_ms, TICK_MS) is None
@@ -316,5 +325,5 @@
         {"ordered": True},
     ],
 )
-def test_a_request_that_is_over_has_run_or_has_another_attempt_keeps_its_decision(change):
+def test_a_request_that_is_over_or_may_have_run_or_is_in_flight_is_not_decided_again(change):
     assert retry_at_ms(replace(UNSENT, **change), 0.0, TICK_MS) is None
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -1,4 +1,8 @@
-"""Connections to a node that is cut off for a while: no cap, and none that died with the others is used."""
+"""Connections to a node that is cut off for a while.
+
+Timeouts during the cut must not limit the connections after it, and idle connections that the cut broke must
+not be used.
+"""
 
 import pytest
 
@@ -7,7 +11,7 @@
 from lab.attempts import GRACE_MS, Rig
 
 
-def _connects_time_out(rig, times):
+def _time_out_connects(rig, times):
     rig.net.path(rig.nodes[0].address).silent = True
     for _ in range(times):
         rig.attempt(0)
@@ -15,14 +19,15 @@
     rig.net.path(rig.nodes[0].address).silent = False
 
 
-def test_a_node_that_was_cut_off_gets_as_many_connections_as_it_needs_at_once():
-    # lesrooster-nl split+brink, seed 13: capped at one connection by the cut, it got one more each 2 s.
+def test_a_node_that_was_cut_off_is_not_limited_in_connections_afterwards():
+    # If the timeouts counted as refusals, the node would be limited to one connection, and get one more every
+    # 2 s.
     rig = Rig(1)
-    rig.pools.pool_of("s0").is_origin = True  # its attempts never stand behind one another
-    rig.nodes[0].work_s = 0.4  # one attempt is out all the while, on the connection that stands
+    rig.pools.pool_of("s0").is_origin = True  # Attempts at the origin never share a connection.
+    rig.nodes[0].work_s = 0.4  # One attempt is in flight all the time, on the only connection.
     rig.attempt(0)
     rig.net.run_for(0.01)
-    _connects_time_out(rig, 6)
+    _time_out_connects(rig, 6)
     rig.net.run_for(0.4)
     rig.nodes[0].work_s = 0.2
     for _ in range(6):
@@ -31,20 +36,20 @@
     assert rig.tally.outcomes == {AttemptOutcome.SERVED: 7, AttemptOutcome.NOT_CONNECTED: 6}
 
 
-def _flows_are_lost(rig):
+def _break_connections_silently(rig):
     for connection in rig.pools.pool_of("s0").connections:
         connection.transport.forget_flow()
 
 
 @pytest.mark.parametrize(("origin", "served"), [(True, 4), (False, 3)])
-def test_beside_an_attempt_that_is_silent_for_long_the_origins_idle_connections_are_not_used(origin, served):
-    # A cut leaves all connections dead and silent: each idle one would take an attempt and hold it.
+def test_idle_connections_to_the_origin_are_not_used_while_an_attempt_is_overdue(origin, served):
+    # A cut breaks all connections without a reset: an attempt on an idle one would wait for its timeout.
     rig = Rig(1)
     rig.pools.pool_of("s0").is_origin = origin
     for _ in range(3):
         rig.attempt(0)
     rig.net.run_for(0.05)
-    _flows_are_lost(rig)
+    _break_connections_silently(rig)
     rig.attempt(0, timeout_ms=5000.0)  # hangs
     rig.net.run_for(0.5)
     rig.attempt(0)
@@ -52,29 +57,29 @@
     assert rig.tally.outcomes[AttemptOutcome.SERVED] == served
 
 
-def test_a_node_is_unresponsive_only_while_an_attempt_is_overdue_and_nothing_came_since():
-    back = NodeConnectionPolicy(2500.0, GRACE_MS)
-    back.listed("a", "origin")
-    for at in range(0, 1000, 10):
-        back.answered("a", None, 100.0, float(at))
-    assert not back.unresponsive("a", 1000.0, 1390.0)  # four answers take 400 ms
-    assert back.unresponsive("a", 1000.0, 1410.0)
-    back.answered("a", None, 100.0, 1405.0)
-    assert not back.unresponsive("a", 1000.0, 1410.0)
-    assert not back.unresponsive("unknown", 1000.0, 9000.0)
+def test_a_node_is_unresponsive_while_an_attempt_is_overdue_and_no_later_answer_came():
+    policy = NodeConnectionPolicy(2500.0, GRACE_MS)
+    policy.listed("a", "origin")
+    for time_ms in range(0, 1000, 10):
+        policy.answered("a", None, 100.0, float(time_ms))
+    assert not policy.unresponsive("a", 1000.0, 1390.0)  # less than four mean answer times of 100 ms
+    assert policy.unresponsive("a", 1000.0, 1410.0)
+    policy.answered("a", None, 100.0, 1405.0)
+    assert not policy.unresponsive("a", 1000.0, 1410.0)
+    assert not policy.unresponsive("unknown", 1000.0, 9000.0)
 
 
-def test_a_node_that_answers_others_and_lets_no_more_connections_come_up_is_full():
-    back = NodeConnectionPolicy(2500.0, GRACE_MS)
-    back.listed("a", "cache")
-    back.answered("a", None, 5.0, 100.0)
+def test_timeouts_limit_connections_only_if_the_node_answers_on_others():
+    policy = NodeConnectionPolicy(2500.0, GRACE_MS)
+    policy.listed("a", "cache")
+    policy.answered("a", None, 5.0, 100.0)
     for _ in range(4):
-        back.timed_out("a", 3, 50.0, 300.0)
-    assert not back.may_open("a", 3, 301.0)
-    assert back.may_open("a", 2, 301.0)
-    back.listed("b", "cache")
-    back.answered("b", None, 5.0, 40.0)  # before the first was asked for
+        policy.timed_out("a", 3, 50.0, 300.0)
+    assert not policy.may_open("a", 3, 301.0)
+    assert policy.may_open("a", 2, 301.0)
+    policy.listed("b", "cache")
+    policy.answered("b", None, 5.0, 40.0)  # before its first connection was opened
     for _ in range(4):
-        back.timed_out("b", 3, 50.0, 300.0)
-    assert back.may_open("b", 3, 301.0)
-    assert not back.needs_idle_closed("b")
+        policy.timed_out("b", 3, 50.0, 300.0)
+    assert policy.may_open("b", 3, 301.0)
+    assert not policy.needs_idle_closed("b")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,8 @@
-"""Reads, writes and looks at open connections: short ones, interrupted ones, and all errors of Linux."""
+"""System calls on open connections that fail, are interrupted, or transfer only a part of the data.
+
+A transient error must change nothing for a client. An error that ends a connection must not lose a request
+that can still be sent, nor repeat one that may have run.
+"""
 
 import contextlib
 import errno
@@ -18,8 +22,8 @@
 from cloverwell.connections.node_policy import ConnectionUse
 from lab.proxy_testbed import SETTINGS
 
-PASSING = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
-BROKEN = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET]
+TRANSIENT = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
+CONNECTION_ERRORS = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET]
 RECEIPT = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"
 
 
@@ -30,52 +34,58 @@
 
 @pytest.fixture
 def proxy(outgoing):
-    """A proxy that gives connections longer than any request has: a machine that holds the test up for the
-    usual 250 ms would have a node marked as missed."""
+    """A proxy with a connect timeout that is longer than any request.
+
+    With the usual 250 ms, a delay of the test machine would have a node marked as missed.
+    """
     made = Rig(settings=SETTINGS | {"limits": SETTINGS["limits"] | {"connect-timeout": 9000.0}})
-    # On a busy machine handshakes take long enough for one more to be opened ahead of need.
+    # On a busy machine handshakes may be so slow that a further connection would be opened ahead.
     made.service.node_policy.ahead = lambda node, opened, now: 0
     yield made
     made.close()
 
 
-def whole(proxy, node, begin, end):
-    """The connection on which that command has come, to its last byte, and on no other.
+def connection_with(proxy, node, begin, end):
+    """Returns the connection on which the whole command from `begin` to `end` has arrived.
 
-    A last byte that the machine's load makes late leaves by a further connection, with less time."""
+    If the load of the machine makes a last byte late, the command is written again to another connection,
+    with less time.
+    """
     received = {}
 
-    def look():
+    def find():
         node._accept()
         for one in node.taken:
             with contextlib.suppress(BlockingIOError, ConnectionResetError):
                 received[one] = received.get(one, b"") + one.recv(1 << 16)
         return [one for one, data in received.items() if begin in data and data.endswith(end)]
 
-    (found,) = proxy.until(look, f"{begin!r} did not come")
+    (found,) = proxy.until(find, f"{begin!r} did not come")
     assert received[found].count(begin) == 1
     return found
 
 
 def exchange(proxy, conn, number, value=b"x" * 300):
-    """One read that a cache node answers, and one order at the origin, on one client's connection."""
+    """Plays a read that a cache node answers and an order at the origin, on one connection of a client."""
     conn.sendall(read(number))
-    node = whole(proxy, proxy.nodes[0], f"mg k{number} v O{number} Pc=page,t=acme,d=".encode(), b"\r\n")
+    node = connection_with(
+        proxy, proxy.nodes[0], f"mg k{number} v O{number} Pc=page,t=acme,d=".encode(), b"\r\n"
+    )
     node.sendall(f"VA {len(value)} O{number}\r\n".encode() + value + b"\r\n")
     assert proxy.got(conn, b"\r\n", 2) == f"VA {len(value)} O{number}\r\n".encode() + value + b"\r\n"
     conn.sendall(write(number + 1, value=value))
-    origin = whole(proxy, proxy.origin, f"PUT /k{number + 1} ".encode(), value)
+    origin = connection_with(proxy, proxy.origin, f"PUT /k{number + 1} ".encode(), value)
     origin.sendall(RECEIPT)
     assert proxy.got(conn, b"\r\n") == f"HD O{number + 1} cr1\r\n".encode()
-    proxy.skip(20)  # the origin's answer bears no id: its connection rests
+    proxy.skip(20)  # The origin's answer has no id, so its connection rests for a moment.
 
 
-# What passes ---------------------------------------------------------------------------------------
+# Transient errors ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("calls", ["recv", "send"])
-@pytest.mark.parametrize("number", PASSING)
-def test_an_error_that_passes_changes_nothing_for_a_client(proxy, number, calls):
+@pytest.mark.parametrize("number", TRANSIENT)
+def test_a_transient_error_on_a_clients_connection_changes_nothing(proxy, number, calls):
     failing = CallFaults(number, number)
     inject_accept_faults(proxy.service._port, **{calls: failing})
     exchange(proxy, proxy.client(), 1)
@@ -83,11 +93,11 @@
 
 
 @pytest.mark.parametrize("calls", ["recv", "send"])
-@pytest.mark.parametrize("number", PASSING)
-def test_an_error_that_passes_changes_nothing_at_a_node_or_the_origin(proxy, outgoing, number, calls):
+@pytest.mark.parametrize("number", TRANSIENT)
+def test_a_transient_error_on_a_nodes_connection_changes_nothing(proxy, outgoing, number, calls):
     at_node, at_origin = CallFaults(number, number), CallFaults(number, number)
-    outgoing.at(proxy.nodes[0].address, **{calls: at_node})
-    outgoing.at(proxy.origin.address, **{calls: at_origin})
+    outgoing.plan_calls(proxy.nodes[0].address, **{calls: at_node})
+    outgoing.plan_calls(proxy.origin.address, **{calls: at_origin})
     exchange(proxy, proxy.client(), 1)
     assert at_node.failed == at_origin.failed == 2
     if calls == "recv":
@@ -96,13 +106,13 @@
 
 
 @pytest.mark.parametrize("calls", ["recv", "send"])
-@pytest.mark.parametrize("number", PASSING)
-def test_an_error_that_passes_changes_nothing_for_the_watch(proxy, outgoing, number, calls):
+@pytest.mark.parametrize("number", TRANSIENT)
+def test_a_transient_error_on_the_connection_to_discovery_changes_nothing(proxy, outgoing, number, calls):
     failing = CallFaults(number)
-    outgoing.at(proxy.discovery.address, **{calls: failing})
+    outgoing.plan_calls(proxy.discovery.address, **{calls: failing})
     cancel_watch(proxy)
     proxy.service.endpoint_discovery.watch()
-    discovery = whole(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
+    discovery = connection_with(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     proxy.got(discovery, b"GET /v1/servers?after=42")
@@ -110,8 +120,8 @@
     assert "call failed" not in proxy.log.getvalue()
 
 
-def test_a_connection_that_can_not_be_looked_at_is_not_closed_for_it(proxy):
-    # A request may stand unread in it: that one is taken, and the close would lose it.
+def test_a_clients_connection_is_not_closed_if_the_check_for_unread_data_fails(proxy):
+    # A request may be unread in the connection, and would be lost by the close.
     peek = CallFaults()
     inject_accept_faults(proxy.service._port, peek=peek)
     conn = proxy.client()
@@ -119,7 +129,7 @@
     peek.faults = [errno.ENOMEM]
     conn.sendall(read(5, 30_000))
     (connection,) = proxy.service.side.connections
-    # As the sweep does with one that is overdue.
+    # The sweep calls this for an overdue connection.
     assert not connection.close_overdue(CloseReason.PARTIAL_COMMAND)
     assert peek.failed == 1
     (node,) = proxy.nodes[0].taken
@@ -128,16 +138,16 @@
     assert proxy.got(conn, b"y\r\n") == b"VA 1 O5\r\ny\r\n"
 
 
-@pytest.mark.parametrize("number", PASSING)
-def test_a_nodes_connection_that_can_not_be_looked_at_is_not_used(proxy, outgoing, number):
+@pytest.mark.parametrize("number", TRANSIENT)
+def test_a_nodes_connection_is_not_used_if_the_check_for_unread_data_fails(proxy, outgoing, number):
     peek = CallFaults()
-    outgoing.at(proxy.nodes[0].address, peek=peek)
+    outgoing.plan_calls(proxy.nodes[0].address, peek=peek)
     conn = proxy.client(read(1))
     node = proxy.nodes[0].take()
     proxy.got(node, b"mg k1 ")
     node.sendall(b"VA 1 O1\r\nx\r\n")
     proxy.got(conn, b"x\r\n")
-    node.sendall(b"VA 1 O1\r\nx\r\n")  # a second copy, that the look would have found
+    node.sendall(b"VA 1 O1\r\nx\r\n")  # a duplicate, which the failed check would have found
     peek.faults = [number]
     next(iter(proxy.service.side.connections)).dataReceived(read(2))
     second = proxy.nodes[0].take()
@@ -150,29 +160,29 @@
 # Short reads and writes ----------------------------------------------------------------------------
 
 
-# A byte a turn of the loop would be too slow to leave within the time that a command tells its node.
+# With one byte sent in each turn of the event loop, a command would be later than its propagated deadline.
 @pytest.mark.parametrize(("calls", "most"), [("recv", 1), ("recv", 7), ("send", 16), ("send", 50)])
 def test_short_reads_and_writes_change_nothing(proxy, outgoing, calls, most):
     inject_accept_faults(proxy.service._port, **{calls: CallFaults(most=most)})
     for node in (proxy.nodes[0], proxy.origin):
-        outgoing.at(node.address, **{calls: CallFaults(most=most)})
+        outgoing.plan_calls(node.address, **{calls: CallFaults(most=most)})
     conn = proxy.client()
     exchange(proxy, conn, 1)
     exchange(proxy, conn, 3)
 
 
-# Waits that a signal ends --------------------------------------------------------------------------
+# Signals --------------------------------------------------------------------------
 
 
-class Interrupted:
-    """An epoll object whose waits a signal ends now and then."""
+class InterruptedPoller:
+    """An epoll object of which every second wait is interrupted by a signal."""
 
     def __init__(self, poller):
-        self._poller, self.ended = poller, 0
+        self._poller, self.wait_count = poller, 0
 
     def poll(self, *arguments):
-        self.ended += 1
-        if self.ended % 2:
+        self.wait_count += 1
+        if self.wait_count % 2:
             raise InterruptedError(errno.EINTR, "a signal came")
         return self._poller.poll(*arguments)
 
@@ -180,24 +190,24 @@
         return getattr(self._poller, name)
 
 
-def test_a_wait_that_a_signal_ends_changes_nothing(proxy):
-    proxy.reactor._poller = Interrupted(proxy.reactor._poller)
+def test_interrupted_waits_change_nothing(proxy):
+    proxy.reactor._poller = InterruptedPoller(proxy.reactor._poller)
     exchange(proxy, proxy.client(), 1)
-    assert proxy.reactor._poller.ended > 2
+    assert proxy.reactor._poller.wait_count > 2
 
 
-def test_signals_that_come_all_the_time_change_nothing(proxy):
-    came = 0
+def test_frequent_signals_change_nothing(proxy):
+    signal_count = 0
 
     def count(*_):
-        nonlocal came
-        came += 1
+        nonlocal signal_count
+        signal_count += 1
 
     before = signal.signal(signal.SIGALRM, count)
     signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
     try:
         conn, number = proxy.client(), 1
-        while came < 100:
+        while signal_count < 100:
             exchange(proxy, conn, number)
             number += 2
     finally:
@@ -207,7 +217,7 @@
 
 @pytest.fixture
 def failing_polls(monkeypatch):
-    """Has so many polls in a row fail for want of memory."""
+    """Returns a function that makes the next polls fail because the kernel is short of memory."""
 
     def fail(times):
         calls = CallFaults(*[errno.ENOMEM] * times)
@@ -228,7 +238,7 @@
 
 
 @pytest.mark.parametrize(("fails", "seen"), [(1, True), (2, True), (3, False)])
-def test_a_look_for_clients_that_have_left_is_taken_again(fails, seen, failing_polls):
+def test_a_failed_poll_for_disconnected_clients_is_repeated(fails, seen, failing_polls):
     failing_polls(fails)
     ours, theirs = socket.socketpair()
     with ours:
@@ -237,7 +247,7 @@
 
 
 @pytest.mark.parametrize(("fails", "seen"), [(0, False), (2, False), (3, True)])
-def test_a_look_for_connections_that_wait_is_taken_again_and_else_they_are_taken_to_wait(
+def test_a_failed_poll_for_readable_sockets_is_repeated_and_then_counts_as_readable(
     fails, seen, failing_polls
 ):
     failing_polls(fails)
@@ -246,19 +256,21 @@
         assert is_readable(ours) is seen
 
 
-# What ends a connection ----------------------------------------------------------------------------
+# Errors that end a connection ----------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("number", BROKEN)
-@pytest.mark.parametrize(("cls", "again"), [("order", False), ("adjust", True)])
-def test_a_broken_connection_under_a_whole_request_may_have_run_it(proxy, outgoing, number, cls, again):
+@pytest.mark.parametrize("number", CONNECTION_ERRORS)
+@pytest.mark.parametrize(("cls", "is_retried"), [("order", False), ("adjust", True)])
+def test_a_request_may_have_run_if_its_connection_breaks_after_the_last_byte(
+    proxy, outgoing, number, cls, is_retried
+):
     broken = CallFaults(number)
-    outgoing.at(proxy.origin.address, recv=broken)
+    outgoing.plan_calls(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, cls=cls))
     origin = proxy.origin.take()
     proxy.got(origin, b"PUT /k1 ")
-    origin.sendall(RECEIPT)  # it has come, and the machine tells of the break instead
-    if again:
+    origin.sendall(RECEIPT)  # The receipt arrives, but the read fails.
+    if is_retried:
         second = proxy.origin.take()
         proxy.got(second, b"PUT /k1 ")
         second.sendall(RECEIPT)
@@ -270,50 +282,50 @@
     assert broken.failed == 1
 
 
-@pytest.mark.parametrize("number", BROKEN)
-def test_a_connection_that_breaks_before_the_last_byte_has_not_run_the_request(proxy, outgoing, number):
+@pytest.mark.parametrize("number", CONNECTION_ERRORS)
+def test_a_request_has_not_run_if_its_connection_breaks_before_the_last_byte(proxy, outgoing, number):
     proxy.service.node_policy.use = lambda node, age_ms, unsafe: ConnectionUse.SPLIT
     proxy.service.node_policy.hold_ms = lambda node: 1500.0
     broken = CallFaults(number)
-    outgoing.at(proxy.origin.address, recv=broken)
+    outgoing.plan_calls(proxy.origin.address, recv=broken)
     conn = proxy.client(write(1, value=b"ab"))
     origin = proxy.origin.take()
     assert proxy.got(origin, b"\r\n\r\na").endswith(b"\r\n\r\na")
     proxy.service.node_policy.hold_ms = lambda node: 5.0
     origin.sendall(b"x")
-    second = whole(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
+    second = connection_with(proxy, proxy.origin, b"PUT /k1 ", b"\r\n\r\nab")
     assert second is not origin
     second.sendall(RECEIPT)
     assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
 
 
-@pytest.mark.parametrize("number", [*BROKEN, errno.EPIPE])
-def test_a_command_of_which_not_a_byte_left_goes_by_another_connection(proxy, outgoing, number):
+@pytest.mark.parametrize("number", [*CONNECTION_ERRORS, errno.EPIPE])
+def test_a_command_goes_to_another_connection_if_no_byte_of_it_could_be_sent(proxy, outgoing, number):
     broken = CallFaults(number)
-    outgoing.at(proxy.origin.address, send=broken)
+    outgoing.plan_calls(proxy.origin.address, send=broken)
     conn = proxy.client(write(1))
-    whole(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
+    connection_with(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
     assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
     assert "marked missed" not in proxy.log.getvalue()
 
 
-@pytest.mark.parametrize("number", BROKEN)
+@pytest.mark.parametrize("number", CONNECTION_ERRORS)
 @pytest.mark.parametrize("head", [b"Connection: close\r\n", b"Content-Length: 9\r\n"])
-def test_an_answer_whose_connection_breaks_is_never_a_whole_one(proxy, outgoing, number, head):
-    outgoing.at(proxy.origin.address, recv=CallFaults(None, number))
+def test_an_answer_is_incomplete_if_its_connection_breaks(proxy, outgoing, number, head):
+    outgoing.plan_calls(proxy.origin.address, recv=CallFaults(None, number))
     conn = proxy.client(write(1, 900))
     origin = proxy.origin.take()
     proxy.got(origin, b"PUT /k1 ")
     origin.sendall(b"HTTP/1.1 200 OK\r\n" + head + b"\r\nreceipt")
     proxy.turn()
-    origin.close()  # an end that would do, but the machine tells of a break
+    origin.close()  # This close would complete the answer, but the read fails.
     assert proxy.got(conn, b"\r\n") == b"SERVER_ERROR failed\r\n"
 
 
 @pytest.mark.parametrize("answer", [b"VA 5 O1\r\nhello", b"VA 5 O1\r\n", b"EN", b"VA 5 O1\r\nhello\r"])
-def test_the_end_of_a_connection_makes_no_nodes_answer_whole(proxy, answer):
+def test_the_close_of_a_connection_does_not_complete_a_cache_nodes_answer(proxy, answer):
     conn = proxy.client(read(1))
     node = proxy.nodes[0].take()
     proxy.got(node, b"mg k1 ")
@@ -328,8 +340,8 @@
     assert proxy.got(conn, b"\r\n", 2) == b"VA 5 O1\r\nworld\r\n"
 
 
-@pytest.mark.parametrize("number", BROKEN)
-def test_a_clients_connection_that_breaks_is_a_client_that_has_left(proxy, outgoing, number):
+@pytest.mark.parametrize("number", CONNECTION_ERRORS)
+def test_a_broken_connection_of_a_client_counts_as_disconnected(proxy, outgoing, number):
     inject_accept_faults(proxy.service._port, recv=CallFaults(None, number))
     failing = outgoing.fail_socket(proxy.origin.address, always=errno.ENFILE)
     conn = proxy.client(write(1, 1900))
@@ -342,8 +354,8 @@
     assert not proxy.service.side.connections
 
 
-class Telling:
-    """A socket whose kernel tells that much of its connection, or fails."""
+class SocketWithInfo:
+    """A socket whose TCP_INFO is these bytes, or fails with this error."""
 
     def __init__(self, info):
         self.info = info
@@ -355,12 +367,14 @@
 
 
 @pytest.mark.parametrize("info", [OSError(errno.ENOPROTOOPT, ""), OSError(errno.EINVAL, ""), b"", b"x" * 54])
-def test_bytes_whose_age_the_kernel_can_not_tell_count_as_new(info):
-    assert received_ago_ms(Telling(info)) == 0.0
+def test_received_bytes_count_as_new_if_the_kernel_can_not_tell_their_age(info):
+    assert received_ago_ms(SocketWithInfo(info)) == 0.0
 
 
-def test_the_age_of_the_last_bytes_is_read():
-    assert received_ago_ms(Telling(bytes(52) + (1234).to_bytes(4, sys.byteorder) + bytes(40))) == 1234.0
+def test_the_age_of_the_last_received_bytes_is_read():
+    assert (
+        received_ago_ms(SocketWithInfo(bytes(52) + (1234).to_bytes(4, sys.byteorder) + bytes(40))) == 1234.0
+    )
     left, right = socket.socketpair()
     with left, right:  # no TCP connection
         assert received_ago_ms(left) == 0.0
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -1,7 +1,8 @@
-"""The time that an attempt tells its node: at most what its client has left when its last byte is written.
+"""The propagated deadline: a command never gives its node more time than its client still waits.
 
-Every wait between the choice of an attempt and its last byte is forced: a connection that comes up late or
-rests, a close that has to clear first, a last byte that is kept back, a machine that takes a part of it.
+What counts is the moment at which the last byte is written. The tests force each delay between the decision
+and that moment: a connection that is opened late or rests, a close that must reach a node first, a last byte
+that is held back, a socket that takes only a part of the command.
 """
 
 import re
@@ -18,160 +19,158 @@
 
 WHOLE = re.compile(rb"mg [^\r]*\r\n|GET .*?\r\n\r\n|PUT .*?\r\n\r\na", re.S)
 ID = re.compile(rb"(?: O|Request-Id: )(\d+)")
-WAITED_MS = 120  # that the clients of these tests stand in a pool
+WAITED_MS = 120  # how long the attempts of these tests wait in a pool
 
 
-def told_ms(data):
-    """What each command in `data` tells its node, in the order of the commands."""
+def propagated_ms(data):
+    """Returns the propagated deadline of each command in `data`, in ms."""
     return [int(number) for number in re.findall(rb"d=(-?\d+)", data)]
 
 
-def sent(player, party, place=1):
+def written(player, party, place=1):
     return player.connection(party, place - 1)[1].value()
 
 
-def late(player, ms):
-    """The clock goes on, and the loop has no turn."""
+def stall(player, ms):
+    """Advances the clock without a turn of the event loop."""
     player.reactor.rightNow += ms / 1000.0
 
 
-def without_copies():
+def settings_without_copies():
     return SETTINGS | {"limits": SETTINGS["limits"] | {"second-copies": False}}
 
 
 @pytest.mark.parametrize(
     ("command", "party"), [("mg k1 v O1 Pc=page,t=acme,", "s1"), ("ms k1 1 O1 Pc=order,t=acme,", "origin")]
 )
-def test_what_has_waited_for_its_connection_tells_what_is_left_then(command, party):
-    # Seen on `split+brink`: 1a7f0925c71df951 was chosen with 4212 ms left, waited 230 ms for a connection
-    # to the origin, and told 4199 ms where 3982 were left.
+def test_an_attempt_that_waited_for_its_connection_tells_the_time_that_is_left(command, party):
+    # If the propagated deadline is computed when the attempt is decided, it is too long by the time that the
+    # attempt then waits for a connection: 230 ms of 4212 ms in one case.
     player = Player()
     body = "|a" if command.startswith("ms") else ""
     player.play(f"client send {command}d=900{body}\nwait {WAITED_MS}")
-    told = told_ms(sent(player, party))
-    assert len(told) == 1
-    assert 0 < told[0] <= 900 - WAITED_MS
+    propagated = propagated_ms(written(player, party))
+    assert len(propagated) == 1
+    assert 0 < propagated[0] <= 900 - WAITED_MS
 
 
-def test_what_has_waited_behind_an_answer_tells_what_is_left_then():
-    # The origin's connection rests behind an answer without an id; a further one is on its way meanwhile.
+def test_an_attempt_that_waited_for_a_resting_connection_tells_the_time_that_is_left():
+    # The connection to the origin rests after an answer without an id, while a further one is being opened.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT *")
     player.play("client#2 send ms k2 1 O2 Pc=order,t=acme,d=900|a\nwait 100")
     player.play("origin send 200 r1\nclient expect HD O1 cr1\nwait 20")
-    told = told_ms(sent(player, "origin"))
-    assert len(told) == 1
-    assert 0 < told[0] <= 900 - 120
+    propagated = propagated_ms(written(player, "origin"))
+    assert len(propagated) == 1
+    assert 0 < propagated[0] <= 900 - 120
 
 
-def test_a_further_attempt_that_waits_for_the_close_of_the_first_tells_what_is_left_then():
-    player = Player(settings=without_copies())
+def test_an_attempt_that_waited_for_the_close_of_the_first_tells_the_time_that_is_left():
+    player = Player(settings=settings_without_copies())
     player.service.node_policy.reach_ms = lambda node: 60.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
     player.play(f"wait {WAITED_MS}")
-    told = told_ms(sent(player, "origin", 2))
-    assert len(told) == 1
-    assert 0 < told[0] <= 900 - WAITED_MS
+    propagated = propagated_ms(written(player, "origin", 2))
+    assert len(propagated) == 1
+    assert 0 < propagated[0] <= 900 - WAITED_MS
 
 
-def test_an_attempt_with_no_time_left_to_tell_is_not_sent_and_its_request_is_answered():
+def test_an_attempt_without_time_left_is_not_sent_and_its_request_is_answered():
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=120")
-    late(player, 119)
-    assert sent(player, "s1") == b""
+    stall(player, 119)
+    assert written(player, "s1") == b""
     player.play("wait 5\nclient expect SERVER_ERROR *")
     assert player.service.dispatcher.open_count == 0
 
 
-def test_a_connection_keeps_its_place_when_what_it_was_given_has_no_time_left():
+def test_a_connection_can_be_used_after_an_attempt_that_had_no_time_left():
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=120")
-    late(player, 119)
-    assert sent(player, "s1") == b""
+    stall(player, 119)
+    assert written(player, "s1") == b""
     player.play("wait 5\nclient expect SERVER_ERROR *")
     player.play("client send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
 
 
-def split(player):
-    """An order whose last byte is kept back, on a connection that has stood idle where others broke."""
-    player.service.node_policy.use = lambda node, age_ms, dear: (
-        ConnectionUse.SPLIT if dear else ConnectionUse.WHOLE
+def send_split_order(player):
+    """Sends an order whose last byte is held back, and returns what was written to the origin."""
+    player.service.node_policy.use = lambda node, age_ms, costly: (
+        ConnectionUse.SPLIT if costly else ConnectionUse.WHOLE
     )
     player.service.node_policy.hold_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a")
-    return sent(player, "origin")
+    return written(player, "origin")
 
 
-def test_what_is_told_holds_at_a_last_byte_that_was_kept_back():
+def test_the_propagated_deadline_holds_for_a_last_byte_that_was_held_back():
     player = Player()
-    assert not split(player).endswith(b"a")
+    assert not send_split_order(player).endswith(b"a")
     player.play("wait 45")
-    data = sent(player, "origin")
+    data = written(player, "origin")
     assert data.endswith(b"a")
-    assert 0 < told_ms(data)[0] <= 900 - 45
+    assert 0 < propagated_ms(data)[0] <= 900 - 45
 
 
-@pytest.mark.parametrize("held_up_ms", [150, 300])  # within the time for a connection, and past it
-def test_a_last_byte_that_leaves_too_late_for_what_was_told_is_written_anew_elsewhere(held_up_ms):
-    # The loop is held up while the byte is kept back: the command would tell so much too much.
+@pytest.mark.parametrize("stall_ms", [150, 300])  # within the time for a connection, and longer
+def test_a_command_whose_last_byte_is_too_late_is_written_to_another_connection(stall_ms):
+    # The event loop stalls while the byte is held back, so that the propagated deadline is too long by then.
     player = Player()
-    first = split(player)
+    first = send_split_order(player)
     player.service.node_policy.hold_ms = lambda node: 1.0
-    late(player, held_up_ms)
+    stall(player, stall_ms)
     player.play("wait 5")
-    assert sent(player, "origin") == first, "the last byte left all the same"
+    assert written(player, "origin") == first, "the last byte was written too late"
     player.play("origin expect end\nwait 1")
-    sent(player, "origin", 2)
+    written(player, "origin", 2)
     player.play("wait 20")
-    data = sent(player, "origin", 2)
+    data = written(player, "origin", 2)
     assert data.endswith(b"a")
-    assert 0 < told_ms(data)[0] <= 900 - held_up_ms
+    assert 0 < propagated_ms(data)[0] <= 900 - stall_ms
     player.play("origin#2 send 200 r1\nclient expect HD O1 cr1")
 
 
-def test_a_last_byte_that_was_kept_back_does_not_leave_past_the_drain_time():
+def test_a_last_byte_that_was_held_back_is_not_written_after_the_drain_time():
     guarantees = SETTINGS["guarantees"] | {"drain-grace": 210.0}
     player = Player(settings=SETTINGS | {"guarantees": guarantees})
-    first = split(player)
+    first = send_split_order(player)
     player.service.node_policy.left("origin", player.now())
     player.play("wait 45")
-    assert sent(player, "origin") == first
+    assert written(player, "origin") == first
 
 
-@pytest.mark.parametrize(("waited_ms", "leaves"), [(8, True), (200, False)])
-def test_the_last_byte_of_a_command_that_the_machine_takes_slowly_is_kept_until_all_else_is_taken(
-    waited_ms, leaves
-):
+@pytest.mark.parametrize(("waited_ms", "is_sent"), [(8, True), (200, False)])
+def test_the_last_byte_is_held_back_until_the_kernel_has_taken_the_rest_of_the_command(waited_ms, is_sent):
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT *\norigin send 200 r1")
     protocol, transport = player.connection("origin", 0)
-    takes = transport.send
-    transport.send = lambda data: takes(data[:10])
+    send_whole = transport.send
+    transport.send = lambda data: send_whole(data[:10])
     player.play("client expect HD O1 cr1\nwait 20\nclient send ms k2 1 O2 Pc=order,t=acme,d=900|b")
     assert protocol.has_partial_write
     assert not transport.value().endswith(b"b")
-    late(player, waited_ms)
-    transport.send = takes
-    protocol.resumeProducing()  # the machine has taken what it was given
+    stall(player, waited_ms)
+    transport.send = send_whole
+    protocol.resumeProducing()  # The kernel has taken what it was given.
     player.play("wait 6")
-    assert transport.value().endswith(b"b") == leaves
-    if not leaves:  # it never ran, and what it would have told has passed: anew on another connection
-        data = sent(player, "origin", 2)
+    assert transport.value().endswith(b"b") == is_sent
+    if not is_sent:  # The command never ran, and is written with less time to another connection.
+        data = written(player, "origin", 2)
         assert data.endswith(b"b")
-        assert 0 < told_ms(data)[0] <= 900 - waited_ms
+        assert 0 < propagated_ms(data)[0] <= 900 - waited_ms
 
 
-class Watched(Player):
-    """Checks each command at its last byte against what its client has left by then."""
+class CheckedPlayer(Player):
+    """Checks the propagated deadline of each command against the time that its client still waits."""
 
     def __init__(self, **more):
         super().__init__(**more)
         self.deadlines = {}  # request id -> clock time at which its client gives up
         self.checked = 0
 
-    def ask(self, number, write, wait_ms):
+    def send_request(self, number, write, wait_ms):
         name = f"{number}"
         self.deadlines[name] = self.now() + wait_ms
         head, body = (f"ms k{name} 1", "|a") if write else (f"mg k{name} v", "")
@@ -179,13 +178,13 @@
         self.play(f"client#{number} send {head} O{name} Pc={cls},t=acme,d={wait_ms}{body}")
 
     def check(self, party, place):
-        """Each command of a connection is checked once, at the first look behind its last byte."""
+        """Checks each command of a connection once, as soon as its last byte has been written."""
         _, transport = self.connection(party, place)
         data = transport.value()
         for command in WHOLE.finditer(data):
-            name, told = ID.search(command[0])[1].decode(), told_ms(command[0])[0]
-            assert told >= 1, f"{name} told {told}"
-            assert self.now() + told <= self.deadlines[name], f"{name} told {told}"
+            name, propagated = ID.search(command[0])[1].decode(), propagated_ms(command[0])[0]
+            assert propagated >= 1, f"{name} was told {propagated}"
+            assert self.now() + propagated <= self.deadlines[name], f"{name} was told {propagated}"
             self.checked += 1
         rest = WHOLE.sub(b"", data)
         transport.clear()
@@ -208,23 +207,23 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(steps=STEPS, kept_back=st.booleans())
-def test_over_any_order_of_waits_closes_lags_and_writes_nothing_tells_more_than_is_left(steps, kept_back):
-    player = Watched()
-    if kept_back:
-        player.service.node_policy.use = lambda node, age_ms, dear: ConnectionUse.SPLIT
+@given(steps=STEPS, held_back=st.booleans())
+def test_no_command_tells_more_time_than_is_left_in_any_order_of_events(steps, held_back):
+    player = CheckedPlayer()
+    if held_back:
+        player.service.node_policy.use = lambda node, age_ms, costly: ConnectionUse.SPLIT
     asked = 0
     for step, *more in steps:
         match step, more:
             case "ask", (write, wait_ms):
                 asked += 1
-                player.ask(asked, write, wait_ms)
+                player.send_request(asked, write, wait_ms)
             case "wait", (ms,):
                 for _ in range(ms):
                     player.play("wait 1")
-                    watch(player)
+                    check_all(player)
             case "late", (ms,):
-                late(player, ms)
+                stall(player, ms)
             case "connect", (party,):
                 if (factory := player.next_asked(party)) is not None:
                     player.waiting.setdefault(party, []).insert(0, factory)
@@ -242,14 +241,14 @@
                     protocol, transport = player.opened[party][place]
                     transport.__dict__.pop("send", None)
                     protocol.resumeProducing()
-        watch(player)
+        check_all(player)
     player.play("wait 2100")
     assert player.service.dispatcher.open_count == 0
     assert "deadline.exceeded_at_send" not in player.service.counts.line()
 
 
-def test_an_attempt_that_tells_its_node_more_than_its_client_has_left_is_counted(monkeypatch):
-    # That the check above can fail.
+def test_an_attempt_that_tells_its_node_more_time_than_is_left_is_counted(monkeypatch):
+    # The check above can fail: here each command has a propagated deadline of 5 s.
     monkeypatch.setattr(Attempt, "left_ms", lambda self, now, delay_ms=0.0: 5000)
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 v O1 *\ns1 send VA 1 O1|x")
@@ -259,7 +258,7 @@
 
 
 def clog(transport, taken):
-    """The machine takes so many bytes of what is written next, and nothing until it is drained."""
+    """Makes the socket take `taken` more bytes, and then none until it is drained."""
     room = [taken]
 
     def send(data):
@@ -273,11 +272,11 @@
 
 
 def open_connection(player, party, place):
-    held = player.opened.get(party, [])
-    return place < len(held) and not held[place][1].ended and not held[place][0].ended
+    connections = player.opened.get(party, [])
+    return place < len(connections) and not connections[place][1].ended and not connections[place][0].ended
 
 
-def watch(player):
+def check_all(player):
     for party in ("s1", "origin"):
         for place in range(len(player.opened.get(party, []))):
             player.check(party, place)
@@ -293,50 +292,52 @@
         player.play(f"{party}#{place + 1} send {words}")
 
 
-# Since when a client's request is on its way ---------------------------------------------------------
+# The time from which a client's deadline counts ---------------------------------------------------------
 
 
-def test_a_value_that_comes_slowly_counts_from_its_first_byte():
+def test_the_deadline_of_a_slow_command_counts_from_its_first_byte():
     player = Player()
     client, _ = player.connection("client", 0)
     client.dataReceived(b"ms k1 1 O1 Pc=order,t=acme,d=900\r\n")
     player.play("wait 300")
     client.dataReceived(b"a\r\n")
-    told = told_ms(sent(player, "origin"))
-    assert len(told) == 1
-    assert 0 < told[0] <= 900 - 300
+    propagated = propagated_ms(written(player, "origin"))
+    assert len(propagated) == 1
+    assert 0 < propagated[0] <= 900 - 300
 
 
-def test_a_command_behind_a_slow_one_counts_from_its_own_first_byte():
+def test_the_deadline_of_a_command_after_a_slow_one_counts_from_its_own_first_byte():
     player = Player()
     client, _ = player.connection("client", 0)
     client.dataReceived(b"mg k1 v O1 Pc=page,t=acme,")
     player.play("wait 300")
     client.dataReceived(b"d=900\r\nmg k2 v O2 Pc=page,t=acme,d=900\r\n")
-    # Each has a connection of its own: what stands on the second is the second's.
-    assert told_ms(sent(player, "s1", 1))[0] <= 600 < told_ms(sent(player, "s1", 2))[0] <= 900
+    # Each attempt has a connection of its own: the second attempt is on the second connection.
+    assert (
+        propagated_ms(written(player, "s1", 1))[0] <= 600 < propagated_ms(written(player, "s1", 2))[0] <= 900
+    )
 
 
-def test_what_lay_unread_while_its_client_was_not_read_counts_from_then():
-    # 64 commands are in hand: the client is not read until one of them is answered, 100 ms later.
+def test_the_deadline_of_an_unread_command_counts_from_when_reading_paused():
+    # With 64 open commands the client is not read until one of them is answered, 100 ms later.
     player = Player()
     client, transport = player.connection("client", 0)
-    transport.unread = b"m"  # stands in the machine
+    transport.unread = b"m"  # received by the kernel, and not read
     reads = b"".join(b"mg k1 v O%d Pc=page,t=acme,d=1900\r\n" % number for number in range(64))
     client.dataReceived(reads)
     player.play("s1 expect mg k1 v O0 *\nwait 100\ns1 send VA 1 O0|a")
     transport.unread = b""
     client.dataReceived(b"ms k9 1 O99 Pc=order,t=acme,d=900|a\r\n".replace(b"|", b"\r\n"))
-    told = told_ms(sent(player, "origin"))
-    assert len(told) == 1
-    assert 0 < told[0] <= 900 - 100
+    propagated = propagated_ms(written(player, "origin"))
+    assert len(propagated) == 1
+    assert 0 < propagated[0] <= 900 - 100
 
 
-def test_what_comes_after_such_a_time_counts_from_when_it_is_read():
+def test_the_deadline_of_a_later_command_counts_from_its_arrival():
     player = Player()
     client, _ = player.connection("client", 0)
     reads = b"".join(b"mg k1 v O%d Pc=page,t=acme,d=1900\r\n" % number for number in range(64))
     client.dataReceived(reads)
     player.play("s1 expect mg k1 v O0 *\nwait 100\ns1 send VA 1 O0|a")
     client.dataReceived(b"ms k9 1 O99 Pc=order,t=acme,d=900|a\r\n".replace(b"|", b"\r\n"))
-    assert told_ms(sent(player, "origin"))[0] > 870
+    assert propagated_ms(written(player, "origin"))[0] > 870
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,6 +1,7 @@
-"""What waits for a connection, a place or a close: not sent when its time is over or its client has left.
+"""Attempts that wait for a connection, for capacity or for a close.
 
-The instant is forced: `late` lets the clock run on without a turn of the loop, as when the loop was held up.
+They must not be sent once they are too late or their client has disconnected. `stall` advances the clock
+without a turn of the event loop, as when the loop is blocked.
 """
 
 import json
@@ -12,16 +13,16 @@
 from lab.proxy_testbed import SETTINGS
 
 
-def late(player, ms):
+def stall(player, ms):
     player.reactor.rightNow += ms / 1000.0
 
 
-def told(player, member, revision=42):
+def send_list(player, member, revision=42):
     listing = {"revision": revision, "complete": False, "members": [member]}
     player.play(f"discovery expect GET *\ndiscovery send 200 {json.dumps(listing)}")
 
 
-def sent(player, name, place=1):
+def written(player, name, place=1):
     return player.connection(name, place - 1)[1].value()
 
 
@@ -29,66 +30,71 @@
     return SETTINGS | {part: SETTINGS[part] | more}
 
 
-def test_a_connection_that_comes_up_late_is_not_given_to_an_attempt_whose_time_is_over():
+def test_an_attempt_that_is_too_late_is_not_written_to_a_connection_that_is_opened():
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=1900")
-    late(player, 251)
-    assert sent(player, "s1") == b""
+    stall(player, 251)
+    assert written(player, "s1") == b""
     player.play("client expect SERVER_ERROR busy*")
-    # Its place came back, and the connection serves the next.
+    # The queue is empty again, and the connection serves the next request.
     assert not player.service.pools.pool_of("s1")._waiting.attempts
     player.play("wait 600\nclient send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
 
 
-@pytest.mark.parametrize(("waited", "leaves"), [(190, True), (201, False)])
-def test_a_repeat_whose_window_ends_while_it_waits_for_a_connection_is_not_sent(waited, leaves):
-    # Nodes drop a repeat for 1500 ms: one that leaves later may run twice.
+@pytest.mark.parametrize(("waited", "is_sent"), [(190, True), (201, False)])
+def test_a_repeated_write_is_not_sent_if_its_window_ends_while_it_waits(waited, is_sent):
+    # A node recognizes a repeated write for 1500 ms: one that is sent later may run twice.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=1950|a\norigin expect PUT *")
     player.play("wait 1300\norigin close")
-    late(player, waited)
-    assert bool(sent(player, "origin", 2)) == leaves
-    if not leaves:
+    stall(player, waited)
+    assert bool(written(player, "origin", 2)) == is_sent
+    if not is_sent:
         player.play("wait 5\nclient expect SERVER_ERROR busy*")
 
 
-@pytest.mark.parametrize(("grace", "waited", "leaves"), [(300, 90, True), (300, 101, False), (150, 1, False)])
-def test_an_attempt_that_waits_for_a_connection_does_not_leave_past_the_drain_time(grace, waited, leaves):
-    # Of what the site allows 150 ms are for a hold-up before the write, and 50 are the way there.
+@pytest.mark.parametrize(
+    ("grace", "waited", "is_sent"), [(300, 90, True), (300, 101, False), (150, 1, False)]
+)
+def test_an_attempt_that_waits_for_a_connection_is_not_sent_after_the_drain_time(grace, waited, is_sent):
+    # Of the drain time, 150 ms are kept for a stall before the write, and 50 ms for the way to the node.
     player = Player(settings=settings_with("guarantees", **{"drain-grace": float(grace)}))
     player.play("wait 100\nclient send mg k1 v O1 Pc=page,t=acme,d=900")
-    told(player, {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"})
-    late(player, waited)
-    assert bool(sent(player, "s1")) == leaves
-    if not leaves:
+    send_list(player, {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"})
+    stall(player, waited)
+    assert bool(written(player, "s1")) == is_sent
+    if not is_sent:
         player.play("wait 5\norigin expect GET /k1 *\norigin send 200 a\nclient expect VA 1 O1|a")
 
 
-def test_a_write_whose_client_left_while_it_waited_for_a_connection_is_not_sent():
-    # Seen in Dispatcher.gone: every attempt of a write was let go on, also one of which no byte had left.
+def test_a_write_that_waits_for_a_connection_is_not_sent_if_its_client_disconnects():
+    # The attempts of a write go on when its client disconnects, but one of which no byte was sent must not.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=1900|a\nclient close\nwait 10")
-    assert sent(player, "origin") == b""
+    assert written(player, "origin") == b""
     assert not player.service.dispatcher.open_count
 
 
-def test_a_write_whose_client_left_while_it_waited_for_a_place_is_not_sent():
+def test_a_write_that_waits_for_capacity_is_not_sent_if_its_client_disconnects():
     player = Player()
-    count = 40  # more than the origin is asked for at once
+    count = 40  # more than are sent to the origin at once
     for place in range(1, count + 1):
         player.play(f"client#{place} send ms k{place} 1 O{place} Pc=order,t=acme,d=1900|a")
-    out = player.service.pools.pool_of("origin").opening_count
-    assert 1 < out < count
-    for place in range(1, out + 1):
-        assert b"PUT" in sent(player, "origin", place)
-    for place in range(out + 1, count + 1):
+    sent_count = player.service.pools.pool_of("origin").opening_count
+    assert 1 < sent_count < count
+    for place in range(1, sent_count + 1):
+        assert b"PUT" in written(player, "origin", place)
+    for place in range(sent_count + 1, count + 1):
         player.play(f"client#{place} close")
-    player.play("\n".join(f"origin#{place} send 200 r" for place in range(1, out + 1)) + "\nwait 300")
+    player.play("\n".join(f"origin#{place} send 200 r" for place in range(1, sent_count + 1)) + "\nwait 300")
     assert player.service.dispatcher.open_count == 0
-    assert sum(sent(player, "origin", place).count(b"PUT") for place in range(1, out + 1)) == out
+    assert (
+        sum(written(player, "origin", place).count(b"PUT") for place in range(1, sent_count + 1))
+        == sent_count
+    )
 
 
-def test_a_write_that_is_out_is_let_finish_though_its_client_has_left():
+def test_a_write_in_flight_goes_on_if_its_client_disconnects():
     player = Player()
     player.play(
         "client send ms k1 1 O1 Pc=order,t=acme,d=1900|a\norigin expect PUT *\nclient close\nwait 400"
@@ -99,9 +105,9 @@
     assert player.service.dispatcher.open_count == 0
 
 
-@pytest.mark.parametrize("stays", [True, False])
-def test_a_second_attempt_that_waits_for_the_close_of_the_first(stays):
-    # Where a request may not have two attempts out together, the next waits until the close has arrived.
+@pytest.mark.parametrize("client_stays", [True, False])
+def test_a_second_attempt_waits_for_the_close_of_the_first(client_stays):
+    # Where a request must not have two attempts in flight, the next waits until the close reaches the node.
     player = Player(settings=settings_with("limits", **{"second-copies": False}))
     player.service.node_policy.reach_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
@@ -110,7 +116,7 @@
     player.play("origin expect end\nwait 30")
     assert player.next_asked("origin") is None
     assert player.service.dispatcher.open_count == 1
-    if stays:
+    if client_stays:
         player.play("wait 15\norigin#2 expect PUT /k1 *\norigin#2 send 200 r\nclient expect HD O1 cr")
     else:
         player.play("client close\nwait 300")
@@ -118,8 +124,8 @@
         assert player.service.dispatcher.open_count == 0
 
 
-def test_a_command_that_was_cut_off_in_the_middle_never_ran_and_goes_elsewhere():
-    # The machine has taken three bytes when the node breaks off: an order can't run without its last byte.
+def test_a_command_that_was_only_partly_sent_goes_to_another_connection():
+    # The kernel has taken three bytes when the node closes: an order can't run without its last byte.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=1900|a")
     player.play("origin expect PUT *\norigin send 200 r1\nclient expect HD O1 cr1")
@@ -129,7 +135,7 @@
     player.play("origin#2 expect PUT /k2 *\nwait 50\norigin#2 send 200 r2\nclient expect HD O2 cr2")
 
 
-def test_a_command_of_which_the_rest_still_waits_to_leave_is_not_sent_on_for_a_client_that_left():
+def test_a_command_that_was_only_partly_sent_is_dropped_if_its_client_disconnects():
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=1900|a\norigin expect PUT *\norigin send 200 r0")
     _, transport = player.connection("origin", 0)
@@ -140,13 +146,13 @@
     assert player.service.dispatcher.open_count == 0
 
 
-def test_a_node_that_moves_gets_nothing_more_at_its_old_address():
+def test_nothing_more_is_sent_to_the_old_address_of_a_node():
     player = Player()
     player.ports["s1b"] = 301
     player.play("wait 100\nclient send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 *")
-    player.play("client#2 send mg k2 v O2 Pc=page,t=acme,d=900")  # its connection is on its way
-    told(player, {"id": "s1", "host_port": "127.0.0.9:301", "flavor": "large"})
-    # What is out is let finish, and its connection goes; the other one is never used.
+    player.play("client#2 send mg k2 v O2 Pc=page,t=acme,d=900")  # Its connection is being opened.
+    send_list(player, {"id": "s1", "host_port": "127.0.0.9:301", "flavor": "large"})
+    # The attempt in flight goes on, and its connection is closed after it; the other one is never used.
     player.play("s1 send VA 1 O1|a\nclient expect VA 1 O1|a\ns1 expect end")
     factory = player.next_asked("s1")
     assert factory.buildProtocol(None) is None
@@ -155,9 +161,10 @@
 
 
 @pytest.mark.parametrize("after_ms", [0, 3, 12])
-def test_a_second_answer_some_milliseconds_late_is_never_the_next_requests(after_ms):
-    # Seen on a join day: a spoilt copy of one receipt came 0.5 ms behind the next write, and was served.
-    # The origin's answers bear no id, so its connection rests until such a copy would have come.
+def test_a_late_duplicate_answer_is_not_read_as_that_of_the_next_request(after_ms):
+    # A duplicate of one receipt may arrive just after the next write, for example 0.5 ms later, and would be
+    # served as its receipt. The origin's answers have no id, so its connection rests until such a duplicate
+    # would have arrived.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *\norigin send 200 r1")
     player.play("client expect HD O1 cr1\nclient send ms k2 1 O2 Pc=order,t=acme,d=900|a")
@@ -165,7 +172,7 @@
     player.play("wait 50\norigin#2 expect PUT /k2 *\norigin#2 send 200 r2\nclient expect HD O2 cr2")
 
 
-def test_a_connection_that_rests_is_taken_again_instead_of_a_new_one():
+def test_a_resting_connection_is_used_again_instead_of_a_new_one():
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *\norigin send 200 r1")
     player.play("client expect HD O1 cr1\nclient send ms k2 1 O2 Pc=order,t=acme,d=900|a\nwait 20")
@@ -173,7 +180,7 @@
     assert player.next_asked("origin") is None
 
 
-def test_of_two_that_wait_the_second_does_not_count_on_the_connection_that_the_first_takes():
+def test_two_waiting_attempts_do_not_count_on_the_same_resting_connection():
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *\norigin send 200 r1")
     player.play("client send ms k2 1 O2 Pc=order,t=acme,d=900|a")
@@ -181,28 +188,28 @@
     player.play("wait 20\norigin expect PUT /k3 *")
 
 
-def test_an_attempt_that_waits_for_a_connection_at_rest_does_not_end_with_one_that_fails():
+def test_an_attempt_that_waits_for_a_resting_connection_survives_one_that_fails():
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *")
-    player.play("client#2 send ms k2 1 O2 Pc=order,t=acme,d=900|a")  # asks for one more
+    player.play("client#2 send ms k2 1 O2 Pc=order,t=acme,d=900|a")  # opens a second connection
     player.play("origin send 200 r1\nclient expect HD O1 cr1\norigin#2 close\nwait 20")
     player.play("origin expect PUT /k2 *\norigin send 200 r2\nclient#2 expect HD O2 cr2")
     assert "origin.connect_failed" not in player.service.counts.line()
 
 
 @pytest.mark.parametrize("line", ["SERVER_ERROR busy", "SERVER_ERROR failed"])
-def test_nor_is_a_nodes_refusal_which_bears_no_id_either(line):
-    # Taken for the next one's, a late copy would count a read that ran as one that never did.
+def test_a_late_duplicate_refusal_is_not_read_as_that_of_the_next_request(line):
+    # A late duplicate, read as the answer of the next attempt, would say that a read that ran did not.
     player = Player()
     player.play(f"client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 *\ns1 send {line}")
     player.play("client#2 send mg k2 v O2 Pc=page,t=acme,d=900\nwait 3")
-    assert b"k2" not in sent(player, "s1")
+    assert b"k2" not in written(player, "s1")
     player.play(f"s1 send {line}\ns1 expect end\nwait 50\ns1#2 expect mg k2 *")
 
 
 @pytest.mark.parametrize("body", ["r1 r2", "r\x01", "r" * 251])
-def test_what_is_no_receipt_is_never_served_as_one(body):
-    # In the client's line a space or a line end would make two answers of one.
+def test_an_invalid_receipt_is_not_served(body):
+    # A space or a line end in the receipt would make the client read it as two flags or two answers.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *")
     player.connection("origin", 0)[0].dataReceived(
