--- a/cloverwell/back/idle_connections.py
+++ b/cloverwell/back/idle_connections.py
@@ -48,6 +48,6 @@
         self.remove(found)
         return found
 
-    def count_unusable(self, now: float) -> int:
-        """Returns the number of connections that rest, and will be usable a few milliseconds from now."""
+    def count_resting(self, now: float) -> int:
+        """Returns the number of connections that rest after an answer, and are usable a few ms later."""
         return sum(connection.usable_from_ms > now for connection in self.connections)
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -79,7 +79,7 @@
             return None
         return self._context.build(self._pool, open_started_ms)
 
-    def connected(self) -> bool:
+    def record_connected(self) -> bool:
         """Records that a connection was established.
 
         Returns whether further connections were held back by a fault, and may be opened now.
@@ -88,8 +88,8 @@
         self._context.wake(self._pool)
         return self._retry.record_reply()
 
-    def connect_failed(self, open_started_ms: float, refused: bool) -> None:
-        """Records that the node refused a connection, or that it timed out if `refused` is False."""
+    def record_failure(self, open_started_ms: float, refused: bool) -> None:
+        """Records that the node refused a connection or, if `refused` is False, that it timed out."""
         self._opening_ended()
         others_held_back = self._retry.record_reply()
         node, open_count = self._pool.node, len(self._pool.connections)
@@ -102,8 +102,8 @@
         if others_held_back:
             self._pool.open_for_waiting()
 
-    def not_started(self, fault: LocalFault) -> None:
-        """Tries again after a pause, since this machine could not open a connection."""
+    def record_local_fault(self, fault: LocalFault) -> None:
+        """Records a fault of this machine, for which a connection could not be opened; tries again later."""
         self._opening_ended()
         self._context.metrics.add(ConnectionEvent.NOT_OPENED, self._pool.node)
         now = self._wheel.now()
@@ -132,16 +132,18 @@
         """Remembers the address, and the time at which opening the connection began."""
         self._owner = owner
         self._address = address
-        self._asked_ms = open_started_ms
+        self._open_started_ms = open_started_ms
 
     def buildProtocol(self, _addr: IAddress | None) -> NodeConnection | None:
         """Returns the protocol of the connection, or None, so that it is closed."""
-        return self._owner.build(self._address, self._asked_ms)
+        return self._owner.build(self._address, self._open_started_ms)
 
     def clientConnectionFailed(self, _connector: IConnector, reason: Failure) -> None:
         """Reports that a connection failed by a fault of this machine, or of the network or the node."""
         fault = None if reason.value is None else connect_fault(reason.value)
         if fault is not None:
-            self._owner.not_started(fault)
+            self._owner.record_local_fault(fault)
         else:
-            self._owner.connect_failed(self._asked_ms, reason.check(ConnectionRefusedError) is not None)
+            self._owner.record_failure(
+                self._open_started_ms, reason.check(ConnectionRefusedError) is not None
+            )
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -40,7 +40,7 @@
         self.address: tuple[str, int] | None = None
         self.log = context.log
         self.now = context.timer_wheel.now
-        self.call_at = context.timer_wheel.not_before
+        self.call_at = context.timer_wheel.not_before  # makes a call at a time, or up to a tick later
         self.tick_ms = context.timer_wheel.granularity_ms
         self.connections: list[NodeConnection] = []
         self.has_left = False  # whether the node drains, or is no longer in the endpoint list
@@ -155,7 +155,7 @@
 
     @property
     def _unsent_outcome(self) -> AttemptOutcome:
-        """The outcome of an attempt that found no connection."""
+        """The outcome of an attempt without a connection; a local fault does not count against the node."""
         return AttemptOutcome.NOT_CONNECTED if self._opening.fault is None else AttemptOutcome.NOT_SENT
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
@@ -213,7 +213,7 @@
 
     def add(self, connection: NodeConnection) -> None:
         """Adds a connection that has been opened."""
-        others_held_back = self._opening.connected()
+        others_held_back = self._opening.record_connected()
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
         self._metrics.add(ConnectionEvent.OPENED, self.node)
@@ -245,7 +245,7 @@
 
     def _count_soon_free(self) -> int:
         """Returns the number of connections that are being opened or rest, and will soon be free."""
-        return self._opening.count + self._idle.count_unusable(self.now())
+        return self._opening.count + self._idle.count_resting(self.now())
 
     def open_ahead(self, now: float) -> bool:
         """Opens connections before attempts need them.
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -9,7 +9,7 @@
 
 from twisted.internet import tcp
 
-SOCKET = socket.socket
+REAL_SOCKET = socket.socket
 
 
 class CallFaults:
@@ -33,7 +33,7 @@
             raise OSError(number, os.strerror(number))
 
 
-class FaultySocket(SOCKET):
+class FaultySocket(REAL_SOCKET):
     """A socket whose calls fail as the `CallFaults` of their kind says; `None` is no fault.
 
     A `peek` is a `recv` with flags, which leaves the data in the socket. An `error` is the result of a
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -20,12 +20,21 @@
 from cloverwell.connections.unsent_retry import MARGIN_TICKS, RETRY_DELAY_MS, UnsentRequest, retry_at_ms
 from lab.proxy_testbed import SETTINGS
 
-SOCKET = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-CONNECT = [errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM]
-CONNECT += [errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM]
-LOCAL = [("socket", number) for number in SOCKET] + [("connect", number) for number in CONNECT]
-LOCAL += [("error", errno.ENETUNREACH), ("error", errno.EADDRNOTAVAIL)]
-SERVERS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET]
+SOCKET_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+CONNECT_ERRORS = [
+    errno.EADDRNOTAVAIL,
+    errno.EADDRINUSE,
+    errno.EAGAIN,
+    errno.EINTR,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+]
+CONNECT_ERRORS += [errno.ENETUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM]
+LOCAL_FAULTS = [("socket", number) for number in SOCKET_ERRORS] + [
+    ("connect", number) for number in CONNECT_ERRORS
+]
+LOCAL_FAULTS += [("error", errno.ENETUNREACH), ("error", errno.EADDRNOTAVAIL)]
+SERVER_ERRORS = [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET]
 
 
 @pytest.fixture
@@ -48,8 +57,8 @@
     return calls
 
 
-def total(proxy, what):
-    return proxy.service.metrics.total(what)
+def total(proxy, event):
+    return proxy.service.metrics.total(event)
 
 
 def connection_with(proxy, node, wanted):
@@ -80,7 +89,7 @@
     return b""
 
 
-@pytest.mark.parametrize(("stage", "number"), LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL_FAULTS)
 def test_a_read_is_sent_soon_after_a_local_fault_which_does_not_count_against_its_node(
     rig, outgoing, stage, number
 ):
@@ -99,7 +108,7 @@
     assert proxy.origin._accept() is None
 
 
-@pytest.mark.parametrize(("stage", "number"), LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL_FAULTS)
 def test_an_order_is_sent_once_after_a_local_fault(rig, outgoing, stage, number):
     proxy = rig()
     fail(outgoing, proxy.origin.address, stage, number)
@@ -164,7 +173,7 @@
 
 
 @pytest.mark.parametrize("make", [read, write])
-def test_such_a_request_is_refused_wherever_its_last_try_falls_between_two_ticks(make):
+def test_a_request_that_can_not_be_sent_is_refused_whenever_its_last_try_falls(make):
     # The deadline timer of a request is rounded down to a tick, and the time of the next try up. If the timer
     # fired first, the request would end as failed instead of refused.
     for wait_ms in range(400, 470):
@@ -230,7 +239,7 @@
     assert "marked missed" not in proxy.log.getvalue()
 
 
-@pytest.mark.parametrize("number", SERVERS)
+@pytest.mark.parametrize("number", SERVER_ERRORS)
 @pytest.mark.parametrize("stage", ["connect", "error"])
 def test_a_failure_to_reach_a_node_counts_against_it(rig, outgoing, stage, number):
     proxy = rig()
@@ -243,7 +252,7 @@
 # Discovery -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("stage", "number"), LOCAL)
+@pytest.mark.parametrize(("stage", "number"), LOCAL_FAULTS)
 def test_discovery_is_polled_soon_after_a_local_fault(rig, outgoing, stage, number):
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
@@ -270,7 +279,7 @@
     connection_with(proxy, proxy.discovery, b"GET /v1/servers")
 
 
-@pytest.mark.parametrize("number", SERVERS)
+@pytest.mark.parametrize("number", SERVER_ERRORS)
 def test_a_poll_fails_if_discovery_can_not_be_reached(rig, outgoing, number):
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
@@ -282,7 +291,7 @@
 # The classification by itself ---------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("number", sorted({number for _, number in LOCAL}))
+@pytest.mark.parametrize("number", sorted({number for _, number in LOCAL_FAULTS}))
 def test_errors_of_this_machine_are_classified_as_local_faults(number):
     from cloverwell.system_calls import connect_fault
 
@@ -295,10 +304,10 @@
 
     assert connect_fault(ConnectError(string="closed")) is not None
     assert connect_fault(TimeoutError()) is None
-    assert all(connect_fault(getConnectError((number, ""))) is None for number in SERVERS)
+    assert all(connect_fault(getConnectError((number, ""))) is None for number in SERVER_ERRORS)
 
 
-UNSENT = UnsentRequest(
+UNSENT_REQUEST = UnsentRequest(
     over=False,
     in_flight=False,
     may_have_run=False,
@@ -311,8 +320,8 @@
 
 def test_an_unsent_request_is_decided_again_while_there_is_time():
     latest_ms = 1000.0 - MARGIN_TICKS * TICK_MS - RETRY_DELAY_MS
-    assert retry_at_ms(UNSENT, latest_ms - 0.1, TICK_MS) == latest_ms - 0.1 + RETRY_DELAY_MS
-    assert retry_at_ms(UNSENT, latest_ms, TICK_MS) is None
+    assert retry_at_ms(UNSENT_REQUEST, latest_ms - 0.1, TICK_MS) == latest_ms - 0.1 + RETRY_DELAY_MS
+    assert retry_at_ms(UNSENT_REQUEST, latest_ms, TICK_MS) is None
 
 
 @pytest.mark.parametrize(
@@ -326,4 +335,4 @@
     ],
 )
 def test_a_request_that_is_over_or_may_have_run_or_is_in_flight_is_not_decided_again(change):
-    assert retry_at_ms(replace(UNSENT, **change), 0.0, TICK_MS) is None
+    assert retry_at_ms(replace(UNSENT_REQUEST, **change), 0.0, TICK_MS) is None
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -41,27 +41,29 @@
     player.play("wait 600\nclient send mg k2 v O2 Pc=page,t=acme,d=900\ns1 expect mg k2 *")
 
 
-@pytest.mark.parametrize(("waited", "is_sent"), [(190, True), (201, False)])
-def test_a_repeated_write_is_not_sent_if_its_window_ends_while_it_waits(waited, is_sent):
+@pytest.mark.parametrize(("waited_ms", "is_sent"), [(190, True), (201, False)])
+def test_a_repeated_write_is_not_sent_if_its_window_ends_while_it_waits(waited_ms, is_sent):
     # A node recognizes a repeated write for 1500 ms: one that is sent later may run twice.
     player = Player()
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=1950|a\norigin expect PUT *")
     player.play("wait 1300\norigin close")
-    stall(player, waited)
+    stall(player, waited_ms)
     assert bool(written(player, "origin", 2)) == is_sent
     if not is_sent:
         player.play("wait 5\nclient expect SERVER_ERROR busy*")
 
 
 @pytest.mark.parametrize(
-    ("grace", "waited", "is_sent"), [(300, 90, True), (300, 101, False), (150, 1, False)]
+    ("grace_ms", "waited_ms", "is_sent"), [(300, 90, True), (300, 101, False), (150, 1, False)]
 )
-def test_an_attempt_that_waits_for_a_connection_is_not_sent_after_the_drain_time(grace, waited, is_sent):
+def test_an_attempt_that_waits_for_a_connection_is_not_sent_after_the_drain_time(
+    grace_ms, waited_ms, is_sent
+):
     # Of the drain time, 150 ms are kept for a stall before the write, and 50 ms for the way to the node.
-    player = Player(settings=settings_with("guarantees", **{"drain-grace": float(grace)}))
+    player = Player(settings=settings_with("guarantees", **{"drain-grace": float(grace_ms)}))
     player.play("wait 100\nclient send mg k1 v O1 Pc=page,t=acme,d=900")
     send_list(player, {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"})
-    stall(player, waited)
+    stall(player, waited_ms)
     assert bool(written(player, "s1")) == is_sent
     if not is_sent:
         player.play("wait 5\norigin expect GET /k1 *\norigin send 200 a\nclient expect VA 1 O1|a")
