--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from rig import Rig, read
 from scenario import Player
-from test_streamed_value import Slow
+from test_streamed_value import SlowClient
 from twisted.internet.task import Clock
 
 from balancer import api
@@ -154,12 +154,12 @@
     """A client that has not read its answer: it is still with the proxy, and no request is open."""
     player = Player()
     _, transport = player.connection("client", 0)
-    client = Slow(transport)
+    client = SlowClient(transport)
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=1900\ns1 expect mg k1 *\ns1 send VA 5 O1|hello")
     connection = transport.protocol
     assert connection.has_unsent_responses
     assert not connection.has_open_request
-    assert not client.got
+    assert not client.received
     return player, client
 
 
@@ -174,7 +174,7 @@
     held_up(player, 10_050.0)
     assert not client.transport.aborted
     client.read(100)
-    assert client.got == ANSWER
+    assert client.received == ANSWER
     player.play("wait 100")
     assert not client.transport.aborted
 
@@ -194,7 +194,7 @@
     held_up(player, 600.0)
     assert not player.reactor.hasStopped
     client.read(100)
-    assert client.got == ANSWER
+    assert client.received == ANSWER
     player.play("wait 600\nproxy expect end")
 
 
