--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -28,7 +28,7 @@
 from cloverwell.timer_wheel import Timer
 
 STREAM_READ_BYTES = 32 * 1024  # bytes of a long value that are read at once, and buffered for a slow client
-FRESH_MS = 10.0  # a connection that was opened less than this ago does not count as idle
+FRESH_MS = 10.0  # an unused connection that was opened less than this ago does not count as idle
 LATE_DATA_MS = 15.0  # a duplicate of an answer, or data after it, may arrive up to this much later
 
 
@@ -51,7 +51,7 @@
 
     @property
     def forbids_concurrent_attempts(self) -> bool:
-        """Whether a request must not have two attempts in flight at once."""
+        """True if a request must not have two attempts in flight at once."""
 
     def now(self) -> float:
         """Returns the current time."""
@@ -124,12 +124,12 @@
 
     @property
     def is_free(self) -> bool:
-        """Whether an attempt may be written to it."""
+        """True if the connection is open and carries nothing, so that an attempt may be written to it."""
         return not (self.ended or self.attempts or self._partial_write or self.stream)
 
     @property
     def has_partial_write(self) -> bool:
-        """Whether a command has been written except for its last byte."""
+        """True if a command has been written except for its last byte."""
         return self._partial_write is not None
 
     def idle_age_ms(self, now: float) -> float | None:
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -175,7 +175,7 @@
 
     @property
     def forbids_concurrent_attempts(self) -> bool:
-        """Whether a request must not have two attempts in flight at once."""
+        """True if a request must not have two attempts in flight at once."""
         return self._context.single_attempt_in_flight
 
     def close_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
@@ -271,7 +271,7 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether there are no connections and no waiting attempts."""
+        """True if there are no connections and no waiting attempts."""
         return not (self.connections or self._opening.count or self._waiting.attempts)
 
     def connection_freed(self, connection: NodeConnection) -> None:
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -58,6 +58,7 @@
 
 
 def total(proxy, event):
+    """Returns how often the event was counted, for all nodes."""
     return proxy.service.metrics.total(event)
 
 
@@ -84,6 +85,7 @@
 
 
 def read_now(proxy, conn):
+    """Returns the bytes that can be read from the connection at once."""
     with contextlib.suppress(BlockingIOError):
         return conn.recv(1 << 16)
     return b""
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -12,6 +12,7 @@
 
 
 def _time_out_connects(rig, times):
+    """Makes attempts while the node is cut off, so that their connections time out."""
     rig.net.path(rig.nodes[0].address).silent = True
     for _ in range(times):
         rig.attempt(0)
@@ -37,6 +38,7 @@
 
 
 def _break_connections_silently(rig):
+    """Breaks all connections to the node without a reset or a close."""
     for connection in rig.pools.pool_of("s0").connections:
         connection.transport.forget_flow()
 
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -52,11 +52,13 @@
 
 
 def send_read(player, name="O1", client="client", node="s1"):
+    """Plays a read that reaches the node, and returns the ends of the client and the node."""
     player.play(f"{client} send mg k{name} v {name} Pc=page,t=acme,d=1900\n{node} expect mg k{name} *")
     return both_ends(player, client, node)
 
 
 def both_ends(player, client="client", node="s1"):
+    """Returns the client's transport, and the protocol and transport of the node's connection."""
     indexes = [(party.partition("#")[0], int(party.partition("#")[2] or 1) - 1) for party in (client, node)]
     return player.connection(*indexes[0])[1], player.connection(*indexes[1])
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -28,6 +28,7 @@
 
 
 def written(player, party, place=1):
+    """Returns what the proxy has written to this connection of a node or the origin."""
     return player.connection(party, place - 1)[1].value()
 
 
@@ -37,6 +38,7 @@
 
 
 def settings_without_copies():
+    """Returns settings with which a request must not have two attempts in flight at once."""
     return SETTINGS | {"limits": SETTINGS["limits"] | {"second-copies": False}}
 
 
@@ -229,15 +231,15 @@
                     player.waiting.setdefault(party, []).insert(0, factory)
                     player.connection(party, len(player.opened.get(party, [])))
             case "close", (party, place):
-                if open_connection(player, party, place):
+                if is_open(player, party, place):
                     player.play(f"{party}#{place + 1} close")
             case "answer", (party, place):
                 answer(player, party, place)
             case "clog", (party, place, taken):
-                if open_connection(player, party, place):
+                if is_open(player, party, place):
                     clog(player.opened[party][place][1], taken)
             case "drain", (party, place):
-                if open_connection(player, party, place):
+                if is_open(player, party, place):
                     protocol, transport = player.opened[party][place]
                     transport.__dict__.pop("send", None)
                     protocol.resumeProducing()
@@ -271,19 +273,22 @@
     transport.send = send
 
 
-def open_connection(player, party, place):
+def is_open(player, party, place):
+    """Returns whether this connection of a node or the origin exists and is open."""
     connections = player.opened.get(party, [])
     return place < len(connections) and not connections[place][1].ended and not connections[place][0].ended
 
 
 def check_all(player):
+    """Checks the commands on all connections to the node and the origin."""
     for party in ("s1", "origin"):
         for place in range(len(player.opened.get(party, []))):
             player.check(party, place)
 
 
 def answer(player, party, place):
-    if not open_connection(player, party, place):
+    """Answers the oldest attempt on a connection, if there is one."""
+    if not is_open(player, party, place):
         return
     protocol, _ = player.opened[party][place]
     if protocol.attempts:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -14,19 +14,23 @@
 
 
 def stall(player, ms):
+    """Advances the clock without a turn of the event loop."""
     player.reactor.rightNow += ms / 1000.0
 
 
 def send_list(player, member, revision=42):
+    """Plays discovery's answer: an update of the endpoint list that changes one endpoint."""
     listing = {"revision": revision, "complete": False, "members": [member]}
     player.play(f"discovery expect GET *\ndiscovery send 200 {json.dumps(listing)}")
 
 
 def written(player, name, place=1):
+    """Returns what the proxy has written to this connection of a node, the origin or a client."""
     return player.connection(name, place - 1)[1].value()
 
 
 def settings_with(part, **more):
+    """Returns the settings with other values in one part."""
     return SETTINGS | {part: SETTINGS[part] | more}
 
 
