--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""balancer: the decisions of a proxy that spreads keys over cache servers in front of a slow origin."""
+"""A load balancer that spreads keys over cache servers in front of a slow origin; it does no I/O."""
 
 from balancer.balancer import Balancer
 
--- a/balancer/hash_ring.py
+++ b/balancer/hash_ring.py
@@ -1,4 +1,4 @@
-"""The ring's arithmetic: tokens in order, who owns them, and the way clockwise. It decides nothing."""
+"""A consistent-hashing ring of any owners: positions, tokens, and the walk clockwise."""
 
 from bisect import bisect_left, insort
 from collections.abc import Hashable, Iterable, Iterator
@@ -8,54 +8,57 @@
 from typing import Generic, TypeVar
 
 Owner = TypeVar("Owner", bound=Hashable)
-BUCKET_BITS = 8  # first bits of a token, which name its bucket
+BUCKET_BITS = 8  # the number of leading bits of a token that select its bucket
 BUCKET_SHIFT = 64 - BUCKET_BITS
-MANY = 8  # tokens a bucket, over which it costs less to sort than to find the place of each
+# From this many new tokens per bucket on, sorting the buckets is faster than inserting each token in order.
+SORT_THRESHOLD = 8
 
 
 def ring_position(name: str) -> int:
-    """The ring's hash: the same in every process and at every start."""
+    """Returns the position of a key on the ring, a 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def tokens(name: str, number: int) -> list[int]:
-    """The tokens of a server of that name, in order: all from one long digest, as ketama takes several."""
-    return sorted(unpack(f">{number}Q", shake_128(name.encode()).digest(8 * number)))
+def tokens(name: str, count: int) -> list[int]:
+    """Returns the sorted tokens of the server with that name; all are cut from one digest, as in ketama."""
+    return sorted(unpack(f">{count}Q", shake_128(name.encode()).digest(8 * count)))
 
 
 class Ring(Generic[Owner]):
-    """All tokens in order, in buckets by their first bits: a change costs its own tokens, not all of them.
+    """A ring that keeps all tokens sorted, in buckets by their leading bits.
 
-    Tokens are hashes, so buckets fill evenly: at 1,000 owners with 128 tokens each holds some 500."""
+    Thanks to the buckets, an update costs as much as its own tokens, whatever the size of the ring. Tokens
+    are hashes, so the buckets fill evenly: with 1,000 owners of 128 tokens each, a bucket holds about 500.
+    """
 
     def __init__(self) -> None:
-        """The ring has no owners yet."""
+        """Makes a ring without owners."""
         self._buckets: list[list[int]] = [[] for _ in range(1 << BUCKET_BITS)]
         self._owners: dict[int, Owner] = {}
         self._tokens: dict[Owner, list[int]] = {}
 
     def __len__(self) -> int:
-        """How many owners have tokens."""
+        """Returns the number of owners that have tokens."""
         return len(self._tokens)
 
     def __contains__(self, owner: object) -> bool:
-        """Whether the owner has tokens."""
+        """Returns whether the owner has tokens."""
         return owner in self._tokens
 
-    def add(self, owner: Owner, name: str, number: int) -> None:
-        """Gives the owner that many tokens; nothing changes if it has them."""
-        self.add_all([(owner, name, number)])
+    def add(self, owner: Owner, name: str, count: int) -> None:
+        """Gives the owner `count` tokens derived from `name`; an owner that has as many keeps them."""
+        self.add_all([(owner, name, count)])
 
-    def add_all(self, wanted: Iterable[tuple[Owner, str, int]]) -> None:
-        """The same for several owners, each there once: at a start that is a whole fleet."""
+    def add_all(self, items: Iterable[tuple[Owner, str, int]]) -> None:
+        """Does the same as `add` for several distinct owners, which at a start are the whole fleet."""
         added: list[int] = []
-        for owner, name, number in wanted:
-            if len(self._tokens.get(owner, ())) != number:
+        for owner, name, count in items:
+            if len(self._tokens.get(owner, ())) != count:
                 self.remove(owner)
-                mine = self._tokens[owner] = tokens(name, number)
-                self._owners.update(dict.fromkeys(mine, owner))
-                added += mine
-        if len(added) > MANY * len(self._buckets):
+                owner_tokens = self._tokens[owner] = tokens(name, count)
+                self._owners.update(dict.fromkeys(owner_tokens, owner))
+                added += owner_tokens
+        if len(added) > SORT_THRESHOLD * len(self._buckets):
             for token in added:
                 self._buckets[token >> BUCKET_SHIFT].append(token)
             for bucket in self._buckets:
@@ -65,17 +68,17 @@
                 insort(self._buckets[token >> BUCKET_SHIFT], token)
 
     def remove(self, owner: Owner) -> None:
-        """Takes the owner's tokens, if it has any."""
+        """Removes the owner's tokens, if it has any."""
         for token in self._tokens.pop(owner, ()):
             del self._owners[token]
             bucket = self._buckets[token >> BUCKET_SHIFT]
             del bucket[bisect_left(bucket, token)]
 
-    def clockwise(self, place: int) -> Iterator[tuple[int, Owner]]:
-        """All tokens with their owners, from the first at or after the place, wrapping to zero."""
-        first = place >> BUCKET_SHIFT
-        begun = self._buckets[first]
-        start = bisect_left(begun, place)
-        buckets = chain(self._buckets[first + 1 :], self._buckets[:first])
-        for token in chain(begun[start:], chain.from_iterable(buckets), begun[:start]):
+    def clockwise(self, position: int) -> Iterator[tuple[int, Owner]]:
+        """Yields all tokens with their owners, from the first at or after the position, round the ring."""
+        first_index = position >> BUCKET_SHIFT
+        first_bucket = self._buckets[first_index]
+        start = bisect_left(first_bucket, position)
+        other_buckets = chain(self._buckets[first_index + 1 :], self._buckets[:first_index])
+        for token in chain(first_bucket[start:], chain.from_iterable(other_buckets), first_bucket[:start]):
             yield token, self._owners[token]
--- a/balancer/hot_keys.py
+++ b/balancer/hot_keys.py
@@ -1,29 +1,29 @@
-"""Detection of hot keys among the last reads of this balancer: all balancers see about the same mix."""
+"""Detection of hot keys in the latest reads of one balancer; all balancers see about the same mix of keys."""
 
 import math
 from collections import deque
 
-# The number of reads among which a hot key is detected.
+# The number of latest reads in which hot keys are detected.
 WINDOW = 100
-# A fetch for a key that brings the load of a mean server has this many more times its request's priority.
+# The increase of a fetch's priority with its key's load: at the load of a mean server, this many times more.
 FETCH_PRIORITY = 10.0
-# The part of a mean server's load that one key may bring; a hotter key is spread over more servers.
+# The most load that one key may bring to a server, in loads of a mean server; a hotter key is spread.
 MAX_LOAD = 0.5
 
 
 class HotKeys:
-    """Estimates the load that a key brings."""
+    """Estimates the load that each key brings, from its share of the latest reads."""
 
     def __init__(self) -> None:
-        """No read has been counted yet."""
-        self._last: deque[str] = deque(maxlen=WINDOW)
+        """Starts without any reads."""
+        self._recent_keys: deque[str] = deque(maxlen=WINDOW)
 
-    def record_read(self, key: str, servers: int) -> float:
-        """Counts one more read of the key; returns the key's load, in loads of a mean one of the servers."""
-        self._last.append(key)
-        return (self._last.count(key) - 1) / WINDOW * servers
+    def record_read(self, key: str, server_count: int) -> float:
+        """Records a read of the key; returns the key's load, in loads of a mean server of `server_count`."""
+        self._recent_keys.append(key)
+        return (self._recent_keys.count(key) - 1) / WINDOW * server_count
 
 
 def servers_needed(load: float) -> int:
-    """The number of servers over which a key of that load is to be spread."""
+    """Returns the number of servers over which a key of that load has to be spread."""
     return max(1, math.ceil(load / MAX_LOAD))
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -1,4 +1,4 @@
-"""The order in which the servers are preferred for a key: clockwise on the ring from the key's point."""
+"""The preference list of a key: the servers clockwise on the ring from the key's position, in order."""
 
 from collections.abc import Iterator
 
@@ -6,45 +6,48 @@
 from balancer.slow_start import SlowStart
 from balancer.zone_rings import ZoneRings
 
-# Tokens of cold servers that may be passed over: before another cold server, and before any server.
-COLD_SPILL, COLD_MOST = 1, 4
+# The most inactive tokens of cold servers that the walk along a ring may skip before it selects a cold
+# server, and before it selects any server. Without these limits, in a fleet that is mostly cold, each cold
+# server would get the keys that all other cold servers don't take.
+MAX_SKIPS_BEFORE_COLD, MAX_SKIPS = 1, 4
 
 
 def preference_list(
-    now: float, place: int, near: int, rings: ZoneRings, slow_start: SlowStart
+    now: float, position: int, local_count: int, rings: ZoneRings, slow_start: SlowStart
 ) -> Iterator[Server]:
-    """Distinct servers clockwise from a point, past tokens that are not active yet.
+    """Yields distinct servers clockwise from a position on the ring; inactive tokens are skipped.
 
-    Servers of the local zone come first where attempts to another zone have a price; keys for which the
-    local zone has no capacity go to remote zones first. In a small tier only `near` servers of the local
-    zone are preferred, then the first of each other zone, where copies of the value are.
+    Servers of the local zone come first where attempts in another zone have a cost, except for the keys that
+    the local zone has no capacity for: for these, the other zones come first. With few balancers, only
+    `local_count` servers of the local zone come first, then the first server of each other zone, which keeps
+    copies of the key's value.
     """
-    order = [rings.local, rings.remote]
-    if (place >> 10) % 1024 >= 1024 * rings.local_share:
-        order.reverse()
-    seen, zones, later = set[Server](), set[int](), list[Server]()
-    for ring in order:
-        got, passed = sum(server in ring for server in seen), 0  # a server may be on both rings
-        most = near if rings.has_few_balancers and ring is rings.local else len(ring)
-        for token, server in ring.clockwise(place):
-            if got >= most or passed > COLD_MOST:
+    ring_order = [rings.local, rings.remote]
+    if (position >> 10) % 1024 >= 1024 * rings.local_share:
+        ring_order.reverse()
+    seen, zones, deferred = set[Server](), set[int](), list[Server]()
+    for ring in ring_order:
+        found, skips = sum(server in ring for server in seen), 0  # both rings may hold the same server
+        max_found = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
+        for token, server in ring.clockwise(position):
+            if found >= max_found or skips > MAX_SKIPS:
                 break
             if server in seen:
                 continue
-            warm = slow_start.is_warm(
-                now, server
-            )  # where most are cold, each would get what all others leave
-            may = warm or passed <= COLD_SPILL
-            if may and token % 1024 < 1024 * slow_start.active_share(now, server):  # low bits: a lot
+            is_warm = slow_start.is_warm(now, server)
+            is_allowed = is_warm or skips <= MAX_SKIPS_BEFORE_COLD
+            # The low bits of a token are random, so they decide which tokens are the active share.
+            if is_allowed and token % 1024 < 1024 * slow_start.active_share(now, server):
                 seen.add(server)
-                got += 1
+                found += 1
                 if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
-                    later.append(server)
+                    deferred.append(server)
                 else:
                     zones.add(server.entry.zone)
                     yield server
-            elif rings.has_few_balancers and ring is rings.local and not warm:
-                break  # all of home may be as cold, and must not get what it leaves
+            elif rings.has_few_balancers and ring is rings.local and not is_warm:
+                # All servers of the local zone may be as cold, and must not get what this one doesn't take.
+                break
             else:
-                passed += not warm
-    yield from later
+                skips += not is_warm
+    yield from deferred
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the server for an attempt, from the preference set of the request's key."""
+"""Selection of the server for an attempt, from the preference list of the request's key."""
 
 from random import Random
 
@@ -11,20 +11,22 @@
 from balancer.slow_start import SlowStart
 from balancer.zone_rings import ZoneRings
 
-# A key is asked of so many servers at most: more of them only spread a jam and copies of its value.
+# The most servers that requests for a key try. With more, the overload of one server would spread to others,
+# and copies of the value would fill more caches.
 PREFERENCE_LIST_SIZE = 3
-# The part of a server's limit that requests beyond their tenant's quota may use.
+# The part of a server's concurrency limit that requests beyond their tenant's quota may use.
 OVER_QUOTA_SHARE = 0.25
 
 
 def is_in_dedup_scope(request: RequestState, server: Server) -> bool:
-    """Whether the server recognises a repeated request by its idempotency key, or need not do so.
+    """Returns whether the server would recognise a repeat of the request, or need not recognise it.
 
-    After an attempt that may have run, only the group of that attempt's server knows the key.
+    After an attempt that may have run, only the servers in the deduplication scope of that attempt's server
+    know the idempotency key.
     """
-    ran_at = request.ran_on if request.cls.idempotency is Idempotency.KEYED else None
-    group = request.cls.dedup_scope
-    return ran_at is None or ran_at.entry.member_of(group) == server.entry.member_of(group)
+    ran_on = request.ran_on if request.cls.idempotency is Idempotency.KEYED else None
+    scope = request.cls.dedup_scope
+    return ran_on is None or ran_on.entry.member_of(scope) == server.entry.member_of(scope)
 
 
 class ServerSelector:
@@ -33,51 +35,52 @@
     def __init__(
         self, random: Random, rings: ZoneRings, slow_start: SlowStart, outliers: OutlierDetector
     ) -> None:
-        """`random` is the balancer's generator, so that its decisions can be repeated."""
+        """`random` is the balancer's generator, so that its decisions are the same in every run."""
         self._random = random
         self._rings = rings
         self._slow_start = slow_start
         self._outliers = outliers
 
     def select(self, now: float, request: RequestState, objective_ms: float) -> Server | None:
-        """The first server of the preference set that nothing speaks against; None if there is no such one.
+        """Returns the first suitable server of the preference list, or None if there is none.
 
-        `objective_ms` is the shortest latency objective of what cache servers answer.
+        `objective_ms` is the shortest latency objective of the requests that cache servers answer.
         """
-        last, members, crowded = None, 0, 0
-        # No balancer sees what a hot key does to its owner, but all see how much of their traffic it is.
-        spread = hot_keys.servers_needed(request.hot_key_load)
-        passed = self._random.randrange(spread)
-        for place, server in enumerate(
-            preference_list(now, request.point, spread, self._rings, self._slow_start)
+        fallback, candidate_count, crowded_count = None, 0, 0
+        # A balancer doesn't see the load that a hot key puts on its owner, but it sees the key's share of its
+        # own reads. It skips a random number of candidates, so that all balancers together spread the key.
+        spread_count = hot_keys.servers_needed(request.hot_key_load)
+        skip_count = self._random.randrange(spread_count)
+        for index, server in enumerate(
+            preference_list(now, request.point, spread_count, self._rings, self._slow_start)
         ):
             if server in request.tried or not is_in_dedup_scope(request, server):
                 continue
-            # What crowded and dead servers leave, or a hot key, would push a cold one over.
+            # The keys of crowded and dead servers, or a hot key, would overload a cold server.
             if not self._slow_start.is_warm(now, server) and (
-                place or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
+                index or request.hot_key_load > hot_keys.MAX_LOAD * self._slow_start.active_share(now, server)
             ):
                 continue
             if server.ejected_ms is not None or drops_early(self._random, now, server.latency, objective_ms):
-                # In a large fleet most requests to a dead server would be probe requests: a health check is
-                # sent instead where that is permitted.
-                due = server.ejected_ms is not None and now >= server.next_probe_ms
+                # The request itself probes an ejected server only where health checks are not permitted: in a
+                # large fleet, most of the requests sent to a dead server would be such probes.
+                is_probe_due = server.ejected_ms is not None and now >= server.next_probe_ms
                 if (
-                    due
+                    is_probe_due
                     and not self._outliers.probe(now, server)
                     and request.cls.idempotency is Idempotency.SAFE
                 ):
                     return server
-                crowded += server.ejected_ms is None
-                if self._rings.has_few_balancers and crowded >= PREFERENCE_LIST_SIZE:
+                crowded_count += server.ejected_ms is None
+                if self._rings.has_few_balancers and crowded_count >= PREFERENCE_LIST_SIZE:
                     return None
-                last = last or server
+                fallback = fallback or server
                 continue
-            members += 1
-            if members <= passed:
-                last = server
+            candidate_count += 1
+            if candidate_count <= skip_count:
+                fallback = server
             elif len(server.out) < server.limit * (OVER_QUOTA_SHARE if request.over_quota else 1.0):
                 return server
-            elif members >= passed + PREFERENCE_LIST_SIZE:
+            elif candidate_count >= skip_count + PREFERENCE_LIST_SIZE:
                 break
-        return last if members <= passed else None
+        return fallback if candidate_count <= skip_count else None
--- a/balancer/server_set.py
+++ b/balancer/server_set.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerChanges:
-    """What an update changed: the servers removed, and the cache servers to place on the rings."""
+    """The result of an update: the servers removed, and the cache servers that it names as ready."""
 
     removed: list[Server]
     cache_servers: list[Server]
@@ -24,10 +24,10 @@
 
 
 class ServerSet:
-    """All servers by name; `origins` are those of the origin's machine type.
+    """All servers by name; `origins` holds those of the origin's machine type.
 
-    `latency` is that of all cache servers, `origin_latency` that of all origins, and `machine_types` holds
-    the same by type of machine.
+    `latency` is the estimate for all cache servers, `origin_latency` that for all origins, and
+    `machine_types` holds the estimate of each machine type.
     """
 
     def __init__(
@@ -38,29 +38,29 @@
         origin_latency: LatencyEstimate,
         machine_types: dict[int, LatencyEstimate],
     ) -> None:
-        """`origin_machine_type` is the number of the origin's type; `peers_total` counts the balancers."""
+        """Starts without servers; `peers_total` is the number of balancers that share them."""
         self.by_name: dict[str, Server] = {}
         self.origins: list[Server] = []
-        self._origin_kind = origin_machine_type
+        self._origin_machine_type = origin_machine_type
         self._peers_total = peers_total
         self._latency = latency
         self._origin_latency = origin_latency
         self._machine_types = machine_types
 
     def resize(self, peers_total: int) -> None:
-        """Adapts each server's limit to the number of balancers that share the servers."""
+        """Adapts each server's concurrency limit to the number of balancers that share the servers."""
         for server in self.by_name.values():
-            least = concurrency_limit.minimum(server.origin, peers_total)
-            server.resize(self._peers_total / peers_total, least)
+            min_limit = concurrency_limit.minimum(server.origin, peers_total)
+            server.resize(self._peers_total / peers_total, min_limit)
         self._peers_total = peers_total
 
     def apply(self, entries: Iterable[ServerEntry], complete: bool) -> ServerChanges:
-        """Applies entries of the endpoint list; in a complete list servers without an entry are removed."""
-        latest = {entry.server: entry for entry in entries}  # of two entries for a server the last counts
+        """Applies entries of the endpoint list; if it is `complete`, servers without an entry are removed."""
+        latest = {entry.server: entry for entry in entries}  # the last of several entries for a server counts
         ready = {name: entry for name, entry in latest.items() if entry.state is ServerState.READY}
         candidates = self.by_name if complete else latest
-        lost = [name for name in candidates if name in self.by_name and name not in ready]
-        removed = [self.by_name.pop(name) for name in lost]
+        removed_names = [name for name in candidates if name in self.by_name and name not in ready]
+        removed = [self.by_name.pop(name) for name in removed_names]
         for server in removed:
             server.removed = True
         for entry in ready.values():
@@ -72,22 +72,24 @@
     def _put(self, entry: ServerEntry) -> None:
         """Adds a server, or updates it with its new entry."""
         server = self.by_name.get(entry.server)
-        restarted = server is None or entry.started_ms > server.entry.started_ms
+        has_started = server is None or entry.started_ms > server.entry.started_ms
         if server is None:
             server = self._add(entry)
-        if restarted:  # it is cold, unless its start was long ago, and is worth a request at once
+        if has_started:
+            # The server is cold unless its start was long ago. It may get requests at once, even if it was
+            # ejected before this start.
             server.warm_from_ms = entry.started_ms or -math.inf
             server.ejected_ms, server.probed_ms = None, None
         server.entry = entry
 
     def _add(self, entry: ServerEntry) -> Server:
-        origin = entry.kind == self._origin_kind
-        least = concurrency_limit.minimum(origin, self._peers_total)
-        limit = concurrency_limit.initial(least, self._peers_total)
-        latency = self._origin_latency if origin else LatencyEstimate(self._latency.mean_ms)
+        is_origin = entry.kind == self._origin_machine_type
+        min_limit = concurrency_limit.minimum(is_origin, self._peers_total)
+        limit = concurrency_limit.initial(min_limit, self._peers_total)
+        latency = self._origin_latency if is_origin else LatencyEstimate(self._latency.mean_ms)
         machine_type = self._machine_types.setdefault(entry.kind, LatencyEstimate(self._latency.mean_ms))
-        server = Server(entry, origin, latency, machine_type, limit, least)
+        server = Server(entry, is_origin, latency, machine_type, limit, min_limit)
         self.by_name[entry.server] = server
-        if origin:
+        if is_origin:
             self.origins.append(server)
         return server
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,6 +1,7 @@
-"""Reads the settings object into `Settings`, for the simulator's adapter and the proxy alike.
+"""Reads the settings object into `Settings`, for both the simulator's adapter and the proxy.
 
-Unknown settings are skipped, absent ones get the default of `Settings`, and a malformed one is named.
+Unknown settings are skipped, absent ones get the default of `Settings`, and a malformed one raises an error
+that names it.
 """
 
 import math
@@ -14,48 +15,52 @@
 Value = TypeVar("Value", str, int, float, bool)
 Fields = Mapping[str, object]
 
-EFFECT = {"retryable": Idempotency.SAFE, "dedup": Idempotency.KEYED, "fragile": Idempotency.UNSAFE}
-MODES = ("on_request", "pushed")
-# The least start capacity, where a server may start with none at all: the decisions divide by it.
+IDEMPOTENCY_BY_EFFECT = {
+    "retryable": Idempotency.SAFE,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.UNSAFE,
+}
+MEMBERSHIP_MODES = ("on_request", "pushed")
+# A start capacity under this is raised to it, since the balancer divides by it.
 MIN_START_CAPACITY = 0.01
-# The longest part of a malformed value that an error shows.
-SHOWN_CHARACTERS = 60
-KIND_NAMES = {float: "a number", int: "a whole number", str: "a text", bool: "true or false"}
+# The number of characters of a malformed value that an error text shows.
+MAX_SHOWN_CHARACTERS = 60
+KIND_NAMES = {float: "a number", int: "an integer", str: "a string", bool: "true or false"}
 
-# A proxy in service needs these: a default in the place of a missing rule would be that of some other site.
-# The simulator's adapter requires fewer, as its page shows it.
+# The settings without which a proxy does not start, by section: a default might be laxer than the rule that
+# the site has left out. The simulator sends fewer settings, so its adapter doesn't require these.
 REQUIRED = {
     "": ("membership-mode", "granularity", "peers-total"),
     "guarantees": ("drain-grace", "cold", "start-capacity"),
     "limits": ("send-cap", "connect-timeout", "idle-close"),
 }
-REQUIRED_OF_CLASS = ("name", "effect", "objective", "deadline")
+REQUIRED_IN_CLASS = ("name", "effect", "objective", "deadline")
 
 
 class SettingsError(ValueError):
-    """A setting is missing or malformed; `name` is its path in the settings object."""
+    """The error of a missing or malformed setting; `name` is its path in the settings object."""
 
     def __init__(self, name: str, problem: str) -> None:
-        """`problem` completes a sentence that begins with the name."""
+        """Makes the error text of the name and `problem`, such as "must be a number"."""
         super().__init__(f"{name}: {problem}")
         self.name = name
         self.problem = problem
 
 
 class Section:
-    """An object of the settings, whose values are read by name and checked."""
+    """One object of the nested settings, whose values are read by name and checked."""
 
     def __init__(self, fields: Fields, prefix: str = "") -> None:
-        """`prefix` is the path of the section, with a dot at its end."""
+        """Keeps the fields; `prefix` is the path of the section with a dot at its end, for error texts."""
         self.fields = fields
         self.prefix = prefix
 
     def error(self, name: str, problem: str) -> SettingsError:
-        """The error of a setting of this section."""
+        """Returns the error for a setting of this section."""
         return SettingsError(f"{self.prefix}{name}", problem)
 
     def section(self, name: str) -> "Section":
-        """A nested section; absent and null read as empty."""
+        """Returns a nested section; it is empty where the setting is absent or null."""
         value = self.fields.get(name)
         if value is None:
             value = {}
@@ -64,7 +69,7 @@
         return Section(value, f"{self.prefix}{name}.")
 
     def items(self, name: str) -> list[object]:
-        """A list; absent and null read as empty."""
+        """Returns a list; it is empty where the setting is absent or null."""
         value = self.fields.get(name)
         if value is None:
             return []
@@ -73,23 +78,23 @@
         return value
 
     def sections(self, name: str) -> list["Section"]:
-        """A list of objects."""
+        """Returns the objects of a list, each as a section."""
         items = self.items(name)
         sections = [Section(item, f"{self.prefix}{name}.") for item in items if isinstance(item, dict)]
         if len(sections) < len(items):
-            raise self.error(name, "must hold objects")
+            raise self.error(name, "must be a list of objects")
         return sections
 
     def names(self, name: str) -> tuple[str, ...]:
-        """A list of texts."""
+        """Returns a list of strings."""
         items = self.items(name)
         names = tuple(item for item in items if isinstance(item, str))
         if len(names) < len(items):
-            raise self.error(name, "must hold texts")
+            raise self.error(name, "must be a list of strings")
         return names
 
     def value(self, name: str, kind: type[Value], default: Value | None = None) -> Value:
-        """A plain value; without a default it is required."""
+        """Returns a value of the type `kind`; raises `SettingsError` if it is absent and has no default."""
         value = self.fields.get(name)
         if value is None:
             if default is None:
@@ -101,39 +106,39 @@
             raise self.error(name, f"must be {KIND_NAMES[kind]}") from None
 
     def number(self, name: str, default: float | None = None, positive: bool = False) -> float:
-        """A number that is not negative; `positive`: nor 0."""
+        """Returns a number that is not negative; if `positive` is set, it must not be 0 either."""
         value = self.value(name, float, default)
         if not 0.0 <= value < math.inf or (positive and not value):
-            raise self.error(name, "must be over 0" if positive else "must not be negative")
+            raise self.error(name, "must be greater than 0" if positive else "must not be negative")
         return value
 
     def count(self, name: str, default: int, minimum: int = 1) -> int:
-        """A whole number of at least `minimum`."""
+        """Returns an integer of at least `minimum`."""
         value = self.value(name, int, default)
         if value < minimum:
             raise self.error(name, f"must be at least {minimum}")
         return value
 
     def flag(self, name: str) -> bool:
-        """A truth value; absent reads as false."""
+        """Returns true or false; false if the setting is absent."""
         return self.value(name, bool, False)
 
-    def word(self, name: str, words: Iterable[str], default: str | None = None) -> str:
-        """One of the words."""
-        word = self.value(name, str, default)
-        if word not in words:
-            raise self.error(name, f"unknown value {word[:SHOWN_CHARACTERS]!r}")
-        return word
+    def choice(self, name: str, choices: Iterable[str], default: str | None = None) -> str:
+        """Returns a string that is one of the choices."""
+        value = self.value(name, str, default)
+        if value not in choices:
+            raise self.error(name, f"unknown value {value[:MAX_SHOWN_CHARACTERS]!r}")
+        return value
 
 
 def read_class(section: Section) -> RequestClass:
-    """Reads a class of requests."""
+    """Reads one item of `classes`."""
     return RequestClass(
         latency_objective_ms=section.number("objective", positive=True),
         deadline_ms=section.number("deadline", positive=True),
-        # It has no default: the laxest one would let a request run twice that must not.
-        idempotency=EFFECT[section.word("effect", EFFECT)],
-        dedup_scope=DedupScope(section.word("group", [group.value for group in DedupScope], "all")),
+        # There is no default: a lax one would let a request run twice that must run at most once.
+        idempotency=IDEMPOTENCY_BY_EFFECT[section.choice("effect", IDEMPOTENCY_BY_EFFECT)],
+        dedup_scope=DedupScope(section.choice("group", [scope.value for scope in DedupScope], "all")),
         dedup_window_ms=section.number("window", 0.0),
         importance=section.number("importance", 1.0),
         late_value=section.number("late-value", 0.0),
@@ -144,47 +149,51 @@
 
 
 def read_tenant(section: Section) -> Tenant:
-    """Reads a tenant."""
+    """Reads one item of `tenants`."""
     return Tenant(section.number("quota-per-s", 0.0), section.value("name", str, ""))
 
 
-def _root(raw: object) -> Section:
+def _root_section(raw: object) -> Section:
     if not isinstance(raw, dict):
         raise SettingsError("settings", "must be an object")
     return Section(raw)
 
 
 def check_required_settings(raw: object) -> None:
-    """Raises `SettingsError` for the first setting that a proxy in service requires and that is missing."""
-    root = _root(raw)
+    """Checks that no setting is missing that a proxy requires, and that no name is used twice.
+
+    Raises `SettingsError` for the first fault.
+    """
+    root = _root_section(raw)
     classes = root.sections("classes")
     if not classes:
         raise root.error("classes", "at least one is needed")
-    for where, required in REQUIRED.items():
-        section = root.section(where) if where else root
+    for section_name, required in REQUIRED.items():
+        section = root.section(section_name) if section_name else root
         _require(section, required, (None,))
     if root.fields["membership-mode"] != "pushed":
         _require(root.section("guarantees"), ("ask-within",), (None, 0, False, "", [], {}))
     for section in classes:
-        names: tuple[str, ...] = REQUIRED_OF_CLASS
+        names: tuple[str, ...] = REQUIRED_IN_CLASS
         if section.fields.get("effect") == "dedup":
             names += ("window",)
         _require(section, names, (None, ""))
-    for part in ("classes", "tenants"):
-        _check_unique_names(part, root.sections(part))
+    for list_name in ("classes", "tenants"):
+        _check_unique_names(list_name, root.sections(list_name))
 
 
-def _require(section: Section, names: Iterable[str], missing: tuple[object, ...]) -> None:
+def _require(section: Section, names: Iterable[str], missing_values: tuple[object, ...]) -> None:
+    """Raises `SettingsError` for the first of the names whose value is one that counts as missing."""
     for name in names:
-        if section.fields.get(name) in missing:
+        if section.fields.get(name) in missing_values:
             raise section.error(name, "is missing")
 
 
-def _check_unique_names(part: str, sections: list[Section]) -> None:
+def _check_unique_names(list_name: str, sections: list[Section]) -> None:
     names = [section.fields.get("name") for section in sections]
-    for place, name in enumerate(names):
-        if name in names[:place]:
-            raise SettingsError(f"{part}.name", f"{str(name)[:SHOWN_CHARACTERS]!r} stands there twice")
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            raise SettingsError(f"{list_name}.name", f"{str(name)[:MAX_SHOWN_CHARACTERS]!r} is used twice")
 
 
 def _read_start_capacity(guarantees: Section) -> float:
@@ -197,15 +206,15 @@
 def _read_zone(root: Section, zones: tuple[str, ...]) -> int:
     zone = root.value("zone", int, 0)
     if not 0 <= zone < max(1, len(zones)):
-        raise root.error("zone", "must be the place of one of zones")
+        raise root.error("zone", "must be the index of one of zones")
     return zone
 
 
 def _read_origin_kind(specifics: Section, machine_types: tuple[str, ...]) -> int:
-    is_aside = specifics.fields.get("mode") == "aside"
-    origin_machine_type = specifics.value("origin-kind", int, -1) if is_aside else -1
+    is_cache_aside = specifics.fields.get("mode") == "aside"
+    origin_machine_type = specifics.value("origin-kind", int, -1) if is_cache_aside else -1
     if not -1 <= origin_machine_type < len(machine_types):
-        raise specifics.error("origin-kind", "must be the place of one of machine-types")
+        raise specifics.error("origin-kind", "must be the index of one of machine-types")
     return origin_machine_type
 
 
@@ -219,8 +228,8 @@
 
 
 def read_settings(raw: object) -> Settings:
-    """Translates the settings object, as nested JSON has been decoded; raises `SettingsError`."""
-    root = _root(raw)
+    """Returns the settings of the decoded JSON object `raw`; raises `SettingsError` for a malformed one."""
+    root = _root_section(raw)
     limits, guarantees = root.section("limits"), root.section("guarantees")
     specifics, prices = root.section("specifics"), root.section("prices")
     zones, machine_types = root.names("zones"), root.names("machine-types")
@@ -237,7 +246,7 @@
         zone=zone,
         cross_zone_cost=prices.number("cross-zone", 0.0),
         weighted_tokens=root.fields.get("weights") == "nominal",
-        is_list_pushed=root.word("membership-mode", MODES, "on_request") == "pushed",
+        is_list_pushed=root.choice("membership-mode", MEMBERSHIP_MODES, "on_request") == "pushed",
         over_quota_importance=root.number("over-share-worth", 1.0),
         max_attempts=limits.count("send-cap", 3),
         may_cancel=limits.flag("cancel"),
@@ -247,7 +256,8 @@
         granularity_ms=root.number("granularity", 1.0),
         start_capacity=start_capacity,
         warm_up_ms=guarantees.number("cold", 0.0),
-        max_poll_interval_ms=guarantees.number("ask-within", 0.0) or 10_000.0,  # pushed lists may state none
+        # Where the endpoint list is pushed, the setting may be absent or 0.
+        max_poll_interval_ms=guarantees.number("ask-within", 0.0) or 10_000.0,
         retry_window_ms=guarantees.number("look-back", 0.0),
         free_retries=guarantees.number("free-resends", 0.0),
         retry_share=guarantees.number("repeat-ratio", 0.0),
--- a/balancer/settings_types.py
+++ b/balancer/settings_types.py
@@ -1,14 +1,14 @@
-"""The types of the balancer's settings and the checks of their ranges; settings.py reads them."""
+"""The types of the balancer's settings, which check the ranges of their fields; settings.py reads them."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Idempotency(Enum):
-    """Whether a request is idempotent, and so whether an attempt that may have run can be retried.
+    """The idempotency of a request, which decides if an attempt that may have run can be retried.
 
-    SAFE: idempotent. KEYED: carries an idempotency key that servers remember for the class's window.
-    UNSAFE: not idempotent.
+    SAFE: idempotent. KEYED: carries an idempotency key that servers remember for the deduplication window of
+    its class. UNSAFE: not idempotent.
     """
 
     SAFE = "safe"
@@ -17,7 +17,10 @@
 
 
 class DedupScope(Enum):
-    """Which servers share their memory of idempotency keys, and so recognise a repeated request."""
+    """The servers that share their memory of idempotency keys, and so recognise a repeated request.
+
+    ALL: all servers. ZONE: the servers of one zone. CELL: the servers of one cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -26,119 +29,120 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """The rules for one class of requests: latency objective, deadline and idempotency."""
+    """The rules for one class of requests: latency objective, deadline, idempotency and importance."""
 
-    latency_objective_ms: float
-    deadline_ms: float
+    latency_objective_ms: float  # the time in which a response is to reach the client
+    deadline_ms: float  # the time after which the client has given up
     idempotency: Idempotency = Idempotency.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window_ms: float = 0.0
-    importance: float = 1.0
-    late_value: float = 0.0
-    is_stream: bool = False
-    is_ordered: bool = False  # its requests with one key run one at a time, in the order taken
+    dedup_window_ms: float = 0.0  # the time for which servers remember the idempotency key
+    importance: float = 1.0  # the weight of a request against those of other classes
+    late_value: float = 0.0  # the value of a response after the objective; 0: it is of no use
+    is_stream: bool = False  # responses are streams, whose beginning may reach the client before their end
+    is_ordered: bool = False  # requests with the same key run one at a time, in the order of their arrival
     name: str = ""
 
     def __post_init__(self) -> None:
-        """Checks the ranges of all fields."""
-        _positive("latency_objective_ms", self.latency_objective_ms)
-        _positive("deadline_ms", self.deadline_ms)
-        _not_negative("dedup_window_ms", self.dedup_window_ms)
-        _not_negative("importance", self.importance)
-        _not_negative("late_value", self.late_value)
+        """Checks the ranges of all fields; raises ValueError for the first bad one."""
+        _check_positive("latency_objective_ms", self.latency_objective_ms)
+        _check_positive("deadline_ms", self.deadline_ms)
+        _check_not_negative("dedup_window_ms", self.dedup_window_ms)
+        _check_not_negative("importance", self.importance)
+        _check_not_negative("late_value", self.late_value)
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's quota counts over all balancers together; 0 means that none was stated."""
+    """A tenant and its quota."""
 
-    quota_per_s: float = 0.0
+    quota_per_s: float = 0.0  # requests per second at all balancers together; 0: there is no quota
     name: str = ""
 
     def __post_init__(self) -> None:
-        """Checks the ranges of all fields."""
-        _not_negative("quota_per_s", self.quota_per_s)
+        """Checks the ranges of all fields; raises ValueError for the first bad one."""
+        _check_not_negative("quota_per_s", self.quota_per_s)
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All settings of one balancer; durations are in milliseconds."""
+    """All settings of one balancer; durations are in milliseconds.
+
+    Within `retry_window_ms`, the balancer sends at most `free_retries` retries plus `retry_share` times the
+    number of requests. If the window is 0, the retries are not limited.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    peers_total: int = 1
-    origin_machine_type: int = -1
-    zone: int = 0  # this balancer's own
-    cross_zone_cost: float = 0.0  # of an attempt that goes to another zone, in requests' worth
-    weighted_tokens: bool = False
-    is_list_pushed: bool = False
-    over_quota_importance: float = 1.0
-    max_attempts: int = 3
-    may_cancel: bool = True
-    may_probe: bool = False
-    may_hedge: bool = False  # a request may have two attempts out together
-    max_retry_after_ms: float = 0.0
-    granularity_ms: float = 1.0
-    start_capacity: float = 1.0
-    warm_up_ms: float = 0.0
-    max_poll_interval_ms: float = 10_000.0
-    # Attempts beyond the first in any such window: so many and this share of the requests; 0: no bound.
+    peers_total: int = 1  # the number of balancers that share the servers, this one included
+    origin_machine_type: int = -1  # the index in `machine_types` of the origin's type; -1: there is no origin
+    zone: int = 0  # the index in `zones` of this balancer's zone
+    cross_zone_cost: float = 0.0  # of an attempt in another zone, in the importance of a request; 0: free
+    weighted_tokens: bool = False  # a server's tokens on the ring are in proportion to its weight
+    is_list_pushed: bool = False  # the endpoint list arrives by itself; otherwise the balancer asks for it
+    over_quota_importance: float = 1.0  # factor on the importance of requests beyond their tenant's quota
+    max_attempts: int = 3  # of one request, the first attempt included
+    may_cancel: bool = True  # attempts may be cancelled
+    may_probe: bool = False  # the balancer may send health checks to servers
+    may_hedge: bool = False  # a request may have two attempts in flight at the same time
+    max_retry_after_ms: float = 0.0  # the longest wait that a rejection asks of the client; 0: it asks none
+    granularity_ms: float = 1.0  # of timers, and the shortest timeout of an attempt
+    start_capacity: float = 1.0  # the part of its full capacity that a server has when it has just started
+    warm_up_ms: float = 0.0  # the time after its start until a server has its full capacity
+    max_poll_interval_ms: float = 10_000.0  # the longest time between two calls for the endpoint list
     retry_window_ms: float = 0.0
     free_retries: float = 0.0
     retry_share: float = 0.0
-    idle_timeout_ms: float = 15_000.0  # unused so long, a connection is closed
-    drain_close_ms: float = 0.0  # idle connections to a draining server are closed by then; 0: no matter
-    drain_grace_ms: float = 1000.0  # no attempt to a draining or gone server later than this after being told
-    in_doubt_hold_ms: float = (
-        0.0  # how long a key of in-turn requests rests after an attempt that may still run
-    )
-    # For whoever carries the decisions out; the decisions themselves do not read these.
-    zones: tuple[str, ...] = ()
-    machine_types: tuple[str, ...] = ()
-    connect_timeout_ms: float = 1000.0  # a connection not made by then has failed
-    attempts_per_connection: int = 1  # attempts that one connection carries together
-    max_open_requests: int = 0  # requests held at once; 0: no bound
+    idle_timeout_ms: float = 15_000.0  # a connection that has been idle for this long is closed
+    drain_close_ms: float = 0.0  # the time in which connections to a draining server must close; 0: any time
+    drain_grace_ms: float = 1000.0  # from the news that a server drains or is gone to the last attempt there
+    in_doubt_hold_ms: float = 0.0  # an attempt that may still run holds up its key's ordered requests so long
+    zones: tuple[str, ...] = ()  # the names of all zones
+    machine_types: tuple[str, ...] = ()  # the names of all machine types
+    # The balancer itself does not use the following: they are for the program that sends its attempts.
+    connect_timeout_ms: float = 1000.0  # a connection that is not open by then has failed
+    attempts_per_connection: int = 1  # the most attempts in flight on one connection
+    max_open_requests: int = 0  # the most requests held at once; 0: no limit
 
     def __post_init__(self) -> None:
-        """Checks the ranges of all fields."""
+        """Checks the ranges of all fields; raises ValueError for the first bad one."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if self.peers_total < 1:
             raise ValueError("peers_total: must be at least 1")
         if not 0 <= self.zone < max(1, len(self.zones)):
-            raise ValueError("zone: must be the place of one of zones")
+            raise ValueError("zone: must be the index of one of zones")
         if self.max_attempts < 1:
             raise ValueError("max_attempts: must be at least 1")
         if not 0.0 < self.start_capacity <= 1.0:
-            raise ValueError("start_capacity: must be over 0 and at most 1")
-        _not_negative("cross_zone_cost", self.cross_zone_cost)
-        _not_negative("over_quota_importance", self.over_quota_importance)
-        _not_negative("warm_up_ms", self.warm_up_ms)
-        _not_negative("drain_grace_ms", self.drain_grace_ms)
-        _not_negative("granularity_ms", self.granularity_ms)
-        _not_negative("max_retry_after_ms", self.max_retry_after_ms)
-        _not_negative("max_poll_interval_ms", self.max_poll_interval_ms)
-        _not_negative("retry_window_ms", self.retry_window_ms)
-        _not_negative("free_retries", self.free_retries)
-        _not_negative("retry_share", self.retry_share)
-        _not_negative("in_doubt_hold_ms", self.in_doubt_hold_ms)
-        _positive("idle_timeout_ms", self.idle_timeout_ms)
-        _positive("connect_timeout_ms", self.connect_timeout_ms)
-        _not_negative("drain_close_ms", self.drain_close_ms)
-
-
-def _number(name: str, value: float) -> None:
+            raise ValueError("start_capacity: must be greater than 0 and at most 1")
+        _check_not_negative("cross_zone_cost", self.cross_zone_cost)
+        _check_not_negative("over_quota_importance", self.over_quota_importance)
+        _check_not_negative("warm_up_ms", self.warm_up_ms)
+        _check_not_negative("drain_grace_ms", self.drain_grace_ms)
+        _check_not_negative("granularity_ms", self.granularity_ms)
+        _check_not_negative("max_retry_after_ms", self.max_retry_after_ms)
+        _check_not_negative("max_poll_interval_ms", self.max_poll_interval_ms)
+        _check_not_negative("retry_window_ms", self.retry_window_ms)
+        _check_not_negative("free_retries", self.free_retries)
+        _check_not_negative("retry_share", self.retry_share)
+        _check_not_negative("in_doubt_hold_ms", self.in_doubt_hold_ms)
+        _check_positive("idle_timeout_ms", self.idle_timeout_ms)
+        _check_positive("connect_timeout_ms", self.connect_timeout_ms)
+        _check_not_negative("drain_close_ms", self.drain_close_ms)
+
+
+def _check_number(name: str, value: float) -> None:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"{name}: must be a number")
 
 
-def _positive(name: str, value: float) -> None:
-    _number(name, value)
+def _check_positive(name: str, value: float) -> None:
+    _check_number(name, value)
     if not 0.0 < value < float("inf"):
-        raise ValueError(f"{name}: must be over 0")
+        raise ValueError(f"{name}: must be greater than 0")
 
 
-def _not_negative(name: str, value: float) -> None:
-    _number(name, value)
+def _check_not_negative(name: str, value: float) -> None:
+    _check_number(name, value)
     if not 0.0 <= value < float("inf"):
         raise ValueError(f"{name}: must not be negative")
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The adapter of the simulator's wire: hosts many balancers that share nothing and decides nothing.
+"""Connects balancers to a simulator: reads events from standard input, writes actions to standard output.
 
-One JSON line in, one JSON line out; the words of the wire end here.
+Each line of input is a JSON object, which one line of output answers. The process hosts many balancers that
+share no state. The names of the simulator's message format are used in this module alone.
 """
 
 import gc
@@ -28,11 +29,11 @@
 
 
 class WireError(Exception):
-    """The simulator sent what the wire's page does not allow."""
+    """The error of a message that the simulator's format does not allow."""
 
 
 def read_entry(raw: dict[str, Any]) -> api.ServerEntry:
-    """Reads an entry of a server list."""
+    """Reads one entry of an endpoint list."""
     return api.ServerEntry(
         server=raw["host"],
         state=api.ServerState(raw.get("stage-state", 0)),
@@ -45,7 +46,7 @@
 
 
 def read_status(raw: dict[str, Any]) -> api.Status:
-    """Reads how an attempt or a probe ended."""
+    """Reads the status with which an attempt or a probe ended."""
     status = STATUS.get(raw["rc"])
     if status is None:
         raise WireError(f"rc: unknown value {raw['rc']!r}")
@@ -53,7 +54,7 @@
 
 
 def read_request(raw: dict[str, Any]) -> api.Request:
-    """Reads a request that has arrived."""
+    """Reads the arrival of a request."""
     return api.Request(
         raw["ref"],
         raw.get("kind", 0),
@@ -85,39 +86,43 @@
     "flowing": lambda raw: api.StreamBegun(raw["ref"], raw["host"], raw.get("round-no", 0)),
 }
 WRITERS: dict[type[Any], Callable[[Any], dict[str, Any]]] = {
-    api.Send: lambda a: {"try": {"ref": a.request, "limit": a.timeout_ms, "host": a.server}},
-    api.Cancel: lambda a: {"cancel": {"ref": a.request, "round-no": a.attempt}},
-    api.Probe: lambda a: {"poll": {"host": a.server}},
-    api.Close: lambda a: {"let-go": {"host": a.server}},
-    api.Reject: lambda a: {"turn-away": {"ref": a.request, "not-before-for": a.retry_after_ms}},
-    api.Fail: lambda a: {"fail": {"ref": a.request}},
-    api.SetTimer: lambda a: {"defer": {"delay": a.delay_ms, "ref": a.token}},
+    api.Send: lambda action: {
+        "try": {"ref": action.request, "limit": action.timeout_ms, "host": action.server}
+    },
+    api.Cancel: lambda action: {"cancel": {"ref": action.request, "round-no": action.attempt}},
+    api.Probe: lambda action: {"poll": {"host": action.server}},
+    api.Close: lambda action: {"let-go": {"host": action.server}},
+    api.Reject: lambda action: {
+        "turn-away": {"ref": action.request, "not-before-for": action.retry_after_ms}
+    },
+    api.Fail: lambda action: {"fail": {"ref": action.request}},
+    api.SetTimer: lambda action: {"defer": {"delay": action.delay_ms, "ref": action.token}},
     api.Subscribe: lambda _: {"watch": {"on": True}},
-    api.Log: lambda a: {"say-log": {"body-text": a.text}},
+    api.Log: lambda action: {"say-log": {"body-text": action.text}},
 }
 
 
-class Host:
-    """All instances of one process, and the numbered server lists that belong to the process."""
+class BalancerHost:
+    """The balancers of one process by name, and the endpoint lists that were declared to the process."""
 
     def __init__(self) -> None:
-        """No balancer has begun and no list is declared."""
+        """Starts without balancers and lists."""
         self.balancers: dict[str, Balancer] = {}
-        self.slots: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.lists_by_slot: dict[int, tuple[api.ServerEntry, ...]] = {}
 
-    def reply(self, line: str) -> str:
-        """The response line for a line of input."""
+    def handle_line(self, line: str) -> str:
+        """Returns the line that answers a line of input."""
         batch = msgspec.json.decode(line)
         now_ms = batch["wall"]
         parts = []
         for part in batch["parts"]:
-            output = self.run(now_ms, part["balancer"], part.get("inbox") or [])
+            output = self.handle_inbox(now_ms, part["balancer"], part.get("inbox") or [])
             if output:
                 parts.append({"balancer": part["balancer"], "output": output})
         return msgspec.json.encode({"parts": parts}).decode()
 
-    def run(self, now_ms: float, name: str, inbox: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """The actions of one balancer for the messages in its inbox."""
+    def handle_inbox(self, now_ms: float, name: str, inbox: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Returns the actions of one balancer for the messages in its inbox."""
         output: list[dict[str, Any]] = []
         for message in inbox:
             ((kind, raw),) = message.items()
@@ -125,46 +130,47 @@
             if reader is not None:
                 event: api.Event = reader(raw)
             elif kind == "fleet":
-                event = self.read_list(raw)
+                event = self.read_list_update(raw)
             else:
-                self.control(name, kind, raw)
+                self.handle_control(name, kind, raw)
                 continue
             balancer = self.balancers.get(name)
             if balancer is None:
-                raise WireError(f"{kind}: {name} has not begun")
+                raise WireError(f"{kind}: no balancer {name} is running")
             output.extend([WRITERS[type(action)](action) for action in balancer.handle(now_ms, event)])
         return output
 
-    def control(self, name: str, kind: str, raw: dict[str, Any]) -> None:
-        """What concerns the process rather than a balancer's decisions; unknown messages are skipped."""
+    def handle_control(self, name: str, kind: str, raw: dict[str, Any]) -> None:
+        """Starts or stops a balancer, or declares an endpoint list; unknown kinds of messages are skipped."""
         if kind == "begin":
             self.balancers[name] = Balancer(read_settings(raw["options"]), raw["random-seed"])
         elif kind == "halt":
             self.balancers.pop(name, None)
         elif kind == "manifest":
-            self.slots[raw["slot"]] = tuple(read_entry(item) for item in raw.get("elements") or ())
+            self.lists_by_slot[raw["slot"]] = tuple(read_entry(item) for item in raw.get("elements") or ())
 
-    def read_list(self, raw: dict[str, Any]) -> api.EndpointListChanged:
-        """Reads an update of the endpoint list, whose entries an earlier message has declared."""
+    def read_list_update(self, raw: dict[str, Any]) -> api.EndpointListChanged:
+        """Reads an update of the endpoint list; its entries were declared by an earlier message."""
         kind = api.ListKind(raw["form"])
         if kind is api.ListKind.FAILED:
             return api.EndpointListChanged(kind, raw.get("generation", 0))
         slot = raw.get("slot", 0)
-        if slot not in self.slots:
+        if slot not in self.lists_by_slot:
             raise WireError(f"fleet.slot: no list {slot} was declared")
-        return api.EndpointListChanged(kind, raw.get("generation", 0), self.slots[slot])
+        return api.EndpointListChanged(kind, raw.get("generation", 0), self.lists_by_slot[slot])
 
 
 def main() -> int:
-    """Serves standard input until it ends; returns the exit status."""
-    # One process hosts hundreds of instances: a collector that walks all they remember costs them their CPU.
+    """Answers the lines of standard input until it ends; returns the exit code."""
+    # The process hosts hundreds of balancers. With the default thresholds, the garbage collector would spend
+    # too much processor time on the many objects that they keep.
     gc.set_threshold(200_000, 50, 1000)
-    host = Host()
+    host = BalancerHost()
     for line in sys.stdin:
         if not line.strip():
             continue
         try:
-            answer = host.reply(line)
+            answer = host.handle_line(line)
         except KeyError as error:
             print(f"simhost: malformed input: field {error} is missing", file=sys.stderr)
             return 1
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -1,4 +1,4 @@
-"""Where the servers stand: their tokens at home and abroad, kept as lists change them."""
+"""The two rings of one balancer, for the servers of its own zone and of other zones."""
 
 from collections.abc import Collection
 
@@ -7,57 +7,70 @@
 from balancer.request_state import Server
 from balancer.zone_weights import ZoneWeights
 
-TOKENS_PER_SERVER = (
-    128  # S of the largest server, the others in proportion: the RFC cites a spread near 10% at 100
-)
-ZONE_PEERS = 4  # balancers a zone from which on each asks the servers of its own zone first
+# The tokens of the largest server; with weighted tokens, the others have fewer in proportion. The loads of
+# servers with about 100 tokens each differ by near 10%.
+TOKENS_PER_SERVER = 128
+# The number of balancers per zone from which on the traffic of the zones is about even.
+MIN_BALANCERS_PER_ZONE = 4
 
 
 class ZoneRings:
-    """The two rings of one balancer; a list costs what it changes, since a large fleet's come often."""
+    """The rings of the local zone and of the other zones.
+
+    An update costs as much as what it changes, since the endpoint list of a large fleet changes often. Where
+    attempts in other zones cost nothing, or there is one zone, the local ring holds all servers.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
-        """There are no servers yet."""
-        self._set = settings
-        self._zoned = settings.cross_zone_cost > 0 and len(settings.zones) > 1
-        self.has_few_balancers = self._has_few_balancers()
+        """Starts without servers."""
+        self._settings = settings
+        self._is_zoned = settings.cross_zone_cost > 0 and len(settings.zones) > 1
+        # With few balancers per zone, the remote ring holds the servers of the local zone too.
+        self.has_few_balancers = self._is_under_min_balancers()
         self.local: Ring[Server] = Ring()
-        self.remote: Ring[Server] = Ring()  # servers of other zones, where that matters
-        self.local_share = 1.0  # of the keys: as far as home has the capacity
+        self.remote: Ring[Server] = Ring()
+        self.local_share = (
+            1.0  # the part of the keys that the local zone has capacity for; over 1: all of them
+        )
         self._servers: dict[str, Server] = {}
         self._weights = ZoneWeights()
-        self._largest = 1.0  # weight; weights have no unit
+        self._largest_weight = 1.0  # weights have no unit
 
     def __len__(self) -> int:
-        """How many servers there are."""
+        """Returns the number of servers on the rings."""
         return len(self._servers)
 
-    def update(self, gone: Collection[Server], kept: Collection[Server]) -> None:
-        """Takes servers out, and puts others where their entries say, whether they are new or not."""
-        for server in gone:
+    def update(self, removed: Collection[Server], kept: Collection[Server]) -> None:
+        """Removes servers, and places others by their entries; these may be new, changed or unchanged."""
+        for server in removed:
             self._remove(server)
         for server in kept:
             self._servers[server.entry.server] = server
             self._weights.put(server.entry.server, server.entry.zone, server.entry.weight)
-        before, self._largest = self._largest, self._weights.largest
-        resized = self._set.weighted_tokens and self._largest != before  # in proportion to it, all of them
-        self._place(self._servers.values() if resized else kept)
-        if self._zoned and not self.has_few_balancers:
-            # Zones have about as many requests, but not as many servers: what home can't carry goes abroad.
-            # With few balancers zones differ by what they are asked, and jams tell what home can't carry.
-            mine, total = self._weights.in_zone(self._set.zone), self._weights.total
-            self.local_share = len(self._set.zones) * mine / max(total, 1e-9)
+        previous_largest, self._largest_weight = self._largest_weight, self._weights.largest
+        # The tokens of all servers are in proportion to the largest weight.
+        all_resized = self._settings.weighted_tokens and self._largest_weight != previous_largest
+        self._place(self._servers.values() if all_resized else kept)
+        if self._is_zoned and not self.has_few_balancers:
+            # The zones have about the same traffic but not the same capacity, so the keys that the local zone
+            # has no capacity for go to other zones. With few balancers the traffic of the zones differs too:
+            # only the crowding of servers shows what the local zone can't serve.
+            local_weight, total_weight = self._weights.in_zone(self._settings.zone), self._weights.total
+            self.local_share = len(self._settings.zones) * local_weight / max(total_weight, 1e-9)
 
     def resize(self, settings: api.Settings) -> None:
-        """The number of balancers is another: all stand where they would with it from the start."""
-        self._set = settings
-        self.has_few_balancers = self._has_few_balancers()
+        """Takes a changed number of balancers; the rings become as if it had been so from the start."""
+        self._settings = settings
+        self.has_few_balancers = self._is_under_min_balancers()
         self.local_share = 1.0
         self.update((), tuple(self._servers.values()))
 
-    def _has_few_balancers(self) -> bool:
-        # Where few share a zone, one that dies doubles another zone's traffic: who is jammed is passed by.
-        return self._zoned and self._set.peers_total < ZONE_PEERS * len(self._set.zones)
+    def _is_under_min_balancers(self) -> bool:
+        # Where few balancers share a zone, one that dies moves much of its traffic to another zone. The rings
+        # can't plan for that, so crowded servers are passed over instead.
+        return self._is_zoned and self._settings.peers_total < MIN_BALANCERS_PER_ZONE * len(
+            self._settings.zones
+        )
 
     def _remove(self, server: Server) -> None:
         del self._servers[server.entry.server]
@@ -66,19 +79,21 @@
         self.remote.remove(server)
 
     def _place(self, servers: Collection[Server]) -> None:
-        """Gives each its tokens where it stands; one that has them keeps them."""
-        for ring, stands in (self.local, self._is_local), (self.remote, self._is_on_remote_ring):
-            ring.add_all((s, s.entry.server, self._tokens_of(s)) for s in servers if stands(s))
+        """Puts each server on the rings where it belongs; a server that is there already keeps its tokens."""
+        for ring, belongs in (self.local, self._is_local), (self.remote, self._is_on_remote_ring):
+            ring.add_all((s, s.entry.server, self._token_count(s)) for s in servers if belongs(s))
             for server in servers:
-                if not stands(server):
+                if not belongs(server):
                     ring.remove(server)
 
-    def _tokens_of(self, server: Server) -> int:
-        fixed = self._set.weighted_tokens and self._largest
-        return max(1, round(TOKENS_PER_SERVER * (server.entry.weight / self._largest if fixed else 1.0)))
+    def _token_count(self, server: Server) -> int:
+        is_weighted = self._settings.weighted_tokens and self._largest_weight
+        return max(
+            1, round(TOKENS_PER_SERVER * (server.entry.weight / self._largest_weight if is_weighted else 1.0))
+        )
 
     def _is_local(self, server: Server) -> bool:
-        return not self._zoned or server.entry.zone == self._set.zone
+        return not self._is_zoned or server.entry.zone == self._settings.zone
 
     def _is_on_remote_ring(self, server: Server) -> bool:
         return self.has_few_balancers or not self._is_local(server)
--- a/balancer/zone_weights.py
+++ b/balancer/zone_weights.py
@@ -1,47 +1,51 @@
-"""The weights of the servers on the ring, summed by zone: a change costs what changed, not a look at all."""
+"""The weights of the servers on the rings, summed by zone; an update costs as much as what it changes."""
 
 import math
 from collections import Counter
 
 
 class ZoneWeights:
-    """Counts how many servers have each weight in each zone.
+    """Counts the servers by zone and weight, and sums their weights.
 
-    Sums are rounded once and depend on no order: two balancers that hold one list have the same."""
+    The sums are exact until they are rounded once, so they don't depend on the order of the updates: two
+    balancers that have the same list get the same sums.
+    """
 
     def __init__(self) -> None:
-        """There are no servers yet."""
-        self._of: dict[str, tuple[int, float]] = {}  # server -> its zone and weight
-        self._counts: Counter[tuple[int, float]] = Counter()  # (zone, weight) -> servers
+        """Starts without servers."""
+        self._by_server: dict[str, tuple[int, float]] = {}  # server name -> its zone and weight
+        self._counts: Counter[tuple[int, float]] = Counter()  # (zone, weight) -> number of servers
 
     def __len__(self) -> int:
-        """How many servers there are."""
-        return len(self._of)
+        """Returns the number of servers."""
+        return len(self._by_server)
 
     def put(self, name: str, zone: int, weight: float) -> None:
-        """Sets the zone and weight of a server, new or known."""
-        if self._of.get(name) != (zone, weight):
+        """Sets the zone and weight of a server, which may be a new one."""
+        if self._by_server.get(name) != (zone, weight):
             self.remove(name)
-            self._of[name] = zone, weight
+            self._by_server[name] = zone, weight
             self._counts[zone, weight] += 1
 
     def remove(self, name: str) -> None:
-        """Takes a server out, if it is there."""
-        if (known := self._of.pop(name, None)) is not None:
-            self._counts[known] -= 1
-            if not self._counts[known]:
-                del self._counts[known]
+        """Removes a server, if it is present."""
+        if (zone_and_weight := self._by_server.pop(name, None)) is not None:
+            self._counts[zone_and_weight] -= 1
+            if not self._counts[zone_and_weight]:
+                del self._counts[zone_and_weight]
 
     @property
     def largest(self) -> float:
-        """The largest weight of a server; 1 where there is none."""
+        """The largest weight of a server; 1 if there are no servers."""
         return max((weight for _, weight in self._counts), default=1.0)
 
     @property
     def total(self) -> float:
-        """The sum of all weights."""
+        """The sum of the weights of all servers."""
         return math.fsum(weight * count for (_, weight), count in self._counts.items())
 
     def in_zone(self, zone: int) -> float:
-        """The sum of the weights in a zone."""
-        return math.fsum(weight * count for (where, weight), count in self._counts.items() if where == zone)
+        """Returns the sum of the weights of the servers in a zone."""
+        return math.fsum(
+            weight * count for (counted_zone, weight), count in self._counts.items() if counted_zone == zone
+        )
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,7 +5,7 @@
 from balancer import api, preference_set
 from balancer.balancer import Balancer
 from balancer.hash_ring import ring_position
-from balancer.preference_set import COLD_SPILL, preference_list
+from balancer.preference_set import MAX_SKIPS_BEFORE_COLD, preference_list
 from lab.endpoint_registry import EndpointRegistry
 from lab.invariant_checker import InvariantChecker
 from lab.scenario import InvariantLimits, load
@@ -49,7 +49,7 @@
     share = START + (1.0 - START) * age_ms / WARM_UP_MS
     mean = sum(asked.count(f"s{n}") for n in range(cold)) / cold
     fair = share * len(KEYS) / SERVERS
-    assert 0.7 * fair < mean < 1.1 * (1 + COLD_SPILL) * fair
+    assert 0.7 * fair < mean < 1.1 * (1 + MAX_SKIPS_BEFORE_COLD) * fair
 
 
 def test_all_balancers_agree_on_what_a_cold_server_is_asked():
@@ -67,7 +67,7 @@
     made.handle(100.0, api.EndpointListChanged(api.ListKind.FULL, 2, tuple(entries)))
     asked = owners(made)
     at_home = sum(name is not None and int(name[1:]) % 3 == 0 for name in asked) / len(KEYS)
-    assert at_home < 1.1 * (1 + COLD_SPILL) * START
+    assert at_home < 1.1 * (1 + MAX_SKIPS_BEFORE_COLD) * START
     assert None not in asked
 
 
@@ -125,6 +125,6 @@
 
 @pytest.mark.parametrize("seed", [1, 3])
 def test_the_judge_catches_a_fleet_whose_cold_nodes_get_what_the_others_leave(monkeypatch, seed):
-    monkeypatch.setattr(preference_set, "COLD_SPILL", 1 << 30)
-    monkeypatch.setattr(preference_set, "COLD_MOST", 1 << 30)
+    monkeypatch.setattr(preference_set, "MAX_SKIPS_BEFORE_COLD", 1 << 30)
+    monkeypatch.setattr(preference_set, "MAX_SKIPS", 1 << 30)
     assert Simulation(load("throng"), seed).run()["rules"]["cold"] >= 2
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -28,7 +28,7 @@
     assert d.cancels == [(late, 0)]
     # It was worth it: the next is sent again sooner.
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
-    assert d.balancer._hedges.delay < 8.0
+    assert d.balancer._hedges.delay_factor < 8.0
     assert not d.balancer._requests
     assert not any(server.out for server in d.balancer._servers.values())
 
@@ -38,7 +38,7 @@
     late = out_of_two(d)
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(late, 1)]
-    assert d.balancer._hedges.delay > 8.0
+    assert d.balancer._hedges.delay_factor > 8.0
 
 
 def test_a_second_copy_that_misses_goes_on_to_the_origin(drive):
--- a/tests/test_ring_updates.py
+++ b/tests/test_ring_updates.py
@@ -120,7 +120,7 @@
 
 def looks_of_one_change(total, monkeypatch):
     """How often tokens are looked at as one server joins such a fleet, and leaves it."""
-    monkeypatch.setattr(ring, "tokens", lambda name, number: [Counted(one) for one in tokens(name, number)])
+    monkeypatch.setattr(ring, "tokens", lambda name, count: [Counted(token) for token in tokens(name, count)])
     balancer = Balancer(api.Settings((api.RequestClass(100.0, 500.0),)), 1)
     fleet = tuple(api.ServerEntry(f"s{number}") for number in range(total))
     balancer.handle(0.0, api.EndpointListChanged(ListKind.FULL, 1, fleet))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.settings import read_settings
-from balancer.simulator_adapter import Host
+from balancer.simulator_adapter import BalancerHost
 
 OPTIONS = {
     "classes": [{"objective": 500.0, "deadline": 2000.0, "effect": "retryable", "importance": 1.0}],
@@ -32,12 +32,12 @@
 
 def send(host, inbox, name="balancer/0", wall=1000.0):
     batch = {"wall": wall, "parts": [{"balancer": name, "inbox": inbox}]}
-    parts = json.loads(host.reply(json.dumps(batch)))["parts"]
+    parts = json.loads(host.handle_line(json.dumps(batch)))["parts"]
     return parts[0]["output"] if parts else []
 
 
 def test_request_goes_to_the_cache_and_then_the_origin():
-    host = Host()
+    host = BalancerHost()
     (timer,) = begin(host)
     assert send(host, [{"tick-due": {"ref": timer["defer"]["ref"]}}]) == [{"watch": {"on": True}}]
     request = {"ref": "r1", "kind": 0, "route-key": "k", "time-left": 900.0}
@@ -50,12 +50,12 @@
 
 
 def test_unknown_messages_are_skipped_and_halt_forgets():
-    host = Host()
+    host = BalancerHost()
     begin(host)
     assert send(host, [{"weather": {"rain": True}}, {"peer-data": {"by": 1, "octets": "x"}}]) == []
     send(host, [{"halt": {}}])
     assert host.balancers == {}
-    assert host.reply('{"wall":1,"parts":[]}') == '{"parts":[]}'
+    assert host.handle_line('{"wall":1,"parts":[]}') == '{"parts":[]}'
 
 
 @pytest.mark.parametrize(
