--- a/tests/test_resize.py
+++ b/tests/test_resize.py
@@ -1,4 +1,4 @@
-"""The number of balancers may change while they run: each one's part of all bounds follows."""
+"""The number of balancers may change while they run; a balancer's share of every limit then follows."""
 
 import pytest
 
@@ -6,52 +6,52 @@
 from cloverwell.facade import Facade
 
 
-def sends(d, number):
-    """Servers of the first sends of so many requests, none answered; None where it was refused or held."""
-    names = [d.ask(f"k{i}", tenant=0) for i in range(number)]
-    return [d.sends.get(name, [None])[0] for name in names]
+def first_servers(d, request_count):
+    """Returns the server of each request's first attempt, or None if the request was refused or is held."""
+    requests = [d.ask(f"k{i}", tenant=0) for i in range(request_count)]
+    return [d.sends.get(request, [None])[0] for request in requests]
 
 
 @pytest.mark.parametrize(
     "more", [{}, {"zones": ("east", "west"), "cross_zone_cost": 0.5}], ids=["one", "zones"]
 )
 @pytest.mark.parametrize(("before", "after"), [(1, 12), (12, 1), (2, 3), (3, 8), (8, 3), (4, 4)])
-def test_a_resized_balancer_decides_as_one_that_was_built_so(drive, before, after, more):
+def test_a_resized_balancer_decides_as_a_new_one_of_that_size(drive, before, after, more):
     more["tenants"] = (api.Tenant(40.0),)
-    resized, built = drive(peers_total=before, **more), drive(peers_total=after, **more)
-    servers = [api.ServerEntry(name, zone=number % 2) for number, name in enumerate(built.names)]
-    for d in (resized, built):  # the same list, with servers in each zone
-        d.list(api.ListKind.FULL, servers)
+    resized, new = drive(peers_total=before, **more), drive(peers_total=after, **more)
+    entries = [api.ServerEntry(name, zone=number % 2) for number, name in enumerate(new.names)]
+    for d in (resized, new):  # both get the same list, with servers in each zone
+        d.list(api.ListKind.FULL, entries)
     resized.balancer.resize(after)
-    assert sends(resized, 150) == sends(built, 150)
+    assert first_servers(resized, 150) == first_servers(new, 150)
 
 
-def out_at_most(d):
-    return sum(server is not None for server in sends(d, 100))
+def max_in_flight(d):
+    return sum(server is not None for server in first_servers(d, 100))
 
 
-def test_more_balancers_leave_each_a_smaller_bound(drive):
+def test_each_of_more_balancers_has_a_lower_concurrency_limit(drive):
     alone = drive(servers=1, origin=False)
-    assert (at_first := out_at_most(alone)) > 4
-    many = drive(servers=1, origin=False)
-    many.balancer.resize(8)
-    assert 0 < out_at_most(many) <= at_first / 4
+    assert (limit_alone := max_in_flight(alone)) > 4
+    one_of_eight = drive(servers=1, origin=False)
+    one_of_eight.balancer.resize(8)
+    assert 0 < max_in_flight(one_of_eight) <= limit_alone / 4
 
 
-def test_a_bound_that_has_been_learnt_keeps_its_share_of_the_whole(drive):
+def test_a_learnt_concurrency_limit_is_divided_anew(drive):
     d = drive(servers=1, peers_total=2)
     for i in range(50):
         d.serve(d.ask(f"w{i}"), 5.0)
     server = d.balancer._servers["s0"]
-    learnt = server.limit
+    limit = server.limit
     d.balancer.resize(4)
-    assert server.limit == pytest.approx(learnt / 2)
+    assert server.limit == pytest.approx(limit / 2)
     assert server.min_limit == 1.5
     d.balancer.resize(1000)
     assert server.limit == server.min_limit == 1.0
 
 
-def test_the_facade_hands_the_new_size_on(drive):
+def test_the_facade_passes_the_new_number_of_balancers_on(drive):
     settings = drive(peers_total=2).settings
     facade = Facade(settings, 1, lambda: 0.0)
     facade.resize(7)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Hedged reads, and attempts that must not be repeated."""
+"""Hedged reads, and requests that must not get a second attempt."""
 
 import pytest
 from balancer_helpers import out_of_two, warm_up
@@ -7,9 +7,9 @@
 from balancer.api import Status
 
 
-def test_begun_stream_is_left_alone(drive):
-    stream = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, is_stream=True)
-    d = drive(classes=(stream,), origin=False)
+def test_a_request_whose_stream_has_begun_gets_no_further_attempt(drive):
+    stream_class = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, is_stream=True)
+    d = drive(classes=(stream_class,), origin=False)
     name = d.ask()
     d.do(api.StreamBegun(name, d.sends[name][0], 0))
     d.pass_time(5000)
@@ -17,40 +17,41 @@
     assert name not in d.ended
 
 
-def test_a_read_on_a_connection_that_fell_silent_goes_again_to_the_server_that_answers_others(drive):
-    # Silent days: 2% of the attempts got no byte on connections that had answered before, and waited on.
+def test_a_read_on_a_silent_connection_is_hedged_at_the_same_server(drive):
+    # Some connections that have answered before fall silent (2% of the attempts met one), while the server
+    # answers on others. An attempt on a silent connection would wait until its deadline.
     d = drive(may_hedge=True)
-    late = out_of_two(d)
-    assert d.sends[late] == [d.sends[late][0]] * 2
+    hedged = out_of_two(d)
+    assert d.sends[hedged] == [d.sends[hedged][0]] * 2
     assert not d.cancels
     assert not d.logs
-    d.answer(late, Status.OK, 60.0)
-    assert d.cancels == [(late, 0)]
-    # It was worth it: the next is sent again sooner.
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
+    d.answer(hedged, Status.OK, 60.0)
+    assert d.cancels == [(hedged, 0)]
+    # The hedged attempt was answered first, so the next read is hedged sooner.
+    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0, True))
     assert d.balancer._hedges.delay_factor < 8.0
     assert not d.balancer._requests
     assert not any(server.out for server in d.balancer._servers.values())
 
 
-def test_where_the_first_copy_answers_after_all_the_next_is_sent_again_later(drive):
+def test_a_first_attempt_that_is_answered_before_its_hedge_raises_the_delay(drive):
     d = drive(may_hedge=True)
-    late = out_of_two(d)
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
-    assert d.cancels == [(late, 1)]
+    hedged = out_of_two(d)
+    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.OK, 1060.0, True))
+    assert d.cancels == [(hedged, 1)]
     assert d.balancer._hedges.delay_factor > 8.0
 
 
-def test_a_second_copy_that_misses_goes_on_to_the_origin(drive):
+def test_a_hedged_attempt_that_misses_continues_at_the_origin(drive):
     d = drive(may_hedge=True)
-    late = out_of_two(d)
-    d.answer(late, Status.MISS, 1.0)
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
-    assert d.sends[late][2] == "origin"
+    hedged = out_of_two(d)
+    d.answer(hedged, Status.MISS, 1.0)
+    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0))
+    assert d.sends[hedged][2] == "origin"
 
 
 @pytest.mark.parametrize("write", [False, True])
-def test_a_request_that_may_not_run_twice_gets_no_second_copy(drive, write):
+def test_a_request_that_must_not_run_twice_is_not_hedged(drive, write):
     d = drive(may_hedge=True)
     warm_up(d)
     d.ask("k", cls=2, write=write)
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""The server that an attempt goes to, and those that are passed over."""
+"""The selection of the server for an attempt, and the servers that it passes over."""
 
 import pytest
 from balancer_helpers import SLOW, warm_up
@@ -7,59 +7,62 @@
 from balancer.api import Status
 
 
-def test_hot_key_is_spread_over_members_and_others_are_not(drive):
-    # metro-helpdesk-later big-1: 243 balancers had one request of the hot key out each.
+def test_a_hot_key_is_spread_over_servers_and_other_keys_are_not(drive):
+    # When each of 243 balancers has one request for the hot key in flight, one server would be overloaded,
+    # though no balancer reaches its own limit.
     d = drive(servers=12)
-    cool = {f"k{i}": d.owner(f"k{i}") for i in range(70)}
-    sent = {d.owner("hot") for _ in range(30)}
-    assert len(sent) > 4
-    assert all(d.owner(key) == owner for key, owner in cool.items())
+    cold_key_owners = {f"k{i}": d.owner(f"k{i}") for i in range(70)}
+    hot_key_servers = {d.owner("hot") for _ in range(30)}
+    assert len(hot_key_servers) > 4
+    assert all(d.owner(key) == owner for key, owner in cold_key_owners.items())
 
 
-def test_a_full_bound_spills_to_the_next_member(drive):
+def test_requests_over_the_concurrency_limit_go_to_the_next_server(drive):
     d = drive(servers=4, peers_total=24)
     first, second, third = (d.ask("k", cls=3) for _ in range(3))
     assert d.sends[first] == d.sends[second] != d.sends[third]
 
 
-def test_jam_is_not_walked_round_all_servers(drive):
-    # Incidents i13e990, iaf637b: each refused request was sent to every server, seven attempts a request.
+def test_a_request_that_full_servers_refuse_is_not_sent_to_all_servers(drive):
+    # Otherwise each refused request of an overload goes to one server after the other, up to seven of them.
     d = drive(servers=12, max_attempts=9)
-    name = d.ask("k")
-    while name not in d.ended and len(d.sends[name]) < 9:
-        d.answer(name, Status.FULL)
-    assert len(d.sends[name]) <= 3
-    assert name in d.ended
+    request = d.ask("k")
+    while request not in d.ended and len(d.sends[request]) < 9:
+        d.answer(request, Status.FULL)
+    assert len(d.sends[request]) <= 3
+    assert request in d.ended
 
 
-def test_a_hot_key_passes_by_a_cold_server(drive):
+def test_a_hot_key_passes_over_a_cold_server(drive):
     d = drive(servers=6, start_capacity=0.2, warm_up_ms=20_000.0)
     key = next(k for k in (f"k{i}" for i in range(500)) if d.owner(k) == "s1")
     d.list(api.ListKind.DELTA, [api.ServerEntry("s1", started_ms=d.now)])
     assert [d.owner(key) for _ in range(20)].count("s1") <= 4
 
 
-def test_a_jammed_server_is_passed_by_until_it_had_time_to_drain(drive):
-    # booking-sicily-later big-1: half of the warm servers stayed jammed, doing work that was given up.
+def test_an_overloaded_server_is_passed_over_until_it_has_had_time_to_recover(drive):
+    # Otherwise it stays overloaded, busy with requests whose clients have given up. Half of all warm servers
+    # were in this state for good.
     d = drive(servers=12)
     warm_up(d)
-    jammed = d.owner("k")
-    keys = [key for key in (f"k{i}" for i in range(300)) if d.owner(key) == jammed][:12]
+    overloaded = d.owner("k")
+    keys = [key for key in (f"k{i}" for i in range(300)) if d.owner(key) == overloaded][:12]
     for key in keys[:4]:
         d.pass_time(2000)
-        name = d.ask(key, cls=3)
-        while d.sends[name] != [jammed]:  # some pass it by from the first on
-            d.serve(name, 60.0)
-            name = d.ask(key, cls=3)
-        d.answer(name, Status.FULL)
-    assert [d.owner(key) for key in keys[4:]].count(jammed) <= 2
+        request = d.ask(key, cls=3)
+        while d.sends[request] != [overloaded]:  # after the first refusal some requests pass over the server
+            d.serve(request, 60.0)
+            request = d.ask(key, cls=3)
+        d.answer(request, Status.FULL)
+    assert [d.owner(key) for key in keys[4:]].count(overloaded) <= 2
     d.pass_time(15_000)
-    assert [d.owner(key) for key in keys[4:]].count(jammed) >= 6
+    assert [d.owner(key) for key in keys[4:]].count(overloaded) >= 6
 
 
-def test_a_late_server_is_remembered_until_it_is_met_again(drive):
-    # bauakte-bayern big-2: 250 balancers each met a jammed server every four seconds and forgot it in two.
-    passed = 0
+def test_a_crowded_server_is_remembered_until_its_next_request(drive):
+    # In a fleet of 250 balancers, each sent a request to an overloaded server every four seconds, and had
+    # forgotten the server's latency after two.
+    passed_over_count = 0
     for seed in range(20):
         d = drive(servers=12, seed=seed)
         owner = d.owner("k")
@@ -67,23 +70,23 @@
         for _ in range(3):
             for key in others:
                 d.serve(d.ask(key), 100.0)
-            name = d.ask("k", cls=3)
-            passed += d.sends[name] != [owner]
-            d.serve(name, 100.0 if d.sends[name] != [owner] else 590.0)
-    assert passed > 9
+            request = d.ask("k", cls=3)
+            passed_over_count += d.sends[request] != [owner]
+            d.serve(request, 100.0 if d.sends[request] != [owner] else 590.0)
+    assert passed_over_count > 9
 
 
-@pytest.mark.parametrize("cold", [True, False])
-def test_what_no_warm_server_may_take_goes_to_the_origin_while_others_are_cold(drive, cold):
-    # Seen on a herd day (seed 11): after a release 330 of 3,051 reads were refused since no node might take
-    # them, while the origin, which held back nothing, had room.
+@pytest.mark.parametrize("others_cold", [True, False])
+def test_reads_over_the_limits_go_to_the_origin_while_other_servers_are_cold(drive, others_cold):
+    # After a release that restarted most servers, 330 of 3,051 reads were refused since no cache server could
+    # take them, while the origin had capacity to spare.
     d = drive(servers=6, seed=3, start_capacity=0.32, warm_up_ms=8700.0)
-    started = d.now if cold else 0.0
-    d.list(api.ListKind.DELTA, [api.ServerEntry(f"s{i}", started_ms=started) for i in range(1, 6)])
-    names = [d.ask(f"x{i}", cls=3) for i in range(400)]
-    refused = [name for name in names if name in d.ended]
-    fetched = [name for name in names if d.sends.get(name, [""])[0] == "origin"]
-    if cold:
+    started_ms = d.now if others_cold else 0.0
+    d.list(api.ListKind.DELTA, [api.ServerEntry(f"s{i}", started_ms=started_ms) for i in range(1, 6)])
+    requests = [d.ask(f"x{i}", cls=3) for i in range(400)]
+    refused = [request for request in requests if request in d.ended]
+    fetched = [request for request in requests if d.sends.get(request, [""])[0] == "origin"]
+    if others_cold:
         assert fetched
         assert len(fetched) <= d.balancer._servers["origin"].limit
     else:
@@ -91,15 +94,16 @@
         assert refused
 
 
-@pytest.mark.parametrize(("writes", "refused"), [(True, False), (False, True)])
-def test_a_node_is_passed_by_by_the_aims_of_what_it_answers(drive, writes, refused):
-    # teori-oslo wide+reset+stale: writes go to the origin, but their shorter aim called far nodes jammed.
+@pytest.mark.parametrize(("has_write", "is_refused"), [(True, False), (False, True)])
+def test_a_server_is_crowded_by_the_objectives_of_the_requests_that_it_answers(drive, has_write, is_refused):
+    # Writes go to the origin. When the shorter latency objective of their class was applied to cache servers
+    # too, servers in distant zones counted as crowded.
     d = drive(classes=SLOW)
-    if writes:
+    if has_write:
         d.serve(d.ask("w", cls=1, left=1000.0, write=True), 40.0)
-    names = []
+    requests = []
     for i in range(40):
-        names.append(d.ask(f"k{i}"))
-        if names[-1] in d.sends:
-            d.serve(names[-1], 330.0)
-    assert any(isinstance(d.ended.get(name), api.Reject) for name in names) is refused
+        requests.append(d.ask(f"k{i}"))
+        if requests[-1] in d.sends:
+            d.serve(requests[-1], 330.0)
+    assert any(isinstance(d.ended.get(request), api.Reject) for request in requests) is is_refused
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,6 +1,6 @@
-"""What a proxy must be told: a setting that is missing or malformed ends the start, in a line that names it.
+"""Checks of the settings: a missing or malformed setting ends the proxy's start with a line that names it.
 
-A figure put in its place would be some other site's: lax where this one is strict.
+A default in its place might be laxer than the rule that this site means.
 """
 
 import copy
@@ -30,25 +30,25 @@
     return read_config({"EDGE_CONFIG": str(path)})
 
 
-def places(node, path=()):
-    """Each value in it, with the names and numbers that lead there."""
+def paths(node, path=()):
+    """Yields the path of each value in nested dicts and lists: the names and indexes that lead to it."""
     for name, value in node.items() if isinstance(node, dict) else enumerate(node):
         yield (*path, name)
         if isinstance(value, dict | list):
-            yield from places(value, (*path, name))
+            yield from paths(value, (*path, name))
 
 
 def changed(config, path, value):
-    """A copy with that value there, or with none if it is `...`."""
-    made = copy.deepcopy(config)
-    node = made
+    """Returns a copy with the value at the path, or without that setting if the value is `...`."""
+    result = copy.deepcopy(config)
+    node = result
     for step in path[:-1]:
         node = node[step]
     if value is ...:
         del node[path[-1]]
     else:
         node[path[-1]] = value
-    return made
+    return result
 
 
 def settings(*path):
@@ -58,16 +58,16 @@
 MISSING = [
     settings("classes"),
     settings("classes", 0, "name"),
-    settings("classes", 0, "effect"),  # it was taken for one that is safe to repeat
+    settings("classes", 0, "effect"),  # a default of "retryable" would let unsafe requests run twice
     settings("classes", 0, "objective"),
     settings("classes", 0, "deadline"),
     settings("classes", 1, "window"),
     settings("membership-mode"),
-    settings("peers-total"),  # it was taken for 1: each proxy sent what all may
+    settings("peers-total"),  # with a default of 1, each proxy would use the limits of all together
     settings("granularity"),
-    settings("guarantees", "drain-grace"),  # it was taken for 1000
+    settings("guarantees", "drain-grace"),  # a default of 1000 ms may exceed what the site permits
     settings("guarantees", "ask-within"),
-    settings("guarantees", "cold"),  # all were taken for warm
+    settings("guarantees", "cold"),  # with a default of 0, all servers would count as warm
     settings("guarantees", "start-capacity"),
     settings("limits", "send-cap"),
     settings("limits", "connect-timeout"),
@@ -89,24 +89,24 @@
         (settings("classes", 0, "objective"), -1),
         (settings("classes", 1, "window"), -1),
         (settings("classes", 0, "group"), "row"),
-        (settings("classes", 0, "stream"), "no"),  # any text was taken for true
-        (settings("classes", 1, "name"), "page"),  # the second of the name hid the first
+        (settings("classes", 0, "stream"), "no"),  # a string must not count as true
+        (settings("classes", 1, "name"), "page"),  # the second class would hide the first of that name
         (settings("tenants", 1, "name"), "acme"),
         (settings("limits", "cancel"), "no"),
         (settings("limits", "retry-after"), 1),
         (settings("limits", "connect-timeout"), 0),
-        (settings("limits", "send-cap"), 0),  # named as max_attempts, a word of the program's own
+        (settings("limits", "send-cap"), 0),  # the error names the setting, not the field max_attempts
         (settings("limits", "max-open"), -1),
         (settings("guarantees", "drain-grace"), -1),
         (settings("guarantees", "start-capacity"), 2),
         (settings("peers-total"), 0),
         (settings("zones"), [1]),
         (settings("zone"), 7),
-        (settings("specifics", "origin-kind"), 9),  # no node was the origin
-        (settings("membership-mode"), "sometimes"),  # taken for on_request: nobody followed the list
+        (settings("specifics", "origin-kind"), 9),  # otherwise no server would be the origin
+        (settings("membership-mode"), "sometimes"),  # must not fall back to one of the modes
         (("limits", "memory_mb"), 0),
         (("limits", "cores"), -1),
-        (("known", "members", 0, "phase"), "asleep"),  # ended the start with a traceback and exit code 1
+        (("known", "members", 0, "phase"), "asleep"),  # must not end the start with a traceback
         (("known", "members", 0, "host_port"), "127.0.0.1"),
     ],
     ids=str,
@@ -116,26 +116,26 @@
         read(tmp_path, changed(CONFIG, path, value))
 
 
-def test_a_file_that_nests_without_end_is_an_error_like_others(tmp_path):
+def test_a_file_that_nests_too_deeply_is_a_configuration_error(tmp_path):
     with pytest.raises(ConfigError, match="EDGE_CONFIG"):
         read(tmp_path, '{"settings":' + "[" * 100_000)
 
 
-def test_what_is_told_as_zero_is_zero_and_not_some_other_sites_figure(tmp_path):
-    told = changed(CONFIG, settings("guarantees", "drain-grace"), 0)
-    told = changed(told, settings("guarantees", "start-capacity"), 0)
-    got = read(tmp_path, told).settings
-    # Both were replaced as if missing: 1000 ms of drain time, and full capacity from the first moment on.
-    assert got.drain_grace_ms == 0.0
-    assert 0.0 < got.start_capacity <= 0.01
+def test_a_setting_of_zero_is_not_replaced_by_its_default(tmp_path):
+    # The defaults are 1000 ms of drain grace, and full capacity right after a start.
+    config = changed(CONFIG, settings("guarantees", "drain-grace"), 0)
+    config = changed(config, settings("guarantees", "start-capacity"), 0)
+    result = read(tmp_path, config).settings
+    assert result.drain_grace_ms == 0.0
+    assert 0.0 < result.start_capacity <= 0.01
 
 
-def test_lists_that_are_pushed_need_no_time_for_asking(tmp_path):
-    told = changed(CONFIG, settings("guarantees", "ask-within"), ...)
-    assert read(tmp_path, changed(told, settings("membership-mode"), "pushed")).settings.is_list_pushed
+def test_a_pushed_endpoint_list_needs_no_poll_interval(tmp_path):
+    config = changed(CONFIG, settings("guarantees", "ask-within"), ...)
+    assert read(tmp_path, changed(config, settings("membership-mode"), "pushed")).settings.is_list_pushed
 
 
-JUNK = st.one_of(
+VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(),
@@ -146,9 +146,9 @@
 )
 
 
-@given(st.sampled_from(list(places(SETTINGS))), JUNK)
-def test_whatever_stands_in_a_settings_place_it_is_read_or_named(path, junk):
-    raw = changed(SETTINGS, path, junk)
+@given(st.sampled_from(list(paths(SETTINGS))), VALUES)
+def test_any_value_of_a_setting_is_read_or_named_in_the_error(path, value):
+    raw = changed(SETTINGS, path, value)
     try:
         check_required_settings(raw)
         read_settings(raw)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: translation, lists by number, and plain words on malformed input."""
+"""The simulator's adapter: translation of messages, numbered endpoint lists, errors of malformed input."""
 
 import json
 import subprocess
@@ -36,7 +36,7 @@
     return parts[0]["output"] if parts else []
 
 
-def test_request_goes_to_the_cache_and_then_the_origin():
+def test_a_request_goes_to_a_cache_server_and_after_a_miss_to_the_origin():
     host = BalancerHost()
     (timer,) = begin(host)
     assert send(host, [{"tick-due": {"ref": timer["defer"]["ref"]}}]) == [{"watch": {"on": True}}]
@@ -49,7 +49,7 @@
     assert sent["try"]["host"] == "host-o"
 
 
-def test_unknown_messages_are_skipped_and_halt_forgets():
+def test_unknown_messages_are_skipped_and_halt_removes_the_balancer():
     host = BalancerHost()
     begin(host)
     assert send(host, [{"weather": {"rain": True}}, {"peer-data": {"by": 1, "octets": "x"}}]) == []
@@ -67,7 +67,7 @@
         '{"wall":1,"parts":[{"balancer":"b","inbox":[{"begin":{"random-seed":1,"options":{"classes":[]}}}]}]}',
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(line):
+def test_malformed_input_ends_the_process_with_one_error_line(line):
     run = subprocess.run(
         [sys.executable, "-m", "balancer.simulator_adapter"],
         input=line + "\n",
@@ -80,10 +80,10 @@
     assert "Traceback" not in run.stderr
 
 
-def test_settings_of_the_further_rules_are_read_and_absent_ones_bind_nowhere():
-    plain = read_settings(OPTIONS)
-    assert plain.retry_window_ms == plain.in_doubt_hold_ms == plain.drain_close_ms == 0.0
-    assert not plain.classes[0].is_ordered
+def test_settings_of_the_optional_rules_are_read_and_absent_ones_set_no_limit():
+    defaults = read_settings(OPTIONS)
+    assert defaults.retry_window_ms == defaults.in_doubt_hold_ms == defaults.drain_close_ms == 0.0
+    assert not defaults.classes[0].is_ordered
     assert (
         read_settings(OPTIONS | {"classes": [OPTIONS["classes"][0] | {"in-turn": True}]})
         .classes[0]
