--- a/balancer/hash_ring.py
+++ b/balancer/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent-hashing ring of any owners: positions, tokens, and the walk clockwise."""
+"""A consistent-hashing ring: positions of keys, tokens of owners, and the walk clockwise."""
 
 from bisect import bisect_left, insort
 from collections.abc import Hashable, Iterable, Iterator
@@ -20,7 +20,7 @@
 
 
 def tokens(name: str, count: int) -> list[int]:
-    """Returns the sorted tokens of the server with that name; all are cut from one digest, as in ketama."""
+    """Returns the sorted tokens of the server with that name; all are parts of one digest, as in ketama."""
     return sorted(unpack(f">{count}Q", shake_128(name.encode()).digest(8 * count)))
 
 
@@ -50,7 +50,7 @@
         self.add_all([(owner, name, count)])
 
     def add_all(self, items: Iterable[tuple[Owner, str, int]]) -> None:
-        """Does the same as `add` for several distinct owners, which at a start are the whole fleet."""
+        """Does what `add` does for several distinct owners; at a start these are the whole fleet."""
         added: list[int] = []
         for owner, name, count in items:
             if len(self._tokens.get(owner, ())) != count:
@@ -75,7 +75,7 @@
             del bucket[bisect_left(bucket, token)]
 
     def clockwise(self, position: int) -> Iterator[tuple[int, Owner]]:
-        """Yields all tokens with their owners, from the first at or after the position, round the ring."""
+        """Yields all tokens with their owners, clockwise from the first token at or after the position."""
         first_index = position >> BUCKET_SHIFT
         first_bucket = self._buckets[first_index]
         start = bisect_left(first_bucket, position)
--- a/balancer/hot_keys.py
+++ b/balancer/hot_keys.py
@@ -5,7 +5,7 @@
 
 # The number of latest reads in which hot keys are detected.
 WINDOW = 100
-# The increase of a fetch's priority with its key's load: at the load of a mean server, this many times more.
+# A fetch's priority is multiplied by 1 + FETCH_PRIORITY * load, where the load is that of its key.
 FETCH_PRIORITY = 10.0
 # The most load that one key may bring to a server, in loads of a mean server; a hotter key is spread.
 MAX_LOAD = 0.5
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -23,25 +23,27 @@
     copies of the key's value.
     """
     ring_order = [rings.local, rings.remote]
+    # Ten bits of the position, which are random, decide if the key is in the local zone's share.
     if (position >> 10) % 1024 >= 1024 * rings.local_share:
         ring_order.reverse()
     seen, zones, deferred = set[Server](), set[int](), list[Server]()
     for ring in ring_order:
-        found, skips = sum(server in ring for server in seen), 0  # both rings may hold the same server
-        max_found = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
+        # Both rings may hold the same server, so this one may hold some that are seen already.
+        found_count, skipped_count = sum(server in ring for server in seen), 0
+        max_count = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
         for token, server in ring.clockwise(position):
-            if found >= max_found or skips > MAX_SKIPS:
+            if found_count >= max_count or skipped_count > MAX_SKIPS:
                 break
             if server in seen:
                 continue
             is_warm = slow_start.is_warm(now, server)
-            is_allowed = is_warm or skips <= MAX_SKIPS_BEFORE_COLD
-            # The low bits of a token are random, so they decide which tokens are the active share.
+            is_allowed = is_warm or skipped_count <= MAX_SKIPS_BEFORE_COLD
+            # The low ten bits of a token, which are random, decide if the token is in the active share.
             if is_allowed and token % 1024 < 1024 * slow_start.active_share(now, server):
                 seen.add(server)
-                found += 1
+                found_count += 1
                 if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
-                    deferred.append(server)
+                    deferred.append(server)  # it comes after the first servers of all zones
                 else:
                     zones.add(server.entry.zone)
                     yield server
@@ -49,5 +51,5 @@
                 # All servers of the local zone may be as cold, and must not get what this one doesn't take.
                 break
             else:
-                skips += not is_warm
+                skipped_count += not is_warm
     yield from deferred
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -38,7 +38,7 @@
 
 
 class SettingsError(ValueError):
-    """The error of a missing or malformed setting; `name` is its path in the settings object."""
+    """Raised for a missing or malformed setting; `name` is its path in the settings object."""
 
     def __init__(self, name: str, problem: str) -> None:
         """Makes the error text of the name and `problem`, such as "must be a number"."""
--- a/balancer/settings_types.py
+++ b/balancer/settings_types.py
@@ -1,4 +1,4 @@
-"""The types of the balancer's settings, which check the ranges of their fields; settings.py reads them."""
+"""The types of the balancer's settings, which check the ranges of their fields; settings.py fills them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -32,12 +32,12 @@
     """The rules for one class of requests: latency objective, deadline, idempotency and importance."""
 
     latency_objective_ms: float  # the time in which a response is to reach the client
-    deadline_ms: float  # the time after which the client has given up
+    deadline_ms: float  # the time after which a client gives up
     idempotency: Idempotency = Idempotency.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_ms: float = 0.0  # the time for which servers remember the idempotency key
     importance: float = 1.0  # the weight of a request against those of other classes
-    late_value: float = 0.0  # the value of a response after the objective; 0: it is of no use
+    late_value: float = 0.0  # the value of a response after the objective, as a part of its value in time
     is_stream: bool = False  # responses are streams, whose beginning may reach the client before their end
     is_ordered: bool = False  # requests with the same key run one at a time, in the order of their arrival
     name: str = ""
@@ -65,37 +65,35 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All settings of one balancer; durations are in milliseconds.
-
-    Within `retry_window_ms`, the balancer sends at most `free_retries` retries plus `retry_share` times the
-    number of requests. If the window is 0, the retries are not limited.
-    """
+    """All settings of one balancer; durations are in milliseconds."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     peers_total: int = 1  # the number of balancers that share the servers, this one included
     origin_machine_type: int = -1  # the index in `machine_types` of the origin's type; -1: there is no origin
     zone: int = 0  # the index in `zones` of this balancer's zone
-    cross_zone_cost: float = 0.0  # of an attempt in another zone, in the importance of a request; 0: free
+    cross_zone_cost: float = 0.0  # the cost of an attempt in another zone, in units of importance; 0: none
     weighted_tokens: bool = False  # a server's tokens on the ring are in proportion to its weight
     is_list_pushed: bool = False  # the endpoint list arrives by itself; otherwise the balancer asks for it
-    over_quota_importance: float = 1.0  # factor on the importance of requests beyond their tenant's quota
-    max_attempts: int = 3  # of one request, the first attempt included
+    over_quota_importance: float = 1.0  # the factor on the importance of requests beyond their tenant's quota
+    max_attempts: int = 3  # the most attempts of one request, the first one included
     may_cancel: bool = True  # attempts may be cancelled
     may_probe: bool = False  # the balancer may send health checks to servers
     may_hedge: bool = False  # a request may have two attempts in flight at the same time
-    max_retry_after_ms: float = 0.0  # the longest wait that a rejection asks of the client; 0: it asks none
-    granularity_ms: float = 1.0  # of timers, and the shortest timeout of an attempt
+    max_retry_after_ms: float = 0.0  # the longest wait that a rejection asks the client for; 0: none
+    granularity_ms: float = 1.0  # the granularity of timers, and the shortest timeout of an attempt
     start_capacity: float = 1.0  # the part of its full capacity that a server has when it has just started
     warm_up_ms: float = 0.0  # the time after its start until a server has its full capacity
     max_poll_interval_ms: float = 10_000.0  # the longest time between two calls for the endpoint list
+    # In each window of `retry_window_ms`, the retries are at most `free_retries` plus `retry_share` times the
+    # requests. If the window is 0, retries are not limited.
     retry_window_ms: float = 0.0
     free_retries: float = 0.0
     retry_share: float = 0.0
     idle_timeout_ms: float = 15_000.0  # a connection that has been idle for this long is closed
-    drain_close_ms: float = 0.0  # the time in which connections to a draining server must close; 0: any time
-    drain_grace_ms: float = 1000.0  # from the news that a server drains or is gone to the last attempt there
-    in_doubt_hold_ms: float = 0.0  # an attempt that may still run holds up its key's ordered requests so long
+    drain_close_ms: float = 0.0  # idle connections to a draining server are closed in this time; 0: no limit
+    drain_grace_ms: float = 1000.0  # a draining or removed server may still get attempts for this time
+    in_doubt_hold_ms: float = 0.0  # the wait of ordered requests after an attempt that may still run
     zones: tuple[str, ...] = ()  # the names of all zones
     machine_types: tuple[str, ...] = ()  # the names of all machine types
     # The balancer itself does not use the following: they are for the program that sends its attempts.
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -15,7 +15,7 @@
 from balancer.balancer import Balancer
 from balancer.settings import read_settings
 
-STATUS = {
+STATUS_BY_NAME = {
     "Ok": api.Status.OK,
     "Miss": api.Status.MISS,
     "QueueFull": api.Status.FULL,
@@ -29,7 +29,7 @@
 
 
 class WireError(Exception):
-    """The error of a message that the simulator's format does not allow."""
+    """Raised for a message that the simulator's format does not allow."""
 
 
 def read_entry(raw: dict[str, Any]) -> api.ServerEntry:
@@ -47,7 +47,7 @@
 
 def read_status(raw: dict[str, Any]) -> api.Status:
     """Reads the status with which an attempt or a probe ended."""
-    status = STATUS.get(raw["rc"])
+    status = STATUS_BY_NAME.get(raw["rc"])
     if status is None:
         raise WireError(f"rc: unknown value {raw['rc']!r}")
     return status
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -7,18 +7,19 @@
 from balancer.request_state import Server
 from balancer.zone_weights import ZoneWeights
 
-# The tokens of the largest server; with weighted tokens, the others have fewer in proportion. The loads of
-# servers with about 100 tokens each differ by near 10%.
+# The tokens of the largest server; with weighted tokens, the others have fewer in proportion. With about 100
+# tokens each, the loads of equal servers differ by about 10%.
 TOKENS_PER_SERVER = 128
-# The number of balancers per zone from which on the traffic of the zones is about even.
+# From this number of balancers per zone on, the zones have about the same traffic.
 MIN_BALANCERS_PER_ZONE = 4
 
 
 class ZoneRings:
     """The rings of the local zone and of the other zones.
 
-    An update costs as much as what it changes, since the endpoint list of a large fleet changes often. Where
-    attempts in other zones cost nothing, or there is one zone, the local ring holds all servers.
+    An update costs only as much as the servers that it changes, since the endpoint list of a large fleet
+    changes often. Where attempts in other zones have no cost, or there is only one zone, the local ring holds
+    all servers.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -29,9 +30,7 @@
         self.has_few_balancers = self._is_under_min_balancers()
         self.local: Ring[Server] = Ring()
         self.remote: Ring[Server] = Ring()
-        self.local_share = (
-            1.0  # the part of the keys that the local zone has capacity for; over 1: all of them
-        )
+        self.local_share = 1.0  # the part of the keys that the local zone has capacity for; 1 or more: all
         self._servers: dict[str, Server] = {}
         self._weights = ZoneWeights()
         self._largest_weight = 1.0  # weights have no unit
@@ -41,7 +40,7 @@
         return len(self._servers)
 
     def update(self, removed: Collection[Server], kept: Collection[Server]) -> None:
-        """Removes servers, and places others by their entries; these may be new, changed or unchanged."""
+        """Removes servers, and places those that are kept, new or known, according to their entries."""
         for server in removed:
             self._remove(server)
         for server in kept:
@@ -59,7 +58,7 @@
             self.local_share = len(self._settings.zones) * local_weight / max(total_weight, 1e-9)
 
     def resize(self, settings: api.Settings) -> None:
-        """Takes a changed number of balancers; the rings become as if it had been so from the start."""
+        """Adapts the rings to settings that differ only in the number of balancers."""
         self._settings = settings
         self.has_few_balancers = self._is_under_min_balancers()
         self.local_share = 1.0
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -24,7 +24,7 @@
 
 
 def test_a_request_that_full_servers_refuse_is_not_sent_to_all_servers(drive):
-    # Otherwise each refused request of an overload goes to one server after the other, up to seven of them.
+    # Otherwise, in an overload, a refused request is sent to one server after the other, up to seven times.
     d = drive(servers=12, max_attempts=9)
     request = d.ask("k")
     while request not in d.ended and len(d.sends[request]) < 9:
@@ -41,8 +41,8 @@
 
 
 def test_an_overloaded_server_is_passed_over_until_it_has_had_time_to_recover(drive):
-    # Otherwise it stays overloaded, busy with requests whose clients have given up. Half of all warm servers
-    # were in this state for good.
+    # Otherwise it stays overloaded, busy with requests whose clients have given up. This happened to half of
+    # the warm servers.
     d = drive(servers=12)
     warm_up(d)
     overloaded = d.owner("k")
@@ -60,8 +60,8 @@
 
 
 def test_a_crowded_server_is_remembered_until_its_next_request(drive):
-    # In a fleet of 250 balancers, each sent a request to an overloaded server every four seconds, and had
-    # forgotten the server's latency after two.
+    # Each of 250 balancers sent a request to an overloaded server only every four seconds, and had forgotten
+    # the server's latency after two.
     passed_over_count = 0
     for seed in range(20):
         d = drive(servers=12, seed=seed)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -29,8 +29,8 @@
 
 
 def test_keys_beyond_a_small_zones_capacity_go_to_their_owners_in_the_other_zone(drive):
-    # With 45 servers in one zone, 15 in the other and as many balancers in each, every key was asked of both
-    # zones about as often.
+    # With 45 servers in one zone, 15 in the other and as many balancers in each, half of the requests for
+    # every key went to the other zone.
     west, east = owners(fleet(drive, WEST, east=9, west=3)), owners(fleet(drive, EAST, east=9, west=3))
     assert 0.42 < share_in_zone(west, "w") < 0.58
     assert share_in_zone(east, "e") == 1.0
