--- a/balancer/hot_keys.py
+++ b/balancer/hot_keys.py
@@ -3,11 +3,12 @@
 import math
 from collections import deque
 
-# The number of latest reads in which hot keys are detected.
+# The number of latest reads among which hot keys are detected.
 WINDOW = 100
 # A fetch's priority is multiplied by 1 + FETCH_PRIORITY * load, where the load is that of its key.
 FETCH_PRIORITY = 10.0
-# The most load that one key may bring to a server, in loads of a mean server; a hotter key is spread.
+# The most load that one key may bring to a server, as a part of a server's mean load. A hotter key is spread
+# over several servers.
 MAX_LOAD = 0.5
 
 
@@ -19,7 +20,7 @@
         self._recent_keys: deque[str] = deque(maxlen=WINDOW)
 
     def record_read(self, key: str, server_count: int) -> float:
-        """Records a read of the key; returns the key's load, in loads of a mean server of `server_count`."""
+        """Records a read of the key; returns the key's load: 1 is the mean load of a server."""
         self._recent_keys.append(key)
         return (self._recent_keys.count(key) - 1) / WINDOW * server_count
 
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -9,13 +9,13 @@
 from balancer.request_state import RequestState
 from balancer.settings_types import Idempotency, Settings
 
-# The time by which a final response precedes the client's deadline, besides twice the timer granularity.
+# Final responses are sent at least this long, plus twice the timer granularity, before the client's deadline.
 DEADLINE_MARGIN_MS = 2.0
 # The delay of a hedged read, in mean latencies of its class: the initial, the least and the longest one.
 HEDGE_DELAY_START, HEDGE_DELAY_MIN, HEDGE_DELAY_MAX = 8.0, 3.0, 12.0
 # The factor on the delay where the hedged attempt was answered first; otherwise its inverse is used.
 HEDGE_DELAY_STEP = 0.9
-# The part of all requests that may be hedged, and the most that may be hedged in a burst.
+# The part of all requests that may be hedged, and the most requests that may be hedged in a burst.
 HEDGE_SHARE, HEDGE_BURST = 0.05, 5.0
 
 
@@ -61,7 +61,7 @@
         self.tokens = HEDGE_BURST  # the number of reads that may be hedged now
 
     def record_request(self) -> None:
-        """Adds the part of a hedged read that one more request permits."""
+        """Counts a request, which adds a part of a token."""
         self.tokens = min(HEDGE_BURST, self.tokens + HEDGE_SHARE)
 
     def is_due(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -20,7 +20,7 @@
 def balancer_with_cold_servers(
     cold_count, seed=1, peers_total=30, server_count=SERVER_COUNT, zone_count=1, **more
 ):
-    """Returns a balancer with so many servers, of which the first `cold_count` have just started."""
+    """Returns a balancer with `server_count` servers, of which the first `cold_count` have just started."""
     settings = api.Settings(
         classes=(api.RequestClass(500.0, 2000.0),),
         start_capacity=START_CAPACITY,
