--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -37,7 +37,10 @@
         self._buckets = [TokenBucket(MIN_BURST) for _ in tenants]
 
     def count_request(self, now: float, tenant: int, peers_total: int) -> bool:
-        """Counts a request of the tenant; returns whether it is beyond this balancer's share of the quota."""
+        """Counts a request of the tenant; returns whether it is beyond this balancer's share of the quota.
+
+        `peers_total` is the number of balancers among which the quota is divided.
+        """
         if tenant >= len(self._buckets) or not self._tenants[tenant].quota_per_s:
             return False
         rate_per_s = EVEN_SHARE_SLACK * self._tenants[tenant].quota_per_s / peers_total
--- a/balancer/zone_rings.py
+++ b/balancer/zone_rings.py
@@ -47,7 +47,7 @@
             self._servers[server.entry.server] = server
             self._weights.put(server.entry.server, server.entry.zone, server.entry.weight)
         previous_largest, self._largest_weight = self._largest_weight, self._weights.largest
-        # The tokens of all servers are in proportion to the largest weight.
+        # With weighted tokens, all token counts are relative to the largest weight.
         all_resized = self._settings.weighted_tokens and self._largest_weight != previous_largest
         self._place(self._servers.values() if all_resized else kept)
         if self._is_zoned and not self.has_few_balancers:
@@ -65,7 +65,7 @@
         self.update((), tuple(self._servers.values()))
 
     def _is_under_min_balancers(self) -> bool:
-        # Where few balancers share a zone, one that dies moves much of its traffic to another zone. The rings
+        # Where few balancers share a zone, one that dies may double the traffic of another zone. The rings
         # can't plan for that, so crowded servers are passed over instead.
         return self._is_zoned and self._settings.peers_total < MIN_BALANCERS_PER_ZONE * len(
             self._settings.zones
