--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -184,13 +184,13 @@
         policy.record_listed(node, "cache")
     assert policy.close_delay_bound_ms("far") == policy.close_delay_bound_ms("nobody") == MAX_CLOSE_DELAY_MS
     policy.record_connected("near", 0.4, 0.0)
-    policy.record_connected(
-        "far", 31.0, 0.0
-    )  # Without an answer, only its own handshake counts.
+    policy.record_connected("far", 31.0, 0.0)  # Without an answer, only its own handshake counts.
     policy.record_answer("far", None, 30.0, 5.0)
     policy.record_answer("far", None, 400.0, 9.0)  # The node worked for long; the round trip is still 30 ms.
     assert (policy.close_delay_bound_ms("near"), policy.close_delay_bound_ms("far")) == (0.4, 30.0)
-    policy.record_answer("far", None, 52.0, 10_100.0)  # An old estimate is replaced: the round trip is longer now.
+    policy.record_answer(
+        "far", None, 52.0, 10_100.0
+    )  # An old estimate is replaced: the round trip is longer now.
     assert policy.close_delay_bound_ms("far") == 52.0
     policy.record_answer("far", None, 500.0, 20_200.0)
     assert policy.close_delay_bound_ms("far") == MAX_CLOSE_DELAY_MS
