--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the balancer returns: what its caller is to do. All times are in milliseconds."""
+"""The actions that the balancer returns, which its caller carries out. All times are in milliseconds."""
 
 from dataclasses import dataclass
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Check the health of the server, outside of requests."""
+    """Check the health of the server with a call that belongs to no request."""
 
     server: str
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Reject the request: nothing of it can run, so the client may retry it."""
+    """Reject the request, which the client may safely retry: no attempt has run, or a repeat does no harm."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -45,15 +45,15 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Fail the request: an attempt of it may have run or may still run."""
+    """Fail the request: an attempt of it may have run or may still be running."""
 
     request_id: str
-    reason: str = ""
+    reason: str = ""  # counted as `failed.REASON`
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report `TimerDue` with the token after the delay."""
+    """Report the event `TimerDue` with this token after the delay."""
 
     delay_ms: float
     token: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Follow the changes of the endpoint list from now on; one EndpointListChanged event is the response."""
+    """Fetch the endpoint list and follow its changes; report each as an event `EndpointListChanged`."""
 
 
 @dataclass(slots=True)
--- a/balancer/admission.py
+++ b/balancer/admission.py
@@ -1,25 +1,36 @@
-"""Admission by random early detection: the mean latency says which part of the requests to drop.
+"""Admission control by random early detection: requests are dropped at random as the mean latency rises.
 
-Hundreds of balancers, none of which sees the others, drop the right part in sum (Floyd and Jacobson, 1993).
+The share of requests to drop depends on the mean latency alone, so hundreds of balancers that do not see each
+other together drop the right share (Floyd and Jacobson, 1993).
 """
 
 from random import Random
 
 from balancer.latency import CROWDED_RATIO, UNCROWDED_SHARE, LatencyEstimate
 
-# As `UNCROWDED_SHARE` and `CROWDED_RATIO`, for the latency at which drops begin.
-START_SHARE, START_RATIO = 0.5, 2.5
-# Drops begin by this part of the latency objective, whatever the lowest latency has been.
-START_MAX_SHARE = 0.75
-# The part dropped for each time more than that latency: all requests at half as much again.
-SLOPE = 2.0
+# Drops begin at this share of the latency objective, or at this multiple of the lowest mean latency,
+# whichever is higher. Requests beyond their tenant's quota are dropped from `UNCROWDED_SHARE` and
+# `CROWDED_RATIO` on.
+DROP_START_SHARE, DROP_START_RATIO = 0.5, 2.5
+# Drops begin at this share of the latency objective at the latest, however high the lowest mean latency has
+# been.
+DROP_START_MAX_SHARE = 0.75
+# How fast the share of dropped requests rises with the latency: at 1.5 times the latency at which drops
+# begin, all requests are dropped.
+DROP_SLOPE = 2.0
 
 
 def should_drop(
     random: Random, now: float, latency: LatencyEstimate, objective_ms: float, over_quota: bool = False
 ) -> bool:
-    """Whether to drop a request; those beyond their tenant's quota are dropped from a lower latency on."""
-    share, ratio = (UNCROWDED_SHARE, CROWDED_RATIO) if over_quota else (START_SHARE, START_RATIO)
-    start = min(max(share * objective_ms, ratio * latency.floor_ms), START_MAX_SHARE * objective_ms)
-    mean = latency.fading_ms(now)
-    return mean > start and random.random() < SLOPE * (mean / start - 1.0)
+    """Decides at random whether to drop a request, because the servers behind `latency` are crowded.
+
+    `objective_ms` is the latency objective. `over_quota` says that the request exceeds its tenant's quota:
+    such requests are dropped from a lower latency on.
+    """
+    share, ratio = (UNCROWDED_SHARE, CROWDED_RATIO) if over_quota else (DROP_START_SHARE, DROP_START_RATIO)
+    drop_start_ms = min(
+        max(share * objective_ms, ratio * latency.lowest_mean_ms), DROP_START_MAX_SHARE * objective_ms
+    )
+    mean_ms = latency.decayed_mean_ms(now)
+    return mean_ms > drop_start_ms and random.random() < DROP_SLOPE * (mean_ms / drop_start_ms - 1.0)
--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says about its server: its health, its latency and its load.
+"""Evaluation of finished attempts: what an outcome shows about the health, latency and load of its server.
 
 All times are milliseconds of one clock, which the caller passes in.
 """
@@ -14,22 +14,27 @@
 from balancer.settings_types import Settings
 from balancer.slow_start import SlowStart
 
-# The mean latencies that a timeout teaches at most, since its connection alone may be at fault.
+# A timeout is recorded as a latency of at most this many mean latencies: its connection alone may be at
+# fault.
 TIMEOUT_MAX_FACTOR = 3.0
-# The resets without a response between them that eject: one may be the fault of its connection alone.
+# The number of resets without a response between them that ejects a server: a single one may be the fault of
+# its connection alone.
 RESETS_TO_EJECT = 2
-# The rate of resets from which on one more is needed, since they befall all servers alike.
+# From this share of resets among the recent attempts on, one more reset is needed to eject a server, since
+# then resets hit all servers alike. The weight is that of one attempt in the share.
 RESET_RATE_HIGH, RESET_RATE_WEIGHT = 0.05, 0.01
-# A response's factor on the time for which idle connections are trusted; it is halved when one broke.
+# The time for which idle connections are trusted grows by this factor with each response, and is halved when
+# an idle connection turns out to be broken.
 IDLE_GROWTH = 1.01
-# A reset within this part of the mean latency, on a connection that idled, says nothing of its server.
+# A reset within this share of the mean latency, on a connection that was idle before, shows nothing about its
+# server.
 STALE_CONNECTION_FACTOR = 0.25
-# The rate of connections refused at once from which on connections are closed after use.
+# From this share of connections refused at once on, connections are closed after use.
 CONNECT_REFUSED_RATE_HIGH = 0.1
 
 
 class AttemptEvaluator:
-    """Learns from the ends of attempts; what is to be done at once is appended to `actions`."""
+    """Updates what is known of a server when an attempt ends; the actions that follow go to `actions`."""
 
     def __init__(
         self,
@@ -40,98 +45,121 @@
         outliers: OutlierDetector,
         actions: list[Action],
     ) -> None:
-        """`latency` is that of all cache servers, `objective_ms` the shortest latency objective."""
+        """`latency` covers all cache servers; `objective_ms` is the shortest latency objective."""
         self._settings = settings
         self._latency = latency
         self._objective_ms = objective_ms
         self._slow_start = slow_start
         self._outliers = outliers
         self._actions = actions
-        self.trusted_idle_ms = settings.idle_close_ms  # connections idle for longer are not trusted
+        # The longest time for which a connection may have been idle and still be trusted.
+        self.trusted_idle_ms = settings.idle_close_ms
         self._connect_refused_rate = 0.0
         self._reset_rate = 0.0
 
-    def close(self, _now: float, server: Server) -> None:
+    def close_connections(self, _now: float, server: Server) -> None:
         """Closes the idle connections to the server."""
         server.last_use_ms = -math.inf
         self._actions.append(CloseConnections(server.entry.name))
 
-    def close_untrusted(self, now: float, server: Server) -> None:
-        """Closes the server's connections where they have idled too long to be trusted."""
+    def close_untrusted_connections(self, now: float, server: Server) -> None:
+        """Closes the connections to the server if they have been idle for too long to be trusted."""
         if (
             server.last_use_ms + self.trusted_idle_ms
             < now
             < server.last_use_ms + self._settings.idle_close_ms
         ):
-            self.close(now, server)
+            self.close_connections(now, server)
 
     def evaluate(
-        self, now: float, server: Server, status: Status, sent: float, request: RequestState
+        self, now: float, server: Server, status: Status, sent_ms: float, request: RequestState
     ) -> bool:
-        """Learns from the end of an attempt that was sent at `sent`.
+        """Updates what is known of the server with the outcome of an attempt that was sent at `sent_ms`.
 
-        Returns whether just a connection broke, so that the server is still worth an attempt on a fresh one.
+        Returns whether only the connection broke, so that the server should get an attempt on a new one.
         """
-        took = now - sent
-        idle_ms = sent - server.last_use_ms
-        # Such a reset was under way before the attempt: the connection had ended, no server has died.
+        elapsed_ms = now - sent_ms
+        idle_ms = sent_ms - server.last_use_ms
+        # A reset that comes this soon was on its way before the attempt was sent: the idle connection had
+        # been closed, and the server has not failed.
         stale_ms = STALE_CONNECTION_FACTOR * self._latency.mean_ms
-        if status is Status.RESET and took < stale_ms and took < idle_ms < math.inf:
+        if status is Status.RESET and elapsed_ms < stale_ms and elapsed_ms < idle_ms < math.inf:
             self.trusted_idle_ms = min(self.trusted_idle_ms, idle_ms) / 2
             return True
-        server.resets += status is Status.RESET
+        server.consecutive_resets += status is Status.RESET
         self._reset_rate += RESET_RATE_WEIGHT * ((status is Status.RESET) - self._reset_rate)
         if status in ANSWERS:
             self._outliers.record_response(now, server)
-            server.last_use_ms, server.resets = now, 0
-            server.newest_answered_sent_ms = max(server.newest_answered_sent_ms, sent)
+            server.last_use_ms, server.consecutive_resets = now, 0
+            server.newest_answered_sent_ms = max(server.newest_answered_sent_ms, sent_ms)
             self.trusted_idle_ms = min(self.trusted_idle_ms * IDLE_GROWTH, self._settings.idle_close_ms)
-        # Where full tables refuse connections at once, one that idles here is missing elsewhere.
-        refused_at_once = status is Status.CONNECT_FAILED and took < self._latency.mean_ms
+        # Servers whose connection tables are full refuse connections at once. While that is frequent, each
+        # idle connection held here occupies an entry that another client needs.
+        refused_at_once = status is Status.CONNECT_FAILED and elapsed_ms < self._latency.mean_ms
         self._slow_start.full_rate += RECENT_WEIGHT * ((status is Status.FULL) - self._slow_start.full_rate)
         self._connect_refused_rate += RECENT_WEIGHT * (refused_at_once - self._connect_refused_rate)
         if self._connect_refused_rate > CONNECT_REFUSED_RATE_HIGH and not server.in_flight:
-            self.close(now, server)
-        # In an overload attempts time out at servers that answer others, which is no death. An attempt that
-        # was given less time than responses take, or that later ones overtook, says nothing of it.
+            self.close_connections(now, server)
+        # During an overload attempts time out at servers that still answer others; such servers are not dead.
+        # A timeout shows nothing about the server if it was shorter than the usual latency, or if an attempt
+        # that was sent later has been answered.
         usual_ms = SILENCE_FACTOR * max(server.latency.mean_ms, self._latency.mean_ms)
         timed_out = status is Status.TIMEOUT
-        alone = timed_out and (took < usual_ms or sent + usual_ms < server.newest_answered_sent_ms)
-        silent = timed_out and not (server.is_origin or alone) and server.last_response_ms <= sent
-        resets = 1 if self._settings.may_probe else RESETS_TO_EJECT + (self._reset_rate > RESET_RATE_HIGH)
-        reset = status is Status.RESET
-        broken = status is Status.CONNECT_FAILED or (reset and server.resets >= resets)
-        if not server.is_origin and (silent or broken):
-            self._outliers.eject(now, server, silent)
-            # A lost response, a full table of connections or a death: a probe tells them apart.
-            if reset or refused_at_once:
+        says_nothing = timed_out and (
+            elapsed_ms < usual_ms or sent_ms + usual_ms < server.newest_answered_sent_ms
+        )
+        is_silent = (
+            timed_out and not (server.is_origin or says_nothing) and server.last_response_ms <= sent_ms
+        )
+        reset_limit = (
+            1 if self._settings.may_probe else RESETS_TO_EJECT + (self._reset_rate > RESET_RATE_HIGH)
+        )
+        was_reset = status is Status.RESET
+        is_broken = status is Status.CONNECT_FAILED or (
+            was_reset and server.consecutive_resets >= reset_limit
+        )
+        if not server.is_origin and (is_silent or is_broken):
+            self._outliers.eject(now, server, is_silent)
+            # A probe tells whether a response was lost, the connection table is full or the server is dead.
+            if was_reset or refused_at_once:
                 self._outliers.probe(now, server)
-        self._learn_latency(now, server, status, took, request, silent)
-        if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not alone:
+        self._record_latency(now, server, status, elapsed_ms, request, is_silent)
+        if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not says_nothing:
             self._adjust_limit(now, server, status)
-        return reset and not broken
+        return was_reset and not is_broken
 
-    def _learn_latency(
-        self, now: float, server: Server, status: Status, took: float, request: RequestState, silent: bool
+    def _record_latency(
+        self,
+        now: float,
+        server: Server,
+        status: Status,
+        latency_ms: float,
+        request: RequestState,
+        is_silent: bool,
     ) -> None:
-        # A response in place of a timeout or a full server would have taken longer.
+        """Records the latency of an attempt; that of a timeout or a full server is estimated."""
+        # A response in place of a refusal by a full server, or of a timeout, would have taken longer.
         if status is Status.FULL:
-            took = max(took, self._objective_ms)
+            latency_ms = max(latency_ms, self._objective_ms)
         elif status is Status.TIMEOUT:
-            # Of many timeouts in a row the mean rises all the same.
+            # The cap is relative to the mean, so that many timeouts in a row still raise the mean.
             origin_ms = server.is_origin * server.latency.mean_ms
-            most = TIMEOUT_MAX_FACTOR * max(self._latency.mean_ms, origin_ms)
-            took = min(max(took, server.latency.mean_ms), most)
+            max_ms = TIMEOUT_MAX_FACTOR * max(self._latency.mean_ms, origin_ms)
+            latency_ms = min(max(latency_ms, server.latency.mean_ms), max_ms)
         else:
-            took = max(took, 0.0)
-        if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (request.write or silent):
-            server.latency.learn(now, took)
-        if status in (Status.OK, Status.TIMEOUT) and not server.is_origin:  # in a jam few responses come
-            self._latency.learn(now, took)
-            server.machine_type_latency.learn(now, took)
-            request.latency.learn(now, took)
+            latency_ms = max(latency_ms, 0.0)
+        if status in (Status.OK, Status.MISS, Status.FULL, Status.TIMEOUT) and not (
+            request.write or is_silent
+        ):
+            server.latency.record(now, latency_ms)
+        # Timeouts count here too, since few responses come while the servers are overloaded.
+        if status in (Status.OK, Status.TIMEOUT) and not server.is_origin:
+            self._latency.record(now, latency_ms)
+            server.machine_type_latency.record(now, latency_ms)
+            request.latency.record(now, latency_ms)
 
     def _adjust_limit(self, now: float, server: Server, status: Status) -> None:
+        """Adjusts the limit on the requests in flight at the server after an attempt."""
         crowded_ms = concurrency_limit.crowded_latency_ms(server, self._objective_ms)
-        crowded = status is not Status.OK or server.latency.mean_ms > crowded_ms
-        concurrency_limit.adjust(server, now, crowded, self._objective_ms)
+        is_crowded = status is not Status.OK or server.latency.mean_ms > crowded_ms
+        concurrency_limit.adjust(server, now, is_crowded, self._objective_ms)
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -10,7 +10,7 @@
 from balancer.api import Group, Idempotency, ListKind, Status
 from balancer.attempt_evaluation import AttemptEvaluator
 from balancer.key_order import KeyOrder
-from balancer.latency import RATE_MS, UNCROWDED_SHARE, LatencyEstimate
+from balancer.latency import MIN_MEMORY_MS, UNCROWDED_SHARE, LatencyEstimate
 from balancer.list_subscription import ListSubscription
 from balancer.origin_fetch import OriginAdmission, OriginQueue, SingleFlight
 from balancer.outlier_detection import SILENCE_FACTOR, OutlierDetector
@@ -25,11 +25,11 @@
 
 RETRY_AFTER_MS = 50.0  # The Retry-After of a rejected request.
 # The tokens of timers: for the next call that is due, and for the endpoint list.
-WAKE, RESUBSCRIBE = 0, 1
+WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1
 # The time between the checks of a server with attempts in flight.
 CHECK_INTERVAL_MS = 25.0
 # The part of the permitted time after which connections to a removed server are closed a second time.
-CLOSE_AGAIN = 0.8
+CLOSE_AGAIN_SHARE = 0.8
 
 
 class Balancer:
@@ -47,7 +47,7 @@
         self._requests: dict[str, RequestState] = {}
         self._fetches = SingleFlight()
         self._key_order = KeyOrder()
-        self._queue = OriginQueue()
+        self._origin_queue = OriginQueue()
         self._timers = Timers()
         self._hedges = HedgePolicy()
         self._hot_keys = hot_keys.HotKeys()
@@ -91,14 +91,16 @@
             api.TimerDue: self._on_timer,
             api.EndpointListChanged: self._on_endpoint_list,
             api.ClientGone: self._on_client_gone,
-            api.StreamStarted: self._on_stream,
+            api.StreamStarted: self._on_stream_started,
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         """Takes an event at its time; returns what is to be done, in this order."""
         del self._actions[:]
         self._handlers[type(event)](now_ms, event)
-        return self._actions + [api.SetTimer(delay, WAKE) for delay in self._timers.to_set(now_ms)]
+        return self._actions + [
+            api.SetTimer(delay, WAKE_TOKEN) for delay in self._timers.delays_to_set(now_ms)
+        ]
 
     def resize(self, peers_total: int) -> None:
         """Adapts this balancer's part of all limits to the number of balancers that share the servers."""
@@ -107,17 +109,17 @@
         self._rings.resize(self._settings)
 
     def _on_timer(self, now: float, event: api.TimerDue) -> None:
-        if event.token == RESUBSCRIBE:
+        if event.token == RESUBSCRIBE_TOKEN:
             self._actions.append(api.Subscribe())
-        for what, whom in self._timers.due(now):
+        for what, whom in self._timers.pop_due(now):
             what(now, whom)
 
     def _on_endpoint_list(self, now: float, event: api.EndpointListChanged) -> None:
         if event.kind is ListKind.CACHED and not self._settings.list_pushed:
             delay_ms = self._subscription.initial_delay_ms(self._settings.peers_total)
-            self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE))
+            self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE_TOKEN))
         if event.kind is ListKind.FAILED:  # The list that is held stays in use.
-            self._actions.append(api.SetTimer(self._subscription.record_failure(), RESUBSCRIBE))
+            self._actions.append(api.SetTimer(self._subscription.record_failure(), RESUBSCRIBE_TOKEN))
             return
         self._subscription.record_success()
         changed = self._server_set.apply(event.entries, complete=event.kind is not ListKind.DELTA)
@@ -131,9 +133,11 @@
         The later time is for connections that were being opened, or whose attempts were cancelled.
         """
         if self._settings.hang_up_within_ms:
-            self._evaluator.close(now, server)
-            self._timers.at(
-                now + CLOSE_AGAIN * self._settings.hang_up_within_ms, self._evaluator.close, server
+            self._evaluator.close_connections(now, server)
+            self._timers.schedule(
+                now + CLOSE_AGAIN_SHARE * self._settings.hang_up_within_ms,
+                self._evaluator.close_connections,
+                server,
             )
 
     def _on_request(self, now: float, event: api.Request) -> None:
@@ -149,9 +153,9 @@
             request.key_load = self._hot_keys.record(event.key, len(self._rings))
         crowded = self._is_crowded(now, request)
         if request.useful_until_ms <= now:
-            self._reject(now, request, "late", RATE_MS)
+            self._reject(now, request, "late", MIN_MEMORY_MS)
         elif crowded:
-            self._reject(now, request, "crowded", RATE_MS)
+            self._reject(now, request, "crowded", MIN_MEMORY_MS)
         else:
             self._route(now, request)
 
@@ -173,8 +177,8 @@
         # Every request comes by here before its first attempt, so none with its key overtakes another.
         if request.key_queue is not None and not request.attempts:
             queue = request.key_queue
-            request.queued = queue.requests[0] is not request or now < queue.settled_ms
-            if request.queued:
+            request.queued_for_key = queue.requests[0] is not request or now < queue.settled_at_ms
+            if request.queued_for_key:
                 self._wait(now, request, queue.requests.index(request))
                 return
         if request.write and self._origins:
@@ -183,14 +187,14 @@
         if not self._retry_policy.permits(now, request):
             self._reject(now, request, "spent")
             return
-        if request.key is not None and request.key in self._fetches.waiting and not request.write:
+        if request.key is not None and request.key in self._fetches.waiting_by_key and not request.write:
             self._await_fetch(now, request.key, request)
             return
         server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
             # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
             if all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings):
-                self._reject(now, request, "bounds", RATE_MS)
+                self._reject(now, request, "bounds", MIN_MEMORY_MS)
             else:
                 self._ask_origin(now, request)
             return
@@ -209,14 +213,14 @@
         request.follows_miss = False
         request.in_flight[request.attempts] = (server, now)
         request.attempts += 1
-        request.waiting = False
+        request.is_waiting = False
         if not server.in_flight:
             server.last_response_ms = now
-            self._evaluator.close_untrusted(now, server)
+            self._evaluator.close_untrusted_connections(now, server)
         server.in_flight[request.id, request.attempts - 1] = (request, now)
-        if not server.watched:
-            server.watched = True
-            self._timers.at(now + SILENCE_FACTOR * self._latency.mean_ms, self._check, server)
+        if not server.check_scheduled:
+            server.check_scheduled = True
+            self._timers.schedule(now + SILENCE_FACTOR * self._latency.mean_ms, self._check, server)
         self._actions.append(
             api.Send(request.id, server.entry.name, max(timeout, self._settings.granularity_ms))
         )
@@ -245,25 +249,25 @@
         if request.key is not None and queue is not None and request in queue.requests:
             queue.requests.remove(request)
             self._resume_next(now, request.key)
-        if request.key is not None and request.fetching:
+        if request.key is not None and request.is_fetching:
             # Those who waited for its fetch ask the server that now keeps the key.
             for other in self._fetches.end(request.key, request):
                 self._resume(now, other)
 
     def _resume_next(self, now: float, key: str) -> None:
         """Resumes the next request of a key whose requests run one at a time."""
-        following = self._key_order.next(now, key)
+        following = self._key_order.next_request(now, key)
         if isinstance(following, RequestState):
             self._resume(now, following)
         elif following is not None:
-            self._timers.at(following, self._resume_next, key)
+            self._timers.schedule(following, self._resume_next, key)
 
     def _on_client_gone(self, now: float, event: api.ClientGone) -> None:
         request = self._requests.get(event.request_id)
         if request is not None:
             self._end(now, request)
 
-    def _on_stream(self, now: float, event: api.StreamStarted) -> None:
+    def _on_stream_started(self, now: float, event: api.StreamStarted) -> None:
         request = self._requests.get(event.request_id)
         if request is not None and event.attempt in request.in_flight:
             request.stream_started = True
@@ -284,7 +288,7 @@
         ):
             request.possible_run_ms, request.possible_run_server = sent, server
         if request.key_queue is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
-            request.key_queue.settled_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
+            request.key_queue.settled_at_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
         request.follows_miss |= event.status is Status.MISS
         retry_there = self._evaluator.evaluate(now, server, event.status, sent, request)
         if event.request_over or request.done:
@@ -314,63 +318,63 @@
         ):
             self._reject(now, request, "spent")  # also after a time-out at the deadline
             return
-        if request.key is not None and not request.write and not request.fetching:
-            if request.key in self._fetches.waiting:
+        if request.key is not None and not request.write and not request.is_fetching:
+            if request.key in self._fetches.waiting_by_key:
                 self._await_fetch(now, request.key, request)
                 return
             self._fetches.begin(request.key, request)
         if self._origin_admission.should_drop(now, request):
-            self._reject(now, request, "origin", RATE_MS)
+            self._reject(now, request, "origin", MIN_MEMORY_MS)
             return
-        ahead = self._queue.push(now, request, self._origin_admission.priority(request))
+        ahead = self._origin_queue.push(now, request, self._origin_admission.priority(request))
         self._fill_origin(now)
         if not request.in_flight and not request.done:
             self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
 
     def _await_fetch(self, now: float, key: str, request: RequestState) -> None:
         """Another request fetches the key: waits for that, then asks the server that keeps the value."""
-        self._fetches.waiting[key].append(request)
+        self._fetches.waiting_by_key[key].append(request)
         self._wait(now, request)
 
     def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
         """Holds a request, at most until its response would come too late."""
-        request.waiting = True
-        until = self._origin_admission.waits_until(now, request, ahead)
+        request.is_waiting = True
+        until = self._origin_admission.latest_wait_end_ms(now, request, ahead)
         if until is None:
             self._reject(now, request, "queue")
         else:
-            self._timers.at(until, self._expire, request)
+            self._timers.schedule(until, self._expire, request)
 
     def _expire(self, now: float, request: RequestState) -> None:
-        if request.waiting and not request.done:
+        if request.is_waiting and not request.done:
             self._reject(now, request, "waited")
 
     def _fill_origin(self, now: float) -> None:
-        while self._queue and self._origins:
-            origin = origin_slots.vacant(self._origins, self._origin_latency.mean_ms, now)
+        while self._origin_queue and self._origins:
+            origin = origin_slots.select_origin(self._origins, self._origin_latency.mean_ms, now)
             if origin is None:
                 return
-            request = self._queue.pop()
+            request = self._origin_queue.pop()
             if request.done:
                 continue
             if self._origin_admission.is_too_late(now, request):
-                self._reject(now, request, "origin", RATE_MS)
+                self._reject(now, request, "origin", MIN_MEMORY_MS)
             else:
                 self._send(now, request, origin, request.deadline_ms - now)
 
     def _resume(self, now: float, request: RequestState) -> None:
-        if request.waiting and not request.done:
+        if request.is_waiting and not request.done:
             self._route(now, request)
 
     def _check(self, now: float, server: Server) -> None:
         """Checks a server with attempts in flight: hedges overdue ones, and ejects it if it is silent."""
-        server.watched = bool(server.in_flight) and server.ejected_at_ms is None
-        if not server.watched:
+        server.check_scheduled = bool(server.in_flight) and server.ejected_at_ms is None
+        if not server.check_scheduled:
             return
-        self._timers.at(now + CHECK_INTERVAL_MS, self._check, server)
+        self._timers.schedule(now + CHECK_INTERVAL_MS, self._check, server)
         if self._settings.may_copy:
             self._hedge_overdue(now, server)
-        concurrency_limit.check_ages(server, now, self._objective_ms)
+        concurrency_limit.check_attempt_ages(server, now, self._objective_ms)
         if server.is_origin:
             self._fill_origin(now)  # what hangs gives way in time
             return
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -7,7 +7,7 @@
 
 
 class ServerState(IntEnum):
-    """The state of a server, with the numbers of the simulator's wire form."""
+    """The state of a server; the numbers are those of the simulator's wire protocol."""
 
     READY = 0
     DRAINING = 1
@@ -18,7 +18,8 @@
 class ServerEntry:
     """One entry of the endpoint list.
 
-    `started_ms` is the clock time of the server's last start; 0 or -inf if that was long ago.
+    `weight` is the server's capacity relative to other servers. `started_ms` is the clock time of its last
+    start; 0 or -inf if that was long ago. `machine_type`, `zone` and `cell` are numbers.
     """
 
     name: str
@@ -30,5 +31,5 @@
     cell: int = 0
 
     def group_number(self, group: Group) -> int:
-        """The number of the server's group; servers with the same number are in one group."""
+        """Returns the number of the server's group; servers with the same number are in the same group."""
         return 0 if group is Group.ALL else getattr(self, group.value)
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,4 +1,4 @@
-"""The events that the balancer takes: what has happened. All times are in milliseconds."""
+"""The events that the balancer handles: what has happened. All times are in milliseconds."""
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
@@ -7,10 +7,10 @@
 
 
 class ListKind(IntEnum):
-    """What an update of the endpoint list holds.
+    """The contents of an update of the endpoint list.
 
-    CACHED: the list as the process had it before it started. FAILED: nothing, the call failed.
-    DELTA: the entries that changed. FULL: all entries.
+    CACHED: the list that the process had saved before it started. FAILED: nothing, since the call has failed.
+    DELTA: the entries that have changed. FULL: all entries.
     """
 
     CACHED = 0
@@ -20,7 +20,7 @@
 
 
 class Status(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     OK = "ok"
     MISS = "miss"
@@ -33,10 +33,10 @@
     ABANDONED = "abandoned"
 
 
-# Outcomes that show the server at work.
+# Outcomes that show that the server is working.
 ANSWERS = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
 
-# Outcomes after which the attempt may still be running.
+# Outcomes after which the attempt may still be running at the server.
 IN_DOUBT = (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
 # Outcomes that prove that the attempt never ran.
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; `request_over` says that its request has ended, by this or an earlier outcome."""
+    """An attempt has ended; `request_over` says that this or an earlier outcome has ended its request."""
 
     request_id: str
     server: str
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A health check of a server has ended."""
+    """A probe of a server's health has ended."""
 
     server: str
     status: Status
@@ -96,14 +96,14 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has disconnected; its request needs no response any more."""
+    """The client has disconnected, so its request needs no response any more."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that `SetTimer` set is due."""
+    """A timer that was set by the action `SetTimer` has fired."""
 
     token: int
 
--- a/balancer/key_order.py
+++ b/balancer/key_order.py
@@ -1,13 +1,16 @@
-"""Per-key ordering: requests of a class that asks for it run one at a time for each key, as they arrived."""
+"""Per-key ordering: the requests for one key, of classes that ask for it, are sent one at a time.
+
+They are sent in the order in which they arrived.
+"""
 
 from balancer.request_state import KeyQueue, RequestState
 
 
 class KeyOrder:
-    """The queues of all keys that have such requests."""
+    """The queues of all keys that have ordered requests."""
 
     def __init__(self) -> None:
-        """No key has requests yet."""
+        """Starts without queues."""
         self.queues: dict[str, KeyQueue] = {}
 
     def enqueue(self, key: str, request: RequestState) -> None:
@@ -15,15 +18,16 @@
         request.key_queue = self.queues.setdefault(key, KeyQueue())
         request.key_queue.requests.append(request)
 
-    def next(self, now: float, key: str) -> RequestState | float | None:
-        """The request of the key that may run now, or the time at which to ask again, or None.
+    def next_request(self, now: float, key: str) -> RequestState | float | None:
+        """Returns the request of the key that may be sent now, or the time at which to ask again, or None.
 
-        A request runs once the one before it and all its attempts are over and the key has settled.
+        A request may be sent once the request before it and all attempts of that have ended, and no earlier
+        attempt for the key may still be running.
         """
         queue = self.queues.get(key) or KeyQueue()
-        if now < queue.settled_ms:
-            return queue.settled_ms
+        if now < queue.settled_at_ms:
+            return queue.settled_at_ms
         if not queue.requests:
             self.queues.pop(key, None)
             return None
-        return queue.requests[0] if queue.requests[0].queued else None
+        return queue.requests[0] if queue.requests[0].queued_for_key else None
--- a/balancer/list_subscription.py
+++ b/balancer/list_subscription.py
@@ -1,35 +1,39 @@
-"""When the endpoint list is asked for: at the start, and again with backoff after a failed call."""
+"""The times of calls for the endpoint list: one at the start, and retries with backoff after failures."""
 
 from random import Random
 
 from balancer.settings_types import Settings
 
-# The time between the first calls of all balancers: the list is one service of fixed capacity.
+# The mean time between the first calls of two balancers: the service that returns the list has a fixed
+# capacity.
 CALL_SPACING_MS = 20.0
-# The first and the longest backoff.
+# The first backoff and the longest one.
 BACKOFF_MS, MAX_BACKOFF_MS = 400.0, 8000.0
 
 
 class ListSubscription:
-    """Returns the delays after which the list is to be asked for."""
+    """Computes the delays of the calls for the endpoint list."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        """`random` is the balancer's generator, so that its decisions can be repeated."""
+        """Starts with the first backoff; `random` is seeded by the balancer, so that runs are repeatable."""
         self._ask_within_ms = settings.ask_within_ms
         self._random = random
         self._backoff_ms = BACKOFF_MS
 
     def initial_delay_ms(self, peers_total: int) -> float:
-        """The delay of the first call: calls of hundreds of balancers that start at once are spread out."""
+        """Returns the delay of the first call, which spreads the calls of balancers that start together."""
         spread_ms = min(self._ask_within_ms / 2, CALL_SPACING_MS * peers_total)
         return spread_ms * self._random.random()
 
     def record_failure(self) -> float:
-        """The delay after a failed call; the jitter keeps balancers from asking again in step."""
+        """Returns the delay of the call after a failed one, and lengthens the backoff for the next failure.
+
+        The jitter prevents balancers whose calls failed together from calling together again.
+        """
         delay_ms = self._backoff_ms * (0.5 + self._random.random())
         self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS, self._ask_within_ms)
         return delay_ms
 
     def record_success(self) -> None:
-        """The next failure starts with the first backoff again."""
+        """Resets the backoff."""
         self._backoff_ms = BACKOFF_MS
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -1,4 +1,4 @@
-"""The queue for slots at the origin, and single flight: one fetch for all requests of a key."""
+"""Fetches from the origin: the queue for its slots, and single flight, one fetch for all reads of a key."""
 
 import math
 from bisect import bisect
@@ -10,85 +10,97 @@
 from balancer.request_state import RequestState
 from balancer.settings_types import Settings
 
-# The time between the end of a wait and the last use of the response, since timers come late.
+# A wait ends this long before the latest time at which a fetch would still be in time, since timers fire
+# late.
 WAIT_MARGIN_MS = 50.0
-# A request with more requests ahead of it in the queue is rejected.
+# The maximum number of requests ahead of a request in the queue; with more ahead of it, it is rejected.
 MAX_QUEUED_AHEAD = 100
 
 
 class OriginQueue:
-    """Requests that wait for a slot at the origin, in the order of priority and then of arrival."""
+    """The requests that wait for a slot at the origin, by priority and then by arrival."""
 
     def __init__(self) -> None:
-        """The queue is empty."""
+        """Starts empty."""
+        # (negative priority, time of enqueueing, request id, request), the next request first
         self._entries: list[tuple[float, float, str, RequestState]] = []
 
     def __bool__(self) -> bool:
-        """Whether requests wait."""
+        """Returns whether any requests wait."""
         return bool(self._entries)
 
     def push(self, now: float, request: RequestState, priority: float) -> int:
-        """Enqueues the request; returns how many are ahead of it. Requests that are over leave the queue."""
+        """Enqueues the request, and returns how many are ahead of it.
+
+        Requests that have ended are removed from the queue first.
+        """
         entry = (-priority, now, request.id, request)
-        self._entries = [waiting for waiting in self._entries if not waiting[3].done]
-        ahead = bisect(self._entries, entry)
-        self._entries.insert(ahead, entry)
-        return ahead
+        self._entries = [queued for queued in self._entries if not queued[3].done]
+        ahead_count = bisect(self._entries, entry)
+        self._entries.insert(ahead_count, entry)
+        return ahead_count
 
     def pop(self) -> RequestState:
-        """The request of the highest priority; it may be over."""
+        """Removes and returns the request of the highest priority, which may have ended."""
         return self._entries.pop(0)[3]
 
 
 class SingleFlight:
-    """The fetches in flight, with the requests of the same key that wait for each."""
+    """The fetches in flight, and for each the requests for the same key that wait for it."""
 
     def __init__(self) -> None:
-        """No fetch is in flight."""
-        self.waiting: dict[str, list[RequestState]] = {}  # by key
+        """Starts without fetches."""
+        self.waiting_by_key: dict[str, list[RequestState]] = {}
 
     def begin(self, key: str, request: RequestState) -> None:
-        """The request fetches the key for all."""
-        self.waiting[key] = []
-        request.fetching = True
+        """Records that the request fetches the key on behalf of all requests for it."""
+        self.waiting_by_key[key] = []
+        request.is_fetching = True
 
     def end(self, key: str, request: RequestState) -> list[RequestState]:
-        """The request's fetch is over; returns the requests that waited for it."""
-        request.fetching = False
-        return self.waiting.pop(key, [])
+        """Records that the request's fetch has ended; returns the requests that waited for it."""
+        request.is_fetching = False
+        return self.waiting_by_key.pop(key, [])
 
 
 class OriginAdmission:
-    """Says which requests may wait for the origin, how long, and with which priority."""
+    """Decides which requests may wait for a slot at the origin, for how long, and with which priority."""
 
     def __init__(
         self, settings: Settings, random: Random, latency: LatencyEstimate, objective_ms: float
     ) -> None:
-        """`latency` is the origin's, `objective_ms` the shortest latency objective."""
+        """`latency` is the origin's estimate; `objective_ms` is the shortest latency objective."""
         self._over_quota_weight = settings.over_share_worth
         self._random = random
         self._latency = latency
         self._objective_ms = objective_ms
 
     def should_drop(self, now: float, request: RequestState) -> bool:
-        """Whether to drop a read that would be useful until its deadline: the queue alone would keep it."""
+        """Decides at random whether to drop a read because the origin is crowded.
+
+        Only reads that stay useful until their deadline are dropped here, as the queue alone would keep them
+        for too long. Other reads leave the queue as soon as they are too late for their latency objective.
+        """
         if not request.request_class.late_worth or request.write:
             return False
         return should_drop(self._random, now, self._latency, self._objective_ms, request.over_quota)
 
     def priority(self, request: RequestState) -> float:
-        """The request's weight; a fetch of a hot key weighs more, since it serves the reads after it."""
+        """Returns the request's priority; that of a hot key is higher, since its fetch serves many reads."""
         weight = request.request_class.worth * (self._over_quota_weight if request.over_quota else 1.0)
         return weight * (1.0 + hot_keys.FETCH_PRIORITY * request.key_load)
 
     def is_too_late(self, now: float, request: RequestState) -> bool:
-        """Whether a response would come too late, so that a slot is better used for another request."""
+        """Returns whether a response would come too late, so that another request should get the slot."""
         objective_ms = math.inf if request.request_class.late_worth else request.request_class.aim_ms
-        return min(request.useful_until_ms - now, objective_ms) < self._latency.fading_ms(now)
+        return min(request.useful_until_ms - now, objective_ms) < self._latency.decayed_mean_ms(now)
+
+    def latest_wait_end_ms(self, now: float, request: RequestState, ahead_count: float) -> float | None:
+        """Returns the time until which the request may wait, with `ahead_count` requests served before it.
 
-    def waits_until(self, now: float, request: RequestState, ahead: float) -> float | None:
-        """How long the request may wait with so many requests ahead of it; None where that is too long."""
-        until = request.useful_until_ms - self._latency.mean_ms - WAIT_MARGIN_MS
-        if ahead > MAX_QUEUED_AHEAD or until <= now + ahead * self._latency.mean_ms:
+        Returns None if it would have to wait longer than that.
+        """
+        wait_end_ms = request.useful_until_ms - self._latency.mean_ms - WAIT_MARGIN_MS
+        if ahead_count > MAX_QUEUED_AHEAD or wait_end_ms <= now + ahead_count * self._latency.mean_ms:
             return None
-        return until
+        return wait_end_ms
--- a/balancer/request_factory.py
+++ b/balancer/request_factory.py
@@ -1,4 +1,4 @@
-"""The state of a request that has arrived: its point on the ring, its deadlines and its tenant's quota."""
+"""Creates the state of an arriving request: its position on the ring, its time limits and its quota check."""
 
 from random import Random
 
@@ -9,15 +9,18 @@
 from balancer.settings_types import Settings
 from balancer.tenant_quota import TenantQuotas
 
-# Two requests with timeouts this near to each other may have the same one.
+# Two requests whose times left differ by at most this much are taken to have the same timeout.
 SAME_TIMEOUT_MS = 25.0
 
 
 class RequestFactory:
-    """Makes the state of requests, and learns the usual timeout of each class from them."""
+    """Creates the state of requests, and learns the usual timeout of each class from them."""
 
     def __init__(self, settings: Settings, random: Random, margin_ms: float) -> None:
-        """`margin_ms` is the time by which a response precedes the deadline."""
+        """Takes classes and tenants from the settings.
+
+        `margin_ms` is the time by which the final response has to precede the deadline.
+        """
         self._classes = settings.classes
         self._random = random
         self._margin_ms = margin_ms
@@ -26,19 +29,19 @@
         self._latencies = [LatencyEstimate(cls.aim_ms * UNCROWDED_SHARE) for cls in settings.classes]
 
     def make(self, now: float, event: Request, peers_total: int) -> RequestState:
-        """The state of a request that arrives now."""
-        cls = self._classes[event.class_number]
-        place = point(event.key) if event.key is not None else self._random.getrandbits(64)
+        """Returns the state of a request that arrives now, at one of `peers_total` balancers."""
+        request_class = self._classes[event.class_number]
+        ring_point = point(event.key) if event.key is not None else self._random.getrandbits(64)
         deadline_ms = now + event.time_left_ms - self._margin_ms
-        objective_end_ms = now + cls.aim_ms - self._elapsed_ms(event) - self._margin_ms
-        late_is_useful = bool(cls.late_worth) or event.write
-        useful_until_ms = deadline_ms if late_is_useful else min(objective_end_ms, deadline_ms)
+        objective_end_ms = now + request_class.aim_ms - self._elapsed_ms(event) - self._margin_ms
+        is_useful_late = bool(request_class.late_worth) or event.write
+        useful_until_ms = deadline_ms if is_useful_late else min(objective_end_ms, deadline_ms)
         over_quota = self._quotas.exceeded(now, event.tenant, peers_total)
         return RequestState(
             event.request_id,
-            cls,
+            request_class,
             event.key,
-            place,
+            ring_point,
             event.write,
             useful_until_ms,
             deadline_ms,
@@ -47,8 +50,11 @@
         )
 
     def _elapsed_ms(self, event: Request) -> float:
-        """What earlier attempts of the client took: it has the usual timeout, or what they left of it."""
-        usual = self._usual_timeouts[event.class_number]
-        if usual.is_usual(event.time_left_ms, SAME_TIMEOUT_MS, USUAL_TIMEOUT_VOTES):
+        """Returns how much time the client has spent on earlier attempts of the request, in ms.
+
+        A first attempt of the client has the usual timeout of its class; a later one has what is left of it.
+        """
+        usual_timeout = self._usual_timeouts[event.class_number]
+        if usual_timeout.vote(event.time_left_ms, SAME_TIMEOUT_MS, USUAL_TIMEOUT_VOTES):
             return 0.0
         return max(0.0, self._classes[event.class_number].deadline_ms - event.time_left_ms)
--- a/balancer/timers.py
+++ b/balancer/timers.py
@@ -1,4 +1,4 @@
-"""A schedule of calls behind a single timer, which is set for the next call that is due."""
+"""A schedule of calls that needs a single timer, which is set for the earliest call."""
 
 import heapq
 import math
@@ -6,37 +6,39 @@
 from itertools import count
 from typing import Any
 
-ROUNDING_MS = 0.01  # a clock in whole microseconds may call a timer that much early, and only once
+# A caller whose clock counts whole microseconds may report a timer this much early, and reports it only once.
+CLOCK_ROUNDING_MS = 0.01
 
 
 class Timers:
-    """The calls that are scheduled.
+    """The scheduled calls, and the timer that is set for the earliest of them.
 
-    A timer that has been set cannot be withdrawn: one that an earlier one has overtaken finds nothing due.
+    A timer that is set cannot be cancelled. After an earlier one was set, it still fires, and may then find
+    no call due, which is harmless.
     """
 
     def __init__(self) -> None:
-        """Nothing is scheduled."""
-        self._due: list[tuple[float, int, Callable[[float, Any], None], Any]] = []
-        self._wake_ms = math.inf  # the timer that is set
-        self._seq = count()  # breaks ties
-
-    def at(self, when: float, what: Callable[[float, Any], None], whom: object) -> None:
-        """Calls `what(now, whom)` at the time `when`."""
-        heapq.heappush(self._due, (when, next(self._seq), what, whom))
-
-    def due(self, now: float) -> Iterator[tuple[Callable[[float, Any], None], Any]]:
-        """The calls that are due, in the order of their times."""
-        if now + ROUNDING_MS < self._wake_ms:
+        """Starts without scheduled calls."""
+        self._scheduled: list[tuple[float, int, Callable[[float, Any], None], Any]] = []  # a heap by time
+        self._timer_due_ms = math.inf  # when the timer that was set last fires; infinite once it has fired
+        self._sequence = count()  # orders calls that are due at the same time
+
+    def schedule(self, due_ms: float, callback: Callable[[float, Any], None], argument: object) -> None:
+        """Schedules the call `callback(now, argument)` for the time `due_ms`."""
+        heapq.heappush(self._scheduled, (due_ms, next(self._sequence), callback, argument))
+
+    def pop_due(self, now: float) -> Iterator[tuple[Callable[[float, Any], None], Any]]:
+        """Removes the calls that are due; yields the callback and the argument of each, earliest first."""
+        if now + CLOCK_ROUNDING_MS < self._timer_due_ms:
             return
-        self._wake_ms = math.inf
-        while self._due and self._due[0][0] <= now + ROUNDING_MS:
-            _, _, what, whom = heapq.heappop(self._due)
-            yield what, whom
-
-    def to_set(self, now: float) -> list[float]:
-        """The delay of the timer to set, if no timer set so far comes as early as the next thing due."""
-        if not self._due or self._due[0][0] >= self._wake_ms:
+        self._timer_due_ms = math.inf
+        while self._scheduled and self._scheduled[0][0] <= now + CLOCK_ROUNDING_MS:
+            _, _, callback, argument = heapq.heappop(self._scheduled)
+            yield callback, argument
+
+    def delays_to_set(self, now: float) -> list[float]:
+        """Returns the delay in ms of a timer to set, or an empty list if one is set that fires in time."""
+        if not self._scheduled or self._scheduled[0][0] >= self._timer_due_ms:
             return []
-        self._wake_ms = self._due[0][0]
-        return [max(0.0, self._wake_ms - now)]
+        self._timer_due_ms = self._scheduled[0][0]
+        return [max(0.0, self._timer_due_ms - now)]
--- a/tests/balancer_helpers.py
+++ b/tests/balancer_helpers.py
@@ -2,7 +2,7 @@
 
 from balancer import api
 from balancer.api import Status
-from balancer.balancer import RESUBSCRIBE
+from balancer.balancer import RESUBSCRIBE_TOKEN
 
 
 def warm_up(d, rounds=60):
@@ -20,7 +20,7 @@
 
 
 def list_timers(actions):
-    return [a.delay_ms for a in actions if isinstance(a, api.SetTimer) and a.token == RESUBSCRIBE]
+    return [a.delay_ms for a in actions if isinstance(a, api.SetTimer) and a.token == RESUBSCRIBE_TOKEN]
 
 
 def drops(drive, balancers, asks, peers, pause, answer):
--- a/tests/test_endpoint_changes.py
+++ b/tests/test_endpoint_changes.py
@@ -4,7 +4,7 @@
 
 from balancer import api
 from balancer.api import Status
-from balancer.balancer import RESUBSCRIBE, Balancer
+from balancer.balancer import RESUBSCRIBE_TOKEN, Balancer
 
 
 def test_list_is_asked_for_once_and_again_with_backoff(drive):
@@ -12,7 +12,7 @@
     assert len(list_timers(d.first)) == 1
     waits = []
     for _ in range(6):
-        assert [type(a) for a in d.do(api.TimerDue(RESUBSCRIBE))] == [api.Subscribe]
+        assert [type(a) for a in d.do(api.TimerDue(RESUBSCRIBE_TOKEN))] == [api.Subscribe]
         (wait,) = list_timers(d.list(api.ListKind.FAILED))
         waits.append(wait)
     assert waits[-1] > 3 * waits[0]
--- a/tests/test_origin_slots.py
+++ b/tests/test_origin_slots.py
@@ -9,7 +9,7 @@
 from balancer import api, origin_slots
 from balancer.api import Status
 from balancer.latency import LatencyEstimate
-from balancer.origin_slots import OVERDUE, TRIAL_MS
+from balancer.origin_slots import OVERDUE_FACTOR, TRIAL_INTERVAL_MS
 from balancer.request_state import Server
 
 READ = api.RequestClass(aim_ms=800.0, deadline_ms=2000.0)
@@ -54,7 +54,7 @@
     served = []
     for number in range(20):
         name = ask_for_a_miss(d, f"k{number}")
-        d.pass_time(TRIAL_MS)
+        d.pass_time(TRIAL_INTERVAL_MS)
         if name not in d.ended and d.sends[name][-1] == "origin":
             d.serve(name, 0.0)
             served.append(name)
@@ -78,14 +78,14 @@
 def test_an_origin_that_grows_slow_gets_no_trial(drive, monkeypatch):
     d = learnt(drive)
     hang_writes(d)
-    vacant = origin_slots.vacant
+    select_origin = origin_slots.select_origin
 
     def within_bounds(origins, usual_ms, now):
-        origin = vacant(origins, usual_ms, now)
+        origin = select_origin(origins, usual_ms, now)
         assert origin is None or len(origin.in_flight) < origin.limit
         return origin
 
-    monkeypatch.setattr(origin_slots, "vacant", within_bounds)
+    monkeypatch.setattr(origin_slots, "select_origin", within_bounds)
     origin = d.balancer._servers["origin"]
     served = 0
     for number in range(200):  # first come, first served, one each 300 ms: many seconds for each
@@ -116,22 +116,22 @@
 ):
     now = 100_000.0
     server = server_with(ages, now, limit, now - heard_ago, -math.inf)
-    sent = origin_slots.may_take(server, usual, now)
+    sent = origin_slots.can_send(server, usual, now)
     if len(ages) < limit:
         assert sent
     elif sent:
-        assert heard_ago >= OVERDUE * usual
-        assert min(ages) >= OVERDUE * usual
-        assert not origin_slots.may_take(server, usual, now + TRIAL_MS / 2)  # and not at once again
+        assert heard_ago >= OVERDUE_FACTOR * usual
+        assert min(ages) >= OVERDUE_FACTOR * usual
+        assert not origin_slots.can_send(server, usual, now + TRIAL_INTERVAL_MS / 2)  # and not at once again
     else:
-        assert heard_ago < OVERDUE * usual or min(ages) < OVERDUE * usual
+        assert heard_ago < OVERDUE_FACTOR * usual or min(ages) < OVERDUE_FACTOR * usual
 
 
 @given(attempts, st.floats(0.0, 10_000.0), st.floats(10.0, 2000.0))
 def test_only_what_a_later_one_overtook_long_ago_gives_its_place_back(ages, overtaken_ago, usual):
     now = 100_000.0
     server = server_with(ages, now, 5.0, now, now - overtaken_ago)
-    lost = [age for age in ages if age > OVERDUE * usual and age > overtaken_ago + usual]
+    lost = [age for age in ages if age > OVERDUE_FACTOR * usual and age > overtaken_ago + usual]
     # Floating point: an age right at the edge may fall either way.
-    edge = [a for a in ages if min(abs(a - OVERDUE * usual), abs(a - overtaken_ago - usual)) < 1e-6]
-    assert abs(origin_slots.held(server, usual, now) - (len(ages) - len(lost))) <= len(edge)
+    edge = [a for a in ages if min(abs(a - OVERDUE_FACTOR * usual), abs(a - overtaken_ago - usual)) < 1e-6]
+    assert abs(origin_slots.slots_in_use(server, usual, now) - (len(ages) - len(lost))) <= len(edge)
