--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -57,19 +57,19 @@
         self._connect_refused_rate = 0.0
         self._reset_rate = 0.0
 
-    def close_connections(self, _now: float, server: Server) -> None:
+    def close_idle(self, _now: float, server: Server) -> None:
         """Closes the idle connections to the server."""
         server.last_use_ms = -math.inf
         self._actions.append(CloseConnections(server.entry.name))
 
-    def close_untrusted_connections(self, now: float, server: Server) -> None:
+    def close_untrusted(self, now: float, server: Server) -> None:
         """Closes the connections to the server if they have been idle for too long to be trusted."""
         if (
             server.last_use_ms + self.trusted_idle_ms
             < now
             < server.last_use_ms + self._settings.idle_close_ms
         ):
-            self.close_connections(now, server)
+            self.close_idle(now, server)
 
     def evaluate(
         self, now: float, server: Server, status: Status, sent_ms: float, request: RequestState
@@ -99,7 +99,7 @@
         self._slow_start.full_rate += RECENT_WEIGHT * ((status is Status.FULL) - self._slow_start.full_rate)
         self._connect_refused_rate += RECENT_WEIGHT * (refused_at_once - self._connect_refused_rate)
         if self._connect_refused_rate > CONNECT_REFUSED_RATE_HIGH and not server.in_flight:
-            self.close_connections(now, server)
+            self.close_idle(now, server)
         # During an overload attempts time out at servers that still answer others; such servers are not dead.
         # A timeout shows nothing about the server if it was shorter than the usual latency, or if an attempt
         # that was sent later has been answered.
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: events in, actions out, over the parts that decide. See docs/design/overview.md."""
+"""The balancer: turns events into actions through the parts that decide. See docs/design/overview.md."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -23,26 +23,24 @@
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
-RETRY_AFTER_MS = 50.0  # The Retry-After of a rejected request.
-# The tokens of timers: for the next call that is due, and for the endpoint list.
+# The Retry-After of a rejected request, unless it is rejected for crowded servers: then it is MIN_MEMORY_MS.
+RETRY_AFTER_MS = 50.0
+# The tokens of the timer for the next scheduled call and of the timer for the next call for the list.
 WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1
-# The time between the checks of a server with attempts in flight.
-CHECK_INTERVAL_MS = 25.0
-# The part of the permitted time after which connections to a removed server are closed a second time.
+CHECK_INTERVAL_MS = 25.0  # The time between two checks of a server with attempts in flight.
+# After this share of the permitted time, connections to a removed server are closed a second time: some were
+# still being opened the first time, or were in use by attempts that have been cancelled since.
 CLOSE_AGAIN_SHARE = 0.8
 
 
 class Balancer:
-    """Routes events to the parts that decide, and requests to servers.
-
-    It does no I/O and is deterministic: the same settings, seed and events give the same actions.
-    """
+    """Turns events into actions, without I/O: the same settings, seed and events give the same actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """`seed` is that of all random draws."""
+        """Creates the parts; `seed` is the seed of all random draws."""
         self._settings = settings
         self._random = Random(seed)
-        self._actions: list[api.Action] = []  # of the event in hand; the parts add theirs in order
+        self._actions: list[api.Action] = []  # the actions for the current event, in order
         self._rings = ZoneRings(settings)
         self._requests: dict[str, RequestState] = {}
         self._fetches = SingleFlight()
@@ -52,16 +50,17 @@
         self._hedges = HedgePolicy()
         self._hot_keys = hot_keys.HotKeys()
         self._retry_budget = RetryBudget(settings)
-        self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms  # two rounds of the wire
+        # The caller's clock advances in ticks, so an event and the response to it may each be one tick late.
+        self._margin_ms = DEADLINE_MARGIN_MS + 2 * settings.granularity_ms
         self._request_factory = RequestFactory(settings, self._random, self._margin_ms)
         self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
-        # The objectives of the classes of which no write has been seen.
+        # The latency objectives of the classes that have not had a write so far, by class number.
         self._read_objectives_ms = {number: cls.aim_ms for number, cls in enumerate(settings.classes)}
         self._objective_ms = min(self._read_objectives_ms.values())
-        self._read_objective_ms = self._objective_ms  # the shortest of what cache servers answer
+        self._read_objective_ms = self._objective_ms  # the shortest objective of requests to caches
         self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of all cache servers
-        self._machine_types: dict[int, LatencyEstimate] = {}  # the same by type of machine
-        self._slow_start = SlowStart(settings, self._latency, self._machine_types, self._objective_ms)
+        self._type_latencies: dict[int, LatencyEstimate] = {}  # the latency of cache servers by machine type
+        self._slow_start = SlowStart(settings, self._latency, self._type_latencies, self._objective_ms)
         self._origin_latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE / 2)
         self._origin_admission = OriginAdmission(
             settings, self._random, self._origin_latency, self._objective_ms
@@ -71,7 +70,7 @@
             settings.peers_total,
             self._latency,
             self._origin_latency,
-            self._machine_types,
+            self._type_latencies,
         )
         self._servers = self._server_set.by_name
         self._origins = self._server_set.origins
@@ -95,12 +94,10 @@
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Takes an event at its time; returns what is to be done, in this order."""
+        """Handles an event that happened at `now_ms`; returns the actions to carry out, in this order."""
         del self._actions[:]
         self._handlers[type(event)](now_ms, event)
-        return self._actions + [
-            api.SetTimer(delay, WAKE_TOKEN) for delay in self._timers.delays_to_set(now_ms)
-        ]
+        return self._actions + [api.SetTimer(delay, WAKE_TOKEN) for delay in self._timers.new_delays(now_ms)]
 
     def resize(self, peers_total: int) -> None:
         """Adapts this balancer's part of all limits to the number of balancers that share the servers."""
@@ -111,14 +108,14 @@
     def _on_timer(self, now: float, event: api.TimerDue) -> None:
         if event.token == RESUBSCRIBE_TOKEN:
             self._actions.append(api.Subscribe())
-        for what, whom in self._timers.pop_due(now):
-            what(now, whom)
+        for callback, argument in self._timers.pop_due(now):
+            callback(now, argument)
 
     def _on_endpoint_list(self, now: float, event: api.EndpointListChanged) -> None:
         if event.kind is ListKind.CACHED and not self._settings.list_pushed:
             delay_ms = self._subscription.initial_delay_ms(self._settings.peers_total)
             self._actions.append(api.SetTimer(delay_ms, RESUBSCRIBE_TOKEN))
-        if event.kind is ListKind.FAILED:  # The list that is held stays in use.
+        if event.kind is ListKind.FAILED:  # The current list stays in use.
             self._actions.append(api.SetTimer(self._subscription.record_failure(), RESUBSCRIBE_TOKEN))
             return
         self._subscription.record_success()
@@ -128,16 +125,11 @@
         self._rings.change(changed.removed_cache_servers, changed.cache_servers)
 
     def _close_removed(self, now: float, server: Server) -> None:
-        """Closes the connections to a removed server: at once, after each attempt, and once more later.
-
-        The later time is for connections that were being opened, or whose attempts were cancelled.
-        """
+        """Closes the idle connections to a removed server, and does so again later in the permitted time."""
         if self._settings.hang_up_within_ms:
-            self._evaluator.close_connections(now, server)
+            self._evaluator.close_idle(now, server)
             self._timers.schedule(
-                now + CLOSE_AGAIN_SHARE * self._settings.hang_up_within_ms,
-                self._evaluator.close_connections,
-                server,
+                now + CLOSE_AGAIN_SHARE * self._settings.hang_up_within_ms, self._evaluator.close_idle, server
             )
 
     def _on_request(self, now: float, event: api.Request) -> None:
@@ -151,30 +143,30 @@
             self._key_order.enqueue(event.key, request)
         if event.key is not None and not event.write:
             request.key_load = self._hot_keys.record(event.key, len(self._rings))
-        crowded = self._is_crowded(now, request)
+        is_dropped = self._should_drop(now, request)
         if request.useful_until_ms <= now:
             self._reject(now, request, "late", MIN_MEMORY_MS)
-        elif crowded:
+        elif is_dropped:
             self._reject(now, request, "crowded", MIN_MEMORY_MS)
         else:
             self._route(now, request)
 
-    def _is_crowded(self, now: float, request: RequestState) -> bool:
-        """Whether to drop the request early because all cache servers are crowded."""
-        # In a small tier zones differ, so that each server of the preference set is judged instead.
+    def _should_drop(self, now: float, request: RequestState) -> bool:
+        """Decides at random whether to drop the request because the cache servers as a whole are crowded."""
+        # In a small tier the zones differ, so each server of the preference set is checked by itself instead.
         if request.write or self._rings.small_tier:
             return False
         return should_drop(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
 
     def _exclude_from_reads(self, class_number: int) -> None:
-        """Writes go to the origin, so the objective of their class is not one of cache servers."""
+        """Removes the objective of a class with writes from those of reads, since writes go to the origin."""
         if self._read_objectives_ms.pop(class_number, 0.0):
             objectives_ms = self._read_objectives_ms.values()
             self._read_objective_ms = min(objectives_ms, default=self._objective_ms)
 
     def _route(self, now: float, request: RequestState) -> None:
-        """Sends a request to the server that is selected for it, or holds or ends it."""
-        # Every request comes by here before its first attempt, so none with its key overtakes another.
+        """Sends the request to the server that is selected for it, or makes it wait, or rejects it."""
+        # All requests pass here before their first attempt, so none overtakes an earlier one for its key.
         if request.key_queue is not None and not request.attempts:
             queue = request.key_queue
             request.queued_for_key = queue.requests[0] is not request or now < queue.settled_at_ms
@@ -192,19 +184,20 @@
             return
         server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
-            # Cold servers leave the others too much: the origin's queue takes it, as far as it may.
+            # While some servers are cold, the others may lack capacity: the origin takes what they cannot.
             if all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings):
                 self._reject(now, request, "bounds", MIN_MEMORY_MS)
             else:
                 self._ask_origin(now, request)
             return
-        # Where cancels are permitted `_check` frees it, and a busy server does no work twice.
+        # If cancels are permitted, `_check_server` cancels attempts at silent servers, and the long timeout
+        # keeps busy servers from doing work twice. Otherwise half of the time is left for a retry.
         self._send(
             now, request, server, (request.useful_until_ms - now) / (1 if self._settings.may_cancel else 2)
         )
 
-    def _send(self, now: float, request: RequestState, server: Server, timeout: float) -> None:
-        # Every attempt has to pass here.
+    def _send(self, now: float, request: RequestState, server: Server, timeout_ms: float) -> None:
+        """Sends an attempt to the server, or rejects the request if it may have no further one."""
         if not self._retry_policy.permits(now, request) or not recognises_repeat(request, server):
             self._reject(now, request, "spent")
             return
@@ -216,23 +209,23 @@
         request.is_waiting = False
         if not server.in_flight:
             server.last_response_ms = now
-            self._evaluator.close_untrusted_connections(now, server)
+            self._evaluator.close_untrusted(now, server)
         server.in_flight[request.id, request.attempts - 1] = (request, now)
         if not server.check_scheduled:
             server.check_scheduled = True
-            self._timers.schedule(now + SILENCE_FACTOR * self._latency.mean_ms, self._check, server)
+            self._timers.schedule(now + SILENCE_FACTOR * self._latency.mean_ms, self._check_server, server)
         self._actions.append(
-            api.Send(request.id, server.entry.name, max(timeout, self._settings.granularity_ms))
+            api.Send(request.id, server.entry.name, max(timeout_ms, self._settings.granularity_ms))
         )
 
     def _reject(
         self, now: float, request: RequestState, reason: str, retry_after_ms: float = RETRY_AFTER_MS
     ) -> None:
-        """Gives the single final response: a rejection where the client may safely retry, else a failure."""
-        cls = request.request_class
-        # No attempt is in flight by now; all servers recognise a repeat whose group is all of them.
-        recognised = cls.effect is Idempotency.KEYED and cls.group is Group.ALL
-        if request.possible_run_ms is None or cls.effect is Idempotency.SAFE or recognised:
+        """Ends the request: rejects it if the client may safely retry it, and fails it otherwise."""
+        request_class = request.request_class
+        # No attempt is in flight by now. Where the group is all servers, each recognises a repeated request.
+        is_recognised = request_class.effect is Idempotency.KEYED and request_class.group is Group.ALL
+        if request.possible_run_ms is None or request_class.effect is Idempotency.SAFE or is_recognised:
             wait_ms = min(retry_after_ms, self._settings.max_retry_after_ms)
             self._actions.append(api.Reject(request.id, wait_ms, reason))
         else:
@@ -240,7 +233,7 @@
         self._end(now, request)
 
     def _end(self, now: float, request: RequestState) -> None:
-        """The request is over; what it holds is released once its attempts are over too."""
+        """Ends the request; what it holds is released as soon as all its attempts have ended too."""
         request.done = True
         if request.in_flight:
             return
@@ -250,17 +243,17 @@
             queue.requests.remove(request)
             self._resume_next(now, request.key)
         if request.key is not None and request.is_fetching:
-            # Those who waited for its fetch ask the server that now keeps the key.
+            # The requests that waited for its fetch are sent to the server that has the value now.
             for other in self._fetches.end(request.key, request):
                 self._resume(now, other)
 
     def _resume_next(self, now: float, key: str) -> None:
-        """Resumes the next request of a key whose requests run one at a time."""
-        following = self._key_order.next_request(now, key)
-        if isinstance(following, RequestState):
-            self._resume(now, following)
-        elif following is not None:
-            self._timers.schedule(following, self._resume_next, key)
+        """Resumes the next request for a key whose requests are sent one at a time."""
+        request_or_time = self._key_order.next_request(now, key)
+        if isinstance(request_or_time, RequestState):
+            self._resume(now, request_or_time)
+        elif request_or_time is not None:
+            self._timers.schedule(request_or_time, self._resume_next, key)
 
     def _on_client_gone(self, now: float, event: api.ClientGone) -> None:
         request = self._requests.get(event.request_id)
@@ -277,35 +270,35 @@
         request = self._requests.get(event.request_id)
         if request is None or event.attempt not in request.in_flight:
             return
-        server, sent = request.in_flight.pop(event.attempt)
+        server, sent_ms = request.in_flight.pop(event.attempt)
         server.in_flight.pop((request.id, event.attempt), None)
         if server.removed:
             self._close_removed(now, server)
         if request.hedge_number and event.status in (Status.OK, Status.MISS):
             self._settle_hedge(request, event.attempt)
         if event.status not in api.NEVER_RAN and (
-            request.possible_run_ms is None or sent < request.possible_run_ms
+            request.possible_run_ms is None or sent_ms < request.possible_run_ms
         ):
-            request.possible_run_ms, request.possible_run_server = sent, server
+            request.possible_run_ms, request.possible_run_server = sent_ms, server
         if request.key_queue is not None and self._settings.settle_ms and event.status in api.IN_DOUBT:
             request.key_queue.settled_at_ms = now + self._settings.settle_ms + DEADLINE_MARGIN_MS
         request.follows_miss |= event.status is Status.MISS
-        retry_there = self._evaluator.evaluate(now, server, event.status, sent, request)
+        can_retry_there = self._evaluator.evaluate(now, server, event.status, sent_ms, request)
         if event.request_over or request.done:
             self._end(now, request)
         elif not request.in_flight:
-            self._retry(now, request, server, retry_there)
+            self._retry(now, request, server, can_retry_there)
         if server.is_origin:
-            self._fill_origin(now)
+            self._fill_origin_slots(now)
 
-    def _retry(self, now: float, request: RequestState, server: Server, retry_there: bool) -> None:
-        """Sends a request on whose attempt at the server has failed or missed."""
-        # The last attempt is the origin's: a third cache server would probably miss too.
-        last = request.attempts == self._settings.max_attempts - 1
-        if server.is_origin or (self._origins and (request.follows_miss or last)):
+    def _retry(self, now: float, request: RequestState, server: Server, can_retry_there: bool) -> None:
+        """Sends the request again after its attempt at the server has failed or missed."""
+        # The last attempt goes to the origin, since a third cache server would probably miss too.
+        is_last_attempt = request.attempts == self._settings.max_attempts - 1
+        if server.is_origin or (self._origins and (request.follows_miss or is_last_attempt)):
             self._ask_origin(now, request)
             return
-        if not retry_there:
+        if not can_retry_there:
             request.tried_servers.append(server)
         if len(request.tried_servers) >= PREFERENCE_SET_SIZE:
             self._reject(now, request, "tried")
@@ -313,10 +306,11 @@
             self._route(now, request)
 
     def _ask_origin(self, now: float, request: RequestState) -> None:
+        """Sends the request to the origin, makes it wait for a slot or for another fetch, or rejects it."""
         if not self._retry_policy.permits(now, request) or not any(
             recognises_repeat(request, origin) for origin in self._origins
         ):
-            self._reject(now, request, "spent")  # also after a time-out at the deadline
+            self._reject(now, request, "spent")  # for example after a timeout at the deadline
             return
         if request.key is not None and not request.write and not request.is_fetching:
             if request.key in self._fetches.waiting_by_key:
@@ -326,30 +320,32 @@
         if self._origin_admission.should_drop(now, request):
             self._reject(now, request, "origin", MIN_MEMORY_MS)
             return
-        ahead = self._origin_queue.push(now, request, self._origin_admission.priority(request))
-        self._fill_origin(now)
+        ahead_count = self._origin_queue.push(now, request, self._origin_admission.priority(request))
+        self._fill_origin_slots(now)
         if not request.in_flight and not request.done:
-            self._wait(now, request, ahead / sum(origin.limit for origin in self._origins))
+            self._wait(now, request, ahead_count / sum(origin.limit for origin in self._origins))
 
     def _await_fetch(self, now: float, key: str, request: RequestState) -> None:
-        """Another request fetches the key: waits for that, then asks the server that keeps the value."""
+        """Makes the request wait for another request's fetch; it then asks the server that has the value."""
         self._fetches.waiting_by_key[key].append(request)
         self._wait(now, request)
 
-    def _wait(self, now: float, request: RequestState, ahead: float = 0.0) -> None:
-        """Holds a request, at most until its response would come too late."""
+    def _wait(self, now: float, request: RequestState, ahead_count: float = 0.0) -> None:
+        """Makes a request wait, at most until its response would come too late."""
         request.is_waiting = True
-        until = self._origin_admission.latest_wait_end_ms(now, request, ahead)
-        if until is None:
+        wait_end_ms = self._origin_admission.latest_wait_end_ms(now, request, ahead_count)
+        if wait_end_ms is None:
             self._reject(now, request, "queue")
         else:
-            self._timers.schedule(until, self._expire, request)
+            self._timers.schedule(wait_end_ms, self._end_wait, request)
 
-    def _expire(self, now: float, request: RequestState) -> None:
+    def _end_wait(self, now: float, request: RequestState) -> None:
+        """Rejects a request that still waits when its wait is over."""
         if request.is_waiting and not request.done:
             self._reject(now, request, "waited")
 
-    def _fill_origin(self, now: float) -> None:
+    def _fill_origin_slots(self, now: float) -> None:
+        """Sends queued requests to the origin while it has free slots."""
         while self._origin_queue and self._origins:
             origin = origin_slots.select_origin(self._origins, self._origin_latency.mean_ms, now)
             if origin is None:
@@ -366,34 +362,34 @@
         if request.is_waiting and not request.done:
             self._route(now, request)
 
-    def _check(self, now: float, server: Server) -> None:
-        """Checks a server with attempts in flight: hedges overdue ones, and ejects it if it is silent."""
+    def _check_server(self, now: float, server: Server) -> None:
+        """Checks a server with attempts in flight: hedges overdue reads, and ejects a silent server."""
         server.check_scheduled = bool(server.in_flight) and server.ejected_at_ms is None
         if not server.check_scheduled:
             return
-        self._timers.schedule(now + CHECK_INTERVAL_MS, self._check, server)
+        self._timers.schedule(now + CHECK_INTERVAL_MS, self._check_server, server)
         if self._settings.may_copy:
             self._hedge_overdue(now, server)
         concurrency_limit.check_attempt_ages(server, now, self._objective_ms)
         if server.is_origin:
-            self._fill_origin(now)  # what hangs gives way in time
+            self._fill_origin_slots(now)  # An attempt that hangs gives its slot back after some time.
             return
         self._outliers.check_silence(now, server, self._servers.values(), len(self._rings))
 
     def _hedge_overdue(self, now: float, server: Server) -> None:
-        """Hedges reads whose connection may have fallen silent while the server answers on others."""
-        for (name, number), (request, sent) in list(server.in_flight.items()):
+        """Hedges reads whose connection may be dead while the server answers over other connections."""
+        for (request_id, attempt), (request, sent_ms) in list(server.in_flight.items()):
             class_latency = self._origin_latency if server.is_origin else request.latency
             usual_ms = max(server.latency.mean_ms, class_latency.mean_ms)
-            due = self._hedges.is_due(now, request, sent, usual_ms, server.newest_answered_sent_ms)
-            if due and self._retry_policy.permits(now, request):
+            is_due = self._hedges.is_due(now, request, sent_ms, usual_ms, server.newest_answered_sent_ms)
+            if is_due and self._retry_policy.permits(now, request):
                 self._hedges.tokens -= 1.0
-                del server.in_flight[name, number]  # it must not take capacity that others could have
+                del server.in_flight[request_id, attempt]  # It no longer counts against the server's limit.
                 request.hedge_number = request.attempts
                 self._send(now, request, server, request.useful_until_ms - now)
 
     def _settle_hedge(self, request: RequestState, attempt: int) -> None:
-        """One attempt is answered: cancels the other, and adapts the delay of hedged requests."""
+        """Cancels the other attempt of a hedged request after an answer, and adapts the hedging delay."""
         self._hedges.record_result(attempt == request.hedge_number)
         self._actions += [api.Cancel(request.id, number) for number in request.in_flight]
         request.hedge_number = 0
--- a/balancer/timers.py
+++ b/balancer/timers.py
@@ -36,7 +36,7 @@
             _, _, callback, argument = heapq.heappop(self._scheduled)
             yield callback, argument
 
-    def delays_to_set(self, now: float) -> list[float]:
+    def new_delays(self, now: float) -> list[float]:
         """Returns the delay in ms of a timer to set, or an empty list if one is set that fires in time."""
         if not self._scheduled or self._scheduled[0][0] >= self._timer_due_ms:
             return []
