--- a/tests/balancer_helpers.py
+++ b/tests/balancer_helpers.py
@@ -35,7 +35,7 @@
     return dropped
 
 
-def out_of_two(d, cls=3):
+def overdue_read(d, cls=3):
     """A read that is out for nine mean latencies at a server that answers others meanwhile."""
     for i in range(60):
         d.serve(d.ask(f"warm{i}", cls=cls), 60.0)
@@ -48,7 +48,7 @@
     return late
 
 
-SLOW = (
+SLOW_CLASSES = (
     api.RequestClass(aim_ms=1000.0, deadline_ms=2000.0),
     api.RequestClass(
         aim_ms=500.0, deadline_ms=1000.0, effect=api.Idempotency.KEYED, window_ms=2000.0, worth=10.0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,6 +1,6 @@
 """Requests that are dropped early, and the latency objectives that decide it."""
 
-from balancer_helpers import drops, out_of_two
+from balancer_helpers import drops, overdue_read
 
 from balancer import api
 from balancer.api import Status
@@ -54,7 +54,7 @@
 def test_one_time_out_does_not_read_as_a_jam(drive):
     # Silent days: a single time-out tripled the mean latency, and 28% of the requests were refused for it.
     d = drive()
-    late = out_of_two(d)
+    late = overdue_read(d)
     d.answer(late, Status.TIMEOUT, 1400.0)
     names = [d.ask(f"x{i}") for i in range(20)]
     assert all(name in d.sends for name in names)
--- a/tests/test_origin_fetch.py
+++ b/tests/test_origin_fetch.py
@@ -1,6 +1,6 @@
 """Fetches from the origin: single flight, priority, and what is rejected instead of queued."""
 
-from balancer_helpers import SLOW, slow_origin
+from balancer_helpers import SLOW_CLASSES, slow_origin
 
 from balancer import api
 from balancer.api import Status
@@ -88,7 +88,7 @@
 
 def test_writes_that_a_slow_origin_answers_too_late_leave_its_room_to_reads(drive):
     # teori-oslo overload: writes, dearest, took every place, timed out, and no fetch came through for 35 s.
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     slow_origin(d)
     write, read = d.ask("w", cls=1, left=1000.0, write=True), d.ask("r")
     d.answer(read, Status.MISS, 1.0)
@@ -101,7 +101,7 @@
 
 def test_the_origin_fetches_first_what_most_ask_for(drive):
     # teori-oslo: with a few fetches a second, hot keys waited behind keys asked for once.
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     for _ in range(30):  # hot, and kept
         d.serve(d.ask("hot"), 1.0)
     out = [d.ask(f"once{i}") for i in range(60)]
@@ -118,7 +118,7 @@
 
 
 def test_what_could_not_be_fetched_in_time_is_refused_at_once(drive):
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     slow_origin(d, 400.0, 10)
     names = [d.ask(f"k{i}") for i in range(200)]
     for name in [name for name in names if name in d.sends]:
@@ -131,7 +131,7 @@
 
 def test_the_origins_bound_falls_before_its_answers_come(drive):
     # teori-oslo: at the onset of a slow spell 18 were out, each a second late, and five seconds brought none.
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     bound = d.balancer._servers["origin"]
     names = [d.ask(f"k{i}") for i in range(20)]
     for name in names:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,7 +1,7 @@
 """Hedged reads, and attempts that must not be repeated."""
 
 import pytest
-from balancer_helpers import out_of_two, warm_up
+from balancer_helpers import overdue_read, warm_up
 
 from balancer import api
 from balancer.api import Status
@@ -20,7 +20,7 @@
 def test_a_read_on_a_connection_that_fell_silent_goes_again_to_the_server_that_answers_others(drive):
     # Silent days: 2% of the attempts got no byte on connections that had answered before, and waited on.
     d = drive(may_copy=True)
-    late = out_of_two(d)
+    late = overdue_read(d)
     assert d.sends[late] == [d.sends[late][0]] * 2
     assert not d.cancels
     assert not d.logs
@@ -35,7 +35,7 @@
 
 def test_where_the_first_copy_answers_after_all_the_next_is_sent_again_later(drive):
     d = drive(may_copy=True)
-    late = out_of_two(d)
+    late = overdue_read(d)
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(late, 1)]
     assert d.balancer._hedges.delay > 8.0
@@ -43,7 +43,7 @@
 
 def test_a_second_copy_that_misses_goes_on_to_the_origin(drive):
     d = drive(may_copy=True)
-    late = out_of_two(d)
+    late = overdue_read(d)
     d.answer(late, Status.MISS, 1.0)
     d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
     assert d.sends[late][2] == "origin"
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,7 +1,7 @@
 """The server that an attempt goes to, and those that are passed over."""
 
 import pytest
-from balancer_helpers import SLOW, warm_up
+from balancer_helpers import SLOW_CLASSES, warm_up
 
 from balancer import api
 from balancer.api import Status
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(("writes", "refused"), [(True, False), (False, True)])
 def test_a_node_is_passed_by_by_the_aims_of_what_it_answers(drive, writes, refused):
     # teori-oslo wide+reset+stale: writes go to the origin, but their shorter aim called far nodes jammed.
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     if writes:
         d.serve(d.ask("w", cls=1, left=1000.0, write=True), 40.0)
     names = []
