--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -23,7 +23,7 @@
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
-# The Retry-After of a rejected request, unless it is rejected for crowded servers: then it is MIN_MEMORY_MS.
+# The Retry-After of a rejected request; it is MIN_MEMORY_MS instead where crowded servers are the reason.
 RETRY_AFTER_MS = 50.0
 # The tokens of the timer for the next scheduled call and of the timer for the next call for the list.
 WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1
@@ -125,7 +125,7 @@
         self._rings.change(changed.removed_cache_servers, changed.cache_servers)
 
     def _close_removed(self, now: float, server: Server) -> None:
-        """Closes the idle connections to a removed server, and does so again later in the permitted time."""
+        """Closes the idle connections to a removed server now, and again before the permitted time ends."""
         if self._settings.hang_up_within_ms:
             self._evaluator.close_idle(now, server)
             self._timers.schedule(
@@ -153,7 +153,7 @@
 
     def _should_drop(self, now: float, request: RequestState) -> bool:
         """Decides at random whether to drop the request because the cache servers as a whole are crowded."""
-        # In a small tier the zones differ, so each server of the preference set is checked by itself instead.
+        # With few balancers the load differs from zone to zone, so each preferred server is checked instead.
         if request.write or self._rings.small_tier:
             return False
         return should_drop(self._random, now, self._latency, self._read_objective_ms, request.over_quota)
@@ -197,7 +197,7 @@
         )
 
     def _send(self, now: float, request: RequestState, server: Server, timeout_ms: float) -> None:
-        """Sends an attempt to the server, or rejects the request if it may have no further one."""
+        """Sends an attempt to the server, or rejects the request if no further attempt is permitted."""
         if not self._retry_policy.permits(now, request) or not recognises_repeat(request, server):
             self._reject(now, request, "spent")
             return
@@ -233,7 +233,7 @@
         self._end(now, request)
 
     def _end(self, now: float, request: RequestState) -> None:
-        """Ends the request; what it holds is released as soon as all its attempts have ended too."""
+        """Ends the request; its key and its fetch are released once all its attempts have ended too."""
         request.done = True
         if request.in_flight:
             return
@@ -310,7 +310,7 @@
         if not self._retry_policy.permits(now, request) or not any(
             recognises_repeat(request, origin) for origin in self._origins
         ):
-            self._reject(now, request, "spent")  # for example after a timeout at the deadline
+            self._reject(now, request, "spent")  # For example, the deadline may have passed.
             return
         if request.key is not None and not request.write and not request.is_fetching:
             if request.key in self._fetches.waiting_by_key:
@@ -384,7 +384,7 @@
             is_due = self._hedges.is_due(now, request, sent_ms, usual_ms, server.newest_answered_sent_ms)
             if is_due and self._retry_policy.permits(now, request):
                 self._hedges.tokens -= 1.0
-                del server.in_flight[request_id, attempt]  # It no longer counts against the server's limit.
+                del server.in_flight[request_id, attempt]  # This attempt no longer counts against the limit.
                 request.hedge_number = request.attempts
                 self._send(now, request, server, request.useful_until_ms - now)
 
--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -1,6 +1,6 @@
 """Running estimates of latencies, and of the usual timeout of a request class.
 
-The estimates decide nothing. All times are milliseconds of one clock, which the caller passes in.
+This module makes no decisions. All times are milliseconds of one clock, which the caller passes in.
 """
 
 import math
@@ -11,7 +11,7 @@
 MIN_MEMORY_MS = 2000.0
 # The longest period that a mean covers when responses are rare.
 MAX_MEMORY_MS = 5000.0
-# The weight of a new latency in a running mean, which so covers about the last ten to twenty responses.
+# The weight of a new latency in a running mean: the mean covers about the last ten to twenty responses.
 RECENT_WEIGHT = 0.1
 # A server whose mean latency is below this share of the shortest latency objective is never crowded.
 UNCROWDED_SHARE = 0.25
@@ -33,7 +33,7 @@
     mean_ms: float  # the running mean; it starts as a guess that counts as one response
     lowest_mean_ms: float = 0.0  # the lowest value of `slow_mean_ms`; 0 until there were enough responses
     slow_mean_ms: float = 0.0  # a mean that follows new latencies four times more slowly
-    response_count: int = 1  # the number of responses so far, with the initial guess
+    response_count: int = 1  # the number of responses so far, including the initial guess
     last_response_ms: float = -math.inf  # the time of the last response
     last_gap_ms: float = 0.0  # the time between the last two responses
 
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -10,8 +10,8 @@
 from balancer.request_state import RequestState
 from balancer.settings_types import Settings
 
-# A wait ends this long before the latest time at which a fetch would still be in time, since timers fire
-# late.
+# A request stops waiting this much sooner than it would have to for its fetch to be in time, since timers
+# fire late.
 WAIT_MARGIN_MS = 50.0
 # The maximum number of requests ahead of a request in the queue; with more ahead of it, it is rejected.
 MAX_QUEUED_AHEAD = 100
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         """Starts empty."""
-        # (negative priority, time of enqueueing, request id, request), the next request first
+        # The entries are (negative priority, time of arrival here, request id, request), the next one first.
         self._entries: list[tuple[float, float, str, RequestState]] = []
 
     def __bool__(self) -> bool:
@@ -96,9 +96,9 @@
         return min(request.useful_until_ms - now, objective_ms) < self._latency.decayed_mean_ms(now)
 
     def latest_wait_end_ms(self, now: float, request: RequestState, ahead_count: float) -> float | None:
-        """Returns the time until which the request may wait, with `ahead_count` requests served before it.
+        """Returns the time until which the request may wait, with `ahead_count` requests ahead of it.
 
-        Returns None if it would have to wait longer than that.
+        Returns None if its turn would come later than that.
         """
         wait_end_ms = request.useful_until_ms - self._latency.mean_ms - WAIT_MARGIN_MS
         if ahead_count > MAX_QUEUED_AHEAD or wait_end_ms <= now + ahead_count * self._latency.mean_ms:
--- a/balancer/request_state.py
+++ b/balancer/request_state.py
@@ -26,14 +26,14 @@
     in_flight: dict[tuple[str, int], tuple["RequestState", float]] = field(default_factory=dict)
     newest_answered_sent_ms: float = -math.inf  # the send time of the newest attempt that has been answered
     consecutive_resets: int = 0  # the number of resets since its last response
-    last_response_ms: float = 0.0  # the last response, or the first attempt sent after an idle period
+    last_response_ms: float = 0.0  # when it last responded, or got an attempt with none in flight
     ejected_at_ms: float | None = None  # when it was ejected; None while it is not ejected
-    next_probe_ms: float = 0.0  # the earliest time of the next probe
+    next_probe_ms: float = 0.0  # the earliest time of the next probe, or of the next trial at an origin
     probe_sent_ms: float | None = None  # when the unanswered probe was sent; None if there is none
     check_scheduled: bool = False  # whether a check for silence is scheduled
     last_decrease_ms: float = -math.inf  # when `limit` was last lowered
     last_use_ms: float = -math.inf  # the last response over a connection that may still be open
-    removed: bool = False  # whether it has left the endpoint list
+    removed: bool = False  # whether it was removed from the endpoint list
 
     def capacity_share(self, now: float, start_capacity: float, warm_up_ms: float) -> float:
         """Returns the share of its full capacity that it has by now.
@@ -53,9 +53,7 @@
 class KeyQueue:
     """The requests for one key that are sent one at a time."""
 
-    requests: "deque[RequestState]" = field(
-        default_factory=deque
-    )  # in the order of arrival, the oldest first
+    requests: "deque[RequestState]" = field(default_factory=deque)  # the requests, oldest first
     settled_at_ms: float = -math.inf  # until then no request is sent: an earlier attempt may still be running
 
 
@@ -82,10 +80,8 @@
     tried_servers: list[Server] = field(default_factory=list)  # the servers that are not tried again
     possible_run_ms: float | None = None  # the send time of the earliest attempt that may have run
     possible_run_server: Server | None = None  # the server of that attempt
-    is_fetching: bool = False  # whether other requests for its key wait for its fetch from the origin
-    is_waiting: bool = (
-        False  # whether it waits for its key, for another request's fetch or for an origin slot
-    )
+    is_fetching: bool = False  # whether it fetches its key's value from the origin on behalf of all requests
+    is_waiting: bool = False  # whether it waits for its key, another request's fetch or an origin slot
     follows_miss: bool = False  # whether its next attempt follows a miss, and so is not counted as a retry
     stream_started: bool = False  # whether the client has received the first bytes of a streamed response
     done: bool = False  # whether it has had its final response, or its client has disconnected
--- a/tests/test_origin_slots.py
+++ b/tests/test_origin_slots.py
@@ -126,9 +126,8 @@
     elif may_send:
         assert silent_ms >= OVERDUE_FACTOR * usual_ms
         assert min(ages_ms) >= OVERDUE_FACTOR * usual_ms
-        assert not origin_slots.can_send(
-            server, usual_ms, now + TRIAL_INTERVAL_MS / 2
-        )  # The next trial has to wait.
+        # The next trial has to wait.
+        assert not origin_slots.can_send(server, usual_ms, now + TRIAL_INTERVAL_MS / 2)
     else:
         assert silent_ms < OVERDUE_FACTOR * usual_ms or min(ages_ms) < OVERDUE_FACTOR * usual_ms
 
