--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -21,15 +21,15 @@
 # its connection alone.
 RESETS_TO_EJECT = 2
 # From this share of resets among the recent attempts on, one more reset is needed to eject a server, since
-# then resets hit all servers alike. The weight is that of one attempt in the share.
+# then resets hit all servers alike. The second number is the weight of one attempt in that share.
 RESET_RATE_HIGH, RESET_RATE_WEIGHT = 0.05, 0.01
 # The time for which idle connections are trusted grows by this factor with each response, and is halved when
 # an idle connection turns out to be broken.
 IDLE_GROWTH = 1.01
-# A reset within this share of the mean latency, on a connection that was idle before, shows nothing about its
-# server.
+# A reset within this share of the mean latency, on a connection that was idle before, is taken for the late
+# notice of a closed connection.
 STALE_CONNECTION_FACTOR = 0.25
-# From this share of connections refused at once on, connections are closed after use.
+# Where at least this share of the recent connects was refused at once, connections are closed after use.
 CONNECT_REFUSED_RATE_HIGH = 0.1
 
 
