--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -74,7 +74,7 @@
         if now - server.ejected_at_ms >= LONG_EJECTION_MS:
             server.warm_up_start_ms = max(server.warm_up_start_ms, now)
         server.ejected_at_ms = None
-        self._actions.append(Log(f"{server.entry.name} cleared"))
+        self._actions.append(Log(f"{server.entry.name} readmitted"))
 
     def eject(self, now: float, server: Server, cancel_attempts: bool = True) -> None:
         """Ejects the server.
@@ -84,7 +84,7 @@
         """
         if server.ejected_at_ms is None:
             server.ejected_at_ms, server.next_probe_ms = now, now + PROBE_INTERVAL_MS
-            self._actions.append(Log(f"{server.entry.name} marked missed"))
+            self._actions.append(Log(f"{server.entry.name} ejected"))
         if cancel_attempts and self._may_cancel:
             self._cancel_attempts(now, server)
 
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -83,7 +83,7 @@
     node.sendall(b"VA 1 O1\r\nx\r\n")
     assert proxy.got(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
     assert failing.failed == 1
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.pool_of("s1")
     assert pool.opening == 0
@@ -129,7 +129,7 @@
         b"VA 1 O1\r\nx\r\n" if wanted.startswith(b"mg") else b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
     )
     assert proxy.got(conn, b"\r\n").startswith(b"VA 1 O1" if make is read else b"HD O1 cx")
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("make", [read, write])
@@ -218,7 +218,7 @@
         return told.count(b"\r\ny\r\n") == 10
 
     proxy.until(play, "not all were served")
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("number", SERVERS)
@@ -227,7 +227,7 @@
     proxy = rig()
     fail(outgoing, proxy.nodes[0].address, stage, number)
     proxy.client(read(1))
-    proxy.until(lambda: "s1 marked missed" in proxy.log.getvalue())
+    proxy.until(lambda: "s1 ejected" in proxy.log.getvalue())
     assert figure(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
 
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -9,12 +9,12 @@
 def test_a_dead_server_is_ejected_tried_again_and_readmitted(drive):
     d = drive()
     victim = eject_owner(d, "k")
-    assert d.logs == [f"{victim} marked missed"]
+    assert d.logs == [f"{victim} ejected"]
     assert d.owner("k") != victim
     d.pass_time(600)
     assert d.owner("k") == victim  # A trial request is sent there and readmits it.
     assert d.owner("k") == victim
-    assert d.logs[-1] == f"{victim} cleared"
+    assert d.logs[-1] == f"{victim} readmitted"
 
 
 def test_an_ejected_server_is_probed_where_probes_are_permitted(drive):
@@ -75,7 +75,7 @@
     victim = eject_owner(d, "k")
     d.pass_time(5000)
     d.owner("k")
-    assert d.logs[-1] == f"{victim} cleared"
+    assert d.logs[-1] == f"{victim} readmitted"
     assert d.balancer._servers[victim].warm_up_start_ms > 0
     assert sum(d.owner(f"x{i}") == victim for i in range(100)) < 15
 
@@ -112,7 +112,7 @@
             d.serve(quick, 20.0)
             d.answer(slow, Status.TIMEOUT, after=1000.0)
     assert len(d.sends) >= 64
-    assert not any("marked" in text for text in d.logs)
+    assert not any(" ejected" in text for text in d.logs)
 
 
 def test_a_stall_of_all_servers_ejects_at_most_a_third_of_them(drive):
@@ -121,7 +121,7 @@
     for i in range(80):
         d.ask(f"k{i}")
     d.pass_time(900)
-    assert 1 <= sum("marked" in text for text in d.logs) <= 4
+    assert 1 <= sum(" ejected" in text for text in d.logs) <= 4
 
 
 def test_a_restart_in_the_endpoint_list_readmits_the_server_and_starts_its_warm_up(drive):
@@ -156,7 +156,7 @@
     assert d.owner("k") == owner
     for _ in range(2):
         d.answer(d.ask("k"), Status.RESET, 60.0)
-    assert d.logs == [f"{owner} marked missed"]
+    assert d.logs == [f"{owner} ejected"]
 
 
 def test_a_timeout_shorter_than_the_usual_latency_shows_nothing_about_its_server(drive):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -240,7 +240,7 @@
     names = (f"k{n}" for n in range(1000))
     key = next(key for key in names if facade.pick(subject(f"first {key}", key=key)).node == "s1")
     facade.report(facade.pick(subject("r0", key=key)), f.AttemptOutcome.NOT_CONNECTED)
-    assert "s1 marked missed" in [
+    assert "s1 ejected" in [
         choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.LogEvent)
     ]
     clock.now += 600.0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -296,7 +296,7 @@
     whole(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
     assert proxy.got(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("number", BROKEN)
