--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -102,7 +102,7 @@
     node.sendall(b"VA 1 O1\r\nx\r\n")
     assert proxy.receive_until(conn, b"x\r\n") == b"VA 1 O1\r\nx\r\n"
     assert failing.failed == 1
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
     assert total(proxy, ConnectionEvent.CONNECT_REFUSED) == 0
     pool = proxy.service.pools.pool_of("s1")
     assert pool.opening_count == 0
@@ -148,7 +148,7 @@
         b"VA 1 O1\r\nx\r\n" if wanted.startswith(b"mg") else b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
     )
     assert proxy.receive_until(conn, b"\r\n").startswith(b"VA 1 O1" if make is read else b"HD O1 cx")
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("make", [read, write])
@@ -238,7 +238,7 @@
         return answers.count(b"\r\ny\r\n") == 10
 
     proxy.run_until(answer_reads, "not all were served")
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("number", SERVER_ERRORS)
@@ -247,7 +247,7 @@
     proxy = rig()
     fail(outgoing, proxy.nodes[0].address, stage, number)
     proxy.client(read(1))
-    proxy.run_until(lambda: "s1 marked missed" in proxy.log.getvalue())
+    proxy.run_until(lambda: "s1 ejected" in proxy.log.getvalue())
     assert total(proxy, ConnectionEvent.CONNECT_REFUSED) == 1
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,7 +1,7 @@
 """Hedged reads, and requests that must not get a second attempt."""
 
 import pytest
-from balancer_helpers import out_of_two, warm_up
+from balancer_helpers import overdue_read, warm_up
 
 from balancer import api
 from balancer.api import Status
@@ -21,7 +21,7 @@
     # Some connections that have answered before fall silent (2% of the attempts met one), while the server
     # answers on others. An attempt on a silent connection would wait until its deadline.
     d = drive(may_hedge=True)
-    hedged = out_of_two(d)
+    hedged = overdue_read(d)
     assert d.sends[hedged] == [d.sends[hedged][0]] * 2
     assert not d.cancels
     assert not d.logs
@@ -36,7 +36,7 @@
 
 def test_a_first_attempt_that_is_answered_before_its_hedge_raises_the_delay(drive):
     d = drive(may_hedge=True)
-    hedged = out_of_two(d)
+    hedged = overdue_read(d)
     d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(hedged, 1)]
     assert d.balancer._hedges.delay_factor > 8.0
@@ -44,7 +44,7 @@
 
 def test_a_hedged_attempt_that_misses_continues_at_the_origin(drive):
     d = drive(may_hedge=True)
-    hedged = out_of_two(d)
+    hedged = overdue_read(d)
     d.answer(hedged, Status.MISS, 1.0)
     d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0))
     assert d.sends[hedged][2] == "origin"
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,7 +1,7 @@
 """The selection of the server for an attempt, and the servers that it passes over."""
 
 import pytest
-from balancer_helpers import SLOW, warm_up
+from balancer_helpers import SLOW_CLASSES, warm_up
 
 from balancer import api
 from balancer.api import Status
@@ -98,7 +98,7 @@
 def test_a_server_is_crowded_by_the_objectives_of_the_requests_that_it_answers(drive, has_write, is_refused):
     # Writes go to the origin. When the shorter latency objective of their class was applied to cache servers
     # too, servers in distant zones counted as crowded.
-    d = drive(classes=SLOW)
+    d = drive(classes=SLOW_CLASSES)
     if has_write:
         d.serve(d.ask("w", cls=1, left=1000.0, write=True), 40.0)
     requests = []
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -310,7 +310,7 @@
     connection_with(proxy, proxy.origin, b"PUT /k1 ", b"a").sendall(RECEIPT)
     assert proxy.receive_until(conn, b"\r\n") == b"HD O1 cr1\r\n"
     assert broken.failed == 1
-    assert "marked missed" not in proxy.log.getvalue()
+    assert " ejected" not in proxy.log.getvalue()
 
 
 @pytest.mark.parametrize("number", CONNECTION_ERRORS)
