--- a/cloverwell/front/__init__.py
+++ b/cloverwell/front/__init__.py
@@ -1,1 +1,1 @@
-"""Whoever calls the proxy, each protocol in a module of its own."""
+"""The sides that call the proxy: clients with memcache commands, and operators over HTTP."""
--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -1,4 +1,4 @@
-"""Closes the clients' connections that the policy selects."""
+"""Closes the clients' connections that the connection policy selects."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from cloverwell.front.client_connection import ClientConnection
 from cloverwell.timer_wheel import TimerWheel
 
-# What a client may take to read what was sent before our close: an abort would throw that away.
+# The time a client has to read its last responses after the proxy has closed its sending side. Aborting the
+# connection earlier would drop them.
 LAST_READ_TIMEOUT_MS = 10_000.0
 
 
 class ClientCloser:
-    """Carries out the policy's choices, as far as nothing is lost by them."""
+    """Closes selected connections, except where a request or response could be lost."""
 
     def __init__(
         self,
@@ -24,13 +25,13 @@
         metrics: ConnectionMetrics,
         timer_wheel: TimerWheel,
     ) -> None:
-        """Report to the policy which connections could not be closed, and count all at `metrics`."""
+        """Set up a closer that tells `policy` which closes were skipped, and counts all in `metrics`."""
         self._policy = policy
         self._metrics = metrics
         self._timer_wheel = timer_wheel
 
     def close(self, choices: Sequence[CloseClient[ClientConnection]], wanted: int) -> None:
-        """Close connections, in this order, until `wanted` have been closed."""
+        """Close the chosen connections in this order, until `wanted` of them have been closed."""
         for choice in choices:
             if not wanted:
                 return
@@ -42,7 +43,7 @@
                 self._policy.close_failed(choice.client, self._timer_wheel.now())
 
     def _close(self, choice: CloseClient[ClientConnection]) -> bool:
-        """Close one connection; return False where something is unread."""
+        """Close one connection; return False if it stays open, since a request or response may be unread."""
         connection = choice.client
         if choice.reason is CloseReason.CLOSE_TIMEOUT:
             if self._has_unread_responses(connection):
@@ -50,18 +51,19 @@
             connection.close_now(choice.reason)
             return True
         if choice.reason is CloseReason.IDLE and connection.has_unsent_responses:
-            connection.closing_because(choice.reason)
-            connection.end(abort=True)  # No request has so much time: nobody waits for that response.
+            connection.set_close_reason(choice.reason)
+            # The idle timeout is longer than any request's timeout, so nobody waits for that response.
+            connection.end(abort=True)
             return True
         if not connection.close_overdue(choice.reason):
             return False
         if choice.abort and connection.ended:
-            # The kernel goes on delivering what the client has not read.
+            # The kernel still delivers the bytes that it has taken.
             connection.close_now(choice.reason)
         return True
 
     def _has_unread_responses(self, connection: ClientConnection) -> bool:
-        """Return whether the client may still read what was sent before our side was closed."""
+        """Return whether the client may still read responses that were sent before the close."""
         if self._timer_wheel.now() - connection.write_closed_ms >= LAST_READ_TIMEOUT_MS:
             return False
-        return unsent(connection.fileno()) > 1  # The close itself counts as one byte.
+        return unsent(connection.fileno()) > 1  # The close of the sending side itself counts as one byte.
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, in the memcache meta commands."""
+"""One client's connection: receives memcache meta commands and sends their responses."""
 
 from __future__ import annotations
 
@@ -25,39 +25,39 @@
 from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import STALL_MS
 
-MAX_PIPELINED_COMMANDS = 64  # pipelining limit: with so many responses pending, the connection is not read
-# Malformed commands in a row: so many cost no pause of reading, and so many close the connection.
+MAX_PIPELINED_COMMANDS = 64  # With this many responses pending, reading from the connection is paused.
+# Malformed commands in a row: beyond the first number each one pauses reading, the second number closes.
 UNTHROTTLED_MALFORMED_COMMANDS = 8
 MAX_MALFORMED_COMMANDS = 24
-MALFORMED_COMMAND_PAUSE_MS = 50.0
-DISCARD_PAUSE_MS = 5.0  # between two reads of what is discarded once framing is lost
-FINAL_READ_BYTES = 8 * 1024  # of what is unread when a connection is closed whatever is
-STREAM_PIECE_BYTES = 32 * 1024  # bytes that the transport holds while its client does not read
+MALFORMED_COMMAND_PAUSE_MS = 50.0  # how long reading is paused after such a command
+DISCARD_PAUSE_MS = 5.0  # between two reads of input that is discarded because the connection is ending
+FINAL_READ_BYTES = 8 * 1024  # the most input that is still read and handled just before a forced close
+STREAM_PIECE_BYTES = 32 * 1024  # the most bytes that Twisted's transport buffers for a client
 
 
 class ClientConnection(CommandReceiver):
-    """One client's connection: commands become requests, and responses leave in the order of the commands."""
+    """Turns a client's commands into requests, and sends the responses in the order of the commands."""
 
     piece_bytes = STREAM_PIECE_BYTES
-    transport: Any  # Twisted's TCP transport, which is also a producer of bytes
+    transport: Any  # Twisted's TCP transport; as a producer, its reading can be paused
 
     def __init__(self, owner: ConnectionOwner[ClientConnection], peer: str = "") -> None:
-        """Create the connection of a client that has just been accepted; `peer` is its address."""
+        """Set up the connection of a client that has just been accepted; `peer` is its address."""
         super().__init__(owner.classes, owner.tenants)
         self.peer = peer
-        self.close_reason: CloseReason | None = None  # why this side closes it, once it does
+        self.close_reason: CloseReason | None = None  # why the proxy closes it; None until then
         self._owner = owner
         self._responses = ResponseQueue(self, owner)
         self._malformed_count = 0  # malformed commands in a row
-        self._throttled = False  # Reading is paused because of malformed commands.
+        self._throttled = False  # whether reading is paused for a fixed time, see `_throttle`
         self._nothing_read = True
         self._partial_command_reported = False
-        self._created_ms = self.write_closed_ms = owner.timer_wheel.now()  # when our side was closed
+        self._accepted_ms = self.write_closed_ms = owner.timer_wheel.now()  # The owner sets write_closed_ms.
 
     # Reading ------------------------------------------------------------------------------------
 
     def waited_in_accept_queue(self, since_ms: float) -> None:
-        """Record that what is read first may have been sent since then, before the accept."""
+        """Record that the first bytes may have been unread since then, in the accept queue."""
         self._arrival.accepted(since_ms)
 
     def connectionMade(self) -> None:
@@ -66,19 +66,19 @@
         self._check_buffer_empty()
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle bytes from the client."""
+        """Twisted: bytes have come from the client."""
         if self.ended or self._lost:
-            # Reading goes on, so that the client gets its response rather than a reset; but at little cost.
+            # Input is read and dropped: a close over unread input would be a reset and might lose a response.
             self._throttle(DISCARD_PAUSE_MS)
             return
         unread_delay_ms = self._owner.timer_wheel.unread_delay_ms
-        # After a wait to be accepted or an event-loop stall, the client's close may be behind these bytes.
-        may_be_old = self._nothing_read or unread_delay_ms > STALL_MS
+        # After a wait in the accept queue or an event-loop stall, the client may have closed already.
+        client_may_have_closed = self._nothing_read or unread_delay_ms > STALL_MS
         self._nothing_read = False
-        if may_be_old and hung_up([self._socket]):
+        if client_may_have_closed and hung_up([self._socket]):
             self._owner.clients_disconnected([self])
             return
-        if not self._held:  # else these bytes follow others that are not handled yet
+        if not self._held:  # While reading is paused, these bytes follow others that are not handled yet.
             begins_command = not (len(self._in) or self._wanted)
             self._arrival.read(self._owner.timer_wheel.now(), begins_command, unread_delay_ms)
             self._check_buffer_empty()
@@ -91,17 +91,17 @@
         if reported:
             self._owner.partial_command_grew(self)
         elif self._partial_command_reported:
-            # Its timeout runs from the first byte: sending a byte now and then does not prolong it.
+            # A command's timeout runs from its first byte, so a client can't prolong it byte by byte.
             self._owner.no_open_request(self)
 
     def hold(self) -> None:
-        """Read no more until `release`."""
+        """Pause reading until `release`."""
         super().hold()
         self._owner.paused_connections[self] = None
         self._arrival.reading_paused(self._owner.timer_wheel.now())
 
     def release(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self._owner.paused_connections.pop(self, None)
         if self._held:
             self._check_buffer_empty()
@@ -112,7 +112,7 @@
             self._arrival.buffer_empty()
 
     def _throttle(self, pause_ms: float) -> None:
-        """Pause reading for a while."""
+        """Pause reading for a fixed time."""
         if not self._throttled:
             self._throttled = True
             self.transport.pauseProducing()
@@ -129,18 +129,18 @@
     # Commands -----------------------------------------------------------------------------------
 
     def probe_received(self) -> None:
-        """Answer whether this process serves."""
+        """Answer the command `mn`: this process serves, or it is draining."""
         self._malformed_count = 0
         self._owner.request_started(self)
         self._send_line(SERVING if self._owner.serving.wanted else DRAINING)
 
     def request_received(self, fields: CommandFields, write: bool, value: bytes) -> None:
-        """Start a request, whose response has its place behind those of the commands before it."""
-        # The client's timeout counts from the first byte, which may have been unread for a while, or have
-        # come long before the last one.
-        left_ms = self._arrival.remaining_ms(self._owner.timer_wheel.now(), fields.wait_ms)
+        """Start a request; its response is sent after those of the earlier commands."""
+        # The client's timeout counts from the command's first byte, which may have stayed unread in the
+        # socket's buffer for a while, or have come long before the last one.
+        remaining_ms = self._arrival.remaining_ms(self._owner.timer_wheel.now(), fields.wait_ms)
         if self._arrival.command_queued:
-            left_ms = min(left_ms, fields.wait_ms - received_ago_ms(self._socket))
+            remaining_ms = min(remaining_ms, fields.wait_ms - received_ago_ms(self._socket))
         response = PendingResponse()
         request = response.request = Request(
             id=fields.id,
@@ -148,7 +148,7 @@
             tenant=fields.tenant,
             key=fields.key,
             write=write,
-            left_ms=left_ms,
+            left_ms=remaining_ms,
             value=value,
             info=fields.info,
             answer=partial(self._respond, response),
@@ -164,27 +164,27 @@
             self._owner.dispatcher.accept(request)
 
     def reject_command(self, reason: str) -> None:
-        """Answer a malformed command, ever more slowly where one follows the other."""
+        """Answer a malformed command with an error, throttling a client that sends many in a row."""
         self._malformed_count += 1
         if self._malformed_count >= MAX_MALFORMED_COMMANDS:
             self.reject_and_close(reason)
             return
         if self._malformed_count > UNTHROTTLED_MALFORMED_COMMANDS:
-            # A client that repeats malformed commands at once must not take the others' time.
+            # A client that floods the proxy with malformed commands must not slow down the others.
             self.hold()
             self._throttle(MALFORMED_COMMAND_PAUSE_MS)
         self._send_line(encode_error(reason))
 
     def reject_and_close(self, reason: str) -> None:
-        """Reject a command behind which no other can be found; responses that are pending leave before."""
-        self.closing_because(CloseReason.MALFORMED)
-        self._send_last_line(encode_error(reason))
+        """Reject a command after which the next can't be found, and close once all responses are sent."""
+        self.set_close_reason(CloseReason.MALFORMED)
+        self._send_final_line(encode_error(reason))
 
     # Responses ----------------------------------------------------------------------------------
 
     def _respond(self, response: PendingResponse, request: Request, answer: FinalAnswer) -> None:
-        """Take a request's final answer."""
-        response.request = None  # Request and response refer to each other: a cycle would need the collector.
+        """Store a request's final answer as its response, and send what can be sent."""
+        response.request = None  # breaks a reference cycle, which would wait for the garbage collector
         response.data = encode_answer(request, answer)
         if isinstance(answer, Served) and isinstance(answer.body, StreamedValue):
             response.stream = answer.body
@@ -195,14 +195,14 @@
         self._responses.pending.append(PendingResponse(data))
         self.send_responses()
 
-    def _send_last_line(self, data: bytes) -> None:
+    def _send_final_line(self, data: bytes) -> None:
         self._lost = True
         self._in.clear()
         self.hold()
         self._send_line(data)
 
     def send_responses(self) -> None:
-        """Send the responses that are known; then close the connection if it is time, or read on."""
+        """Send the responses that are known; then close the connection if that is due, or resume reading."""
         pending = self._responses.pending
         self._responses.send()
         if not pending:
@@ -210,7 +210,7 @@
             if self._lost:
                 self._close_after_responses()
                 return
-            # A client that always sends its next request at once is never seen idle by the periodic check.
+            # A client that always sends its next request at once is never idle when the periodic check runs.
             if self._owner.drainer.is_closing and not self._parsing:
                 self._owner.drainer.advance(self)
         elif pending[0].data is not None:
@@ -221,47 +221,47 @@
             self.release()
 
     def roomMade(self) -> None:
-        """Send more: the transport has sent what it had."""
+        """Send more responses, since the outgoing buffer has room again."""
         self._owner.client_has_read(self)
         self._responses.resume_stream()
         self.send_responses()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that wait in the outgoing buffer."""
+        """Return the number of bytes in the outgoing buffer."""
         return len(self._out)
 
-    # The end ------------------------------------------------------------------------------------
+    # Closing ------------------------------------------------------------------------------------
 
     @property
     def has_open_request(self) -> bool:
-        """Whether a request is open."""
+        """Return whether a request is open."""
         return self._responses.has_open_request
 
     @property
-    def between_requests(self) -> bool:
-        """Whether no response is pending, and no part of a command has come."""
+    def is_between_requests(self) -> bool:
+        """Return whether no response is pending, and no part of a command has come."""
         return not self._responses.pending and not len(self._in) and not self._wanted
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether no response is pending, and a part of a command has come."""
-        return not self._responses.pending and not self.between_requests
+        """Return whether no response is pending, and a part of a command has come."""
+        return not self._responses.pending and not self.is_between_requests
 
     @property
     def has_unsent_responses(self) -> bool:
-        """Whether the client has not read all of its responses."""
+        """Return whether bytes of a response are still to be handed to the kernel."""
         return self._writing
 
     @property
     def command_begun_ms(self) -> float:
-        """When the first byte of the current command was read."""
+        """Return when the first byte of the current command was read, in ms of the timer wheel's clock."""
         return self._arrival.begun_ms
 
     def closing_state(self) -> ClosingState:
-        """Return what decides its close while the process is drained or stops."""
+        """Return the state that decides when the connection is closed in a drain or shutdown."""
         return ClosingState(
-            accepted_ms=self._created_ms,
+            accepted_ms=self._accepted_ms,
             nothing_read=self._nothing_read,
             responses_pending=bool(self._responses.pending) or self._writing,
             streaming=self._responses.streaming,
@@ -271,87 +271,87 @@
         )
 
     def end(self, abort: bool = False, only_ours: bool = False) -> None:
-        """Close the connection; unless it is aborted, what has been sent leaves first."""
+        """Close the connection, after the outgoing bytes unless it is aborted."""
         if not (self.ended or abort):
-            self._owner.closing(self)  # a client that reads nothing must not keep the descriptor
+            self._owner.write_side_closed(self)  # starts a timeout, since the client may never read the rest
         super().end(abort, only_ours)
 
     def abandon(self) -> list[Request]:
-        """Abort the connection of a client that has disconnected; return its open requests, to be ended."""
-        self.closing_because(CloseReason.LEFT)
+        """Abort the connection of a client that has disconnected; return its requests that are still open."""
+        self.set_close_reason(CloseReason.LEFT)
         self.end(abort=True)
         return self._responses.abandon()
 
-    def closing_because(self, reason: CloseReason) -> None:
-        """Record why this side closes the connection; the first reason counts."""
+    def set_close_reason(self, reason: CloseReason) -> None:
+        """Record why the proxy closes the connection; only the first reason is kept."""
         if self.close_reason is None:
             self.close_reason = reason
 
     @property
     def open_request_ids(self) -> list[str]:
-        """The ids of its open requests, in the order of their commands."""
+        """Return the ids of the open requests, in the order of their commands."""
         return self._responses.open_request_ids
 
     @property
     def age_ms(self) -> float:
-        """How long ago it was accepted."""
-        return self._owner.timer_wheel.now() - self._created_ms
+        """Return the time in ms since the connection was accepted."""
+        return self._owner.timer_wheel.now() - self._accepted_ms
 
     def close_overdue(self, reason: CloseReason) -> bool:
-        """Close a connection that has had no open request for too long; return whether it could be closed."""
+        """Close a connection that had no open request for too long; return False if input may be unread."""
         if not self.has_partial_command:
             return self.close_between_requests(reason)
         if self.ended or self._lost or self._throttled or self.has_unread_bytes():
             return False
-        self.closing_because(reason)
+        self.set_close_reason(reason)
         self.reject_and_close("half a command")
         return True
 
-    def close_between_requests(self, reason: CloseReason, cut: bool = False) -> bool:
-        """Close between requests, if no request can be lost by it; return whether it was closed.
+    def close_between_requests(self, reason: CloseReason, allow_partial_command: bool = False) -> bool:
+        """Close between requests, unless a request could be lost; return whether the connection was closed.
 
-        `cut`: close also behind a partial command. While malformed commands pause the reading, complete
-        requests may be unread behind them.
+        `allow_partial_command`: close also after a partial command, which is answered as busy. While reading
+        is throttled the connection stays open, since complete requests may follow the malformed commands.
         """
         if self.ended or self._responses.pending or self._writing or self._throttled:
             return False
-        if (not cut and not self.between_requests) or self.has_unread_bytes():
+        if (not allow_partial_command and not self.is_between_requests) or self.has_unread_bytes():
             return False
-        self._close_our_side(reason)
+        self._close_write_side(reason)
         return True
 
-    def _close_our_side(self, reason: CloseReason) -> None:
-        self.closing_because(reason)
+    def _close_write_side(self, reason: CloseReason) -> None:
+        self.set_close_reason(reason)
         if self.has_partial_command:
-            # The rest of the command would complete a request, which must get a response.
-            self._send_last_line(BUSY)
+            # The rest of the command may be on its way and would complete a request, which needs a response.
+            self._send_final_line(BUSY)
             return
         self.ended = True
-        self._owner.closing(self)
-        # At once, not in the reactor's next iteration: a request that comes before that would be lost. The
-        # client sees the end, closes its side, and sends elsewhere what crossed it.
+        self._owner.write_side_closed(self)
+        # The socket is shut down here and not in the reactor's next iteration, since a request that came in
+        # between would be lost. A client that sees the connection end resends its request elsewhere.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
 
-    def end_our_side(self, reason: CloseReason) -> None:
-        """Close our side, whatever is unread, for a client that sends without pause.
+    def force_close_write_side(self, reason: CloseReason) -> None:
+        """Close the sending side although input may be unread, for a client that sends without pause.
 
-        What has been read and what can be read at once is answered first. What comes later has crossed the
-        close, and the client sends it elsewhere.
+        Commands that have been read or can be read at once are answered first. One that comes later gets no
+        response; its client sees the connection end and resends it elsewhere.
         """
         self._handle_unread()
         if not (self.ended or self._lost or self._responses.pending or self._writing):
-            self._close_our_side(reason)
+            self._close_write_side(reason)
 
     def _handle_unread(self) -> None:
-        """Handle the commands that wait, and some of those that can be read at once."""
+        """Handle the commands that have been read, and up to `FINAL_READ_BYTES` that can be read at once."""
         self._handle_waiting_commands()
         if not self.ended and (data := read_now(self._socket, FINAL_READ_BYTES)):
             self.dataReceived(data)
             self._handle_waiting_commands()
 
     def _handle_waiting_commands(self) -> None:
-        """Handle what has been read and waits behind malformed commands, or at the pipeline limit."""
+        """Handle the commands that have been read but wait for the end of a pause."""
         while (self._held or self._throttled) and not (self._lost or self.ended or self._responses.pending):
             waiting_bytes = len(self._in)
             self._throttled = False
@@ -360,14 +360,14 @@
                 return
 
     def close_now(self, reason: CloseReason) -> list[Request]:
-        """Close both sides; return the requests that are still open, which get no answer.
+        """Close both sides; return the requests that are still open, which get no response.
 
-        What can be read at once is answered first. What the kernel has taken still reaches the client. The
-        rest is dropped: such a client reads nothing, and can tell by the length that an answer is not whole.
+        Commands that can be read at once are answered first. Bytes that the kernel has taken still reach the
+        client; the others are dropped. The client can tell by its length that a response is incomplete.
         """
         if not (self.ended or self._responses.pending):
             self._handle_unread()
-        self.closing_because(reason)
+        self.set_close_reason(reason)
         open_requests = self._responses.abandon()
         self.ended = True
         discard_unread(self._socket)
@@ -375,26 +375,26 @@
         return open_requests
 
     def _close_after_responses(self) -> None:
-        """Close our side only, behind the last response.
+        """Close only the sending side, after the last response.
 
-        A close of both sides with bytes unread would be a reset, and the client might not read the response.
+        A close of both sides over unread input would be a reset, and the client might lose the response.
         """
         if not self.ended:
             self.end(only_ours=True)
             self.transport.resumeProducing()
 
     def has_unread_bytes(self) -> bool:
-        """Return whether a request may be in the socket's buffer, which a close would lose."""
+        """Return whether the socket's buffer has unread bytes, perhaps a request that a close would lose."""
         try:
             return bool(self._socket.recv(1, PEEK))
         except TryAgainError:
-            return True  # It could not be checked.
+            return True  # The check failed for the moment, so there may be some.
         except OSError:
             return False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Handle the end of the connection."""
+        """Twisted: the connection has ended."""
         super().connectionLost(reason)
         if self._responses.pending:
             self._owner.clients_disconnected([self])
-        self._owner.closed(self)
+        self._owner.connection_closed(self)
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -1,4 +1,4 @@
-"""All clients' connections: accepts them, and carries out what `connections.client_policy` decides."""
+"""Accepts and owns the clients' connections, and carries out what `connections.client_policy` decides."""
 
 from __future__ import annotations
 
@@ -28,35 +28,35 @@
 from cloverwell.streamed_value import ahead
 from cloverwell.timer_wheel import TimerWheel
 
-BACKLOG = 512  # connections that the kernel lets wait to be accepted
+BACKLOG = 512  # the length of the kernel's accept queue, in connections
 POLICY_CHECK_INTERVAL_MS = 50.0
-# Between two checks of the connections that are not read. With a tick that is late by up to `STALL_MS`, a
-# client's close is known within half of the 100 ms after which no attempt may begin for it.
+# The time between two checks of the paused connections for disconnected clients. Together with a tick that is
+# late by up to `STALL_MS`, a disconnect is detected within 50 ms; 100 ms after it no attempt may begin.
 DISCONNECT_CHECK_INTERVAL_MS = 25.0
-# How long a client should not use a proxy that is short of descriptors, unless the settings have a lower
-# maximum. Where that is 0, clients are sent no time.
+# The retry delay that is sent with a rejection, unless the settings have a lower maximum. Where that maximum
+# is 0, no delay is sent.
 RETRY_AFTER_MS = 1000.0
 
 
 class ListeningPort(Protocol):
-    """The port that clients connect to."""
+    """The listening port that clients connect to."""
 
     @property
     def is_accepting(self) -> bool:
-        """Whether it is read now."""
+        """Return whether connections are accepted now."""
 
     def has_waiting_connections(self) -> bool:
-        """Return whether a connection waits in the kernel's queue."""
+        """Return whether a connection waits in the kernel's accept queue."""
 
     def pauseProducing(self) -> None:
-        """Accept no connections."""
+        """Stop accepting connections."""
 
     def resumeProducing(self) -> None:
-        """Accept connections again."""
+        """Resume accepting connections."""
 
 
 class ClientConnections(BoundedFactory):
-    """Accepts clients within the budget, and owns their connections (`ConnectionOwner`)."""
+    """Accepts clients within the descriptor budget, and owns their connections (see `ConnectionOwner`)."""
 
     def __init__(
         self,
@@ -70,18 +70,18 @@
         serving: Serving,
         stream_bytes: int,
     ) -> None:
-        """Start the periodic checks.
+        """Set up without connections, and start the periodic checks.
 
         Args:
-            settings: the balancer's.
+            settings: the settings of the balancer.
             dispatcher: carries out requests.
             timer_wheel: the clock and timers.
-            log: for failed accepts.
-            budget: descriptors of both sides.
+            log: receives failed accepts and closed connections.
+            budget: the descriptors of the clients' and the nodes' side.
             metrics: counts what connections do.
-            max_requesting: connections that clients open to send requests, at the most.
-            serving: whether this process is ready, or draining.
-            stream_bytes: what may be buffered of all streamed values together.
+            max_requesting: the most connections on which clients may send requests.
+            serving: the serving state of this process.
+            stream_bytes: the most bytes that may be buffered of all streamed values together.
         """
         self.stream_count = 0
         self._stream_bytes = stream_bytes
@@ -102,11 +102,11 @@
         self._log = log
         self._budget = budget
         self._metrics = metrics
-        self._full = False
+        self._accepting_paused = False  # for want of descriptors
         self._unread_responses: UnreadResponses[ClientConnection] = UnreadResponses()
         self.drainer = ConnectionDrainer(self.connections, serving, dispatcher, timer_wheel)
         self._queue = AcceptQueue(BACKLOG + 1)  # Linux lets one more connection wait than the backlog.
-        self.request_descriptor: Callable[[], object] = lambda: None  # of the nodes' side
+        self.request_descriptor: Callable[[], object] = lambda: None  # asks the nodes' side to free one
         timer_wheel.on_stall = self._check_after_stall
         self._check_policy()
         self._check_disconnected_periodically()
@@ -118,8 +118,8 @@
         return min(MAX_ACCEPTS_PER_ITERATION, self._budget.room(DescriptorSide.CLIENTS))
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
-        """Make the connection of a client; None, which closes it, where there is no descriptor for it."""
-        # A `BoundedPort` asks `accept_limit` before; a listener that does not is held to the budget here.
+        """Make the protocol of a new connection; None, which closes it, if the budget has no descriptor."""
+        # A `BoundedPort` asks `accept_limit` first. For a listener that does not, the budget is checked here.
         if not self._budget.room(DescriptorSide.CLIENTS):
             return None
         host = getattr(addr, "host", "")
@@ -132,20 +132,20 @@
         self.connections[connection] = None
         self._metrics.add(ConnectionEvent.ADMITTED)
         self.policy.opened(connection, self.timer_wheel.now(), host)
-        self._keep_room()
+        self._reserve_descriptors()
         return connection
 
     def accept_failed(self, reason: str) -> None:
-        """Log that this machine can't accept for a moment; who connects waits in the kernel's queue."""
-        self._log.warn("accept", f"failed for a moment: {reason}")
+        """Log that accepting fails; meanwhile new connections wait in the kernel's accept queue."""
+        self._log.warn("accept", f"cannot accept client connections, will retry: {reason}")
         self._metrics.add(ConnectionEvent.PAUSED)
 
     def accept_paused(self) -> None:
-        """Record that from now on new connections wait in the kernel's queue, with their requests."""
+        """Record that from now on new connections wait in the accept queue, with their requests."""
         self._queue.reading_paused(self.timer_wheel.now())
 
     def _connection_waits(self) -> bool:
-        """Return whether a connection may wait to be accepted."""
+        """Return whether a connection may be in the accept queue."""
         return self.port is None or self.port.has_waiting_connections()
 
     def _check_accept_queue(self) -> None:
@@ -161,25 +161,25 @@
     def _pause_accepting(self) -> None:
         self._metrics.add(ConnectionEvent.PAUSED)
         self.accept_paused()
-        self._full = True
+        self._accepting_paused = True
         if self.port is not None:
             self.port.pauseProducing()
 
     def _resume_accepting(self) -> None:
-        if self._full and self._budget.room(DescriptorSide.CLIENTS):
-            self._full = False
-            self._log.info("accept", "connections are accepted again")
+        if self._accepting_paused and self._budget.room(DescriptorSide.CLIENTS):
+            self._accepting_paused = False
+            self._log.info("accept", "accepting client connections again")
             if self.port is not None:
                 self.port.resumeProducing()
 
-    # Events and questions of the connections ----------------------------------------------------
+    # Called by the connections ------------------------------------------------------------------
 
     def request_started(self, connection: ClientConnection) -> None:
         """Record that the connection has an open request."""
         self.policy.request_started(connection, self.timer_wheel.now())
 
     def no_open_request(self, connection: ClientConnection) -> None:
-        """Record that the connection has no open request, and perhaps a partial command."""
+        """Record that the connection has no open request; it may have a partial command."""
         self.policy.no_open_request(
             connection, self.timer_wheel.now(), connection.has_partial_command, connection.command_begun_ms
         )
@@ -189,39 +189,39 @@
         self.policy.partial_command_grew(connection, self.timer_wheel.now())
 
     def blocked_by_client(self, connection: ClientConnection) -> None:
-        """Record that a response is known, and that the connection takes no more."""
+        """Record that a response can't be sent, since the outgoing buffer is full."""
         self._unread_responses.blocked(connection, unsent(connection.fileno()), self.timer_wheel.now())
 
     def client_has_read(self, connection: ClientConnection) -> None:
-        """Record that the connection takes more again."""
+        """Record that the client has read, so that the outgoing buffer has room again."""
         self._unread_responses.progressed(connection)
 
-    def closing(self, connection: ClientConnection) -> None:
-        """Record that our side is closed: the descriptor must become free though the client never closes."""
+    def write_side_closed(self, connection: ClientConnection) -> None:
+        """Record the close of the sending side; a client that never closes its side is then disconnected."""
         connection.write_closed_ms = self.timer_wheel.now()
         self.policy.closing(connection, connection.write_closed_ms)
 
-    def closed(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         """Record that the connection is closed on both sides."""
         if connection not in self.connections:
             return
         self.connections.pop(connection)
-        self._note_close(connection)
+        self._report_close(connection)
         self.paused_connections.pop(connection, None)
         self._unread_responses.progressed(connection)
         self._budget.give_back(DescriptorSide.CLIENTS)
         self.policy.closed(connection)
         self._resume_accepting()
 
-    def _note_close(self, connection: ClientConnection) -> None:
+    def _report_close(self, connection: ClientConnection) -> None:
         reason = connection.close_reason or CloseReason.BY_CLIENT
         self._metrics.add(ConnectionEvent.CLIENT_CLOSE, reason.value)
         self._log.info("close", f"{connection.peer}: {reason.value}, open for {connection.age_ms:.0f} ms")
 
     def should_reject(self, request: Request) -> bool:
-        """Return whether this new request is rejected: its connection should be closed, or too many are used.
+        """Return whether a new request is rejected, in a drain or because too many connections have one.
 
-        Without the second, descriptors would run out: an accept that fails would lose requests.
+        Without the second limit descriptors would run out, and accepts that fail would lose requests.
         """
         if self.drainer.rejects_requests:
             self.dispatcher.note_rejected(request, "ending")
@@ -233,22 +233,22 @@
         return True
 
     def stream_buffer_bytes(self) -> int:
-        """Return how many bytes of a streamed value may wait for a client that reads slowly."""
+        """Return how many bytes of one streamed value may be buffered for a client that reads slowly."""
         return ahead(self._stream_bytes, self.stream_count)
 
-    # Clients that have disconnected ---------------------------------------------------------------
+    # Disconnected clients -------------------------------------------------------------------------
 
     def clients_disconnected(self, connections: list[ClientConnection]) -> None:
-        """End all that is open for clients that have closed their connections, at once.
+        """Abort the connections of clients that have disconnected, and cancel their open requests.
 
-        A descriptor or place that comes free must not go to another request of a client that has
-        disconnected too, but whose close is not read yet.
+        All disconnected clients are handled at once, also those whose close has not been read yet. Otherwise
+        a descriptor or a place at a node that becomes free could go to a request of another one of them.
         """
-        self._abandon(self._detector.with_others(connections))
+        self._abandon(self._detector.with_other_disconnected(connections))
 
     def check_paused_connections(self) -> None:
-        """Check the connections that are not read: nothing else tells that their clients have closed."""
-        self._abandon(self._detector.among_not_read())
+        """Check the paused connections, since nothing else reports that their clients have disconnected."""
+        self._abandon(self._detector.find_among_paused())
 
     def _check_disconnected_periodically(self) -> None:
         now = self.timer_wheel.now()
@@ -256,8 +256,8 @@
         self.check_paused_connections()
 
     def _check_after_stall(self) -> None:
-        """Check before anything is sent: the event loop has not read for a while."""
-        self._abandon(self._detector.after_stall())
+        """Check for disconnected clients after a stall, before anything is sent for them."""
+        self._abandon(self._detector.find_after_stall())
 
     def _abandon(self, connections: list[ClientConnection]) -> None:
         for connection in connections:
@@ -271,41 +271,44 @@
     def _check_policy(self) -> None:
         now = self.timer_wheel.now()
         if self.timer_wheel.just_stalled:
-            # What has come or could leave meanwhile is handled before anything counts as expired.
+            # Input that came during the stall is handled before any connection counts as expired.
             self.timer_wheel.at(now, self._check_policy)
             return
         self.timer_wheel.at(now + POLICY_CHECK_INTERVAL_MS, self._check_policy)
         expired = self.policy.expired(now)
         self._closer.close(expired, len(expired))
-        for connection in self._unread_responses.to_check(now):
+        for connection in self._unread_responses.due_for_check(now):
             if self._unread_responses.has_expired(connection, unsent(connection.fileno()), now):
                 self.drainer.close_now(connection, CloseReason.NOT_READING)
-        self._keep_room()
+        self._reserve_descriptors()
         self._resume_accepting()
         self._check_accept_queue()
 
-    def _keep_room(self) -> None:
-        """Keep some descriptors free for the next clients that connect."""
+    def _reserve_descriptors(self) -> None:
+        """Close connections and pause accepting as needed to keep descriptors free for new clients."""
         now = self.timer_wheel.now()
-        if choices := self.policy.to_admit_requests(now):
-            self._closer.close(choices, len(choices))
-        room = self._budget.room(DescriptorSide.CLIENTS)
-        wanted = self.policy.reserve(now) - room
+        if connections_to_close := self.policy.to_admit_requests(now):
+            self._closer.close(connections_to_close, len(connections_to_close))
+        free_descriptors = self._budget.room(DescriptorSide.CLIENTS)
+        wanted = self.policy.reserve(now) - free_descriptors
         if wanted > 0:
-            self._closer.close(self.policy.to_make_room(now, wanted, room), wanted)
+            self._closer.close(self.policy.to_make_room(now, wanted, free_descriptors), wanted)
         if not self._budget.room(DescriptorSide.CLIENTS) and self._budget.other_can_release(
             DescriptorSide.CLIENTS
         ):
             self.request_descriptor()
-        if not self._full and not self._budget.room(DescriptorSide.CLIENTS):
-            self._log.warn("accept", f"{len(self.connections)} connections of clients fill their part")
+        if not self._accepting_paused and not self._budget.room(DescriptorSide.CLIENTS):
+            self._log.warn(
+                "accept",
+                f"{len(self.connections)} client connections are open, no descriptor is left for more",
+            )
             self._pause_accepting()
 
     def release_descriptor(self) -> None:
-        """Close a connection for the nodes' side, if clients hold descriptors beyond their floor."""
+        """Close a connection for the nodes' side, if clients hold more descriptors than their floor."""
         if self._budget.other_can_release(DescriptorSide.NODES):
             self._closer.close(self.policy.to_make_room(self.timer_wheel.now(), 1, 0), 1)
 
     def describe_open_connections(self) -> str:
-        """Return one line on the connections that are open now."""
+        """Return a line that describes the open connections, for the log."""
         return describe_open_connections(self.connections)
--- a/cloverwell/front/command_receiver.py
+++ b/cloverwell/front/command_receiver.py
@@ -1,4 +1,4 @@
-"""Cuts a client's bytes into memcache meta commands with their values, and does no more."""
+"""Parses a client's bytes into memcache meta commands with their values."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 
 
 class CommandReceiver(RingLineReceiver):
-    """Calls `request_received` for each request, once its value has come, and `probe_received` for each `mn`.
+    """Calls `request_received` for each complete request, and `probe_received` for each `mn`.
 
-    A malformed command goes to `reject_command`, or to `reject_and_close` where the next command can't be
-    found behind it.
+    A malformed command goes to `reject_command`, or to `reject_and_close` if it is not known where the next
+    command begins.
     """
 
     in_bytes = MAX_WRITE + 2 * MAX_LINE
 
     def __init__(self, classes: Mapping[str, int], tenants: Mapping[str, int]) -> None:
-        """`classes`, `tenants`: the number of each request class and of each tenant, by name."""
+        """Set up the parser; `classes` and `tenants` map the names of classes and tenants to numbers."""
         super().__init__()
         self._classes = classes
         self._tenants = tenants
         self._arrival = CommandArrival()
-        self._pending_write: CommandFields | None = None  # of a command whose value has not come yet
-        self._bytes_to_discard = 0  # of the value of a malformed command
-        self._discard_reason = ""  # what is wrong with that command
+        self._pending_write: CommandFields | None = None  # a write whose value has not come yet
+        self._bytes_to_discard = 0  # how much of a malformed command's value is still to be discarded
+        self._discard_reason = ""  # why that command is rejected; empty while no value is discarded
 
     def request_received(self, fields: CommandFields, write: bool, value: bytes) -> None:
         """Handle a request; `value` is empty for a read."""
         raise NotImplementedError
 
     def probe_received(self) -> None:
-        """Handle the question whether this process serves."""
+        """Handle the command `mn`, which asks whether this process serves."""
         raise NotImplementedError
 
     def reject_command(self, reason: str) -> None:
-        """Handle a malformed command behind which the next one is found."""
+        """Handle a malformed command after which the next command can be found."""
         raise NotImplementedError
 
     def reject_and_close(self, reason: str) -> None:
-        """Handle a malformed command behind which no other can be found."""
+        """Handle a malformed command after which the next command can't be found."""
         raise NotImplementedError
 
     def lineReceived(self, line: bytes) -> None:
-        """Handle a command, or its first line if a value follows."""
+        """Handle a command's line, which a value may follow."""
         if not line.isascii():
             self.reject_command("not ASCII")
             return
@@ -77,11 +77,11 @@
         except LostFramingError as error:
             self.reject_and_close(str(error))
             return
-        value_bytes = length_bytes + 2  # with its line end
+        value_bytes = length_bytes + 2  # The value ends with CR LF.
         try:
             self._pending_write = parse_set(words, length_bytes, self._classes, self._tenants)
         except CommandError as error:
-            # The length is known: the value is discarded, and the next command is found behind it.
+            # The length is known, so the value is discarded and parsing goes on after it.
             self._discard_reason = str(error)
             self._bytes_to_discard = value_bytes
             self._discard_value()
@@ -94,7 +94,7 @@
         self.expect_value(piece_bytes)
 
     def valueReceived(self, data: bytes) -> None:
-        """Handle the value of a command, or a piece of one that is discarded."""
+        """Handle a command's value, or a piece of a value that is discarded."""
         if self._discard_reason:
             self._handle_discarded_piece()
             return
@@ -114,5 +114,5 @@
         self.reject_command(reason)
 
     def framingLost(self, reason: str) -> None:
-        """Handle a line or value that is too long."""
+        """Handle a line or value that is too long, after which the next command can't be found."""
         self.reject_and_close(reason)
--- a/cloverwell/front/connection_closing.py
+++ b/cloverwell/front/connection_closing.py
@@ -1,4 +1,4 @@
-"""Closes the clients' connections while the process is drained or stops, as `connections.closing` decides."""
+"""Closes the clients' connections while the process drains or stops; `connections.closing` decides when."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from cloverwell.serving import Serving
 from cloverwell.timer_wheel import TimerWheel
 
-READ_BYTES = 64 * 1024  # of one connection in an iteration of the event loop, as Twisted has it
-# The same while all requests are rejected: some 130 commands, which take 10 ms.
+READ_BYTES = 64 * 1024  # read from one connection in an iteration of the event loop; Twisted's default
+# The same while all requests are rejected: 8 KiB hold about 130 commands, which take 10 ms to reject.
 REJECTING_READ_BYTES = 8 * 1024
 
 
 class ConnectionDrainer:
-    """Carries out the step that is due for each connection.
+    """Takes the closing step that is due for each connection.
 
     Attributes:
-        is_closing: connections are closed between requests.
-        rejects_requests: new requests are rejected.
+        is_closing: whether connections are now closed between requests.
+        rejects_requests: whether new requests are rejected.
 
     """
 
@@ -34,7 +34,7 @@
         dispatcher: Dispatcher,
         timer_wheel: TimerWheel,
     ) -> None:
-        """Close nothing before the first `check`; `connections` is kept up to date by its owner."""
+        """Close nothing before the first `check`; the owner of `connections` keeps them up to date."""
         self.is_closing = False
         self.rejects_requests = False
         self._connections = connections
@@ -45,10 +45,11 @@
         self._logger = Logger(namespace="closing")
 
     def check(self) -> None:
-        """Close each connection as far as it is due; call this at each tick of a drain or a shutdown."""
+        """Take the step that is due for each connection; called at each tick of a drain or shutdown."""
         now = self._timer_wheel.now()
         self.is_closing = self._serving.closes_idle_connections(now)
-        if not self._timer_wheel.just_stalled:  # else what is read next may have come before
+        # After a stall, requests that are read next may have come before the rejecting began.
+        if not self._timer_wheel.just_stalled:
             self.rejects_requests = self._serving.rejects_requests(now)
         self._limit_reads()
         if not self.is_closing:
@@ -56,11 +57,11 @@
         for connection in list(self._connections):
             try:
                 self.advance(connection)
-            except Exception:  # one that fails must not keep the others open
-                self._logger.failure("closing a connection")
+            except Exception:  # A connection that fails to close must not keep the others open.
+                self._logger.failure("failed to close a client connection")
 
     def _limit_reads(self) -> None:
-        """Read less at once while all requests are rejected: a client that floods must not delay the end."""
+        """Read less at once while requests are rejected, so that no flood of requests delays the shutdown."""
         read_bytes = REJECTING_READ_BYTES if self.rejects_requests else READ_BYTES
         if self.rejects_requests or read_bytes != self._read_bytes:
             for connection in self._connections:
@@ -68,18 +69,18 @@
         self._read_bytes = read_bytes
 
     def advance(self, connection: ClientConnection) -> None:
-        """Close the connection as far as it is due."""
+        """Take the closing step that is due for the connection now, if any."""
         now, after_stall = self._timer_wheel.now(), self._timer_wheel.just_stalled
         match closing_step(connection.closing_state(), self._serving.instants, now, after_stall):
             case ClosingStep.END_IF_READ:
                 connection.close_between_requests(CloseReason.DRAIN)
             case ClosingStep.CUT_COMMAND_IF_READ:
-                connection.close_between_requests(CloseReason.DRAIN, cut=True)
+                connection.close_between_requests(CloseReason.DRAIN, allow_partial_command=True)
             case ClosingStep.END:
-                connection.end_our_side(CloseReason.DRAIN)
+                connection.force_close_write_side(CloseReason.DRAIN)
             case ClosingStep.RELEASE:
                 self.close_now(connection, CloseReason.DRAIN)
 
     def close_now(self, connection: ClientConnection, reason: CloseReason) -> None:
-        """Close both sides of the connection, and end what is still open on it."""
+        """Close both sides of the connection, and cancel its open requests."""
         self._dispatcher.client_disconnected(connection.close_now(reason))
--- a/cloverwell/front/connection_owner.py
+++ b/cloverwell/front/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the owner of all clients' connections."""
+"""The interface through which a client's connection reports to the owner of all clients' connections."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from cloverwell.timer_wheel import TimerWheel
 
 ConnectionT = TypeVar("ConnectionT")
-ClosedT = TypeVar("ClosedT", contravariant=True)
+DrainedT = TypeVar("DrainedT", contravariant=True)
 
 
-class Drainer(Protocol[ClosedT]):
-    """What closes the connections of a process that is drained or stops."""
+class Drainer(Protocol[DrainedT]):
+    """Closes the clients' connections while the process is drained or stops."""
 
-    is_closing: bool  # connections are closed between requests
+    is_closing: bool  # whether connections are now closed between requests
 
-    def advance(self, connection: ClosedT) -> None:
-        """Close the connection as far as it is due."""
+    def advance(self, connection: DrainedT) -> None:
+        """Take the closing step that is due for the connection now, if any."""
 
 
 class ConnectionOwner(Protocol[ConnectionT]):
-    """The owner of clients' connections: each reports what it does, and asks what it may do.
+    """The owner of all clients' connections, which records their events and answers their questions.
 
     Attributes:
         dispatcher: carries out requests.
-        serving: whether this process is ready, or draining.
+        serving: the serving state of this process: ready, drained or stopping.
         timer_wheel: the clock and the timers.
         classes: the number of each request class by its name.
         tenants: the number of each tenant by its name.
-        not_read: connections whose reading is paused.
-        retry_after_ms: for clients whose requests are rejected; 0 to send none.
-        stream_count: streamed values that are being sent.
-        drainer: closes connections while this process is drained or stops.
+        paused_connections: the connections that are not read at the moment.
+        retry_after_ms: the retry delay that is sent with a rejection; 0 sends none.
+        stream_count: the number of streamed values that are being sent.
+        drainer: closes the connections while this process is drained or stops.
     """
 
     dispatcher: Dispatcher
@@ -50,32 +50,32 @@
         """Record that the connection has an open request."""
 
     def no_open_request(self, connection: ConnectionT) -> None:
-        """Record that the connection has no open request, and perhaps a partial command."""
+        """Record that the connection has no open request; it may have a partial command."""
 
     def partial_command_grew(self, connection: ConnectionT) -> None:
         """Record that more bytes of a partial command have come."""
 
     def blocked_by_client(self, connection: ConnectionT) -> None:
-        """Record that a response is known, and that the connection takes no more."""
+        """Record that a response can't be sent, since the outgoing buffer is full."""
 
     def client_has_read(self, connection: ConnectionT) -> None:
-        """Record that the connection takes more again."""
+        """Record that the client has read, so that the outgoing buffer has room again."""
 
-    def closing(self, connection: ConnectionT) -> None:
-        """Record that our side of the connection is closed."""
+    def write_side_closed(self, connection: ConnectionT) -> None:
+        """Record that the proxy has closed its sending side of the connection."""
 
-    def closed(self, connection: ConnectionT) -> None:
+    def connection_closed(self, connection: ConnectionT) -> None:
         """Record that the connection is closed on both sides."""
 
     def clients_disconnected(self, connections: list[ConnectionT]) -> None:
-        """End all that is open for clients that have closed their connections, at once."""
+        """Abort the connections of clients that have disconnected, and cancel their open requests."""
 
     def should_reject(self, request: Request) -> bool:
-        """Return whether a new request is rejected because too many clients have open ones."""
+        """Return whether a new request is rejected, in a drain or because too many clients have open ones."""
 
     @property
     def drainer(self) -> Drainer[ConnectionT]:
-        """Return what closes connections while this process is drained or stops."""
+        """Return what closes the connections while this process is drained or stops."""
 
     def stream_buffer_bytes(self) -> int:
-        """Return how many bytes of a streamed value may wait for a client that reads slowly."""
+        """Return how many bytes of one streamed value may be buffered for a client that reads slowly."""
--- a/cloverwell/front/meta_answers.py
+++ b/cloverwell/front/meta_answers.py
@@ -1,16 +1,16 @@
-"""Encodes final answers as responses of the memcache meta commands; no I/O."""
+"""Encodes final answers as responses of the memcache meta protocol; no I/O."""
 
 from cloverwell.request import FinalAnswer, Rejected, Request, Served
 from cloverwell.streamed_value import StreamedValue
 
 FAILED = b"SERVER_ERROR failed\r\n"
 BUSY = b"SERVER_ERROR busy\r\n"
-SERVING = b"MN\r\n"  # to `mn`
-DRAINING = b"SERVER_ERROR draining\r\n"  # to `mn`, of a process that is draining
+SERVING = b"MN\r\n"  # the response to the command `mn`
+DRAINING = b"SERVER_ERROR draining\r\n"  # the response to `mn` from a process that is draining
 
 
 def encode_answer(request: Request, answer: FinalAnswer) -> bytes:
-    """Return the response's bytes; of a streamed value only the line that goes before it."""
+    """Return the response's bytes; for a streamed value only the line before the value."""
     match answer:
         case Served(StreamedValue() as stream):
             return f"VA {stream.length} O{request.id}\r\n".encode()
--- a/cloverwell/front/meta_commands.py
+++ b/cloverwell/front/meta_commands.py
@@ -1,4 +1,4 @@
-"""Parses the lines of a client's memcache meta commands; no I/O."""
+"""Parses the lines of memcache meta commands; no I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from cloverwell.codec.lines import MAX_WRITE
 from cloverwell.codec.meta import CommandError, CommandFields, read_fields
 
-# The value of a command that is rejected is read and thrown away up to this size; for a longer one the
-# connection is closed.
+# The value of a rejected command is read and discarded up to this size. For a longer one the connection is
+# closed.
 MAX_DISCARDED_BYTES = 1024 * 1024
-MAX_LENGTH_DIGITS = 9
+MAX_LENGTH_DIGITS = 9  # digits of a value's length
 
 
 class LostFramingError(CommandError):
-    """Where the next command begins is not known, or too far away: the connection can't be used any more."""
+    """The next command can't be found or begins after too long a value, so the connection must be closed."""
 
 
 def parse_get(words: list[str], classes: Mapping[str, int], tenants: Mapping[str, int]) -> CommandFields:
@@ -25,11 +25,11 @@
 
 
 def parse_value_length(words: list[str]) -> int:
-    """Return the value's length of `ms KEY LENGTH FLAGS`; raises `LostFramingError`."""
-    length = words[2] if len(words) > 2 else ""
-    if not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
+    """Return the length in bytes from `ms KEY LENGTH FLAGS`; raises `LostFramingError`."""
+    length_text = words[2] if len(words) > 2 else ""
+    if not length_text.isdigit() or len(length_text) > MAX_LENGTH_DIGITS:
         raise LostFramingError("ms needs a key and a length")
-    length_bytes = int(length)
+    length_bytes = int(length_text)
     if length_bytes > MAX_DISCARDED_BYTES:
         raise LostFramingError("value too large")
     return length_bytes
@@ -38,7 +38,7 @@
 def parse_set(
     words: list[str], length_bytes: int, classes: Mapping[str, int], tenants: Mapping[str, int]
 ) -> CommandFields:
-    """Parse `ms KEY LENGTH FLAGS`, whose length is known; raises `CommandError`."""
+    """Parse `ms KEY LENGTH FLAGS`, of which LENGTH is parsed already; raises `CommandError`."""
     if length_bytes > MAX_WRITE:
         raise CommandError("value too large")
     return read_fields(words[1], words[3:], classes, tenants)
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -1,6 +1,6 @@
-"""The operators' port: HTTP/1.1, one call to a connection.
+"""Serves the operators' calls over HTTP/1.1, one call per connection.
 
-It has no state of its own and asks an `OperatorService`.
+Calls are carried out by an `OperatorService`; this module keeps no state of the process.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
 
-MAX_OPERATOR_CONNECTIONS = 8  # connections at once; for one more, the oldest is closed
-CALL_TIMEOUT_MS = 5000.0
-MAX_HEAD_BYTES = 4096
-MAX_BODY_BYTES = 4096  # no call has a body, and one that comes all the same is discarded
+MAX_OPERATOR_CONNECTIONS = 8  # When one more connection is accepted, the oldest is closed.
+CALL_TIMEOUT_MS = 5000.0  # from the accept to the end of the connection
+MAX_HEAD_BYTES = 4096  # of the request line and the headers together
+MAX_BODY_BYTES = 4096  # No call needs a body; a shorter one is discarded, a longer one is an error.
 
 
 class OperatorService(Protocol):
-    """What operators may call; a call that is done at once returns whether the state is now as wanted."""
+    """The calls that operators may make; each bool result says whether the state is now as requested."""
 
     def ready(self) -> bool:
         """Return whether this process can serve."""
@@ -40,12 +40,12 @@
         """End the drain."""
 
     def configuration(self) -> str | None:
-        """Return one line on the active configuration; None where no control log has one."""
+        """Return a line on the active configuration; None without a control log."""
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCall:
-    """A call without arguments, by its HTTP method."""
+    """A call without arguments: its HTTP method, and the function that carries it out."""
 
     method: str
     run: Callable[[], bool]
@@ -56,18 +56,18 @@
 
     status: HTTPStatus
     text: str
-    headers: list[tuple[str, str]]  # beside those that each response has
+    headers: list[tuple[str, str]]  # in addition to the headers of every response
 
 
 class OperatorHttpFactory(BoundedFactory):
-    """Accepts operators' connections, and answers their calls."""
+    """Creates the operators' connections, and carries out their calls."""
 
     def __init__(self, service: OperatorService, timer_wheel: TimerWheel, log: Log) -> None:
-        """Answer calls by what `service` returns, and log those that change something."""
+        """Set up a factory whose calls `service` carries out; calls that change the state are logged."""
         self._service = service
         self._log = log
         self.timer_wheel = timer_wheel
-        self.connections: dict[OperatorConnection, None] = {}  # the oldest first
+        self.connections: dict[OperatorConnection, None] = {}  # in the order in which they were accepted
         self._calls = {
             "/ready": OperatorCall("GET", service.ready),
             "/drain": OperatorCall("PUT", service.drain),
@@ -77,24 +77,24 @@
     # Accepting ----------------------------------------------------------------------------------
 
     def accept_limit(self) -> int:
-        """Return the most connections there may be: older ones make room for new ones."""
+        """Return how many connections may be accepted now; the oldest open ones are closed for them."""
         return MAX_OPERATOR_CONNECTIONS
 
     def accept_failed(self, reason: str) -> None:
-        """Log that this machine can't accept for a moment."""
-        self._log.warn("operator", f"no caller could be let in for a moment: {reason}")
+        """Log that accepting fails; it is tried again."""
+        self._log.warn("operator", f"cannot accept operator connections, will retry: {reason}")
 
     def buildProtocol(self, _addr: IAddress | None) -> OperatorConnection:
-        """Make a connection, and close the oldest where there are too many."""
+        """Make the protocol of a new connection, and close the oldest connection if there are too many."""
         while len(self.connections) >= MAX_OPERATOR_CONNECTIONS:
-            next(iter(self.connections)).close("for a newer one")
+            next(iter(self.connections)).close("replaced by a newer connection")
         connection = OperatorConnection(self)
         self.connections[connection] = None
         return connection
 
-    def closed_without_call(self, reason: str) -> None:
+    def log_incomplete_call(self, reason: str) -> None:
         """Log that a connection was closed before its call was complete."""
-        self._log.info("operator", f"a connection was closed without a call: {reason}")
+        self._log.info("operator", f"a connection ended before a call was complete: {reason}")
 
     # Calls --------------------------------------------------------------------------------------
 
@@ -102,37 +102,39 @@
         """Carry out a call and return its response."""
         if path == "/configuration" and (line := self._service.configuration()) is not None:
             return (
-                OperatorResponse(HTTPStatus.OK, line, []) if method == "GET" else _wrong_method(path, "GET")
+                OperatorResponse(HTTPStatus.OK, line, [])
+                if method == "GET"
+                else _method_not_allowed(path, "GET")
             )
         call = self._calls.get(path)
         if call is None:
             return OperatorResponse(HTTPStatus.NOT_FOUND, "there are /ready, /drain and /undrain", [])
         if method != call.method:
-            return _wrong_method(path, call.method)
-        done = call.run()
-        text = "yes" if done else "no"
+            return _method_not_allowed(path, call.method)
+        succeeded = call.run()
+        text = "yes" if succeeded else "no"
         if method == "PUT":
             self._log.info("operator", f"{method} {path}: {text}")
-        return OperatorResponse(HTTPStatus.OK if done else HTTPStatus.SERVICE_UNAVAILABLE, text, [])
+        return OperatorResponse(HTTPStatus.OK if succeeded else HTTPStatus.SERVICE_UNAVAILABLE, text, [])
 
 
-def _wrong_method(path: str, method: str) -> OperatorResponse:
+def _method_not_allowed(path: str, method: str) -> OperatorResponse:
     return OperatorResponse(HTTPStatus.METHOD_NOT_ALLOWED, f"{path} wants {method}", [("Allow", method)])
 
 
 class OperatorConnection(protocol.Protocol):
-    """One operator's connection: a call comes, its response leaves, and the connection is closed."""
+    """One operator's connection: receives a call, sends its response, and is closed."""
 
     transport: Any  # Twisted's TCP transport
 
     def __init__(self, owner: OperatorHttpFactory) -> None:
-        """Create the connection of an operator that has just been accepted."""
+        """Set up the connection of an operator that has just been accepted."""
         self._owner = owner
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._body_bytes = 0
-        self._answered = False
-        self._close_reason = "by the caller"
+        self._has_responded = False
+        self._close_reason = "closed by the operator"
         self._timer: Timer | None = None
 
     def connectionMade(self) -> None:
@@ -140,12 +142,12 @@
         steady(self.transport)
         timer_wheel = self._owner.timer_wheel
         self._timer = timer_wheel.at(
-            timer_wheel.now() + CALL_TIMEOUT_MS, lambda: self.close("it took too long")
+            timer_wheel.now() + CALL_TIMEOUT_MS, lambda: self.close("no complete call in time")
         )
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle bytes from the operator; what comes after the call is discarded."""
-        if self._answered:
+        """Twisted: bytes have come from the operator; those after the call are discarded."""
+        if self._has_responded:
             return
         try:
             self._http.receive_data(data)
@@ -156,7 +158,7 @@
             self._send(response)
 
     def _handle_events(self) -> OperatorResponse | None:
-        """Return the response once the call is complete; raises `h11.RemoteProtocolError`."""
+        """Return the response if the call is complete, else None; raises `h11.RemoteProtocolError`."""
         while True:
             match event := self._http.next_event():
                 case h11.Request():
@@ -179,7 +181,7 @@
             self.transport.write(self._http.send(response))
 
     def _send(self, response: OperatorResponse) -> None:
-        self._answered = True
+        self._has_responded = True
         body = f"{response.text}\n".encode()
         headers = [
             *response.headers,
@@ -193,20 +195,20 @@
         if self._request is None or self._request.method != b"HEAD":
             data += self._http.send(h11.Data(data=body)) or b""
         self.transport.write(data)
-        # A close of both sides with bytes unread would be a reset, and the response might not be read.
+        # A close of both sides over unread input would be a reset, and the operator might lose the response.
         self.transport.loseWriteConnection()
 
     def close(self, reason: str) -> None:
-        """Abort the connection; `reason` is for the log."""
+        """Abort the connection; `reason` stands in the log."""
         self._close_reason = reason
         self._owner.connections.pop(self, None)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Handle the end of the connection."""
+        """Twisted: the connection has ended."""
         super().connectionLost(reason)
         self._owner.connections.pop(self, None)
-        if not self._answered:
-            self._owner.closed_without_call(self._close_reason)
+        if not self._has_responded:
+            self._owner.log_incomplete_call(self._close_reason)
         if self._timer is not None:
             self._timer.cancel()
--- a/cloverwell/front/pending_response.py
+++ b/cloverwell/front/pending_response.py
@@ -1,4 +1,4 @@
-"""One command's place in the order of a connection's responses."""
+"""A response that waits for its turn among a connection's responses."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class PendingResponse:
-    """A response that is not sent yet: its request is open, or an earlier response is.
+    """A response that is not sent yet, because its request is open or an earlier response is unsent.
 
     Attributes:
         data: the response's bytes; None until they are known.
         request: the open request; None once it is answered.
-        stream: a long value that follows `data`.
+        stream: the long value that is sent after `data`; None where none is streamed.
     """
 
     __slots__ = ("data", "request", "stream")
 
     def __init__(self, data: bytes | None = None) -> None:
-        """Start with the response's bytes, if they are known."""
+        """Set up a response; `data` has its bytes if they are known."""
         self.data = data
         self.request: Request | None = None
         self.stream: StreamedValue | None = None
--- a/cloverwell/front/port.py
+++ b/cloverwell/front/port.py
@@ -1,6 +1,6 @@
-"""A listening port that accepts no more connections at once than its factory has room for.
+"""A listening port that accepts only as many connections as its factory allows, and backs off after errors.
 
-Twisted's port has no type annotations; calls of its methods are exempt from the type check.
+Twisted's port has no type annotations, so calls of its methods are exempt from the type check.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 from cloverwell.codec.lines import readable
 from cloverwell.system_calls import ABORTED_CONNECTION_ERRORS, SHORTAGE
 
-# Rounds of accepts before a port closes, each of as many connections as the factory accepts at once; the
-# kernel's queue is shorter than all of them together.
+# Before a port closes, it accepts the connections that wait, in rounds of as many as the factory accepts at
+# once. So many rounds are enough for the kernel's whole accept queue.
 MAX_FINAL_ACCEPT_ROUNDS = 32
-MAX_FAILED_ACCEPTS = 16  # connections in a row that ended before they were accepted; then the port backs off
-ACCEPT_BACKOFF_S = 0.02  # after an accept that failed: trying again at once would keep the event loop busy
-ACCEPT_FAILURE_REPORT_INTERVAL_S = 1.0  # between two reports to the factory that accepts fail
-START_ATTEMPTS = 25  # to open the first socket, while the machine is short of something
-START_RETRY_S = 0.02
-# An address that is in use, or not this machine's, is an error that a retry does not help.
+MAX_FAILED_ACCEPTS = 16  # The port backs off after so many connections in a row that ended in the queue.
+ACCEPT_BACKOFF_S = 0.02  # the wait after a failed accept; retrying at once would keep the event loop busy
+ACCEPT_FAILURE_REPORT_INTERVAL_S = 1.0  # between two calls of `BoundedFactory.accept_failed`, at least
+START_ATTEMPTS = 25  # the attempts to open the socket at the start, while the machine lacks resources for it
+START_RETRY_S = 0.02  # between two of these attempts
+# A retry does not help if the address is in use or is not an address of this machine.
 START_RETRIED_ERRORS = SHORTAGE - {errno.EADDRINUSE, errno.EADDRNOTAVAIL}
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
 class BoundedFactory(Factory):
-    """A factory for a `BoundedPort`: it says how many connections may be accepted."""
+    """A factory for a `BoundedPort`, which limits how many connections the port accepts."""
 
     noisy = False
 
@@ -46,57 +46,58 @@
         raise NotImplementedError
 
     def accept_failed(self, reason: str) -> None:
-        """Handle a failed accept; it is tried again, and reported once a second at most."""
+        """Handle a failed accept, which the port tries again; called once a second at most."""
         raise NotImplementedError
 
     def accept_paused(self) -> None:
-        """Handle the begin of a backoff, during which new connections wait in the kernel's queue.
+        """Handle the start of a backoff, during which new connections wait in the kernel's accept queue.
 
-        By default the time that a connection waits to be accepted does not matter.
+        The default does nothing, for factories to which the time in the queue does not matter.
         """
 
 
 class _GuardedSocket:
-    """A listening socket whose failed accepts read as an empty queue.
+    """A listening socket that reports a failed accept to Twisted as an empty accept queue.
 
-    When an accept fails for want of a descriptor, Twisted closes all connections that wait, and with them the
-    requests that they have sent. Here they go on waiting.
+    When an accept fails for lack of a descriptor, Twisted closes all connections in the queue, and the
+    requests that they have sent are lost. With this socket the connections stay in the queue.
     """
 
-    def __init__(self, listening: socket.socket, back_off: Callable[[OSError], None]) -> None:
-        self._listening = listening
+    def __init__(self, listening_socket: socket.socket, back_off: Callable[[OSError], None]) -> None:
+        self._listening_socket = listening_socket
         self._back_off = back_off
-        self.empty = False  # No connection waited at the last accept.
+        self.queue_was_empty = False  # whether no connection was in the queue at the last accept
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection; raises `BlockingIOError` if there is none, or none can be accepted now."""
-        self.empty = False
+        """Accept a connection; raises `BlockingIOError` if there is none or the accept failed."""
+        self.queue_was_empty = False
         try:
             return self._accept()
         except BlockingIOError:
-            self.empty = True
+            self.queue_was_empty = True
             raise
         except OSError as error:
             self._back_off(error)
-            raise BlockingIOError(errno.EAGAIN, "none for now") from None
+            raise BlockingIOError(errno.EAGAIN, "no connection can be accepted now") from None
 
     def _accept(self) -> tuple[socket.socket, Any]:
         for _ in range(MAX_FAILED_ACCEPTS - 1):
             try:
-                return self._listening.accept()
+                return self._listening_socket.accept()
             except OSError as error:
                 if error.errno not in ABORTED_CONNECTION_ERRORS:
                     raise
-        return self._listening.accept()
+        return self._listening_socket.accept()
 
     def __getattr__(self, name: str) -> object:
-        return getattr(self._listening, name)
+        return getattr(self._listening_socket, name)
 
 
 class BackoffPort(tcp.Port):
-    """A port that backs off after a failed accept and then tries again.
+    """A port that stops accepting for a short backoff after a failed accept, and then tries again.
 
-    Whoever holds the port may pause it as well; it is read only while it neither backs off nor is paused.
+    Its owner may pause it as well. Connections are accepted only while the port is neither backing off nor
+    paused.
     """
 
     factory: BoundedFactory
@@ -107,11 +108,11 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether the port is read: it neither backs off nor is paused."""
+        """Return whether connections are accepted: the port is neither backing off nor paused."""
         return self._backoff is None and not self._paused
 
     def guard(self) -> None:
-        """Guard the socket, once the port listens."""
+        """Wrap the socket in a `_GuardedSocket`; called once the port listens."""
         self._guarded = self.socket = _GuardedSocket(self.socket, self._back_off)
 
     def _back_off(self, error: OSError) -> None:
@@ -130,22 +131,22 @@
             self.resumeProducing()
 
     def startReading(self) -> None:
-        """Read the port, unless it backs off."""
+        """Twisted: start to accept connections, unless the port is backing off."""
         if self._backoff is None:
             super().startReading()  # type: ignore[no-untyped-call]
 
     def pauseProducing(self) -> None:
-        """Accept no connections until `resumeProducing`."""
+        """Stop accepting connections until `resumeProducing`."""
         self._paused = True
         super().pauseProducing()  # type: ignore[no-untyped-call]
 
     def resumeProducing(self) -> None:
-        """End the pause; a backoff goes on."""
+        """End the pause; a backoff that is under way continues."""
         self._paused = False
         super().resumeProducing()  # type: ignore[no-untyped-call]
 
     def stopListening(self) -> Deferred[None] | None:  # type: ignore[override]
-        """Close the port."""
+        """Close the port, and cancel its backoff."""
         if self._backoff is not None:
             self._backoff.cancel()
             self._backoff = None
@@ -156,95 +157,103 @@
 class BoundedPort(BackoffPort):
     """A port that asks its factory how many connections to accept.
 
-    Twisted's port accepts up to a number that it adapts by itself; a connection that the factory then refuses
-    is reset, with the request that it has sent. Here it waits in the kernel's queue instead.
+    Twisted's own port adapts that number by itself. A connection that its factory then refuses is reset, and
+    the request that it has sent is lost. With this port it stays in the kernel's accept queue.
     """
 
-    shared = False  # Another process may listen at the same address.
+    shared = False  # whether other processes may listen at the same address
 
     @classmethod
     def from_descriptor(cls, reactor: IReactorTCP, descriptor: int, factory: BoundedFactory) -> BoundedPort:
-        """Make a port of a duplicate of a descriptor that listens already; raises `OSError`."""
-        # The reactor's public `adoptStreamPort` makes a plain port.
+        """Make a port from a duplicate of a listening socket's descriptor; raises `OSError`."""
+        # The reactor's public `adoptStreamPort` would make a `tcp.Port`, without the bound.
         port: BoundedPort = cls._fromListeningDescriptor(reactor, descriptor, socket.AF_INET, factory)  # type: ignore[no-untyped-call]
         return port
 
     def createInternetSocket(self) -> socket.socket:
-        """Create the socket, for several processes if the port is shared."""
+        """Create the socket; if the port is shared, other processes can listen at its address."""
         created: socket.socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
         if self.shared:
             created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         return created
 
     def has_waiting_connections(self) -> bool:
-        """Return whether a connection waits in the kernel's queue."""
+        """Return whether a connection waits in the kernel's accept queue."""
         return readable(self.fileno())  # type: ignore[no-untyped-call]
 
     def share_socket(self) -> int:
-        """Return the descriptor for another process, which from now on accepts from the same queue."""
-        self._shouldShutdown = False  # This process closes its descriptor; the socket must go on listening.
+        """Return the socket's descriptor for another process, which will accept from the same queue."""
+        self._shouldShutdown = (
+            False  # The socket must go on listening when this process closes its descriptor.
+        )
         descriptor: int = self.fileno()  # type: ignore[no-untyped-call]
         return descriptor
 
     def stopListening(self) -> Deferred[None] | None:  # type: ignore[override]
-        """Accept what waits, which would be reset where no other process has the socket, and close."""
-        self.disconnecting = True  # From now on a failed accept is tried again at once, without a backoff.
+        """Accept the connections in the queue, and close the port.
+
+        The close would reset them. If another process has the socket too, they are left to it.
+        """
+        self.disconnecting = (
+            True  # From now on a failed accept starts no backoff, and is tried again at once.
+        )
         for _ in range(MAX_FINAL_ACCEPT_ROUNDS):
             if self._shouldShutdown:
                 self.doRead()  # type: ignore[no-untyped-call]
-                if self._guarded.empty:
+                if self._guarded.queue_was_empty:
                     break
         return super().stopListening()
 
     @property
     def numberAccepts(self) -> int:
-        """How many connections Twisted accepts in one iteration of the event loop."""
+        """Return how many connections Twisted accepts in one iteration of the event loop."""
         return self.factory.accept_limit()
 
     @numberAccepts.setter
     def numberAccepts(self, adapted: int) -> None:
-        """Ignore the number that Twisted adapts."""
+        """Ignore the number that Twisted computes after each round of accepts."""
 
 
 def listen(
     reactor: IReactorTCP, host: str, port: int, factory: BoundedFactory, backlog: int, shared: bool = False
 ) -> BoundedPort:
-    """Listen at an address.
+    """Open a port that listens at an address.
 
     Args:
         reactor: Twisted's reactor.
-        host: the interface's address.
-        port: its port; 0 for any free one.
+        host: the IP address to listen at.
+        port: the TCP port; 0 for any free one.
         factory: makes the protocols of the connections.
-        backlog: connections that the kernel lets wait.
-        shared: another process may listen at the same address.
+        backlog: the length of the kernel's accept queue, in connections.
+        shared: whether other processes may listen at the same address.
 
     Raises:
-        CannotListenError: the address can't be had.
+        CannotListenError: the address can't be used.
     """
-    # Twisted's types know its factories as implementations of an interface only with a plugin of mypy.
-    bounded = BoundedPort(port, factory, backlog, host, reactor)  # type: ignore[arg-type]
-    bounded.shared = shared
-    return _start(bounded)
+    # Without a mypy plugin, a Twisted factory is not seen to implement its interface.
+    bounded_port = BoundedPort(port, factory, backlog, host, reactor)  # type: ignore[arg-type]
+    bounded_port.shared = shared
+    return _start(bounded_port)
 
 
 def adopt(reactor: IReactorTCP, descriptor: int, factory: BoundedFactory) -> BoundedPort:
-    """Listen on another process's socket, and take its descriptor; raises `OSError`."""
-    bounded = _retry_while_short(lambda: BoundedPort.from_descriptor(reactor, descriptor, factory))
-    os.close(descriptor)  # Twisted has made its own.
-    return _start(bounded)
+    """Open a port on a socket of another process, and close the given descriptor; raises `OSError`."""
+    bounded_port = _retry_during_shortage(lambda: BoundedPort.from_descriptor(reactor, descriptor, factory))
+    os.close(descriptor)  # The port uses a duplicate of it.
+    return _start(bounded_port)
 
 
-def _start(bounded: BoundedPort) -> BoundedPort:
-    _retry_while_short(bounded.startListening)
-    bounded.guard()
-    return bounded
+def _start(bounded_port: BoundedPort) -> BoundedPort:
+    _retry_during_shortage(bounded_port.startListening)
+    bounded_port.guard()
+    return bounded_port
 
 
-def _retry_while_short(call: Callable[[], T]) -> T:
-    """Call again while this machine is short of something.
+def _retry_during_shortage(call: Callable[[], ResultT]) -> ResultT:
+    """Return the result of `call`, which is retried while the machine lacks resources for it.
 
-    This blocks for half a second at most: nothing is served yet, and a restart of the program takes longer.
+    The retries block the program for half a second at most. Nothing is served yet at that time, and a restart
+    of the program would take longer.
     """
     for _ in range(START_ATTEMPTS - 1):
         try:
--- a/cloverwell/front/response_queue.py
+++ b/cloverwell/front/response_queue.py
@@ -1,4 +1,4 @@
-"""The responses of one connection, sent in the order of its commands."""
+"""Sends the responses of one connection in the order of its commands."""
 
 from __future__ import annotations
 
@@ -15,57 +15,57 @@
 
 
 class SendingConnection(Protocol):
-    """What the queue needs of its connection."""
+    """The interface of the connection on which the queue sends."""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that wait in the connection's buffer."""
+        """Return the number of bytes in the connection's outgoing buffer."""
 
     @property
     def has_unsent_responses(self) -> bool:
-        """Whether the kernel has not taken all that was put."""
+        """Return whether bytes of a response are still to be handed to the kernel."""
 
     def put(self, data: bytes) -> bool:
-        """Send all of the data, or return False."""
+        """Send or buffer all of the data; return False if there is no room for it."""
 
     def end(self, abort: bool = False) -> None:
-        """Close the connection."""
+        """Close the connection, after the outgoing bytes unless it is aborted."""
 
-    def closing_because(self, reason: CloseReason) -> None:
-        """Record why the connection is closed."""
+    def set_close_reason(self, reason: CloseReason) -> None:
+        """Record why the proxy closes the connection."""
 
     def send_responses(self) -> None:
-        """Send the responses that are known, and go on with what depends on that."""
+        """Send the responses that are known; then close the connection or resume reading, as is due."""
 
 
 class ResponseQueue:
-    """The pending responses, and the streamed value that is being sent."""
+    """Holds the pending responses, and the streamed value that is being sent."""
 
     __slots__ = ("_connection", "_owner", "_stream", "_stream_end_unsent", "pending")
 
     def __init__(self, connection: SendingConnection, owner: ConnectionOwner[Any]) -> None:
-        """Start with no pending response."""
+        """Set up an empty queue that sends on `connection`."""
         self._connection = connection
         self._owner = owner
         self._stream: ResponseStream | None = None
-        self._stream_end_unsent = False  # all of a long value has been put, not all of it taken
+        self._stream_end_unsent = False  # whether the end of a long value may still be in the outgoing buffer
         self.pending: deque[PendingResponse] = deque()
 
     @property
     def has_open_request(self) -> bool:
-        """Whether a request is open."""
+        """Return whether a request is open."""
         return any(response.request is not None for response in self.pending)
 
     @property
     def streaming(self) -> bool:
-        """Whether a long value is being sent, the end of which the kernel has not taken."""
+        """Return whether the kernel has not taken all bytes of a long value that is being sent."""
         if self._stream_end_unsent and not self._connection.has_unsent_responses:
             self._stream_end_unsent = False
         return self._stream is not None or self._stream_end_unsent
 
     @property
     def open_request_ids(self) -> list[str]:
-        """The ids of the open requests, in the order of their commands."""
+        """Return the ids of the open requests, in the order of their commands."""
         return [response.request.id for response in self.pending if response.request is not None]
 
     def send(self) -> None:
@@ -74,7 +74,7 @@
         while pending and (data := pending[0].data) is not None:
             response = pending[0]
             if response.stream is not None and response.stream.stage is StreamStage.ENDED:
-                # It broke before it was its turn, and nothing of it has been sent.
+                # The value broke off before any of it was sent, so an error can still be sent instead.
                 data = response.data = FAILED
                 response.stream = None
             if not self._connection.put(data):
@@ -86,7 +86,7 @@
                 self._start_stream(response.stream)
 
     def resume_stream(self) -> None:
-        """Let a streamed value go on, if its client has read enough."""
+        """Resume the source of a streamed value, if the client has read enough."""
         if self._stream is not None:
             self._stream.resume()
 
@@ -106,24 +106,24 @@
         self._stream = ResponseStream(value, self, self._connection, self._owner)
         self._stream.start()
 
-    # What a stream calls --------------------------------------------------------------------------
+    # Called by the stream -------------------------------------------------------------------------
 
     def stream_ended(self, complete: bool) -> None:
-        """Go on behind a streamed value, or close the connection if the value is incomplete."""
+        """Send the responses after a streamed value, or close the connection if the value is incomplete."""
         self._stream = None
         self.pending.popleft()
         if complete:
             self._stream_end_unsent = True
-            self._connection.put(
-                b"\r\n"
-            )  # There is room: the buffer is larger than what streams leave in it.
+            # There is room, since streams never fill the outgoing buffer.
+            self._connection.put(b"\r\n")
             self._connection.send_responses()
         else:
-            self._connection.closing_because(CloseReason.BROKEN_VALUE)
-            self._connection.end()  # The client can tell by the length that the value is incomplete.
+            self._connection.set_close_reason(CloseReason.BROKEN_VALUE)
+            # The client can tell by the announced length that the value is incomplete.
+            self._connection.end()
 
     def stream_failed(self) -> None:
-        """Abort the connection: a piece of a streamed value could not be sent."""
+        """Abort the connection, since a piece of a streamed value could not be sent."""
         self._stream = None
-        self._connection.closing_because(CloseReason.NOT_SENT)
+        self._connection.set_close_reason(CloseReason.NOT_SENT)
         self._connection.end(abort=True)
--- a/cloverwell/front/response_stream.py
+++ b/cloverwell/front/response_stream.py
@@ -1,4 +1,4 @@
-"""Sends one long value to its client while it comes from its node."""
+"""Sends one long value to its client while it arrives from a node."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 from cloverwell.streamed_value import StreamedValue
 
 
-class StreamUser(Protocol):
-    """What a stream tells whoever started it."""
+class StreamListener(Protocol):
+    """The interface through which a stream reports its end to the object that started it."""
 
     def stream_ended(self, complete: bool) -> None:
         """Handle the end of the value, which may be incomplete."""
 
     def stream_failed(self) -> None:
-        """Handle that a piece of the value could not be sent."""
+        """Handle a piece of the value that could not be sent."""
 
 
 class StreamingConnection(Protocol):
-    """What a stream needs of the connection that it is sent on."""
+    """The interface of the connection on which a stream is sent."""
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that wait in the connection's buffer."""
+        """Return the number of bytes in the connection's outgoing buffer."""
 
     def put(self, data: bytes) -> bool:
-        """Send all of the data, or return False."""
+        """Send or buffer all of the data; return False if there is no room for it."""
 
 
 class ResponseStream:
-    """Passes on one value, and holds its source back while the client reads slowly."""
+    """Forwards one value, and pauses its source while the client reads slowly."""
 
-    __slots__ = ("_connection", "_owner", "_user", "_value")
+    __slots__ = ("_connection", "_owner", "_stream_listener", "_value")
 
     def __init__(
         self,
         value: StreamedValue,
-        user: StreamUser,
+        listener: StreamListener,
         connection: StreamingConnection,
         owner: ConnectionOwner[Any],
     ) -> None:
-        """Count the stream at the connections' owner, which divides its buffer among all streams."""
+        """Set up the stream and count it at `owner`, which divides its buffer among all streams."""
         self._value = value
-        self._user = user
+        self._stream_listener = listener
         self._connection = connection
         self._owner = owner
         owner.stream_count += 1
 
     def start(self) -> None:
-        """Take the value's pieces from now on."""
+        """Start to receive the value's pieces and to send them."""
         self._value.open(self._send, self._end)
 
     def resume(self) -> None:
-        """Let the source go on if the client has read enough."""
+        """Resume the source, if the client has read enough."""
         if self._connection.unsent_bytes <= self._owner.stream_buffer_bytes() // 2:
             self._value.go_on()
 
     def close(self) -> None:
-        """Count the stream no longer."""
+        """Remove the stream from the count of streams."""
         self._owner.stream_count -= 1
 
     def _send(self, data: bytes) -> None:
         if not self._connection.put(data):
             self.close()
             self._value.drop()
-            self._user.stream_failed()
+            self._stream_listener.stream_failed()
         elif self._connection.unsent_bytes > self._owner.stream_buffer_bytes():
             self._value.hold()
 
     def _end(self, complete: bool) -> None:
         self.close()
-        self._user.stream_ended(complete)
+        self._stream_listener.stream_ended(complete)
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -111,7 +111,7 @@
 
 def accepting(port, calls=None, **accepted):
     """Has the port's listening socket do so from now on."""
-    port.socket._listening = made = Listening(port.socket._listening, calls, **accepted)
+    port.socket._listening_socket = made = Listening(port.socket._listening_socket, calls, **accepted)
     return made
 
 
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -85,7 +85,7 @@
     assert not lines(proxy, "held")
     proxy.advance_clock(150)
     (line,) = lines(proxy, "held")
-    assert line.startswith("1 connections of clients are held: 127.0.0.1:")
+    assert line.startswith("1 client connections are still open: 127.0.0.1:")
     assert "responses pending" in line
     assert line.endswith("requests 1 2")
 
@@ -100,7 +100,7 @@
     assert not lines(proxy, "held")
     proxy.service.drain()
     proxy.advance_clock(4100)
-    assert lines(proxy, "held") == ["no connection of a client is held"]
+    assert lines(proxy, "held") == ["no client connection is open"]
 
 
 class Held:
@@ -121,7 +121,7 @@
     connections = [Held(MAX_REQUEST_IDS + 2) for _ in range(MAX_CONNECTIONS + 3)]
     line = describe_open_connections(connections)
     assert line.startswith(
-        f"{len(connections)} connections of clients are held: 127.0.0.9:1, open for 1234 ms"
+        f"{len(connections)} client connections are still open: 127.0.0.9:1, open for 1234 ms"
     )
     assert line.count("requests r0 r1 r2 r3 r4 and 2 more") == MAX_CONNECTIONS
     assert line.endswith(" and 3 more")
@@ -199,6 +199,6 @@
     player.play("operator#2 close\nwait 5100")
     said = lines(player, "operator")[1:]
     assert said == [
-        "a connection was closed without a call: by the caller",
-        "a connection was closed without a call: it took too long",
+        "a connection ended before a call was complete: closed by the operator",
+        "a connection ended before a call was complete: no complete call in time",
     ]
--- a/tests/test_drain_ends.py
+++ b/tests/test_drain_ends.py
@@ -1,7 +1,7 @@
-"""Real processes that operators drain: 4 s later none holds a client's connection, whatever the client does.
+"""A real process that is drained closes all clients' connections within 4 s, whatever the clients do.
 
-What counts is the clock of the process: at 4 s it logs what it still holds, and by then the clients must have
-seen the end of their connections.
+The process measures the 4 s by its own clock: at their end it logs the connections that are still open. By
+then the clients must have seen the end of their connections.
 """
 
 import contextlib
@@ -15,27 +15,27 @@
 from cloverwell.serving import KILL_DELAY_MS, MAX_COUNTED_DEADLINE_MS
 from lab.processes import PATIENCE_S, CacheNodeHandler, ProxyFixture
 
-ANSWER_S = 0.15  # of the cache node: longer than the time between two requests of a client
-INTERVALS_S = (0.02, 0.1, 0.14)  # between two requests, each sent before the last one is answered
-UNREAD_REQUESTS = 200
-SMALL_BUFFER = 2048
+ANSWER_DELAY_S = 0.15  # of the cache node; longer than the time between two requests of a client
+REQUEST_INTERVALS_S = (0.02, 0.1, 0.14)  # Each request is sent before the one before it is answered.
+UNREAD_REQUESTS = 200  # requests whose responses the client does not read
+RECEIVE_BUFFER_BYTES = 2048  # small, so that most responses stay in the proxy
 
 
-class SlowHandler(CacheNodeHandler):
-    """Answers each get after a while."""
+class SlowCacheNodeHandler(CacheNodeHandler):
+    """A cache node that answers each get after `ANSWER_DELAY_S`."""
 
     def handle(self):
         for line in self.rfile:
-            time.sleep(ANSWER_S)
-            opaque = next(word for word in line.split() if word.startswith(b"O"))
+            time.sleep(ANSWER_DELAY_S)
+            opaque_flag = next(word for word in line.split() if word.startswith(b"O"))
             with contextlib.suppress(OSError):
-                self.wfile.write(b"VA %d %s\r\n%s\r\n" % (len(opaque), opaque, opaque))
+                self.wfile.write(b"VA %d %s\r\n%s\r\n" % (len(opaque_flag), opaque_flag, opaque_flag))
 
 
 @pytest.fixture
 def place(tmp_path):
     made = ProxyFixture(tmp_path)
-    made.node.RequestHandlerClass = SlowHandler
+    made.node.RequestHandlerClass = SlowCacheNodeHandler
     yield made
     made.close()
 
@@ -73,36 +73,38 @@
         self._conn.close()
 
 
-def drained(process):
-    """Drains the process, waits until the drain should be over, and returns what it says it holds."""
+def drain(process):
+    """Drains the process, and returns the line that it logs when the drain should be over."""
     assert process.call("PUT", "/drain") == 200
     process.wait_for_log(" held: ")
     return next(line for line in process.log.read_text().splitlines() if " held: " in line)
 
 
-def test_a_client_that_asks_before_it_is_answered_is_let_go(place):
+def test_a_client_that_pipelines_its_requests_is_disconnected_by_a_drain(place):
     process = place.start().ready()
-    clients = [OverlappingClient(place.listen, n, interval_s) for n, interval_s in enumerate(INTERVALS_S)]
+    clients = [
+        OverlappingClient(place.listen, n, interval_s) for n, interval_s in enumerate(REQUEST_INTERVALS_S)
+    ]
     process.wait_for_log("taken=")
-    held = drained(process)
-    assert held.endswith("no connection of a client is held")
+    held = drain(process)
+    assert held.endswith("no client connection is open")
     assert all(client.ended.wait(PATIENCE_S) for client in clients)
-    # What was sent when the connection ended may have crossed the end; nothing before it is left unanswered.
+    # The last request may have crossed the close of its connection, so only a lack of any answer is an error.
     assert all(client.answered for client in clients)
 
 
-def test_a_client_that_does_not_read_its_answers_is_let_go(place):
+def test_a_client_that_reads_no_responses_is_disconnected_by_a_drain(place):
     process = place.start().ready()
     with socket.socket() as conn:
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         conn.connect(place.listen)
         conn.sendall(b"".join(read(number) for number in range(UNREAD_REQUESTS)))
         process.wait_for_log("taken=")
-        assert drained(process).endswith("no connection of a client is held")
+        assert drain(process).endswith("no client connection is open")
 
 
-def test_a_process_that_stops_has_ended_before_the_kill_though_a_client_stays(rig):
-    # Its write is never answered, and the client neither reads nor closes: one turn of the loop at a time.
+def test_a_process_that_stops_exits_before_it_is_killed_although_a_client_stays_connected(rig):
+    # The client's write is never answered, and the client neither reads nor closes its connection.
     proxy = rig()
     longest_ms = max(cls.deadline_ms for cls in proxy.service.facade.settings.classes)
     kill_ms = proxy.now() + min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -14,7 +14,7 @@
 
 DESCRIPTORS = 64  # the fewest that a site may allow
 RESERVED = 12  # of them: for the watch, an operator's call, and ten for cache nodes and the origin
-FULL = "fill their part"  # the log's word once clients hold all descriptors that they may
+FULL = "no descriptor is left for more"  # the log's word once clients hold all descriptors that they may
 READ = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
 WRITE = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
 # What idle clients send before they are silent: nothing, a partial command, a question that is answered.
--- a/tests/test_port.py
+++ b/tests/test_port.py
@@ -1,4 +1,7 @@
-"""The listening port on loopback: connections that are not accepted wait, also for want of descriptors."""
+"""The listening port on loopback: connections that can't be accepted stay in the kernel's accept queue.
+
+Twisted's own port would accept and reset them, and their requests would be lost.
+"""
 
 import errno
 import socket
@@ -12,7 +15,7 @@
 
 
 class FactoryWithRoom(BoundedFactory):
-    """Accepts so many connections."""
+    """A factory that accepts `room` connections in all."""
 
     def __init__(self, room):
         self.room, self.accepted, self.failures = room, [], 0
@@ -30,42 +33,42 @@
 
 @pytest.fixture
 def listening():
-    made = SimpleNamespace(clients=[])
+    fixture = SimpleNamespace(clients=[])
 
     def listen_with_clients(room, number):
-        made.factory = FactoryWithRoom(room)
-        made.port = listen(reactor, "127.0.0.1", 0, made.factory, 50)
-        address = ("127.0.0.1", made.port.getHost().port)
-        made.clients += [socket.create_connection(address, timeout=2.0) for _ in range(number)]
-        return made
+        fixture.factory = FactoryWithRoom(room)
+        fixture.port = listen(reactor, "127.0.0.1", 0, fixture.factory, 50)
+        address = ("127.0.0.1", fixture.port.getHost().port)
+        fixture.clients += [socket.create_connection(address, timeout=2.0) for _ in range(number)]
+        return fixture
 
     yield listen_with_clients
-    for client in made.clients:
+    for client in fixture.clients:
         client.close()
-    made.port.stopReading()
-    made.port.socket.close()
+    fixture.port.stopReading()
+    fixture.port.socket.close()
 
 
-def test_no_more_are_accepted_at_once_than_there_is_room_for(listening):
-    # By Twisted's own count, connections beyond the limit would be accepted and reset with their requests.
-    made = listening(room=3, number=10)
-    made.port.doRead()
-    assert len(made.factory.accepted) == 3
-    for client in made.clients[3:]:  # the others wait in the kernel's queue, and are accepted later
+def test_no_more_connections_are_accepted_than_the_factory_has_room_for(listening):
+    # Twisted's own port would accept connections beyond the limit and reset them, with their requests.
+    fixture = listening(room=3, number=10)
+    fixture.port.doRead()
+    assert len(fixture.factory.accepted) == 3
+    for client in fixture.clients[3:]:  # The others wait in the accept queue and are accepted later.
         client.settimeout(0.01)
         with pytest.raises(TimeoutError):
             client.recv(1)
-    made.factory.room = 10
-    made.port.doRead()
-    assert len(made.factory.accepted) == 10
+    fixture.factory.room = 10
+    fixture.port.doRead()
+    assert len(fixture.factory.accepted) == 10
 
 
-def test_a_want_of_descriptors_in_the_middle_ends_nothing(listening, monkeypatch):
-    # Twisted by itself closes all that wait: four requests would be reset here.
-    made = listening(room=10, number=4)
-    real_socket, calls = made.port.socket._listening, 0
+def test_a_lack_of_descriptors_between_two_accepts_closes_no_connection(listening, monkeypatch):
+    # When an accept fails, Twisted's own port closes all connections in the queue, with their requests.
+    fixture = listening(room=10, number=4)
+    real_socket, calls = fixture.port.socket._listening_socket, 0
 
-    class Short:
+    class FailingThirdAccept:
         def accept(self):
             nonlocal calls
             calls += 1
@@ -76,9 +79,9 @@
         def __getattr__(self, name):
             return getattr(real_socket, name)
 
-    monkeypatch.setattr(made.port.socket, "_listening", Short())
-    made.port.doRead()
-    assert len(made.factory.accepted) == 2
-    assert made.factory.failures == 1
-    made.port.doRead()
-    assert len(made.factory.accepted) == 4
+    monkeypatch.setattr(fixture.port.socket, "_listening_socket", FailingThirdAccept())
+    fixture.port.doRead()
+    assert len(fixture.factory.accepted) == 2
+    assert fixture.factory.failures == 1
+    fixture.port.doRead()
+    assert len(fixture.factory.accepted) == 4
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,5 +1,8 @@
-"""What the operators hold every version to, at the moments in which it is easily broken: on real sockets, one
-turn of the loop at a time. docs/design/terms.md has the whole list, and which test forces what."""
+"""Forces the races in which the operators' requirements are easily broken, on real sockets.
+
+The proxy runs one event-loop iteration at a time, see `rig.Rig`. docs/design/terms.md lists the requirements
+and the test of each.
+"""
 
 import contextlib
 import json
@@ -23,18 +26,18 @@
 from lab.scenario import load
 from lab.simulation import Simulation
 
-SLACK_MS = 150.0  # the page's, of the time that a node is given
-HIT = b"VA 1 O%d\r\nx\r\n"
+SLACK_MS = 150.0  # the most by which a deadline that is sent to a node may be too long
+HIT_RESPONSE = b"VA 1 O%d\r\nx\r\n"
 
 
-# A new connection of a process that is being emptied ----------------------------------------------
+# A new connection of a process that drains or stops ------------------------------------------------------
 
 
 def test_the_first_request_of_a_connection_taken_as_the_port_closes_is_answered(rig):
     proxy = rig()
     proxy.service.stop()
-    conn = proxy.client()  # its request is on the way
-    proxy.stall(600)  # the port closes before the reactor has looked at it
+    conn = proxy.client()  # Its request has not come yet.
+    proxy.stall(600)  # The port closes before the reactor has read from it.
     proxy.run_iterations()
     assert proxy.service.side.connections
     assert proxy.service._port is None
@@ -42,11 +45,11 @@
     proxy.advance_clock(10)
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
-    node.sendall(HIT % 1)
-    assert proxy.receive_to_end(conn) == HIT % 1 + b"END"
+    node.sendall(HIT_RESPONSE % 1)
+    assert proxy.receive_to_end(conn) == HIT_RESPONSE % 1 + b"END"
 
 
-def test_a_drained_process_answers_who_connects_before_it_asks(rig):
+def test_a_drained_process_answers_a_client_that_connects_before_it_sends(rig):
     proxy = rig()
     proxy.service.drain()
     proxy.advance_clock(1000)
@@ -59,117 +62,121 @@
 # A client that stops in the middle of a request ---------------------------------------------------
 
 
-BAD_CLIENT_MS = 3000.0  # the page's: by then one that stops in the middle has its error
+BAD_CLIENT_MS = 3000.0  # A client that stops in the middle of a command has its error within this time.
 
 
-def play_until(proxy, end_ms):
-    """`skip` takes real time too."""
+def advance_until(proxy, end_ms):
+    """Advance the clock until `end_ms`; a step may take longer, since it takes real time too."""
     while proxy.now() < end_ms:
         proxy.advance_clock(5)
 
 
-def test_half_a_command_behind_a_long_request_is_told_within_three_seconds_of_its_first_byte(rig):
+def test_a_partial_command_behind_a_long_request_is_rejected_within_3_s_of_its_first_byte(rig):
     proxy = rig()
     first_byte_ms = proxy.now()
     conn = proxy.client(write(1) + b"mg k2 v O2")
     node = proxy.origin.accept()
     proxy.receive_until(node, b"PUT /k1 ")
-    play_until(proxy, first_byte_ms + 1500)
+    advance_until(proxy, first_byte_ms + 1500)
     node.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1")
     proxy.receive_until(conn, b"HD O1 cr1\r\n")
-    play_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
+    advance_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
     assert (
         proxy.service.side.policy.stage_of(next(iter(proxy.service.side.connections))) is ClientStage.CLOSING
     )
     assert proxy.receive_to_end(conn) == b"CLIENT_ERROR half a command\r\nEND"
 
 
-def test_whole_commands_behind_malformed_ones_are_not_cut_as_half_a_command(rig):
-    # They have been read, and wait for the pause behind the errors: each is owed its answer.
+def test_complete_commands_behind_malformed_ones_are_not_rejected_as_partial(rig):
+    # The commands have been read, but wait for the end of the pause that the malformed ones cause. Each must
+    # be answered.
     proxy = rig()
-    resting = proxy.client(b"mn\r\n")
+    idle = proxy.client(b"mn\r\n")
     stop_ms = proxy.now()
     proxy.service.stop()
-    play_until(proxy, stop_ms + 400)
-    errors = UNTHROTTLED_MALFORMED_COMMANDS + 9  # the last of their pauses is over 200 ms behind the cut
+    advance_until(proxy, stop_ms + 400)
+    # The pause after the last error ends over 200 ms after partial commands are rejected.
+    errors = UNTHROTTLED_MALFORMED_COMMANDS + 9
     conn = proxy.client(b"no\r\n" * errors + write(1, 900) + write(2, 900))
     proxy.advance_clock(1500)
-    assert proxy.receive_to_end(resting).endswith(b"END")
+    assert proxy.receive_to_end(idle).endswith(b"END")
     answers = proxy.receive_to_end(conn)
     assert answers.count(b"CLIENT_ERROR") == errors
     assert answers.count(b"SERVER_ERROR") == 2
     assert answers.endswith(b"END")
 
 
-# What a client that leaves hands on ---------------------------------------------------------------
+# A fetch whose client disconnects -----------------------------------------------------------------
 
 
-def places_taken(proxy):
+def requests_with_places(proxy):
     servers = proxy.service.facade._balancer._servers.values()
     return {name for server in servers for name, _number in server.out}
 
 
-@pytest.mark.parametrize("out", [b"", read(7)])
-def test_a_key_whose_fetch_ends_as_its_client_leaves_is_not_asked_for_that_client_again(rig, begun, out):
-    # The second read of a key waits for the first one's fetch, which waits for a place at the origin; both
-    # are one client's. `out` is a third that is called off as it leaves, before the others are forgotten.
+@pytest.mark.parametrize("other_read", [b"", read(7)])
+def test_a_fetch_that_ends_because_its_client_disconnects_is_not_repeated_for_that_client(
+    rig, begun, other_read
+):
+    # A client reads a key twice: the second read waits for the first one's fetch, which waits for a place at
+    # the origin. When the client disconnects, neither may start an attempt. `other_read` is a third read that
+    # is cancelled before these two.
     proxy = rig()
     proxy.service.facade._balancer._origins[0].limit = 1.0
     proxy.client(write(9))
     proxy.receive_until(proxy.origin.accept(), b"PUT /k9 ")
-    conn = proxy.client(out + read(1))
-    for number in (7, 1) if out else (1,):
+    conn = proxy.client(other_read + read(1))
+    for number in (7, 1) if other_read else (1,):
         node = proxy.nodes[0].accept()
         proxy.receive_until(node, b"mg k%d " % number)
     node.sendall(b"EN O1\r\n")
     proxy.run_iterations()
     conn.sendall(read(2).replace(b"k2", b"k1"))
-    proxy.run_until(lambda: proxy.service.dispatcher.open_count == 3 + bool(out))
+    proxy.run_until(lambda: proxy.service.dispatcher.open_count == 3 + bool(other_read))
     before = len(begun)
     conn.close()
     proxy.advance_clock(60)
     assert proxy.service.dispatcher.open_count == 1
     assert len(begun) == before
-    assert places_taken(proxy) == {"9"}
+    assert requests_with_places(proxy) == {"9"}
 
 
-# Since when a client's request is on its way -------------------------------------------------------
+# The time since a client sent its request ----------------------------------------------------------
 
 
 def answer_reads(proxy, node):
-    """All that stands at the node's connections is answered."""
+    """Answer all reads that have come on the node's connections."""
     while node.accept_nowait() is not None:
         pass
     for conn in node.accepted:
         with contextlib.suppress(BlockingIOError, ConnectionResetError):
             for line in conn.recv(1 << 16).split(b"\r\n"):
                 if line.startswith(b"mg "):
-                    conn.sendall(HIT % int(line.split()[3][1:]))
+                    conn.sendall(HIT_RESPONSE % int(line.split()[3][1:]))
 
 
-def test_a_connection_that_was_not_read_for_a_while_is_read_as_any_other_afterwards(rig):
+def test_a_pause_of_reading_does_not_shorten_the_deadlines_of_later_requests(rig):
     proxy = rig()
     conn = proxy.client(b"".join(read(number) for number in range(MAX_PIPELINED_COMMANDS)))
     proxy.run_until(lambda: proxy.service.side.paused_connections)
-    conn.sendall(
-        read(MAX_PIPELINED_COMMANDS)
-    )  # it stands unread when the first answer lets the reading go on
+    # This command is unread when the first answer resumes reading.
+    conn.sendall(read(MAX_PIPELINED_COMMANDS))
     proxy.run_iterations(5)
-    # All answers are there at once, so that the connection is not held a second time.
+    # All answers come at once, so that reading is not paused a second time.
     answer_reads(proxy, proxy.nodes[0])
     proxy.run_until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
     proxy.advance_clock(3000)
     conn.sendall(write(100))
-    proxy.receive_until(proxy.origin.accept(), b"PUT /k100 ")  # not refused as late
+    proxy.receive_until(proxy.origin.accept(), b"PUT /k100 ")  # The write is not refused as late.
 
 
 def propagated_deadline_ms(conn, proxy):
-    """The time that an attempt gives its node."""
+    """Return the deadline in ms that an attempt sends to its node."""
     return int(re.search(rb"d=(\d+)", proxy.receive_until(conn, b"\r\n"))[1])
 
 
-def test_a_request_that_waited_to_be_accepted_tells_its_node_what_is_left_then(rig):
-    # A crowd of idle clients takes all descriptors: the last one waits behind it in the machine's queue.
+def test_a_request_that_waited_in_the_accept_queue_is_sent_with_its_remaining_time(rig):
+    # Many idle clients take all descriptors, so the last client waits behind them in the accept queue.
     proxy = rig(sockets=64)
     for _ in range(220):
         proxy.client()
@@ -183,29 +190,29 @@
     assert propagated_deadline_ms(node, proxy) <= 1900 - waited_ms + SLACK_MS
 
 
-def test_a_request_whose_time_passed_while_it_waited_to_be_accepted_is_not_forwarded(rig):
-    # Seen in the soak: what waited for 0.6 s with 0.3 s left told its node 86 ms. The queue gives a lower
-    # bound of what is left, and the kernel knows when the bytes came.
+def test_a_request_that_expired_in_the_accept_queue_is_not_sent(rig):
+    # A request with a timeout of 0.3 s waits 0.6 s in the accept queue. `AcceptQueue` has only a lower bound
+    # of the time that is left, so the request would be sent, with 86 ms. The kernel knows when it came.
     proxy = rig(sockets=64)
-    crowd = [proxy.client() for _ in range(60)]
+    idle_clients = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._full
+    assert proxy.service.side._accepting_paused
     conn = proxy.client()
     conn.sendall(write(1, 300))
-    time.sleep(0.6)  # of the kernel's clock, which no test moves
-    for idle in crowd:
-        idle.close()
+    time.sleep(0.6)  # in real time, since the kernel's clock can't be advanced by a test
+    for idle_client in idle_clients:
+        idle_client.close()
     assert proxy.receive_until(conn, b"\r\n").startswith(b"SERVER_ERROR busy")
     assert proxy.origin.accept_nowait() is None
 
 
-def test_who_connects_when_the_crowd_is_over_has_all_of_its_time(rig):
+def test_a_client_that_connects_after_the_accept_queue_was_empty_has_its_whole_time(rig):
     proxy = rig(sockets=64)
-    crowd = [proxy.client() for _ in range(60)]
+    idle_clients = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._full
+    assert proxy.service.side._accepting_paused
     proxy.advance_clock(300)
-    for conn in crowd:
+    for conn in idle_clients:
         conn.close()
     proxy.advance_clock(200)
     proxy.client(write(1, 900))
@@ -213,18 +220,18 @@
 
 
 class QueueModel:
-    """The machine's queue: first come first served, of bounded length."""
+    """The kernel's accept queue: first come, first served, of bounded length."""
 
-    def __init__(self, most):
-        self.most = most
+    def __init__(self, max_length):
+        self.max_length = max_length
         self.came_ms = []
-        self.queue = AcceptQueue(most)
+        self.queue = AcceptQueue(max_length)
 
     def connect(self, now, number):
-        self.came_ms += [now] * min(number, self.most - len(self.came_ms))
+        self.came_ms += [now] * min(number, self.max_length - len(self.came_ms))
 
     def accept(self, number):
-        """Each that is accepted came no sooner than is said, or has not waited."""
+        """Check for each accepted connection that it came no sooner than `AcceptQueue` says."""
         for _ in range(min(number, len(self.came_ms))):
             since_ms, came_ms = self.queue.accepted(), self.came_ms.pop(0)
             assert since_ms is not None
@@ -237,18 +244,18 @@
 
 
 @given(steps=STEPS)
-def test_no_connection_came_sooner_than_the_queue_says(steps):
-    model = QueueModel(most=20)
-    for now, (come, accepted, looks) in enumerate(steps):
+def test_no_connection_came_before_the_time_that_the_queue_gives(steps):
+    model = QueueModel(max_length=20)
+    for now, (connecting, accepted, is_checked) in enumerate(steps):
         model.queue.reading_paused(float(now))
-        model.connect(float(now), come)
-        if looks:
+        model.connect(float(now), connecting)
+        if is_checked:
             model.queue.connections_waiting(float(now))
         model.accept(accepted)
 
 
-def test_in_a_queue_that_stands_the_wait_is_bounded_by_its_length():
-    model = QueueModel(most=20)
+def test_the_wait_in_a_queue_that_is_never_empty_is_bounded_by_its_length():
+    model = QueueModel(max_length=20)
     model.queue.reading_paused(0.0)
     for now in range(1, 200):
         model.connect(float(now), 20)
@@ -257,58 +264,58 @@
     assert 199.0 - model.queue.accepted() <= 4.0
 
 
-# A hold-up between the clock and the write ---------------------------------------------------------
+# A stall between the reading of the clock and the write --------------------------------------------
 
 
-STALL_MS = 150.0  # the page's: between the reading of the clock and the writing
-WAY_MS = 50.0
-GRACE_MS = 400.0
+STALL_MS = 150.0  # the longest stall between reading the clock and writing that the requirements allow for
+ONE_WAY_DELAY_MS = 50.0  # the most that a command takes to reach its node
+DRAIN_GRACE_MS = 400.0  # the time after the start of a drain within which a node still takes commands
 
 
 @pytest.mark.parametrize("waited_ms", [150, 190, 201, 340, 360])
-def test_a_hold_up_before_the_write_is_within_the_time_of_the_drain(monkeypatch, waited_ms):
-    rules = SETTINGS["guarantees"] | {"drain-grace": GRACE_MS}
+def test_a_stall_before_the_write_does_not_exceed_the_grace_of_a_drain(monkeypatch, waited_ms):
+    rules = SETTINGS["guarantees"] | {"drain-grace": DRAIN_GRACE_MS}
     limits = SETTINGS["limits"] | {"connect-timeout": 900.0}
     player = Player(settings=SETTINGS | {"guarantees": rules, "limits": limits})
     player.play("wait 100\nclient send mg k1 v O1 Pc=page,t=acme,d=1900")
-    drains = {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"}
-    listing = {"revision": 42, "complete": False, "members": [drains]}
+    draining_node = {"id": "s1", "host_port": "127.0.0.9:201", "flavor": "large", "phase": "terminating"}
+    listing = {"revision": 42, "complete": False, "members": [draining_node]}
     player.play(f"discovery expect GET *\ndiscovery send 200 {json.dumps(listing)}")
     informed_s = player.reactor.rightNow
     player.reactor.rightNow += waited_ms / 1000.0
     written_s = []
-    put = RingLineReceiver.put_command
+    put_command = RingLineReceiver.put_command
 
-    def held_up(connection, data):
+    def stalled_put(connection, data):
         player.reactor.rightNow += STALL_MS / 1000.0
         written_s.append(player.reactor.rightNow)
-        return put(connection, data)
+        return put_command(connection, data)
 
-    monkeypatch.setattr(RingLineReceiver, "put_command", held_up)
+    monkeypatch.setattr(RingLineReceiver, "put_command", stalled_put)
     player.connection("s1", 0)
-    assert bool(written_s) == (waited_ms < GRACE_MS - STALL_MS - WAY_MS)
-    assert all(at - informed_s <= (GRACE_MS - WAY_MS) / 1000.0 + 1e-6 for at in written_s)
+    assert bool(written_s) == (waited_ms < DRAIN_GRACE_MS - STALL_MS - ONE_WAY_DELAY_MS)
+    assert all(at - informed_s <= (DRAIN_GRACE_MS - ONE_WAY_DELAY_MS) / 1000.0 + 1e-6 for at in written_s)
 
 
-# Cold nodes before few proxies, and small writes ----------------------------------------------------
+# Cold nodes with few proxies, and small writes ------------------------------------------------------
 
 
-HANDFUL = 5
+FEW_PROXIES = 5
 
 
-def test_a_handful_of_proxies_keeps_the_budget_of_cold_nodes():
-    summary = Simulation(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()
+def test_a_few_proxies_keep_to_the_budget_of_cold_nodes():
+    summary = Simulation(msgspec.structs.replace(load("throng"), proxies=FEW_PROXIES), 1).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["coldest_load"] < 0.95, summary["ends"]
     assert summary["service"] > 0.9, summary["ends"]
 
 
-def test_the_judge_catches_a_handful_that_takes_cold_nodes_for_warm_ones(monkeypatch):
+def test_the_checker_detects_a_few_proxies_that_take_cold_nodes_for_warm_ones(monkeypatch):
     monkeypatch.setattr(Server, "warmth", lambda server, now, start, warm_up_ms: 1.0)
-    assert Simulation(msgspec.structs.replace(load("throng"), proxies=HANDFUL), 1).run()["rules"]["cold"]
+    assert Simulation(msgspec.structs.replace(load("throng"), proxies=FEW_PROXIES), 1).run()["rules"]["cold"]
 
 
-def test_no_small_write_is_held_back_by_the_machine(rig):
+def test_no_small_write_is_delayed_by_the_kernel(rig):
     proxy = rig()
     proxy.client(read(1) + write(2))
     proxy.run_until(lambda: proxy.service.pools.pool_of("s1").connections)
@@ -327,9 +334,9 @@
 VALUE = b"v" * 3_000_000
 
 
-def test_a_slow_reader_has_all_of_its_answer_though_the_process_is_emptied_meanwhile(rig):
+def test_a_client_that_reads_slowly_gets_its_whole_response_during_a_drain(rig):
     proxy = rig()
-    proxy.client(write(9, 30_000))  # keeps the process from its end
+    proxy.client(write(9, 30_000))  # Its open request keeps the process running.
     conn = proxy.client()
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     conn.sendall(read(1))
@@ -339,7 +346,7 @@
     got = bytearray()
     side = proxy.service.side
 
-    def pass_on():
+    def forward_and_read():
         nonlocal answer
         with contextlib.suppress(BlockingIOError):
             answer = answer[node.send(answer) :] if answer else answer
@@ -347,8 +354,8 @@
             got.extend(conn.recv(10_000))
         return not (answer or side.stream_count)
 
-    proxy.run_until(pass_on)
-    proxy.service.drain()  # all has left for the machine, and the connection is let go
+    proxy.run_until(forward_and_read)
+    proxy.service.drain()  # The kernel has taken the whole response, and the connection is closed.
     proxy.advance_clock(2000)
     assert len(got) < len(VALUE)
     rest = proxy.receive_to_end(conn)
