--- a/tests/test_accept_errors.py
+++ b/tests/test_accept_errors.py
@@ -1,4 +1,4 @@
-"""Accepts that fail, in every way that Linux documents: no waiting connection is lost, no loop is busy."""
+"""A failed accept, with any error that Linux documents, loses no connection and causes no busy loop."""
 
 import errno
 import re
@@ -15,14 +15,28 @@
 from cloverwell.front import port as port_module
 from cloverwell.front.port import BoundedFactory, BoundedPort, adopt, listen
 
-SHORTAGES = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-ENDED = [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ETIMEDOUT]
-ENDED += [errno.ENETUNREACH, errno.EHOSTDOWN, errno.ENONET, errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.EINTR]
-ITERATIONS = 100  # of the event loop
+SHORTAGE_ERRORS = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+ABORTED_ERRORS = [
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.ENETDOWN,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+]
+ABORTED_ERRORS += [
+    errno.ENETUNREACH,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.ENOPROTOOPT,
+    errno.EOPNOTSUPP,
+    errno.EINTR,
+]
+ITERATIONS = 100  # iterations of the event loop
 
 
 class RecordingFactory(BoundedFactory):
-    """Records the accepted connections, the reported failures and the backoffs."""
+    """A factory that records the accepted connections, the reported failures and the backoffs."""
 
     def __init__(self):
         self.accepted, self.failures, self.backoffs = [], [], 0
@@ -42,7 +56,7 @@
 
 
 class Loop(Clock):
-    """A reactor whose listening port is always readable, as with a queue that is never empty."""
+    """A reactor to which every listening port seems readable, as if its accept queue were never empty."""
 
     def __init__(self):
         super().__init__()
@@ -57,7 +71,7 @@
     removeWriter = removeReader
 
     def iterate(self, times=1):
-        """Read each port so many times, as the event loop does."""
+        """Let each port accept `times` times, as the event loop does."""
         for _ in range(times):
             for port in [one for one in self.readers if isinstance(one, BoundedPort)]:
                 port.doRead()
@@ -65,18 +79,18 @@
 
 @pytest.fixture
 def listening():
-    made = SimpleNamespace(loop=Loop(), factory=RecordingFactory(), clients=[])
+    fixture = SimpleNamespace(loop=Loop(), factory=RecordingFactory(), clients=[])
 
     def clients(number):
-        made.port = listen(made.loop, "127.0.0.1", 0, made.factory, 50)
-        address = ("127.0.0.1", made.port.getHost().port)
-        made.clients += [socket.create_connection(address, timeout=2.0) for _ in range(number)]
-        return made
+        fixture.port = listen(fixture.loop, "127.0.0.1", 0, fixture.factory, 50)
+        address = ("127.0.0.1", fixture.port.getHost().port)
+        fixture.clients += [socket.create_connection(address, timeout=2.0) for _ in range(number)]
+        return fixture
 
     yield clients
-    for client in made.clients:
+    for client in fixture.clients:
         client.close()
-    made.port.socket.close()
+    fixture.port.socket.close()
 
 
 def still_open(client):
@@ -86,131 +100,131 @@
     return True
 
 
-@pytest.mark.parametrize("number", [*SHORTAGES, errno.EINVAL])
-def test_a_port_that_can_not_accept_is_tried_now_and_then_and_not_in_each_iteration(listening, number):
-    made = listening(3)
-    calls = accepting(made.port, Calls(always=number)).calls
-    made.loop.iterate(ITERATIONS)
+@pytest.mark.parametrize("error_number", [*SHORTAGE_ERRORS, errno.EINVAL])
+def test_a_port_that_cannot_accept_backs_off_instead_of_trying_in_each_iteration(listening, error_number):
+    fixture = listening(3)
+    calls = accepting(fixture.port, Calls(always=error_number)).calls
+    fixture.loop.iterate(ITERATIONS)
     assert calls.count <= 1
-    for _ in range(50):  # a second
-        made.loop.advance(0.02)
-        made.loop.iterate(ITERATIONS)
+    for _ in range(50):  # 1 s
+        fixture.loop.advance(0.02)
+        fixture.loop.iterate(ITERATIONS)
     assert 20 <= calls.count <= 60
     calls.always = None
-    made.loop.advance(0.02)
-    made.loop.iterate()
-    assert len(made.factory.accepted) == 3
-    assert all(still_open(client) for client in made.clients)
+    fixture.loop.advance(0.02)
+    fixture.loop.iterate()
+    assert len(fixture.factory.accepted) == 3
+    assert all(still_open(client) for client in fixture.clients)
 
 
-@pytest.mark.parametrize("number", SHORTAGES)
-def test_failed_accepts_are_reported_once_a_second(listening, number):
-    made = listening(1)
-    accepting(made.port, Calls(always=number))
+@pytest.mark.parametrize("error_number", SHORTAGE_ERRORS)
+def test_failed_accepts_are_reported_once_a_second(listening, error_number):
+    fixture = listening(1)
+    accepting(fixture.port, Calls(always=error_number))
     for _ in range(150):
-        made.loop.iterate()
-        made.loop.advance(0.02)
-    assert 3 <= len(made.factory.failures) <= 4
-
-
-def test_each_backoff_is_reported_also_where_its_reason_is_not(listening):
-    made = listening(1)
-    calls = accepting(made.port, Calls(errno.ENFILE)).calls
-    made.loop.iterate()
-    made.loop.advance(0.02)
-    made.loop.iterate()
-    assert made.factory.backoffs == 1
-    assert len(made.factory.accepted) == 1
+        fixture.loop.iterate()
+        fixture.loop.advance(0.02)
+    assert 3 <= len(fixture.factory.failures) <= 4
+
+
+def test_each_backoff_is_reported_even_if_its_failure_is_not(listening):
+    fixture = listening(1)
+    calls = accepting(fixture.port, Calls(errno.ENFILE)).calls
+    fixture.loop.iterate()
+    fixture.loop.advance(0.02)
+    fixture.loop.iterate()
+    assert fixture.factory.backoffs == 1
+    assert len(fixture.factory.accepted) == 1
     calls.always = errno.ENFILE
     for backoffs in range(2, 7):
-        made.loop.iterate(ITERATIONS)
-        assert made.factory.backoffs == backoffs
-        assert len(made.factory.failures) == 1
-        made.loop.advance(0.02)
-
-
-@pytest.mark.parametrize("number", ENDED)
-def test_a_connection_that_has_ended_in_the_queue_holds_none_behind_it_up(listening, number):
-    made = listening(3)
-    calls = accepting(made.port, Calls(None, number, number)).calls
-    made.loop.iterate()
-    assert len(made.factory.accepted) == 3
+        fixture.loop.iterate(ITERATIONS)
+        assert fixture.factory.backoffs == backoffs
+        assert len(fixture.factory.failures) == 1
+        fixture.loop.advance(0.02)
+
+
+@pytest.mark.parametrize("error_number", ABORTED_ERRORS)
+def test_a_connection_that_was_aborted_in_the_accept_queue_does_not_delay_the_next(listening, error_number):
+    fixture = listening(3)
+    calls = accepting(fixture.port, Calls(None, error_number, error_number)).calls
+    fixture.loop.iterate()
+    assert len(fixture.factory.accepted) == 3
     assert calls.failed == 2
-    assert all(still_open(client) for client in made.clients)
-    assert not made.factory.failures
+    assert all(still_open(client) for client in fixture.clients)
+    assert not fixture.factory.failures
 
 
-@pytest.mark.parametrize("number", ENDED)
-def test_a_queue_in_which_all_have_ended_does_not_stall_the_loop(listening, number):
-    made = listening(1)
-    calls = accepting(made.port, Calls(always=number)).calls
-    made.loop.iterate(ITERATIONS)
+@pytest.mark.parametrize("error_number", ABORTED_ERRORS)
+def test_an_accept_queue_of_aborted_connections_does_not_stall_the_event_loop(listening, error_number):
+    fixture = listening(1)
+    calls = accepting(fixture.port, Calls(always=error_number)).calls
+    fixture.loop.iterate(ITERATIONS)
     assert calls.count <= 16
     calls.always = None
-    made.loop.advance(0.02)
-    made.loop.iterate()
-    assert len(made.factory.accepted) == 1
-
-
-def test_a_pause_and_a_backoff_end_each_by_itself(listening):
-    made = listening(1)
-    calls = accepting(made.port, Calls(errno.ENFILE, errno.ENFILE)).calls
-    made.loop.iterate()
-    made.port.pauseProducing()
-    made.loop.advance(0.02)
-    made.loop.iterate()
-    assert made.port not in made.loop.readers  # still paused, though the backoff is over
+    fixture.loop.advance(0.02)
+    fixture.loop.iterate()
+    assert len(fixture.factory.accepted) == 1
+
+
+def test_a_pause_and_a_backoff_end_independently(listening):
+    fixture = listening(1)
+    calls = accepting(fixture.port, Calls(errno.ENFILE, errno.ENFILE)).calls
+    fixture.loop.iterate()
+    fixture.port.pauseProducing()
+    fixture.loop.advance(0.02)
+    fixture.loop.iterate()
+    assert fixture.port not in fixture.loop.readers  # It is still paused, although the backoff is over.
     assert calls.count == 1
-    made.port.resumeProducing()
-    made.loop.iterate()
-    made.port.pauseProducing()
-    made.port.resumeProducing()
-    made.loop.iterate(ITERATIONS)
-    assert made.port not in made.loop.readers  # it backs off, though the pause is over
+    fixture.port.resumeProducing()
+    fixture.loop.iterate()
+    fixture.port.pauseProducing()
+    fixture.port.resumeProducing()
+    fixture.loop.iterate(ITERATIONS)
+    assert fixture.port not in fixture.loop.readers  # It still backs off, although the pause is over.
     assert calls.count == 2
-    made.loop.advance(0.02)
-    made.loop.iterate()
-    assert len(made.factory.accepted) == 1
+    fixture.loop.advance(0.02)
+    fixture.loop.iterate()
+    assert len(fixture.factory.accepted) == 1
 
 
 def test_a_port_accepts_only_while_it_neither_backs_off_nor_is_paused(listening):
-    made = listening(1)
-    accepting(made.port, Calls(errno.ENFILE))
-    assert made.port.is_accepting
-    assert made.port.has_waiting_connections()
-    made.loop.iterate()
-    assert not made.port.is_accepting
-    made.port.pauseProducing()
-    made.loop.advance(0.02)
-    assert not made.port.is_accepting
-    assert made.port.has_waiting_connections()
-    made.port.resumeProducing()
-    made.loop.iterate()
-    assert made.port.is_accepting
-    assert not made.port.has_waiting_connections()
+    fixture = listening(1)
+    accepting(fixture.port, Calls(errno.ENFILE))
+    assert fixture.port.is_accepting
+    assert fixture.port.has_waiting_connections()
+    fixture.loop.iterate()
+    assert not fixture.port.is_accepting
+    fixture.port.pauseProducing()
+    fixture.loop.advance(0.02)
+    assert not fixture.port.is_accepting
+    assert fixture.port.has_waiting_connections()
+    fixture.port.resumeProducing()
+    fixture.loop.iterate()
+    assert fixture.port.is_accepting
+    assert not fixture.port.has_waiting_connections()
 
 
 def test_a_port_that_closes_while_it_backs_off_stays_closed(listening):
-    made = listening(0)
-    accepting(made.port, Calls(errno.ENFILE))
-    made.loop.iterate()
-    made.port.stopListening()
-    made.loop.advance(0.0)
-    assert not made.loop.getDelayedCalls()
-    assert made.port not in made.loop.readers
-    made.port = SimpleNamespace(socket=SimpleNamespace(close=lambda: None))
+    fixture = listening(0)
+    accepting(fixture.port, Calls(errno.ENFILE))
+    fixture.loop.iterate()
+    fixture.port.stopListening()
+    fixture.loop.advance(0.0)
+    assert not fixture.loop.getDelayedCalls()
+    assert fixture.port not in fixture.loop.readers
+    fixture.port = SimpleNamespace(socket=SimpleNamespace(close=lambda: None))
 
 
-@pytest.mark.parametrize("number", [*SHORTAGES, *ENDED])
-def test_what_waits_at_the_end_is_accepted_though_accepts_fail(listening, number):
-    made = listening(3)
-    accepting(made.port, Calls(number, None, number, number))
-    made.port.stopListening()
-    assert len(made.factory.accepted) == 3
-    assert all(still_open(client) for client in made.clients)
+@pytest.mark.parametrize("error_number", [*SHORTAGE_ERRORS, *ABORTED_ERRORS])
+def test_a_closing_port_accepts_the_whole_queue_although_some_accepts_fail(listening, error_number):
+    fixture = listening(3)
+    accepting(fixture.port, Calls(error_number, None, error_number, error_number))
+    fixture.port.stopListening()
+    assert len(fixture.factory.accepted) == 3
+    assert all(still_open(client) for client in fixture.clients)
 
 
-# The first socket ---------------------------------------------------------------------------------
+# Opening the socket at the start ------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -220,11 +234,9 @@
     return slept
 
 
-@pytest.mark.parametrize("number", SHORTAGES)
-def test_a_machine_that_is_short_of_something_for_a_moment_does_not_end_the_start(
-    number, pauses, monkeypatch
-):
-    calls, make = Calls(number, number), BoundedPort.createInternetSocket
+@pytest.mark.parametrize("error_number", SHORTAGE_ERRORS)
+def test_a_short_lack_of_resources_does_not_end_the_start(error_number, pauses, monkeypatch):
+    calls, make = Calls(error_number, error_number), BoundedPort.createInternetSocket
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check() or make(port))
     port = listen(Loop(), "127.0.0.1", 0, RecordingFactory(), 50)
     assert port.getHost().port
@@ -232,16 +244,18 @@
     port.socket.close()
 
 
-@pytest.mark.parametrize(("number", "tries"), [(errno.EADDRINUSE, 1), (errno.EACCES, 1), (errno.ENFILE, 25)])
-def test_a_start_that_can_not_succeed_ends(number, tries, pauses, monkeypatch):
-    calls = Calls(always=number)
+@pytest.mark.parametrize(
+    ("error_number", "tries"), [(errno.EADDRINUSE, 1), (errno.EACCES, 1), (errno.ENFILE, 25)]
+)
+def test_a_start_that_cannot_succeed_fails(error_number, tries, pauses, monkeypatch):
+    calls = Calls(always=error_number)
     monkeypatch.setattr(BoundedPort, "createInternetSocket", lambda port: calls.check())
     with pytest.raises(CannotListenError):
         listen(Loop(), "127.0.0.1", 0, RecordingFactory(), 50)
     assert calls.count == tries
 
 
-def test_a_socket_that_is_taken_over_is_taken_though_the_machine_is_short(pauses, monkeypatch):
+def test_a_socket_is_adopted_despite_a_short_lack_of_resources(pauses, monkeypatch):
     listening = socket.create_server(("127.0.0.1", 0))
     calls, make = Calls(errno.ENFILE), socket.fromfd
     monkeypatch.setattr(socket, "fromfd", lambda *where: calls.check() or make(*where))
@@ -254,13 +268,13 @@
 # A whole proxy ------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("number", [*SHORTAGES, errno.ECONNABORTED])
-def test_while_accepts_fail_accepted_clients_are_served_and_the_others_wait(number):
+@pytest.mark.parametrize("error_number", [*SHORTAGE_ERRORS, errno.ECONNABORTED])
+def test_while_accepts_fail_connected_clients_are_served_and_new_ones_wait(error_number):
     proxy = Rig()
     try:
         inside = proxy.client(b"mn\r\n")
         proxy.receive_until(inside, b"MN")
-        calls = accepting(proxy.service._port, Calls(always=number)).calls
+        calls = accepting(proxy.service._port, Calls(always=error_number)).calls
         outside = proxy.client(read(2))
         inside.sendall(read(1))
         node = proxy.nodes[0].accept()
@@ -275,18 +289,18 @@
         proxy.close()
 
 
-# Deadlines of requests that wait ------------------------------------------------------------------
+# Deadlines of requests that wait in the accept queue ----------------------------------------------
 
 WAIT_MS = 300.0
 
 
 @pytest.fixture
 def backing_off(monkeypatch):
-    """A proxy whose port backs off until the test ends the backoff."""
+    """A proxy whose port, once it backs off, does so until the test ends the backoff."""
     monkeypatch.setattr(port_module, "ACCEPT_BACKOFF_S", 3600.0)
-    made = Rig()
-    yield made
-    made.close()
+    proxy = Rig()
+    yield proxy
+    proxy.close()
 
 
 def end_backoff(proxy):
@@ -294,15 +308,16 @@
 
 
 def sent_deadline_ms_after_waiting(proxy):
-    """Return the deadline sent with a request of 1900 ms that has waited in the queue of such a port."""
+    """Return the deadline in ms that the origin gets for a request of 1900 ms that waited in the queue."""
     proxy.client(write(1, 1900))
     proxy.advance_clock(WAIT_MS)
     end_backoff(proxy)
     return int(re.search(rb"d=(\d+)", proxy.receive_until(proxy.origin.accept(), b"\r\n"))[1])
 
 
-def test_a_request_behind_a_second_backoff_is_sent_with_the_time_that_is_left(backing_off):
-    # The port once reported one backoff a second; requests that waited for the others kept all their time.
+def test_a_request_that_waits_during_a_second_backoff_is_sent_with_its_remaining_time(backing_off):
+    # If the port reported only one backoff a second, as it does with failures, the wait during a second one
+    # would not be subtracted from the deadline.
     calls = accepting(backing_off.service._port, Calls(errno.ENFILE)).calls
     first = backing_off.client(b"mn\r\n")
     backing_off.run_until(lambda: calls.failed == 1)
@@ -315,8 +330,9 @@
     second.close()
 
 
-def test_a_request_that_comes_late_in_a_backoff_is_sent_with_the_time_that_is_left(backing_off):
-    # A check that found the queue empty once ended the record of a backoff that went on.
+def test_a_request_that_comes_late_in_a_backoff_is_sent_with_its_remaining_time(backing_off):
+    # The periodic check finds the accept queue empty during the backoff. The wait of a request that comes
+    # later in the same backoff must be subtracted from its deadline all the same.
     calls = accepting(backing_off.service._port, Calls(None, errno.ENFILE)).calls
     backing_off.receive_until(backing_off.client(b"mn\r\n"), b"MN")
     backing_off.run_until(lambda: calls.failed == 1)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -1,7 +1,7 @@
-"""Disconnected clients: no attempt, first or retry, begins for one more than 0.1 s after its close.
+"""No attempt, first or retry, begins for a client more than 0.1 s after it has disconnected.
 
-On real sockets. The crossing is forced: `lag` stalls the event loop with the close unread, and the test hands
-the proxy what its reactor would read first.
+The tests use real sockets and force the races: `Rig.stall` stalls the event loop while the close is unread,
+or the test calls `dataReceived` with the bytes that the reactor would read before the close.
 """
 
 import socket
@@ -24,40 +24,40 @@
 from lab.scenario import load
 from lab.simulation import Simulation
 
-DISCONNECT_LIMIT_MS = 100.0  # an attempt that begins later than that after the close breaks the rule
-LEAVE = pytest.mark.parametrize("leave", [socket.socket.close, reset])
-LAG_MS = 300.0
+DISCONNECT_LIMIT_MS = 100.0  # No attempt may begin later than this after the client's close.
+CLOSE_OR_RESET = pytest.mark.parametrize("leave", [socket.socket.close, reset])
+EVENT_LOOP_STALL_MS = 300.0
 
 
 @pytest.fixture
 def rig(begun, rig):
-    """Every attempt from the first on is noted."""
+    """The fixture `rig`, with every attempt of its proxies recorded in `begun`."""
     return rig
 
 
 def half_close(conn):
-    """Close the client's side only: that counts as a disconnect."""
+    """Close only the client's sending side, which counts as a disconnect."""
     conn.shutdown(socket.SHUT_WR)
 
 
-def nothing_begins(proxy, begun, before):
-    """Return whether nothing is open, and no attempt was sent to a node since there were so many."""
+def nothing_is_sent(proxy, begun, before):
+    """Return whether no request is open, and no attempt after the first `before` ones was sent to a node."""
     proxy.advance_clock(600)
     left = [attempt for attempt in begun[before:] if attempt.written_ms is not None]
     return not left and not proxy.service.dispatcher.open_count
 
 
-def test_the_bounds_on_the_way_to_knowing_of_a_close_leave_half_the_time():
-    # A check of the connections that are not read, in a loop that is as late as one may be without a stall.
+def test_a_disconnect_is_detected_within_half_of_the_limit():
+    # The interval between two checks of the paused connections, and the longest delay that is not a stall.
     assert DISCONNECT_CHECK_INTERVAL_MS + STALL_MS <= DISCONNECT_LIMIT_MS / 2
 
 
-# Connections that are not read --------------------------------------------------------------------
+# Paused connections -------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset, half_close])
-def test_what_stands_behind_malformed_commands_is_not_sent_for_a_client_that_left(rig, begun, leave):
-    # Each error pauses reading for 50 ms; without an open request the close was once not checked for.
+def test_requests_after_malformed_commands_are_not_sent_for_a_disconnected_client(rig, begun, leave):
+    # Each error pauses reading for 50 ms. The close must be detected although no request is open.
     proxy = rig()
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
@@ -70,8 +70,8 @@
     assert not proxy.service.side.connections
 
 
-@LEAVE
-def test_a_close_behind_unread_commands_is_known_within_half_the_time(rig, leave):
+@CLOSE_OR_RESET
+def test_a_close_behind_unread_commands_is_detected_within_half_of_the_limit(rig, leave):
     proxy = rig(backlog=0)
     proxy.nodes[0].fill_accept_queue()
     conn = proxy.client(
@@ -84,7 +84,7 @@
     assert not proxy.service.side.connections
 
 
-def test_all_connections_that_are_not_read_are_checked_in_one_call(rig, monkeypatch):
+def test_all_paused_connections_are_checked_in_one_system_call(rig, monkeypatch):
     proxy = rig(sockets=512)
     conns = [proxy.client() for _ in range(60)]
     side = proxy.service.side
@@ -92,11 +92,11 @@
     for connection in side.connections:
         connection.hold()
     calls = []
-    real = lines.select.poll
+    real_poll = lines.select.poll
 
-    class Counted:
+    class CountingPoll:
         def __init__(self):
-            self._poll = real()
+            self._poll = real_poll()
             self.register = self._poll.register
 
         def poll(self, *args):
@@ -105,7 +105,7 @@
 
     for conn in conns[:20]:
         conn.close()
-    monkeypatch.setattr(lines.select, "poll", Counted)
+    monkeypatch.setattr(lines.select, "poll", CountingPoll)
     side.check_paused_connections()
     assert len(calls) == 1
     assert len(side.paused_connections) == 40
@@ -114,11 +114,11 @@
 # Connections that wait to be accepted -------------------------------------------------------------
 
 
-@LEAVE
+@CLOSE_OR_RESET
 @pytest.mark.parametrize("data", [read(1), write(1), read(1) + write(2) + b"ms k3 5 O3 Pc=or"])
-def test_a_client_that_left_while_it_waited_to_be_accepted_has_nothing_sent(rig, begun, leave, data):
+def test_nothing_is_sent_for_a_client_that_disconnected_in_the_accept_queue(rig, begun, leave, data):
     proxy = rig()
-    proxy.service._port.pauseProducing()  # as when the descriptors are used up
+    proxy.service._port.pauseProducing()  # as is done when no descriptor is left
     conn = proxy.client(data)
     leave(conn)
     proxy.advance_clock(400)
@@ -132,29 +132,29 @@
 # After an event-loop stall ------------------------------------------------------------------------
 
 
-def taken(proxy, begun, data, number=1):
-    """A client whose requests are sent to a node, or queued."""
+def client_with_attempts(proxy, begun, data, number=1):
+    """Connects a client, and waits until its `number`-th attempt has been written to a node."""
     conn = proxy.client(data)
     proxy.run_until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
     return conn
 
 
-@LEAVE
+@CLOSE_OR_RESET
 @pytest.mark.parametrize("answer", [b"EN O1\r\n", b"SERVER_ERROR busy\r\n", b"SERVER_ERROR failed\r\n"])
-def test_an_answer_read_before_its_clients_old_close_brings_no_further_attempt(rig, begun, leave, answer):
-    # Both are in their buffers after a stall, and the reactor reads the node's first.
+def test_an_answer_that_is_read_before_its_clients_close_starts_no_further_attempt(rig, begun, leave, answer):
+    # After a stall both the answer and the close are unread, and the reactor reads the node's answer first.
     proxy = rig(nodes=2)
-    conn = taken(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, begun, read(1))
     (node,) = begun[0].pool.connections
     leave(conn)
-    proxy.clock_offset_ms += LAG_MS
+    proxy.clock_offset_ms += EVENT_LOOP_STALL_MS
     node.dataReceived(answer)
     assert all(attempt.over for attempt in begun)
-    assert nothing_begins(proxy, begun, 1)
+    assert nothing_is_sent(proxy, begun, 1)
 
 
-@LEAVE
-def test_a_place_that_comes_free_behind_a_lag_is_not_given_to_a_client_that_left(rig, begun, leave):
+@CLOSE_OR_RESET
+def test_a_place_that_becomes_free_after_a_stall_is_not_given_to_a_disconnected_client(rig, begun, leave):
     proxy = rig(nodes=0, sockets=512)
     conns = [proxy.client(read(number)) for number in range(60)]
     proxy.run_iterations(5)
@@ -163,65 +163,68 @@
     (first,) = [conn for conn in proxy.service.pools.pool_of("origin").connections if conn.attempts][:1]
     for conn in conns:
         leave(conn)
-    proxy.clock_offset_ms += LAG_MS
+    proxy.clock_offset_ms += EVENT_LOOP_STALL_MS
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
-    assert nothing_begins(proxy, begun, before)
+    assert nothing_is_sent(proxy, begun, before)
     assert len(begun) <= before + 1
     assert all(attempt.over for attempt in begun)
 
 
-@LEAVE
-def test_the_first_tick_after_a_lag_sends_nothing_for_a_client_that_left(rig, begun, leave):
-    # The tick comes before the reads: it ends attempts whose time is over, and what followed was sent.
+@CLOSE_OR_RESET
+def test_the_first_tick_after_a_stall_sends_nothing_for_a_disconnected_client(rig, begun, leave):
+    # After a stall the timers run before the sockets are read. An attempt that times out then must not be
+    # retried for a client whose close is still unread.
     limits = SETTINGS["limits"] | {"cancel": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
-    conn = taken(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, begun, read(1))
     leave(conn)
-    proxy.stall(1000.0)  # the attempt's time, half of the request's
+    proxy.stall(1000.0)  # the attempt's timeout, half of the request's
     proxy.run_iterations(1)
     assert len(begun) == 1
-    assert nothing_begins(proxy, begun, 1)
+    assert nothing_is_sent(proxy, begun, 1)
 
 
-@LEAVE
-def test_an_attempt_that_waits_for_the_close_of_the_one_before_is_not_sent_by_that_tick(rig, begun, leave):
+@CLOSE_OR_RESET
+def test_the_first_tick_after_a_stall_sends_no_retry_that_waited_for_the_end_of_an_attempt(rig, begun, leave):
     limits = SETTINGS["limits"] | {"second-copies": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     proxy.service.back.reach_ms = lambda node: 40.0
-    conn = taken(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, begun, read(1))
     begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1
     assert len(begun) == 1
     leave(conn)
-    proxy.stall(LAG_MS)
+    proxy.stall(EVENT_LOOP_STALL_MS)
     proxy.run_iterations(1)
     assert len(begun) == 1
-    assert nothing_begins(proxy, begun, 1)
+    assert nothing_is_sent(proxy, begun, 1)
 
 
-@LEAVE
-def test_a_connection_that_comes_up_behind_a_lag_is_not_used_for_a_client_that_left(rig, begun, leave):
+@CLOSE_OR_RESET
+def test_a_connection_that_is_established_after_a_stall_is_not_used_for_a_disconnected_client(
+    rig, begun, leave
+):
     proxy = rig()
     conn = proxy.client()
     proxy.run_iterations()
     (connection,) = proxy.service.side.connections
-    connection.dataReceived(write(1))  # taken: its connection to the origin is on the way
+    connection.dataReceived(write(1))  # starts a connection to the origin
     proxy.reactor.runUntilCurrent()
     opening = [one for one in proxy.reactor._selectables.values() if isinstance(one, tcp.BaseClient)]
     (connector,) = [one for one in opening if one.addr == proxy.origin.address]
     leave(conn)
-    proxy.clock_offset_ms += LAG_MS / 2
+    proxy.clock_offset_ms += EVENT_LOOP_STALL_MS / 2
     connector.doConnect()
-    assert nothing_begins(proxy, begun, 0)
+    assert nothing_is_sent(proxy, begun, 0)
 
 
 # Many at once -------------------------------------------------------------------------------------
 
 
-@LEAVE
+@CLOSE_OR_RESET
 @pytest.mark.parametrize("number", [60, 300])
-def test_of_a_burst_that_leaves_none_is_given_the_place_of_another(rig, begun, leave, number):
-    # Each close once cancelled an open read; its place at the origin went to the next disconnected client.
+def test_in_a_burst_of_disconnects_no_client_is_given_the_place_of_another(rig, begun, leave, number):
+    # Each close cancels an open read, whose place at the origin must not go to another disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
     proxy.run_until(lambda: len(proxy.service.side.connections) == number)
@@ -235,7 +238,7 @@
     assert not proxy.service.dispatcher.open_count
 
 
-def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, begun):
+def test_no_request_of_a_disconnected_client_is_given_the_place_of_another_one(rig, begun):
     proxy = rig(nodes=0)
     conn = proxy.client(b"".join(read(n) for n in range(MAX_PIPELINED_COMMANDS - 1)))
     proxy.run_iterations(5)
@@ -247,13 +250,13 @@
     assert not proxy.service.dispatcher.open_count
 
 
-# A long value under way ---------------------------------------------------------------------------
+# A long value that is being sent ------------------------------------------------------------------
 
 
-@LEAVE
-def test_what_waits_behind_a_long_value_is_not_sent_for_a_client_that_left(rig, begun, leave):
+@CLOSE_OR_RESET
+def test_requests_queued_behind_a_long_value_are_not_sent_for_a_disconnected_client(rig, begun, leave):
     proxy = rig(backlog=0)
-    conn = taken(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, begun, read(1))
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
@@ -268,18 +271,18 @@
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.side.connections
     assert not proxy.service.side.stream_count
-    assert nothing_begins(proxy, begun, 1)
+    assert nothing_is_sent(proxy, begun, 1)
 
 
-# In the simulation: an invariant checker, over whole runs -----------------------------------------
+# Whole runs of the simulation, with its invariant checker -----------------------------------------
 
 
-def left(summary):
+def late_attempts(summary):
     return summary["rules"]["left"]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_clients_that_leave_alone_and_by_hundreds_have_nothing_sent_later(seed):
+def test_nothing_is_sent_late_for_clients_that_disconnect_alone_or_in_hundreds(seed):
     summary = Simulation(load("leave"), seed).run()
     assert not any(summary["rules"].values()), summary["breaches"]
     assert summary["ends"]["left"] > 150, summary["ends"]
@@ -291,15 +294,15 @@
 
 
 def detect_late(patch, ms):
-    real = ClientConnections.clients_disconnected
+    original = ClientConnections.clients_disconnected
 
     def clients_disconnected(self, connections):
-        self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: real(self, connections))
+        self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: original(self, connections))
 
     patch.setattr(ClientConnections, "clients_disconnected", clients_disconnected)
 
 
 @pytest.mark.parametrize(("late_ms", "breaks"), [(None, True), (150.0, True), (60.0, False)])
-def test_the_checker_allows_a_tenth_of_a_second_after_a_client_left(monkeypatch, late_ms, breaks):
+def test_the_checker_allows_a_tenth_of_a_second_after_a_disconnect(monkeypatch, late_ms, breaks):
     ignore_disconnects(monkeypatch) if late_ms is None else detect_late(monkeypatch, late_ms)
-    assert bool(left(Simulation(load("leave"), 1).run())) == breaks
+    assert bool(late_attempts(Simulation(load("leave"), 1).run())) == breaks
