--- a/cloverwell/connections/__init__.py
+++ b/cloverwell/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Which connections are let in, kept, opened ahead and retired: decisions without I/O, clock or log."""
+"""Decides which connections are accepted, kept, opened ahead and retired, without I/O, clock or log."""
