--- a/cloverwell/connections/client_states.py
+++ b/cloverwell/connections/client_states.py
@@ -1,4 +1,4 @@
-"""The state of each client's connection, and the connections of each stage in order of age. No I/O."""
+"""Keeps the state of each client's connection, and the connections of each stage in order of age. No I/O."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 ClientT = TypeVar("ClientT", bound=Hashable)
 
-IDLE_GROUPS = 3  # see `idle_group`
+IDLE_GROUPS = 3  # the number of results of `idle_group`
 
 
 class ClientStage(Enum):
-    """What a client's connection is doing."""
+    """The stage of a client's connection."""
 
-    NEW = 0  # It has sent no request yet.
-    PARTIAL_COMMAND = 1  # It has sent a part of a command, and has no open request.
-    ACTIVE = 2  # It has an open request.
-    IDLE = 3  # It has sent requests, and none is open.
-    CLOSING = 4  # Our side of the connection is closed.
+    NEW = 0  # The client has sent no request yet.
+    PARTIAL_COMMAND = 1  # The client has sent a part of a command, and has no open request.
+    ACTIVE = 2  # The client has an open request.
+    IDLE = 3  # The client has sent requests, and none is open.
+    CLOSING = 4  # The proxy has closed its side of the connection.
 
 
 @dataclass(slots=True)
 class ClientState:
-    """What is known of one client's connection; times in ms."""
+    """The state of one client's connection; times in ms."""
 
     source: str  # the client's host
     stage: ClientStage
-    since_ms: float  # when it entered this stage
+    since_ms: float  # when the connection entered this stage
     last_bytes_ms: float = 0.0  # when bytes of a partial command came last
     request_count: int = 0
-    keep_until_ms: float = 0.0  # a close failed: it is not selected again before then
+    keep_until_ms: float = 0.0  # after a close that failed, the connection is not chosen again before then
 
 
 def idle_group(request_count: int) -> int:
@@ -46,8 +46,9 @@
 class ClientStates(Generic[ClientT]):
     """The state table of the clients' connections.
 
-    Each stage but ACTIVE has an ordered dict of its clients, the one that entered it first in front; IDLE has
-    one for each idle group. The dicts are read by the policy and changed only here.
+    Each stage except ACTIVE has an ordered dict of its clients, in which the client that entered the stage
+    first comes first; IDLE has one dict for each idle group. The policy reads the dicts; only this class
+    changes them.
     """
 
     def __init__(self) -> None:
@@ -73,7 +74,7 @@
             self._leave_stage(client, state)
 
     def move(self, client: ClientT, state: ClientState, stage: ClientStage, now: float) -> None:
-        """Put the client, which has this state, behind all others of another stage."""
+        """Move the client, whose state is `state`, to the end of another stage."""
         self._leave_stage(client, state)
         state.stage = stage
         state.since_ms = state.last_bytes_ms = now
@@ -86,7 +87,7 @@
         self._clients_in_stage_of(state)[client] = None
 
     def backdate_partial_command(self, state: ClientState, begun_ms: float) -> None:
-        """Set when a partial command began, and move the clients whose command began later behind it."""
+        """Set the time at which a partial command began, and keep that stage in the order of these times."""
         state.since_ms = begun_ms
         for other in [client for client in self.partial if self.by_client[client].since_ms > begun_ms]:
             self.partial.move_to_end(other)
@@ -94,7 +95,10 @@
     def older_than(
         self, clients: OrderedDict[ClientT, None], now: float, age_ms: float, limit: float = math.inf
     ) -> list[ClientT]:
-        """Return up to `limit` of one stage's clients that have been in it for `age_ms`, oldest first."""
+        """Return up to `limit` of the clients of one stage that have been in it for `age_ms`, oldest first.
+
+        Clients whose close failed a moment ago are left out.
+        """
         found: list[ClientT] = []
         for client in clients:
             state = self.by_client[client]
--- a/cloverwell/connections/concurrency_forecast.py
+++ b/cloverwell/connections/concurrency_forecast.py
@@ -1,6 +1,6 @@
-"""How many connections the attempts to a node will want at once. No I/O.
+"""Forecasts how many connections the attempts to a node will need at once. No I/O.
 
-The forecast keeps a running mean and mean deviation of the peak of each window of time.
+The forecast keeps a running mean of the peak of each window of time, and the mean deviation from it.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from dataclasses import dataclass
 
 WINDOW_MS = 250.0
-PEAK_WEIGHT = 0.15  # of the last window's peak in the running means
-DEVIATIONS = 1.5  # mean deviations above the mean peak that are kept open
-MAX_IDLE_WINDOWS = 40  # windows without an attempt that are made up for at once
+PEAK_WEIGHT = 0.15  # the weight of the last window's peak in the running means
+DEVIATION_MARGIN = 1.5  # how many mean deviations the forecast lies above the mean peak
+MAX_IDLE_WINDOWS = 40  # the most windows without an attempt that are counted after the fact
 
 
 @dataclass(slots=True)
 class ConcurrencyForecast:
-    """The connections in use, and the forecast of their peak. Times are in milliseconds."""
+    """The connections of one node in use, and the forecast of their peak. Times are in milliseconds."""
 
-    in_use: int = 0
-    peak: int = 0  # the most in use in the current window
+    in_use: int = 0  # the number of connections with an attempt on them
+    peak: int = 0  # the most connections in use at once in the current window
     window_end_ms: float = -math.inf
     mean_peak: float = 0.0
-    peak_deviation: float = 0.0
+    peak_deviation: float = 0.0  # the mean deviation of the peaks from their mean
 
     def record(self, in_use: int, now: float) -> None:
         """Records how many connections are in use from now on."""
@@ -32,13 +32,13 @@
         self.peak = max(self.peak, in_use)
 
     def wanted(self, now: float) -> int:
-        """Returns how many connections will be wanted at once."""
+        """Returns how many connections are expected to be needed at once."""
         if now >= self.window_end_ms:
             self._close_windows(now)
-        return math.ceil(max(self.mean_peak + DEVIATIONS * self.peak_deviation, self.peak))
+        return math.ceil(max(self.mean_peak + DEVIATION_MARGIN * self.peak_deviation, self.peak))
 
     def _close_windows(self, now: float) -> None:
-        """Takes the windows that have ended into the means."""
+        """Updates the means with the peaks of the windows that have ended."""
         if self.window_end_ms > -math.inf:
             idle_windows = min(MAX_IDLE_WINDOWS, int((now - self.window_end_ms) / WINDOW_MS))
             for peak in [self.peak, *([self.in_use] * idle_windows)]:
--- a/cloverwell/connections/connection_loss.py
+++ b/cloverwell/connections/connection_loss.py
@@ -1,4 +1,4 @@
-"""How a node ended a connection that carried an attempt: a value, without I/O."""
+"""Describes how a node ended a connection that carried an attempt. No I/O."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLoss:
-    """The end of a connection by its node, while an attempt was on it."""
+    """The end of a connection by its node while an attempt was on it; times in ms."""
 
-    idle_age_ms: float | None  # how long it had stood idle before its oldest attempt; None on a fresh one
+    # How long the connection had stood idle before its oldest attempt; None if it was new or busy.
+    idle_age_ms: float | None
     since_write_ms: float  # the time since the last bytes of that attempt were written
-    answer_begun: bool
-    last_byte_unsent: bool  # the last byte of an attempt had not been written: that one has not run
-    by_reset: bool  # else the node closed it; a reset answers what was written
-    had_served: bool  # an attempt had ended on it before
+    answer_begun: bool  # whether a part of the answer had come
+    last_byte_unsent: bool  # whether the last byte of an attempt was held back: that attempt has not run
+    by_reset: bool  # whether the node reset the connection in answer to a write; False: it closed it
+    had_served: bool  # whether an attempt had ended on the connection before
 
     @property
     def refused_on_arrival(self) -> bool:
--- a/cloverwell/connections/idle_statistics.py
+++ b/cloverwell/connections/idle_statistics.py
@@ -8,19 +8,19 @@
 class IdleStatistics:
     """The share of idle clients that send another request, as an exponentially weighted average."""
 
-    WEIGHT = 0.02
+    WEIGHT = 0.02  # the weight of one client in the average
 
     def __init__(self, share: float) -> None:
         """Start from `share`, the estimate before anything has been observed."""
         self.share = share
 
     def learn(self, sent_again: bool) -> None:
-        """Count one idle client, which has sent another request or has been closed without one."""
+        """Count one idle client; `sent_again`: it sent another request before its connection was closed."""
         self.share += self.WEIGHT * ((1.0 if sent_again else 0.0) - self.share)
 
 
 class PeakEstimate:
-    """The value that about 19 of 20 samples stay below; it rises fast and falls slowly."""
+    """Estimates the 95th percentile of samples; the estimate rises fast and falls slowly."""
 
     QUANTILE = 0.95
 
@@ -36,21 +36,21 @@
 
 
 class ArrivalRate:
-    """Arrivals per millisecond, averaged over a window with exponential decay; a rise counts at once."""
+    """The rate of arrivals per millisecond, as an exponentially decaying average; a rise counts at once."""
 
     def __init__(self, window_ms: float, now: float) -> None:
-        """Start at rate 0 at the time `now` (ms)."""
+        """Start at rate 0 at the time `now` (ms); `window_ms`: the time constant of the decay."""
         self._window_ms = window_ms
         self._rate = 0.0
         self._updated_ms = now
 
     def count(self, now: float) -> None:
-        """Count one arrival at `now`."""
+        """Count one arrival at the time `now` (ms)."""
         self._decay(now)
         self._rate += 1.0 / self._window_ms
 
     def per_ms(self, now: float) -> float:
-        """Return the rate at `now`."""
+        """Return the arrivals per millisecond at `now`."""
         self._decay(now)
         return self._rate
 
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -147,7 +147,7 @@
         entry = self._nodes.get(node)
         if entry is None:
             return
-        entry.cap.refusals = 0
+        entry.cap.refusal_count = 0
         entry.answered_ms = now
         entry.round_trip.record(took_ms, now)
         entry.answer_ms += ANSWER_WEIGHT * (took_ms - entry.answer_ms)
@@ -262,7 +262,7 @@
     def should_close_idle(self, node: str) -> bool:
         """Tells whether idle connections to the node should make room: it refuses some, or leaves."""
         entry = self._nodes.get(node)
-        return entry is None or entry.left_ms is not None or entry.cap.limited
+        return entry is None or entry.left_ms is not None or entry.cap.is_limited
 
     def is_past_grace(self, node: str, now: float) -> bool:
         """Tells whether nothing new may be sent to the node any more."""
@@ -286,7 +286,7 @@
 
     def _may_open_ahead(self, entry: NodeState) -> bool:
         is_worth_it = entry.connect_ms >= COSTLY_CONNECT_MS
-        return is_worth_it and entry.left_ms is None and entry.cap.most == math.inf
+        return is_worth_it and entry.left_ms is None and entry.cap.max_connections == math.inf
 
     def may_open_ahead(self, node: str) -> bool:
         """Tells whether each attempt to the node may change what `open_ahead_count` returns."""
