--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -78,7 +78,7 @@
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
-        self.back.idle_limits.forget_old(now)
+        self.back.idle_limits.decay_due(now)
         self.timer_wheel.at(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
--- a/cloverwell/connections/idle_limits.py
+++ b/cloverwell/connections/idle_limits.py
@@ -259,7 +259,7 @@
         own = self._nodes.get(node)
         return own is not None and own.lost_by(EDGES[-1])
 
-    def forget_old(self, now: float) -> None:
+    def decay_due(self, now: float) -> None:
         """Forgets the evidence whose time has come."""
         for histogram in self._forgetting.sweep(now):
             before = histogram.shown
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -195,25 +195,25 @@
 
     # What to do ---------------------------------------------------------------------------------
 
-    def choose_use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
-        """Decides how to use a connection that has stood idle for `age_ms`, None for a fresh one.
+    def choose_use(self, node: str, idle_age_ms: float | None, costly: bool) -> ConnectionUse:
+        """Decides how to use a connection that has stood idle for `idle_age_ms`, None for a fresh one.
 
         `costly` tells that the attempt may not run twice.
         """
         entry = self._nodes.get(node)
         if entry is None:
             return ConnectionUse.WRITE_ALL
-        if age_ms is not None and age_ms >= self._limit_ms(entry, node):
+        if idle_age_ms is not None and idle_age_ms >= self._limit_ms(entry, node):
             return ConnectionUse.RETIRE
         statistics = self._types[entry.node_type]
         if costly and statistics.suspect:
             return ConnectionUse.HOLD_LAST_BYTE
-        if age_ms is None or age_ms < YOUNG_MS:
+        if idle_age_ms is None or idle_age_ms < YOUNG_MS:
             return ConnectionUse.WRITE_ALL
         if not costly and statistics.stale_are_rare and not self.idle_limits.has_lost(node):
             return ConnectionUse.WRITE_ALL
         times = COSTLY_PROOF_TIMES if costly else 1.0
-        proven = self.idle_limits.proven(node, entry.node_type, age_ms, times)
+        proven = self.idle_limits.proven(node, entry.node_type, idle_age_ms, times)
         return ConnectionUse.WRITE_ALL if proven else ConnectionUse.HOLD_LAST_BYTE
 
     def hold_back_ms(self, node: str) -> float:
@@ -252,12 +252,12 @@
             return False
         return entry.answered_ms < written_ms < now - UNRESPONSIVE_TIMES * max(entry.answer_ms, 1.0)
 
-    def may_open(self, node: str, opened: int, now: float) -> bool:
-        """Tells whether one more may be opened beside `opened`, which includes those on their way."""
+    def may_open(self, node: str, open_count: int, now: float) -> bool:
+        """Tells whether one more may be open_count beside `open_count`, which includes those on their way."""
         entry = self._nodes.get(node)
         if entry is None:
             return True
-        return not self.is_past_grace(node, now) and entry.cap.allows(opened, now)
+        return not self.is_past_grace(node, now) and entry.cap.allows(open_count, now)
 
     def should_close_idle(self, node: str) -> bool:
         """Tells whether idle connections to the node should make room: it refuses some, or leaves."""
@@ -273,7 +273,7 @@
 
     # Opening ahead ------------------------------------------------------------------------------
 
-    def open_ahead_count(self, node: str, opened: int, now: float) -> int:
+    def open_ahead_count(self, node: str, open_count: int, now: float) -> int:
         """Returns how many connections to open now, before an attempt needs them."""
         entry = self._nodes.get(node)
         if entry is None or not self._may_open_ahead(entry) or now < entry.cold_until_ms:
@@ -282,7 +282,7 @@
         wanted = entry.concurrency.wanted(now)
         if wanted * entry.gap_ms > MAX_AHEAD_IDLE_SHARE * self._limit_ms(entry, node):
             return 0
-        return min(MAX_OPENED_AHEAD, max(0, wanted - opened))
+        return min(MAX_OPENED_AHEAD, max(0, wanted - open_count))
 
     def _may_open_ahead(self, entry: NodeState) -> bool:
         is_worth_it = entry.connect_ms >= COSTLY_CONNECT_MS
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -145,11 +145,11 @@
         """`idle_ms` is the idle time after which a connection is retired."""
         super().__init__(idle_ms, GRACE_MS)
 
-    def choose_use(self, node: str, age_ms: float | None, costly: bool) -> ConnectionUse:
+    def choose_use(self, node: str, idle_age_ms: float | None, costly: bool) -> ConnectionUse:
         """Retires a connection that was idle for too long, and writes attempts at once otherwise."""
         return (
             ConnectionUse.RETIRE
-            if age_ms is not None and age_ms >= self.idle_limits.max_ms
+            if idle_age_ms is not None and idle_age_ms >= self.idle_limits.max_ms
             else ConnectionUse.WRITE_ALL
         )
 
@@ -157,11 +157,11 @@
         """Returns the one idle time."""
         return self.idle_limits.max_ms
 
-    def open_ahead_count(self, node: str, opened: int, now: float) -> int:
+    def open_ahead_count(self, node: str, open_count: int, now: float) -> int:
         """Returns 0: no connection is opened ahead."""
         return 0
 
-    def may_open(self, node: str, opened: int, now: float) -> bool:
+    def may_open(self, node: str, open_count: int, now: float) -> bool:
         """Returns True: the number of connections has no learnt limit."""
         return True
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -88,7 +88,7 @@
     @rule(ms=st.sampled_from([1.0, 60.0, 960.0, 40_000.0]))
     def time_passes(self, ms):
         self.now += ms
-        self.back.idle_limits.forget_old(self.now)
+        self.back.idle_limits.decay_due(self.now)
 
     @rule(
         node=st.sampled_from("abcdef"), age=st.one_of(st.none(), st.floats(0.0, 4000.0)), costly=st.booleans()
