--- a/cloverwell/connections/client_policy.py
+++ b/cloverwell/connections/client_policy.py
@@ -1,17 +1,17 @@
-"""Which clients' connections are kept, and which are closed to make room. State in, choice out: no I/O.
+"""Decides which clients' connections are kept, and which are closed to make room. No I/O.
 
 The caller reports what happens to each connection and closes those that `choose_expired`,
 `choose_to_make_room` and `choose_to_admit_requests` return. It may find that one can't be closed (a request
 is unread in the socket's buffer) and then calls `record_close_failed`. Times are milliseconds of one clock
 that never goes back.
 
-A close between requests loses nothing (the client sends again what crossed it) but costs the client a
-handshake, so the question is always which client is least likely to send a request soon. That is estimated
-from the clients themselves:
+A close between requests loses nothing, since the client repeats a request that crosses the close, but it
+costs the client a handshake. So the client that is least likely to send a request soon is closed first. That
+is estimated from two observations of all clients:
 
-- how long after its connection a client sends its first request: one that is silent far beyond that time
+- how long after the accept a client sends its first request: a client that is silent far beyond that time
   probably never sends any;
-- how often a client that has sent one request, or a few, or many, sends another (`IdleStatistics`).
+- how often a client that has sent one request, or a few, or many, sends another one (`IdleStatistics`).
 """
 
 from __future__ import annotations
@@ -26,32 +26,35 @@
 
 __all__ = ["ClientConnectionPolicy", "ClientStage", "CloseClient", "CloseReason"]
 
-# Timeouts that hold whatever room there is.
+# Timeouts after which a connection is closed, even if descriptors are available.
 FIRST_REQUEST_TIMEOUT_MS = 1900.0  # The platform's limit for a silent connection is 2 s.
-PARTIAL_COMMAND_TIMEOUT_MS = 2400.0  # A client may take 2 s for a command, and is owed an error within 3 s.
+PARTIAL_COMMAND_TIMEOUT_MS = 2400.0  # A client may take 2 s for a command, and must get an error within 3 s.
 IDLE_TIMEOUT_MS = 10_000.0
-CLOSE_TIMEOUT_MS = 1000.0  # What a client may take to close its side once ours is closed,
-CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # and where descriptors are wanted.
+CLOSE_TIMEOUT_MS = 1000.0  # the time that a client has to close its side once the proxy's side is closed
+CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # the same while no descriptor is available
 
 # Ages below which a connection is never closed to make room.
 MIN_FIRST_REQUEST_GRACE_MS = 40.0
 MAX_FIRST_REQUEST_GRACE_MS = 400.0
-INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # while nothing has been observed
-GRACE_FACTOR = 3.0  # The grace is that many times what nearly all clients take to their first request.
+INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # the grace before any first request has been observed
+GRACE_FACTOR = 3.0  # the grace as a multiple of the time in which nearly all clients send their first request
 PARTIAL_COMMAND_GRACE_MS = 500.0
-RESPONSE_DELIVERY_MS = 20.0  # A response may still be on its way to its client.
+RESPONSE_DELIVERY_MS = 20.0  # the time for which a response may still be on its way to its client
 
-MAX_SILENT_SHARE = 0.5  # of the clients' descriptors, for connections without a request so far
-RESERVE_WINDOW_MS = 150.0  # Descriptors are reserved for the arrivals of so long.
+# The share of the clients' descriptors above which connections without a request get the shortest grace.
+MAX_SILENT_SHARE = 0.5
+RESERVE_WINDOW_MS = 150.0  # Descriptors are reserved for the clients that arrive within this time.
 ARRIVAL_RATE_WINDOW_MS = 300.0
-MAX_ACCEPTS_PER_ITERATION = 32  # of the event loop: requests of the others wait meanwhile
+# The most connections accepted in one iteration of the event loop. Requests on other connections wait
+# meanwhile.
+MAX_ACCEPTS_PER_ITERATION = 32
 
 
 class ReserveLimits(NamedTuple):
-    """How many descriptors are kept free for clients that will connect."""
+    """The limits of the number of descriptors that are kept free for clients that will connect."""
 
     min_count: int
-    max_share: float  # of the clients' descriptors
+    max_share: float  # as a share of the clients' descriptors
 
 
 RESERVE = ReserveLimits(min_count=4, max_share=0.25)
@@ -59,7 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseClient(Generic[ClientT]):
-    """A connection to close; `abort`: free its descriptor now, without waiting for the client's close."""
+    """A connection to close.
+
+    `abort`: the descriptor is freed at once, without waiting until the client closes its side.
+    """
 
     client: ClientT
     reason: CloseReason
@@ -67,15 +73,16 @@
 
 
 class ClientConnectionPolicy(Generic[ClientT]):
-    """Decides which clients' connections to close."""
+    """Decides which clients' connections to close, from the events that are recorded."""
 
     def __init__(self, max_clients: int, max_requesting: int, now: float) -> None:
         """Start without connections.
 
         Args:
-            max_clients: connections that clients may hold at the best.
-            max_requesting: connections that clients open to send requests. Where so many have sent requests
-                and stay open, a client with a request can't open another, whatever room there is.
+            max_clients: the most connections that clients can hold.
+            max_requesting: the most connections that clients open in order to send requests. While so many
+                connections that have sent requests are open, clients open no other one for a further
+                request, even if descriptors are available.
             now: the time in ms.
         """
         self.max_clients = max_clients
@@ -102,7 +109,8 @@
         elif state.stage is ClientStage.IDLE:
             self._idle_statistics[idle_group(state.request_count)].learn(True)
         self.states.move(client, state, ClientStage.ACTIVE, now)
-        state.request_count += 1  # After the move: the count gives the group from which an idle one is taken.
+        # The count gives the idle group that the client leaves, so that it changes only after the move.
+        state.request_count += 1
 
     def record_no_open_request(
         self, client: ClientT, now: float, partial_command: bool, begun_ms: float = math.inf
@@ -112,8 +120,8 @@
         Args:
             client: the connection.
             now: the time in ms.
-            partial_command: a part of a command has come.
-            begun_ms: when that part began, which may be before the last response.
+            partial_command: whether a part of a command has come.
+            begun_ms: when the first byte of that part came, which may be before the last response.
         """
         state = self.states.by_client.get(client)
         if state is None or state.stage is ClientStage.CLOSING:
@@ -123,7 +131,7 @@
         else:
             stage = ClientStage.IDLE if state.request_count else ClientStage.NEW
         if stage is state.stage:
-            # Its time goes on from its connection, first byte or response: a malformed command wins none.
+            # The time in the stage goes on, so that a malformed command does not extend a timeout.
             return
         self.states.move(client, state, stage, now)
         if partial_command and begun_ms < now:
@@ -135,7 +143,7 @@
             state.last_bytes_ms = now
 
     def record_closing(self, client: ClientT, now: float) -> None:
-        """Record that our side of the connection is closed."""
+        """Record that the proxy has closed its side of the connection."""
         state = self.states.by_client.get(client)
         if state is None or state.stage is ClientStage.CLOSING:
             return
@@ -148,7 +156,7 @@
         self.states.remove(client)
 
     def record_close_failed(self, client: ClientT, now: float) -> None:
-        """Record that a request or a response is still unread; the client is not selected for a while."""
+        """Record that a close failed, since bytes are unread; the connection is kept for a while."""
         if (state := self.states.by_client.get(client)) is not None:
             state.keep_until_ms = now + RESPONSE_DELIVERY_MS
 
@@ -160,16 +168,16 @@
 
     @property
     def active_count(self) -> int:
-        """The number of connections with an open request."""
+        """Return the number of connections with an open request."""
         return self.states.active_count
 
     def stage_of(self, client: ClientT) -> ClientStage | None:
-        """Return the connection's stage, or None if it is not known."""
+        """Return the stage of the client's connection, or None if the client is unknown."""
         state = self.states.by_client.get(client)
         return None if state is None else state.stage
 
     def first_request_grace_ms(self) -> float:
-        """Return how long a new connection is kept without a request where others need its descriptor."""
+        """Return how long in ms a connection without a request is kept although its descriptor is needed."""
         usual_ms = GRACE_FACTOR * self._first_request_ms.value
         return min(max(MIN_FIRST_REQUEST_GRACE_MS, usual_ms), MAX_FIRST_REQUEST_GRACE_MS)
 
@@ -179,13 +187,13 @@
         return int(min(max(RESERVE.min_count, wanted), max(1.0, RESERVE.max_share * self.max_clients)))
 
     def is_mostly_silent(self) -> bool:
-        """Return whether too many have sent no request to be clients that want to be served."""
+        """Return whether so many connections are without a request that they probably never send one."""
         return len(self.states.new) > MAX_SILENT_SHARE * self.max_clients
 
-    # Choices ------------------------------------------------------------------------------------
+    # Choices of connections to close ------------------------------------------------------------
 
     def choose_expired(self, now: float) -> list[CloseClient[ClientT]]:
-        """Return the connections whose timeout is over, however much room there is."""
+        """Return the connections whose timeout is over, even if descriptors are available."""
         states = self.states
         limits = [
             (states.new, FIRST_REQUEST_TIMEOUT_MS, CloseReason.SILENT),
@@ -195,76 +203,83 @@
         found: list[CloseClient[ClientT]] = []
         for clients, timeout_ms, reason in limits:
             found += [CloseClient(client, reason) for client in states.older_than(clients, now, timeout_ms)]
-        return found + self._not_closed_by_client(now, CLOSE_TIMEOUT_MS)
+        return found + self._choose_not_closed_by_client(now, CLOSE_TIMEOUT_MS)
 
-    def choose_to_make_room(self, now: float, wanted: int, room: int) -> list[CloseClient[ClientT]]:
+    def choose_to_make_room(self, now: float, wanted: int, available: int) -> list[CloseClient[ClientT]]:
         """Return up to twice `wanted` connections to close, those least likely to send a request first.
 
-        `room`: free descriptors. Connections that are closing become free by themselves within moments, so
-        they count as room; they are aborted only where there is none at all.
+        `wanted` descriptors are needed, and `available` are free. Connections that are closing free their
+        descriptors within moments, so they count as free; they are aborted only if no descriptor is free.
         """
         found: list[CloseClient[ClientT]] = []
-        abort = room <= 0
+        abort = available <= 0
         if abort:
-            found += self._not_closed_by_client(now, CLOSE_TIMEOUT_UNDER_PRESSURE_MS, wanted)
+            found += self._choose_not_closed_by_client(now, CLOSE_TIMEOUT_UNDER_PRESSURE_MS, wanted)
         else:
             wanted -= len(self.states.closing)
         limit = 2 * wanted
         if len(found) < limit:
-            found += self._silent(now, limit - len(found), abort)
+            found += self._choose_silent(now, limit - len(found), abort)
         if len(found) < limit:
-            found += self._stalled_partial_commands(now, limit - len(found))
+            found += self._choose_stalled_partial_commands(now, limit - len(found))
         if len(found) < limit:
-            found += self._idle(now, limit - len(found), abort)
+            found += self._choose_idle(now, limit - len(found), abort)
         return found[: max(0, limit)]
 
     def choose_to_admit_requests(self, now: float) -> list[CloseClient[ClientT]]:
-        """Return the connections to close so that clients can open as many as they need for requests."""
+        """Return the connections to close so that clients can open new ones for further requests.
+
+        These are needed if the connections of clients that send requests come close to `max_requesting`.
+        """
         slow_writers = [client for client in self.states.partial if self._writes_slowly(client)]
         idle_count = sum(len(clients) for clients in self.states.idle)
         free = self.max_requesting - (self.active_count + idle_count + len(slow_writers))
         wanted = min(self.reserve_count(now), self.max_requesting // 2) - free
-        found = self._idle(now, max(0, wanted), abort=False)
-        # Each of the last places that a partial command holds would serve many other clients meanwhile.
+        found = self._choose_idle(now, max(0, wanted), abort=False)
+        # If few connections are left, each one that holds a slow partial command could serve many clients.
         wanted = RESERVE.min_count - free - len(found)
         old = [client for client in slow_writers if self._age_ms(client, now) >= PARTIAL_COMMAND_GRACE_MS]
         return found + [CloseClient(client, CloseReason.PARTIAL_COMMAND) for client in old[: max(0, wanted)]]
 
     def _age_ms(self, client: ClientT, now: float) -> float:
-        """Return how long the client has been in its stage."""
+        """Return how long in ms the client has been in its stage."""
         return now - self.states.by_client[client].since_ms
 
     def _writes_slowly(self, client: ClientT) -> bool:
-        """Return whether more than one piece of a partial command has come: such a client sends requests."""
+        """Return whether a partial command has come in several pieces, so that a request will follow."""
         state = self.states.by_client[client]
         return state.last_bytes_ms > state.since_ms
 
-    def _not_closed_by_client(
+    def _choose_not_closed_by_client(
         self, now: float, timeout_ms: float, limit: float = math.inf
     ) -> list[CloseClient[ClientT]]:
         late = self.states.older_than(self.states.closing, now, timeout_ms, limit)
         return [CloseClient(client, CloseReason.CLOSE_TIMEOUT, abort=True) for client in late]
 
-    def _silent(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
-        # Where silent connections are many, others wait behind them to be accepted: the least grace must do.
+    def _choose_silent(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
+        # If most connections are silent, other clients wait to be accepted, so the grace is the shortest one.
         grace_ms = MIN_FIRST_REQUEST_GRACE_MS if self.is_mostly_silent() else self.first_request_grace_ms()
         old = self.states.older_than(self.states.new, now, grace_ms)
-        count = self.states.new_by_source
-        if len(count) > 1:
-            # The source with most silent connections loses some first. Sorting is stable.
-            old.sort(key=lambda client: -count[self.states.by_client[client].source])
+        count_by_source = self.states.new_by_source
+        if len(count_by_source) > 1:
+            # Connections of the source with most silent ones come first, the oldest of each source in front.
+            old.sort(key=lambda client: -count_by_source[self.states.by_client[client].source])
         return [CloseClient(client, CloseReason.SILENT, abort) for client in old[:limit]]
 
-    def _stalled_partial_commands(self, now: float, limit: int) -> list[CloseClient[ClientT]]:
-        # Not by age alone: a client that writes slowly would be closed before its command is complete.
+    def _choose_stalled_partial_commands(self, now: float, limit: int) -> list[CloseClient[ClientT]]:
+        # The time of the last bytes counts too: by age alone, a client that writes slowly would be closed
+        # before its command is complete.
         old = self.states.older_than(self.states.partial, now, PARTIAL_COMMAND_GRACE_MS)
         last_bytes_ms = {client: self.states.by_client[client].last_bytes_ms for client in old}
         stalled = [client for client in old if now - last_bytes_ms[client] >= PARTIAL_COMMAND_GRACE_MS]
         stalled.sort(key=last_bytes_ms.__getitem__)
         return [CloseClient(client, CloseReason.PARTIAL_COMMAND) for client in stalled[:limit]]
 
-    def _idle(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
-        """Return the longest idle first; a group that seldom sends again counts as idle for longer."""
+    def _choose_idle(self, now: float, limit: int, abort: bool) -> list[CloseClient[ClientT]]:
+        """Return up to `limit` idle clients to close, longest idle first.
+
+        The idle time is weighted, so that a client of a group that seldom sends another request comes sooner.
+        """
         ranked: list[tuple[float, int, ClientT]] = []
         for clients, statistics in zip(self.states.idle, self._idle_statistics, strict=True):
             weight = 1.05 - statistics.share
@@ -272,10 +287,10 @@
                 ranked.append((-self._age_ms(client, now) * weight, len(ranked), client))
         ranked.sort()
         return [
-            CloseClient(client, CloseReason.MAKE_ROOM, abort and self._has_read_response(client, now))
+            CloseClient(client, CloseReason.MAKE_ROOM, abort and self._had_time_to_read(client, now))
             for _, _, client in ranked[:limit]
         ]
 
-    def _has_read_response(self, client: ClientT, now: float) -> bool:
-        """Return whether the last response was sent long ago: an abort throws away what is unread."""
+    def _had_time_to_read(self, client: ClientT, now: float) -> bool:
+        """Return whether the client has had time to read its response; an abort discards unread bytes."""
         return self._age_ms(client, now) >= CLOSE_TIMEOUT_UNDER_PRESSURE_MS
