--- a/cloverwell/connections/accept_queue.py
+++ b/cloverwell/connections/accept_queue.py
@@ -32,7 +32,7 @@
 
     @property
     def may_hold_connections(self) -> bool:
-        """Whether connections that came a while ago may be waiting."""
+        """Return whether connections that came a while ago may be waiting."""
         return bool(self._observations)
 
     def record_reading_paused(self, now: float) -> None:
--- a/cloverwell/connections/arrival.py
+++ b/cloverwell/connections/arrival.py
@@ -42,7 +42,7 @@
 
     @property
     def may_have_waited(self) -> bool:
-        """Whether the bytes that are read next may have been in the buffer for a while."""
+        """Return whether the bytes that are read next may have been in the buffer for a while."""
         return self._unread_since_ms is not None
 
     def record_accepted(self, since_ms: float) -> None:
--- a/cloverwell/connections/closing.py
+++ b/cloverwell/connections/closing.py
@@ -1,8 +1,9 @@
-"""What becomes of a client's connection while the process is drained or stops. State in, step out: no I/O.
+"""Decides how a client's connection is closed while the process is drained or stops. No I/O.
 
-Every wait here has an end of its own. A client that always has a request open, that sends without pause, that
-reads nothing or that never closes its side gets the same instants as any other: they are those of
-`serving.EndInstants`, in ms of the caller's clock.
+The caller gives the state of a connection and gets the next step for it. Every wait has an end of its own: a
+client that always has a request open, that sends without pause, that reads nothing or that never closes its
+side is subject to the same instants as any other. These are `serving.EndInstants`, in ms of the caller's
+clock.
 """
 
 from __future__ import annotations
@@ -12,34 +13,37 @@
 
 from cloverwell.serving import EndInstants
 
-# What a new connection's first request may take to come: closed before, it would be read and not answered.
+# How long a new connection is kept open for its first request. If the proxy closed its side while the request
+# is on its way, the request would be read but get no answer.
 FIRST_REQUEST_WAIT_MS = 250.0
-# The same once new requests are rejected: those who send clients here have been told by then.
+# The same wait once new requests are rejected. It is shorter, since by then whoever directs clients to this
+# process has been told that it ends.
 LATE_FIRST_REQUEST_WAIT_MS = 50.0
 
 
 class ClosingStep(Enum):
-    """What to do with a connection now."""
+    """The step to take with a connection now."""
 
-    KEEP = auto()  # Nothing: it is served, or something is waited for.
-    HALF_CLOSE_IF_ALL_READ = auto()  # Close our side, unless something is unread, which may be a request.
-    REJECT_PARTIAL_COMMAND_IF_ALL_READ = auto()  # The same behind half a command, which is answered as busy.
-    HALF_CLOSE = auto()  # Close our side, whatever is unread; half a command is answered as busy.
-    CLOSE = auto()  # Close both sides. What the kernel has taken still reaches the client.
+    KEEP = auto()  # Leave the connection open: it is served, or a wait has not ended.
+    HALF_CLOSE_IF_ALL_READ = auto()  # Close the proxy's side, unless bytes are unread: they may be a request.
+    # Answer a partial command as busy and close the proxy's side, unless bytes (perhaps the rest) are unread.
+    REJECT_PARTIAL_COMMAND_IF_ALL_READ = auto()
+    HALF_CLOSE = auto()  # Close the proxy's side, whatever is unread; answer a partial command as busy.
+    CLOSE = auto()  # Close both sides. Bytes that the kernel has accepted still reach the client.
 
 
 @dataclass(slots=True, frozen=True)
 class ClosingState:
-    """What of a connection decides its close.
+    """The state of a connection on which its close depends.
 
     Attributes:
-        accepted_ms: when it was accepted.
-        nothing_read: no byte of the client has been read.
-        responses_pending: a request is open, or not all of a response has been handed to the kernel.
-        streaming: a long value is being sent.
-        partial_command: a part of a command has come, and no response is pending.
-        reading_paused: commands that have been read are not handled yet: they wait behind malformed ones.
-        half_closed_ms: when our side was closed, or None.
+        accepted_ms: when the connection was accepted.
+        nothing_read: whether no byte of the client has been read.
+        responses_pending: whether a request is open, or a part of a response is not written yet.
+        streaming: whether a long value is being sent.
+        partial_command: whether a part of a command has come, and no response is pending.
+        reading_paused: whether malformed commands have paused the handling of commands that were read.
+        half_closed_ms: when the proxy's side was closed, or None while it is open.
 
     """
 
@@ -55,17 +59,16 @@
 def closing_step(
     state: ClosingState, instants: EndInstants, now: float, after_stall: bool = False
 ) -> ClosingStep:
-    """Return what to do with the connection now.
+    """Return the step to take with the connection now.
 
-    `after_stall`: the event loop has stalled, and what has come meanwhile is not read yet. Nothing is closed
-    for being late before that.
+    `after_stall`: the event loop has stalled, and bytes that came meanwhile are not read yet. Until they are,
+    no connection is closed for being late.
     """
     step = _due_step(state, instants, now)
-    return ClosingStep.KEEP if after_stall and step in _UNCONDITIONAL else step
+    return ClosingStep.KEEP if after_stall and step in _STEPS_LOSING_UNREAD_BYTES else step
 
 
-# The steps that lose what is unread.
-_UNCONDITIONAL = (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
+_STEPS_LOSING_UNREAD_BYTES = (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
 
 
 def _due_step(state: ClosingState, instants: EndInstants, now: float) -> ClosingStep:
@@ -89,16 +92,16 @@
 
 
 def _release_by_ms(state: ClosingState, instants: EndInstants) -> float:
-    """Return when the connection is closed on both sides, whatever its client does."""
+    """Return the time by which the connection is closed on both sides, whatever its client does."""
     if state.streaming:
         return instants.stream_ms
     return max(instants.release_ms, state.accepted_ms + instants.newcomer_ms)
 
 
 def _awaits_first_request(state: ClosingState, instants: EndInstants, now: float) -> bool:
-    """Tell whether the first request may be on its way."""
+    """Return whether the first request may still be on its way."""
     if not state.nothing_read:
         return False
-    late = now >= instants.reject_ms
-    wait_ms = LATE_FIRST_REQUEST_WAIT_MS if late else FIRST_REQUEST_WAIT_MS
+    rejects_requests = now >= instants.reject_ms
+    wait_ms = LATE_FIRST_REQUEST_WAIT_MS if rejects_requests else FIRST_REQUEST_WAIT_MS
     return now - state.accepted_ms < wait_ms
--- a/cloverwell/connections/concurrency_forecast.py
+++ b/cloverwell/connections/concurrency_forecast.py
@@ -31,7 +31,7 @@
         self.in_use = in_use
         self.peak = max(self.peak, in_use)
 
-    def wanted(self, now: float) -> int:
+    def expected_peak(self, now: float) -> int:
         """Returns how many connections are expected to be needed at once."""
         if now >= self.window_end_ms:
             self._close_windows(now)
--- a/cloverwell/connections/connection_cap.py
+++ b/cloverwell/connections/connection_cap.py
@@ -20,7 +20,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether the node has refused connections lately, or has a cap."""
+        """Tells whether the node has refused connections lately, or has a cap."""
         return self.refusal_count > 0 or self.max_connections < math.inf
 
     def record_refusal(self, open_count: int, now: float) -> None:
--- a/cloverwell/connections/connection_loss.py
+++ b/cloverwell/connections/connection_loss.py
@@ -19,5 +19,5 @@
 
     @property
     def refused_on_arrival(self) -> bool:
-        """Whether the node accepted the connection only to reset it."""
+        """Tells whether the node accepted the connection only to reset it."""
         return self.by_reset and not self.had_served
--- a/cloverwell/connections/schedule.py
+++ b/cloverwell/connections/schedule.py
@@ -1,9 +1,9 @@
-"""Which items a periodic sweep has to visit: those that changed or are due, instead of all. No I/O.
+"""Schedules the items that a periodic sweep visits: those that changed or are due, instead of all. No I/O.
 
-A sweep over all items does the same work each time, also where most of them have nothing to do. Here each
-item is visited when it has changed (`wake`), or at the time that its last visit gave (`visit_at`). Visits
-keep the order in which items were added, as a loop over all of them would, and an item woken during a sweep
-is visited in the same sweep if its place in that order is still to come.
+A sweep over all items does the same work each time, even if most of them have nothing to do. In a `Schedule`
+an item is visited when it has changed (`wake`), or at the time that was set at its last visit (`visit_at`).
+The items are visited in the order in which they were added, as by a loop over all of them. An item that is
+woken during a sweep is visited in the same sweep if its place in that order is still to come.
 
 Times are milliseconds of one clock.
 """
@@ -16,22 +16,22 @@
 from typing import Generic, TypeVar
 
 Item = TypeVar("Item", bound=Hashable)
-EARLY_MS = 1.0  # an item is visited so much before its time, since sums of times are rounded
+EARLY_MS = 1.0  # An item is visited this long before its time, since sums of times are rounded.
 
 
 class Schedule(Generic[Item]):
     """The items of a sweep, each with the time at which it is due, if it has one."""
 
     def __init__(self) -> None:
-        """Starts without an item."""
-        self._numbers: dict[Item, int] = {}  # in the order of adding
-        self._items: dict[int, Item] = {}
+        """Starts without items."""
+        self._numbers: dict[Item, int] = {}  # the number of each item, in the order in which they were added
+        self._items: dict[int, Item] = {}  # the item of each number
         self._next_number = 0
-        self._times: list[tuple[float, int]] = []  # heap of (time, number), also of times that were replaced
-        self._due_ms: dict[int, float] = {}  # the time in the heap that counts, by number
-        self._woken: set[int] = set()
-        self._ahead: list[int] | None = None  # during a sweep: heap of the numbers still to be visited
-        self._reached = -1  # during a sweep: the number visited last
+        self._times: list[tuple[float, int]] = []  # a heap of (time, number); replaced times remain in it
+        self._due_ms: dict[int, float] = {}  # by number: the time in the heap that is valid
+        self._woken: set[int] = set()  # the numbers of the items to visit in the next sweep
+        self._to_visit: list[int] | None = None  # during a sweep: a heap of the numbers still to be visited
+        self._last_visited = -1  # during a sweep: the number visited last
 
     def __len__(self) -> int:
         """Returns the number of items."""
@@ -45,7 +45,7 @@
         self.wake(item)
 
     def discard(self, item: Item) -> None:
-        """Removes the item if it is here."""
+        """Removes the item, if it was added."""
         number = self._numbers.pop(item, None)
         if number is not None:
             del self._items[number]
@@ -53,21 +53,21 @@
             self._woken.discard(number)
 
     def wake(self, item: Item) -> None:
-        """Has the item visited by the next sweep, or by this one if its turn is still to come."""
+        """Makes the next sweep visit the item, or the current sweep if the item's turn is still to come."""
         number = self._numbers.get(item)
         if number is None or number in self._woken:
             return
         self._woken.add(number)
-        if self._ahead is not None and number > self._reached:
-            heapq.heappush(self._ahead, number)
+        if self._to_visit is not None and number > self._last_visited:
+            heapq.heappush(self._to_visit, number)
 
     def wake_all(self) -> None:
-        """Wakes each item."""
+        """Makes the next sweep visit every item."""
         for item in self._numbers:
             self.wake(item)
 
     def visit_at(self, item: Item, when_ms: float) -> None:
-        """Has the item visited at that time, unless it is woken before; an earlier time stands."""
+        """Makes a sweep visit the item at `when_ms`; an earlier time that is set already stays."""
         number = self._numbers.get(item)
         when_ms -= EARLY_MS
         if number is None or when_ms >= self._due_ms.get(number, math.inf):
@@ -76,20 +76,20 @@
         heapq.heappush(self._times, (when_ms, number))
 
     def sweep(self, now: float) -> Iterator[Item]:
-        """Yields the items to visit now; the visitor gives the next time of each with `visit_at`."""
+        """Yields the items to visit now; the caller sets the next time of each with `visit_at`."""
         while self._times and self._times[0][0] <= now:
             when_ms, number = heapq.heappop(self._times)
             if self._due_ms.get(number) == when_ms:
                 del self._due_ms[number]
                 self._woken.add(number)
-        self._ahead, self._reached = sorted(self._woken), -1
+        self._to_visit, self._last_visited = sorted(self._woken), -1
         try:
-            while self._ahead:
-                number = heapq.heappop(self._ahead)
-                if number not in self._woken:  # discarded meanwhile
+            while self._to_visit:
+                number = heapq.heappop(self._to_visit)
+                if number not in self._woken:  # The item was discarded during this sweep.
                     continue
                 self._woken.discard(number)
-                self._reached = number
+                self._last_visited = number
                 yield self._items[number]
         finally:
-            self._ahead = None
+            self._to_visit = None
