--- a/tests/closing_states.py
+++ b/tests/closing_states.py
@@ -1,8 +1,8 @@
-"""Clients' connections in every state that a drain or a shutdown may meet, on the real sockets of a `Rig`.
+"""Clients with connections in every state that a drain or a shutdown may meet, on real sockets of a `Rig`.
 
-Each client goes on with what makes its state, at every step, until its connection ends. The cache node
-answers after a while, and a key says what else becomes of its request: `hang` is never answered, `long` has a
-value that is passed on while it comes.
+At every step, each client goes on with the behaviour that makes its state, until its connection ends. The
+cache node answers after `ANSWER_MS`, and the start of a key decides how: `hang` is never answered, `long` has
+a value that the proxy sends on while it arrives, `large` a value that the proxy sends in one piece.
 """
 
 import contextlib
@@ -15,43 +15,43 @@
 
 from cloverwell.front.client_connection import MAX_PIPELINED_COMMANDS, ClientConnection
 
-ANSWER_MS = 150.0  # of the cache node
+ANSWER_MS = 150.0  # the time after which the cache node answers
 LONG_VALUE = b"v" * 3_000_000
 SLOW_READ_BYTES = 4096
 SMALL_BUFFER = 2048
-MANY = 200  # requests at once
-LARGE_VALUE = b"x" * 60_000  # not passed on while it comes: it is kept, and written at once
+REQUEST_COUNT = 200  # the number of requests that some clients send at once
+LARGE_VALUE = b"x" * 60_000  # not long enough to be sent on while it arrives
 
 ANSWER = re.compile(rb"(?:^|\n)(?:VA |HD |SERVER_ERROR busy \d|SERVER_ERROR failed)")
 _ids = itertools.count(1)
 
 
 def read(key="k", wait_ms=1900):
-    """A read under an id of its own, and that id."""
+    """Returns a read command with an id of its own, and that id."""
     name = f"r{next(_ids)}"
     return f"mg {key}{name} v O{name} Pc=page,t=acme,d={wait_ms}\r\n".encode(), name
 
 
 def write(key="k", wait_ms=1900):
-    """A write, and its id."""
+    """Returns a write command with an id of its own, and that id."""
     name = f"r{next(_ids)}"
     return f"ms {key}{name} 1 O{name} Pc=order,t=acme,d={wait_ms}\r\na\r\n".encode(), name
 
 
 class NodeDriver:
-    """Answers at the cache node of a rig; the origin takes all and answers nothing."""
+    """Drives the cache node of a rig, which answers, and the origin, which only accepts connections."""
 
     def __init__(self, rig):
         self._rig = rig
         self._buffers = {}
-        self._due = deque()  # when, connection, bytes
+        self._due = deque()  # (time in ms, connection, bytes) of the answers that are not due yet
         self._unsent = {}
 
     def step(self):
-        """Reads what has come, and answers what is due."""
+        """Reads the commands that have come, and sends the answers that are due."""
         (node,) = self._rig.nodes
-        for taker in (node, self._rig.origin):
-            while taker._accept() is not None:
+        for server in (node, self._rig.origin):
+            while server._accept() is not None:
                 pass
         for conn in node.taken:
             self._read(conn)
@@ -77,13 +77,13 @@
 
 
 class Client:
-    """One client; a subclass is one state. `received` are the bytes that it has read."""
+    """One client; each subclass makes one state. `received` has the bytes that the client has read."""
 
-    reads = True  # what is sent to it, at once
-    may_lose = False  # a part of what was sent to it may be dropped at the end
-    may_reset = False
-    receive_buffer = 0
-    is_accepted = True  # before anything else happens
+    reads = True  # whether the client reads at once what is sent to it
+    may_lose = False  # whether a part of the answers may be lost when the connection is closed
+    may_reset = False  # whether the connection may end with a reset
+    receive_buffer = 0  # the size of the socket's receive buffer in bytes; 0 for the default
+    is_accepted = True  # whether the test waits until the connection is accepted
 
     def __init__(self, rig):
         self.rig = rig
@@ -106,19 +106,19 @@
         """Brings the connection into its state."""
 
     def step(self, now):
-        """Goes on with it."""
+        """Goes on with the behaviour that makes the state; `now` is the time in ms."""
 
     def send(self, data):
-        """Sends what fits; a connection that has ended takes nothing."""
+        """Sends as much as the connection accepts, and nothing if the connection has ended."""
         with contextlib.suppress(OSError):
             self.conn.send(data)
 
-    def read_some(self, most=1 << 20):
-        """Reads what has come."""
+    def read_some(self, max_bytes=1 << 20):
+        """Reads up to `max_bytes` of what has come."""
         if self.eof or self.was_reset:
             return
         try:
-            data = self.conn.recv(most)
+            data = self.conn.recv(max_bytes)
         except BlockingIOError:
             return
         except OSError:
@@ -128,7 +128,7 @@
         self.eof = not data
 
     def advance(self, now):
-        """One step: the client's own, and reading."""
+        """Reads, if the client does, and takes one step of its behaviour."""
         if self.reads:
             self.read_some()
         if not (self.eof or self.was_reset):
@@ -136,12 +136,14 @@
         elif self.reads and self.conn.fileno() >= 0:
             self.conn.close()
 
-    def answers(self):
-        """How many requests were answered; what a question or a malformed command got does not count."""
+    def answer_count(self):
+        """Returns how many requests were answered, without the answers to probes and malformed commands."""
         return len(ANSWER.findall(self.received))
 
 
 class Idle(Client):
+    """Sends a probe, and then nothing."""
+
     def begin(self):
         self.send(b"mn\r\n")
 
@@ -154,12 +156,12 @@
     """Sends its next request as soon as the last one is answered."""
 
     def begin(self):
-        self.asked = 0
+        self.request_count = 0
 
     def step(self, now):
-        if self.answers() == self.asked:
+        if self.answer_count() == self.request_count:
             self.send(read()[0])
-            self.asked += 1
+            self.request_count += 1
 
 
 class Overlapping(Client):
@@ -178,11 +180,13 @@
 
 
 class OverlappingSlowly(Overlapping):
+    """Sends its next request shortly before the last one is answered."""
+
     interval_ms = 140.0
 
 
 class OverlappingAHang(Overlapping):
-    """Its first request is never answered, and the others wait behind it."""
+    """Sends a first request that is never answered, behind which the answers to the others wait."""
 
     def begin(self):
         super().begin()
@@ -190,15 +194,15 @@
 
 
 class PipelineCap(Client):
-    """More commands than are read while none is answered."""
+    """Sends more commands than the proxy reads while none is answered."""
 
-    sent = MAX_PIPELINED_COMMANDS + 20
+    command_count = MAX_PIPELINED_COMMANDS + 20
 
     def begin(self):
-        commands = [write("hang", 30_000)[0] for _ in range(self.sent)]
+        commands = [write("hang", 30_000)[0] for _ in range(self.command_count)]
         self.send(b"".join(commands[:MAX_PIPELINED_COMMANDS]))
         self.rig.turn()
-        self.send(b"".join(commands[MAX_PIPELINED_COMMANDS:]))  # these stay in the kernel
+        self.send(b"".join(commands[MAX_PIPELINED_COMMANDS:]))  # These stay unread in the kernel.
 
 
 class HalfCommand(Client):
@@ -212,7 +216,7 @@
 
 
 class DrippingCommand(Client):
-    """A byte now and then."""
+    """Sends a command one byte at a time, and never completes it."""
 
     def begin(self):
         self.send(b"mg k v Oz Pc=page,t=acme,d=1500")
@@ -225,7 +229,7 @@
 
 
 class Malformed(Client):
-    """Malformed commands, with a good one now and then so that they are never too many in a row."""
+    """Sends malformed commands, and a valid one now and then so that there are never too many in a row."""
 
     def begin(self):
         self.count = 0
@@ -236,33 +240,33 @@
 
 
 class Probing(Client):
-    """Asks whether the process serves, all the time."""
+    """Sends a probe at every step, which asks whether the process serves."""
 
     def step(self, now):
         self.send(b"mn\r\n")
 
 
 class NotReading(Client):
-    """Many requests at once, whose answers it does not read; the kernel takes them."""
+    """Sends many requests at once and reads no answer; the kernel's buffers hold all answers."""
 
     reads = False
     receive_buffer = SMALL_BUFFER
 
     def begin(self):
-        self.send(b"".join(read()[0] for _ in range(MANY)))
+        self.send(b"".join(read()[0] for _ in range(REQUEST_COUNT)))
 
 
 class NotReadingMuch(NotReading):
-    """The same with more than the kernel takes."""
+    """Sends many requests at once and reads no answer; the answers exceed the kernel's buffers."""
 
     may_lose = True
 
     def begin(self):
-        self.send(b"".join(read("large")[0] for _ in range(MANY)))
+        self.send(b"".join(read("large")[0] for _ in range(REQUEST_COUNT)))
 
 
 class NotReadingAndSending(NotReading):
-    """The same, and it goes on asking: what it sends behind the close resets the connection."""
+    """Reads no answer and goes on sending requests; one sent after the close resets the connection."""
 
     may_lose = may_reset = True
 
@@ -271,14 +275,14 @@
 
 
 class Hanging(Client):
-    """One request that is never answered."""
+    """Sends one request that is never answered."""
 
     def begin(self):
         self.send(write("hang", 30_000)[0])
 
 
 class SlowReader(Client):
-    """Reads a long value slowly."""
+    """Requests a long value, and reads it slowly."""
 
     reads = False
     receive_buffer = SMALL_BUFFER
@@ -291,7 +295,7 @@
 
 
 class NoReader(Client):
-    """Asks for a long value, and reads nothing of it."""
+    """Requests a long value, and reads nothing of it."""
 
     reads = False
     may_lose = True
@@ -302,7 +306,7 @@
 
 
 class Flood(Client):
-    """Sends without pause: something is always unread."""
+    """Sends requests without pause, so that the proxy always has unread bytes."""
 
     may_lose = may_reset = True
 
@@ -314,14 +318,14 @@
 
 
 class Staying(Idle):
-    """Never closes its side."""
+    """Sends a probe, and never closes its side."""
 
     def advance(self, now):
         self.read_some()
 
 
 class Crowding(Staying):
-    """One of many that come at once and say nothing."""
+    """Connects, as one of many at once, and sends nothing."""
 
     is_accepted = False
 
@@ -330,14 +334,14 @@
 
 
 class LostFraming(Client):
-    """A request that is never answered, and behind it what can't be cut into commands."""
+    """Sends a request that is never answered, and then bytes that can't be divided into commands."""
 
     def begin(self):
         self.send(write("hang", 30_000)[0] + b"ms k x\r\n")
 
 
 class HalfClosed(Client):
-    """Closes its sending side behind a request, which counts as gone."""
+    """Sends a request and closes its sending side, which the proxy takes for a disconnect."""
 
     may_lose = may_reset = True
 
@@ -347,7 +351,7 @@
 
 
 class Reset(Client):
-    """Resets its connection in the middle of a request."""
+    """Resets its connection while its request is open."""
 
     may_lose = may_reset = True
 
@@ -369,10 +373,10 @@
 
 
 class Record:
-    """What the proxy has read on each connection, and when it was closed."""
+    """Records what requests the proxy has read on each connection, and when it was accepted and closed."""
 
     def __init__(self, rig, monkeypatch):
-        self.read = {}  # by the client's address
+        self.read_ids = {}  # by the client's address: the ids of the requests that the proxy has read
         self.closed_ms = {}
         self.accepted_ms = {}
         real_request, real_lost = ClientConnection.request_received, ClientConnection.connectionLost
@@ -383,7 +387,7 @@
             real_made(connection)
 
         def request_received(connection, fields, write, value):
-            self.read.setdefault(connection.peer, []).append(fields.id)
+            self.read_ids.setdefault(connection.peer, []).append(fields.id)
             real_request(connection, fields, write, value)
 
         def lost(connection, *reason):
--- a/tests/test_bounded_waits.py
+++ b/tests/test_bounded_waits.py
@@ -1,4 +1,4 @@
-"""Waits that have an end of their own, also where the other side does nothing: on real sockets."""
+"""Waits that end by themselves even if the other side does nothing, on real sockets."""
 
 import socket
 
@@ -21,14 +21,14 @@
 from cloverwell.front.unread_responses import CHECK_INTERVAL_MS, READ_TIMEOUT_MS
 from cloverwell.serving import KILL_DELAY_MS, MAX_COUNTED_DEADLINE_MS
 
-SLACK_MS = 300.0  # the policy's check, and steps of the play
+SLACK_MS = 300.0  # the interval between the policy's checks, and the steps of the test
 
 
-def play_until(proxy, event, by_ms):
-    """Passes time until the event; tells whether it came in time."""
-    while not event() and proxy.now() < by_ms:
+def run_until(proxy, has_happened, by_ms):
+    """Lets time pass until the event has happened; returns whether it happened in time."""
+    while not has_happened() and proxy.now() < by_ms:
         proxy.skip(20)
-    return event()
+    return has_happened()
 
 
 def connections(proxy):
@@ -47,7 +47,7 @@
     return conn
 
 
-def test_a_long_value_that_breaks_off_frees_its_connection_though_the_client_reads_nothing(rig):
+def test_a_long_value_that_stalls_frees_its_connection_although_the_client_reads_nothing(rig):
     proxy = rig()
     unreading_client(proxy, read("long")[0])
     node = proxy.nodes[0].take()
@@ -55,25 +55,25 @@
     node.sendall(b"VA %d O%s\r\n" % (len(LONG_VALUE), name))
     proxy.until(lambda: proxy.service.side.stream_count)
 
-    def passed_on():
+    def are_buffers_full():
         try:
             node.send(LONG_VALUE[:100_000])
         except BlockingIOError:
             return True
         return False
 
-    proxy.until(passed_on)  # as far as the client's kernel, ours and the buffers between take it
-    still_ms = proxy.now() + STREAM_STALL_MS + SLACK_MS
-    assert play_until(proxy, lambda: not proxy.service.side.stream_count, still_ms)
+    proxy.until(are_buffers_full)  # the client's, the proxy's, and the kernel's on both sides
+    stalled_ms = proxy.now() + STREAM_STALL_MS + SLACK_MS
+    assert run_until(proxy, lambda: not proxy.service.side.stream_count, stalled_ms)
     by_ms = proxy.now() + LAST_READ_TIMEOUT_MS + SLACK_MS
-    assert play_until(proxy, lambda: not connections(proxy), by_ms)
+    assert run_until(proxy, lambda: not connections(proxy), by_ms)
     assert "broken_value" in proxy.log.getvalue()
 
 
 def test_a_client_that_does_not_close_its_side_after_ours_is_disconnected(rig):
     proxy = rig()
     conn = proxy.client(b"mn\r\n")
-    assert play_until(proxy, lambda: not connections(proxy), proxy.now() + IDLE_TIMEOUT_MS + 2000.0)
+    assert run_until(proxy, lambda: not connections(proxy), proxy.now() + IDLE_TIMEOUT_MS + 2000.0)
     assert proxy.ended(conn).startswith(b"MN\r\n")
     assert "idle, open for 11" in proxy.log.getvalue()
     assert CLOSE_TIMEOUT_MS == 1000.0
@@ -83,16 +83,16 @@
     proxy = rig()
     driver = NodeDriver(proxy)
     NotReadingMuch(proxy)
-    served_ms = proxy.now() + 3000.0
-    while proxy.now() < served_ms:
+    all_answered_ms = proxy.now() + 3000.0
+    while proxy.now() < all_answered_ms:
         proxy.skip(20)
         driver.step()
     by_ms = proxy.now() + READ_TIMEOUT_MS + CHECK_INTERVAL_MS + SLACK_MS
-    assert play_until(proxy, lambda: not connections(proxy), by_ms)
+    assert run_until(proxy, lambda: not connections(proxy), by_ms)
     assert ": not_reading, " in proxy.log.getvalue()
 
 
-def test_a_client_that_reads_slowly_is_not(rig):
+def test_a_client_that_reads_slowly_is_not_disconnected(rig):
     proxy = rig()
     driver = NodeDriver(proxy)
     client = NotReadingMuch(proxy)
@@ -104,7 +104,7 @@
     assert connections(proxy)
 
 
-def test_a_write_that_runs_on_for_a_client_that_left_does_not_hold_a_process_that_stops(rig):
+def test_a_write_whose_client_has_disconnected_does_not_delay_the_end_of_a_process_that_stops(rig):
     proxy = rig()
     conn = proxy.client(write(1, 30_000))
     proxy.got(proxy.origin.take(), b"PUT /k1 ")
@@ -114,13 +114,14 @@
     longest_ms = max(cls.deadline_ms for cls in proxy.service.facade.settings.classes)
     kill_ms = proxy.now() + min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
     proxy.service.stop()
-    assert play_until(proxy, lambda: proxy.reactor.stopped, kill_ms)
+    assert run_until(proxy, lambda: proxy.reactor.stopped, kill_ms)
 
 
 @pytest.mark.parametrize("reason", [CloseReason.MAKE_ROOM, CloseReason.SILENT])
-def test_a_descriptor_that_is_wanted_takes_no_answer_from_a_client_that_reads_slowly(rig, reason):
-    # Seen in the soak: the client counted as idle once the kernel had its answer, and 0.1 s later a reset
-    # threw away what it had not read. The policy's choice, where no descriptor is left, is forced here.
+def test_freeing_a_needed_descriptor_discards_no_answer_of_a_client_that_reads_slowly(rig, reason):
+    # The fault: a client counted as idle once the kernel had its whole answer. If a descriptor was needed
+    # 0.1 s later, the connection was reset, and the part of the answer that the client had not read was lost.
+    # The test forces the choice that the policy makes while no descriptor is available.
     proxy = rig()
     slow = unreading_client(proxy, read("k")[0])
     node = proxy.nodes[0].take()
@@ -130,16 +131,16 @@
     (connection,) = connections(proxy)
     proxy.until(lambda: not (connection.has_open_request or connection.has_unsent_responses))
     proxy.service.side._closer.close([CloseClient(connection, reason, abort=True)], 1)
-    proxy.until(lambda: not connections(proxy))  # its descriptor is free
-    got = b""
-    while len(got) < len(answer):
-        got += proxy.until(lambda: received(slow), "the rest of the answer did not come")
-    assert got == answer
+    proxy.until(lambda: not connections(proxy))  # The descriptor is free then.
+    response = b""
+    while len(response) < len(answer):
+        response += proxy.until(lambda: receive_available(slow), "the rest of the answer did not come")
+    assert response == answer
     assert proxy.ended(slow) == b"END"
 
 
-def received(conn):
-    """What has come; raises where the connection was reset."""
+def receive_available(conn):
+    """Returns the bytes that have come; raises if the connection was reset."""
     try:
         return conn.recv(4096)
     except BlockingIOError:
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""What the log and the counters say of each close, retry, rejection and failure, and of a drain that ends."""
+"""The log lines and counters of closes, retries, rejections and failures, and of the end of a drain."""
 
 import pytest
 from rig import read, write
@@ -14,21 +14,21 @@
 HIT = b"VA 1 O%d\r\nx\r\n"
 
 
-def lines(proxy, kind):
-    """The texts of the log's lines of that kind."""
+def lines(proxy, source):
+    """Returns the texts of the log lines of that source."""
     logged = [line.split(" ", 2)[2] for line in proxy.log.getvalue().splitlines()]
-    return [line.partition(": ")[2] for line in logged if line.startswith(f"{kind}: ")]
+    return [line.partition(": ")[2] for line in logged if line.startswith(f"{source}: ")]
 
 
-def reasons(proxy, kind):
-    """The reasons of the closes of that kind."""
-    return [line.partition(": ")[2].split(",")[0] for line in lines(proxy, kind)]
+def reasons(proxy, source):
+    """Returns the reasons in the log lines of that source."""
+    return [line.partition(": ")[2].split(",")[0] for line in lines(proxy, source)]
 
 
 # Clients' connections -----------------------------------------------------------------------------
 
 
-def test_a_close_by_the_client_and_one_with_an_open_request_are_told_apart(rig):
+def test_a_close_by_the_client_has_another_reason_if_a_request_is_open(rig):
     proxy = rig()
     idle, waiting = proxy.client(b"mn\r\n"), proxy.client(read(1))
     proxy.got(proxy.nodes[0].take(), b"mg k1 ")
@@ -47,7 +47,7 @@
         (b"ms k1 x\r\n", 100, "malformed"),
     ],
 )
-def test_a_close_by_this_side_has_its_reason(rig, first_bytes, wait_ms, reason):
+def test_a_close_by_the_proxy_has_its_reason(rig, first_bytes, wait_ms, reason):
     proxy = rig()
     conn = proxy.client(first_bytes)
     proxy.skip(wait_ms)
@@ -59,19 +59,19 @@
 
 def test_closes_of_a_drain_are_logged_at_a_bounded_rate_and_all_counted():
     player = Player()
-    number = 4 * MAX_LINES_PER_SECOND
-    for place in range(1, number + 1):
-        player.play(f"client#{place} send mn\nclient#{place} expect MN")
+    client_count = 4 * MAX_LINES_PER_SECOND
+    for number in range(1, client_count + 1):
+        player.play(f"client#{number} send mn\nclient#{number} expect MN")
     player.service.drain()
     player.play("wait 450")
-    for place in range(1, number + 1):
-        player.play(f"client#{place} close orderly")
+    for number in range(1, client_count + 1):
+        player.play(f"client#{number} close orderly")
     assert len(lines(player, "close")) == MAX_LINES_PER_SECOND
     player.play("wait 5000")
-    assert f"client_close.drain={number}" in player.log.getvalue()
+    assert f"client_close.drain={client_count}" in player.log.getvalue()
 
 
-def test_at_the_end_of_a_drain_what_is_held_is_named(rig, monkeypatch):
+def test_at_the_end_of_a_drain_the_connections_that_are_held_are_logged(rig, monkeypatch):
     monkeypatch.setattr(ConnectionClosing, "advance", lambda closing, connection: None)
     monkeypatch.setattr(Dispatcher, "fail_all_open", lambda dispatcher: None)
     monkeypatch.setattr(Dispatcher, "answer_all_by", lambda dispatcher, when_ms: None)
@@ -79,8 +79,8 @@
     proxy.client(write(1, 9000) + write(2, 9000))
     proxy.got(proxy.origin.take(), b"PUT /k1 ")
     proxy.service.drain()
-    over_ms = proxy.service.serving.since_ms + DRAIN_REPORT_MS
-    while proxy.now() < over_ms - 100:
+    report_ms = proxy.service.serving.since_ms + DRAIN_REPORT_MS
+    while proxy.now() < report_ms - 100:
         proxy.skip(5)
     assert not lines(proxy, "held")
     proxy.skip(150)
@@ -90,7 +90,7 @@
     assert line.endswith("requests 1 2")
 
 
-def test_at_the_end_of_a_drain_that_was_taken_back_nothing_is_said(rig):
+def test_after_an_undrain_the_end_of_the_drain_is_not_logged(rig):
     proxy = rig()
     proxy.client()
     proxy.service.drain()
@@ -103,7 +103,9 @@
     assert lines(proxy, "held") == ["no connection of a client is held"]
 
 
-class Held:
+class HeldConnection:
+    """A connection that is held although the drain has ended."""
+
     peer = "127.0.0.9:1"
     age_ms = 1234.0
 
@@ -113,12 +115,12 @@
     def has_unread_bytes(self):
         return True
 
-    def __init__(self, ids):
-        self.open_request_ids = [f"r{number}" for number in range(ids)]
+    def __init__(self, request_count):
+        self.open_request_ids = [f"r{number}" for number in range(request_count)]
 
 
-def test_the_line_of_what_is_held_is_bounded():
-    connections = [Held(MAX_REQUEST_IDS + 2) for _ in range(MAX_CONNECTIONS + 3)]
+def test_the_log_line_of_held_connections_is_bounded():
+    connections = [HeldConnection(MAX_REQUEST_IDS + 2) for _ in range(MAX_CONNECTIONS + 3)]
     line = describe_held(connections)
     assert line.startswith(
         f"{len(connections)} connections of clients are held: 127.0.0.9:1, open for 1234 ms"
@@ -130,14 +132,14 @@
 # Nodes' connections -------------------------------------------------------------------------------
 
 
-def test_a_reset_by_a_node_names_the_requests_that_it_met_and_the_retry():
+def test_a_reset_by_a_node_is_logged_with_its_requests_and_the_retry():
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 *\ns1 close\nwait 20")
     assert lines(player, "node_close") == ["s1: reset, requests 1"]
     assert lines(player, "retry") == ["request 1: attempt 1 at s1, after reset"]
 
 
-def test_a_connection_that_is_given_up_names_its_request():
+def test_the_close_of_a_connection_whose_attempt_is_abandoned_is_logged_with_its_request():
     player = Player()
     player.play("client send ms k1 1 O7 Pc=order,t=acme,d=300|a\norigin expect PUT /k1*\nwait 400")
     assert lines(player, "node_close") == ["origin: given_up, requests 7"]
@@ -147,7 +149,7 @@
 # Requests -----------------------------------------------------------------------------------------
 
 
-def test_a_retry_names_its_request_and_why_a_fetch_after_a_miss_is_none():
+def test_a_retry_is_logged_with_its_request_and_reason_and_a_fetch_after_a_miss_is_no_retry():
     player = Player(nodes=2)
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900")
     owner = "s1" if player.next_asked("s1") else "s2"
@@ -163,7 +165,7 @@
     assert not lines(player, "retry")
 
 
-def test_a_rejection_for_want_of_descriptors_names_its_request(rig):
+def test_a_rejection_for_want_of_descriptors_is_logged(rig):
     proxy = rig(sockets=64)
     for number in range(40):
         proxy.client(write(number, 1900))
@@ -173,7 +175,7 @@
 # The process --------------------------------------------------------------------------------------
 
 
-def test_each_change_of_the_serving_state_is_a_line():
+def test_each_change_of_the_serving_state_is_logged():
     player = Player(operator=True)
     player.play("operator send PUT /drain\noperator#2 send PUT /drain\noperator#3 send PUT /undrain")
     player.play("proxy close\nproxy close")
@@ -187,18 +189,18 @@
 
 
 @pytest.mark.parametrize("operator", [True, False])
-def test_the_log_says_where_operators_are_answered_or_that_they_are_not(operator):
-    said = lines(Player(operator=operator), "operator")
-    where = "calls are answered at 127.0.0.1:11212"
-    assert said == [where if operator else "no address is configured, no call is answered"]
+def test_the_log_says_where_operators_calls_are_answered_or_that_none_is(operator):
+    logged = lines(Player(operator=operator), "operator")
+    address_line = "calls are answered at 127.0.0.1:11212"
+    assert logged == [address_line if operator else "no address is configured, no call is answered"]
 
 
-def test_an_operators_connection_without_a_call_is_told():
+def test_an_operators_connection_that_closes_without_a_call_is_logged():
     player = Player(operator=True)
     player.play("operator send GET /ready HTTP/1.1|Host: x\noperator#2 send GET /rea HTTP/1.1|Host: x")
     player.play("operator#2 close\nwait 5100")
-    said = lines(player, "operator")[1:]
-    assert said == [
+    logged = lines(player, "operator")[1:]
+    assert logged == [
         "a connection was closed without a call: by the caller",
         "a connection was closed without a call: it took too long",
     ]
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,8 +1,8 @@
-"""The decision on each connection of a process that drains or stops, against any behaviour of its client.
+"""The closing steps of a process that drains or stops, against any behaviour of a client.
 
-A small model stands for the connection: what its client sends, reads or leaves is drawn, what the proxy does
-is as in `ClientConnection`. From any state and whatever comes later, the end comes by its instant, and no
-request that was read goes unanswered.
+A small model stands for the connection. What its client and its node do is drawn at random; what the proxy
+does follows `ClientConnection`. From any state and whatever happens later, the connection is closed by its
+instant, and no request that was read goes unanswered.
 """
 
 import math
@@ -22,49 +22,50 @@
 from cloverwell.serving import DRAIN_SCHEDULE, NO_END, Serving, instants_of, shutdown_schedule
 
 TICK_MS = 20.0
-DRAIN_BOUND_MS = 4000.0  # the page's: at that time no connection is held
-PAGE_KILL_MS = 700.0  # the page's: behind the longest deadline, counted as 3 s at most
+DRAIN_BOUND_MS = 4000.0  # The specification: by this time after a drain begins, no connection is held.
+# The specification: a process is killed this long after the longest deadline, which counts as 3 s at most.
+KILL_DELAY_MS = 700.0
 
 EVENTS = ["request", "part", "rest", "malformed", "read", "stop_reading", "node_answers", "value", "nothing"]
 
 
 @dataclass
-class Connection:
-    """One connection, and the client behind it."""
+class ModelConnection:
+    """A model of one connection and of its client."""
 
     accepted_ms: float
     nothing_read: bool = True
-    unread: list[str] = field(default_factory=list)  # what the client has sent
+    unread: list[str] = field(default_factory=list)  # what the client has sent and the proxy has not read
     open_requests: int = 0
-    partial: bool = False
-    paused: bool = False
-    reads: bool = True
-    unsent: bool = False
+    has_partial_command: bool = False
+    is_paused: bool = False
+    client_reads: bool = True
+    has_unsent_response: bool = False
     streaming: bool = False
     half_closed_ms: float | None = None
     closed_ms: float | None = None
-    unanswered: int = 0  # requests that were read and whose connection was closed before an answer
+    unanswered: int = 0  # the requests that were read, and were open when the connection was closed
 
-    def state(self):
-        pending = self.open_requests > 0 or self.unsent or self.streaming
+    def closing_state(self):
+        pending = self.open_requests > 0 or self.has_unsent_response or self.streaming
         return ClosingState(
             accepted_ms=self.accepted_ms,
             nothing_read=self.nothing_read,
             responses_pending=pending,
             streaming=self.streaming,
-            partial_command=self.partial and not pending,
-            reading_paused=self.paused,
+            partial_command=self.has_partial_command and not pending,
+            reading_paused=self.is_paused,
             half_closed_ms=self.half_closed_ms,
         )
 
-    def client(self, event):
-        """What the client, or its node, does."""
+    def apply(self, event):
+        """Applies an event of the client or of its node."""
         if event in ("request", "part", "rest", "malformed"):
             self.unread.append(event)
         elif event == "read":
-            self.reads, self.unsent = True, False
+            self.client_reads, self.has_unsent_response = True, False
         elif event == "stop_reading":
-            self.reads = False
+            self.client_reads = False
         elif event == "node_answers":
             self._answer_all()
         elif event == "value" and self.open_requests:
@@ -74,25 +75,25 @@
     def _answer_all(self):
         if self.open_requests or self.streaming:
             self.open_requests, self.streaming = 0, False
-            self.unsent = not self.reads
+            self.has_unsent_response = not self.client_reads
 
-    def read_all(self, rejects):
-        """The loop's turn: what has come is read, unless our side is closed: then it is discarded."""
+    def read_all(self, rejects_requests):
+        """Reads what has come in one iteration of the loop, and discards it if the proxy's side is closed."""
         if self.half_closed_ms is not None:
             self.unread.clear()
             return
-        self.paused = False
+        self.is_paused = False
         for command in self.unread:
             self.nothing_read = False
             if command == "part":
-                self.partial = True
+                self.has_partial_command = True
             elif command == "malformed":
-                self.paused = True
-                self.unsent = not self.reads
-            elif command == "request" or self.partial:
-                self.partial = False
-                if rejects:
-                    self.unsent = not self.reads
+                self.is_paused = True
+                self.has_unsent_response = not self.client_reads
+            elif command == "request" or self.has_partial_command:
+                self.has_partial_command = False
+                if rejects_requests:
+                    self.has_unsent_response = not self.client_reads
                 else:
                     self.open_requests += 1
         self.unread.clear()
@@ -108,55 +109,55 @@
             ClosingStep.HALF_CLOSE,
         ):
             assert not self.open_requests
-            self.half_closed_ms, self.partial = now, False
+            self.half_closed_ms, self.has_partial_command = now, False
         elif step is ClosingStep.CLOSE:
             self.unanswered = self.open_requests
             self.closed_ms = now
 
 
-def play(connection, instants, events, until_ms, start_ms):
-    """Ticks until the time, one event before each; the last event goes on to the end."""
-    now, place = start_ms, 0
+def simulate(connection, instants, events, until_ms, start_ms):
+    """Runs ticks until the time, after a group of events each; the last group is repeated to the end."""
+    now, index = start_ms, 0
     while now < until_ms and connection.closed_ms is None:
-        for event in events[min(place, len(events) - 1)]:
-            connection.client(event)
-        place += 1
+        for event in events[min(index, len(events) - 1)]:
+            connection.apply(event)
+        index += 1
         connection.read_all(now >= instants.reject_ms)
         if now >= instants.answer_ms and connection.open_requests:
             connection._answer_all()
-        connection.carry_out(closing_step(connection.state(), instants, now), now)
+        connection.carry_out(closing_step(connection.closing_state(), instants, now), now)
         now += TICK_MS
 
 
-STEPS = st.lists(st.lists(st.sampled_from(EVENTS), max_size=3), min_size=1, max_size=40)
+EVENT_GROUPS = st.lists(st.lists(st.sampled_from(EVENTS), max_size=3), min_size=1, max_size=40)
 
 
 @given(
-    events=STEPS,
+    events=EVENT_GROUPS,
     start_ms=st.floats(0.0, 200.0),
-    values=st.booleans(),
+    has_values=st.booleans(),
     accepted_before_ms=st.floats(0.0, 5000.0),
 )
-def test_a_drained_process_holds_no_connection_at_its_bound(events, start_ms, values, accepted_before_ms):
-    # A long value whose client goes on reading it is the one thing that may go on, and has a bound too.
-    if not values:
+def test_a_drained_process_holds_no_connection_at_its_bound(events, start_ms, has_values, accepted_before_ms):
+    # Only a long value whose client goes on reading may be sent beyond the bound; it has a bound of its own.
+    if not has_values:
         events = [[event for event in group if event != "value"] for group in events]
-    connection = Connection(accepted_ms=start_ms - accepted_before_ms)
+    connection = ModelConnection(accepted_ms=start_ms - accepted_before_ms)
     instants = instants_of(DRAIN_SCHEDULE, start_ms)
-    play(connection, instants, events, start_ms + 60_000.0, start_ms)
+    simulate(connection, instants, events, start_ms + 60_000.0, start_ms)
     assert connection.closed_ms is not None
-    bound_ms = DRAIN_SCHEDULE.stream_ms + TICK_MS if values else DRAIN_BOUND_MS
+    bound_ms = DRAIN_SCHEDULE.stream_ms + TICK_MS if has_values else DRAIN_BOUND_MS
     assert connection.closed_ms <= start_ms + bound_ms
     assert not connection.unanswered
 
 
 @given(
-    events=STEPS,
+    events=EVENT_GROUPS,
     longest_ms=st.floats(100.0, 10_000.0),
     handed_over=st.booleans(),
     drained_before_ms=st.one_of(st.none(), st.floats(0.0, 4000.0)),
 )
-def test_a_stopping_process_has_closed_all_before_the_kill(
+def test_a_stopping_process_has_closed_all_connections_before_the_kill(
     events, longest_ms, handed_over, drained_before_ms
 ):
     serving = Serving()
@@ -164,35 +165,35 @@
     if drained_before_ms is not None:
         serving.drain(-drained_before_ms)
     serving.stop(0.0, longest_ms, handed_over)
-    connection = Connection(accepted_ms=-100.0)
-    play(connection, serving.instants, events, 60_000.0, 0.0)
+    connection = ModelConnection(accepted_ms=-100.0)
+    simulate(connection, serving.instants, events, 60_000.0, 0.0)
     assert connection.closed_ms is not None
-    assert connection.closed_ms < min(longest_ms, 3000.0) + PAGE_KILL_MS - TICK_MS
+    assert connection.closed_ms < min(longest_ms, 3000.0) + KILL_DELAY_MS - TICK_MS
     assert not connection.unanswered
     if drained_before_ms is not None and "value" not in {event for group in events for event in group}:
         assert connection.closed_ms + drained_before_ms <= max(DRAIN_BOUND_MS, drained_before_ms + TICK_MS)
 
 
-@given(accepted_ms=st.floats(0.0, 100_000.0), events=STEPS)
-def test_who_connects_late_in_a_drain_is_let_go_as_soon(accepted_ms, events):
+@given(accepted_ms=st.floats(0.0, 100_000.0), events=EVENT_GROUPS)
+def test_a_connection_accepted_late_in_a_drain_is_closed_as_soon(accepted_ms, events):
     events = [[event for event in group if event != "value"] for group in events]
     instants = instants_of(DRAIN_SCHEDULE, 0.0)
-    connection = Connection(accepted_ms=accepted_ms)
-    play(connection, instants, events, accepted_ms + 60_000.0, accepted_ms)
+    connection = ModelConnection(accepted_ms=accepted_ms)
+    simulate(connection, instants, events, accepted_ms + 60_000.0, accepted_ms)
     newcomer_ms = accepted_ms + DRAIN_SCHEDULE.newcomer_ms + TICK_MS
     assert connection.closed_ms <= max(DRAIN_BOUND_MS, newcomer_ms)
 
 
 @pytest.mark.parametrize("state", [ClosingState(0.0), ClosingState(0.0, half_closed_ms=1.0)])
 @pytest.mark.parametrize("now", [0.0, 1e9])
-def test_in_a_process_that_goes_on_nothing_is_closed(state, now):
+def test_a_process_that_goes_on_serving_closes_no_connection(state, now):
     assert closing_step(state, NO_END, now) is ClosingStep.KEEP
 
 
 @pytest.mark.parametrize(
     ("now", "wait_ms"), [(500.0, FIRST_REQUEST_WAIT_MS), (1500.0, LATE_FIRST_REQUEST_WAIT_MS)]
 )
-def test_a_new_connection_has_a_while_for_its_first_request(now, wait_ms):
+def test_a_new_connection_is_kept_for_its_first_request_for_a_while(now, wait_ms):
     instants = instants_of(DRAIN_SCHEDULE, 0.0)
     for age_ms, step in ((wait_ms - 1.0, ClosingStep.KEEP), (wait_ms, ClosingStep.HALF_CLOSE_IF_ALL_READ)):
         state = ClosingState(now - age_ms, nothing_read=True)
@@ -201,7 +202,7 @@
 
 
 @given(st.floats(0.0, 20_000.0), st.booleans(), st.booleans(), st.booleans())
-def test_behind_a_stall_nothing_is_closed_whatever_is_unread(now, pending, partial, paused):
+def test_after_a_stall_no_connection_is_closed_before_its_bytes_are_read(now, pending, partial, paused):
     instants = instants_of(DRAIN_SCHEDULE, 0.0)
     state = ClosingState(0.0, False, pending, False, partial, paused)
     step = closing_step(state, instants, now, after_stall=True)
@@ -209,7 +210,7 @@
 
 
 @given(st.floats(100.0, 10_000.0), st.booleans())
-def test_the_instants_of_a_schedule_come_in_their_order(longest_ms, handed_over):
+def test_the_instants_of_a_schedule_are_in_order(longest_ms, handed_over):
     for schedule in (DRAIN_SCHEDULE, shutdown_schedule(longest_ms, handed_over)):
         assert schedule.close_idle_ms < schedule.reject_ms <= schedule.close_mid_command_ms
         assert schedule.close_mid_command_ms < schedule.answer_ms <= schedule.end_ms <= schedule.release_ms
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Which clients' connections are kept: the policy by itself, and a whole proxy with many clients."""
+"""The choice of clients' connections to close, by the policy alone and by a proxy with many clients."""
 
 from collections import Counter
 
@@ -25,114 +25,120 @@
 
 
 class ConnectionPolicyMachine(RuleBasedStateMachine):
-    """Any order of events: the table has exactly the open connections, and none with a request is closed."""
+    """Any order of events: the policy knows exactly the open connections, and closes none with a request."""
 
     @initialize(max_clients=st.integers(4, 40), max_requesting=st.integers(2, 20))
     def start(self, max_clients, max_requesting):
         self.now = 1000.0
         self.policy = ClientConnectionPolicy(max_clients, max_requesting, self.now)
-        self.model: dict[int, ClientStage] = {}
-        self.since: dict[int, float] = {}
-        self.count = 0
+        self.stages: dict[int, ClientStage] = {}
+        self.since_ms: dict[int, float] = {}
+        self.opened_count = 0
 
-    def pick(self, data, *stages):
-        return data.draw(st.sampled_from([client for client, stage in self.model.items() if stage in stages]))
+    def draw_client(self, data, *allowed_stages):
+        return data.draw(
+            st.sampled_from([client for client, stage in self.stages.items() if stage in allowed_stages])
+        )
 
-    def put(self, client, stage):
-        self.model[client], self.since[client] = stage, self.now
+    def set_stage(self, client, stage):
+        self.stages[client], self.since_ms[client] = stage, self.now
 
     @rule(source=st.sampled_from("abc"))
-    def opens(self, source):
-        self.count += 1
-        self.policy.record_opened(self.count, self.now, source)
-        self.put(self.count, ClientStage.NEW)
+    def open_connection(self, source):
+        self.opened_count += 1
+        self.policy.record_opened(self.opened_count, self.now, source)
+        self.set_stage(self.opened_count, ClientStage.NEW)
 
     @precondition(
         lambda self: any(
-            s in (ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE) for s in self.model.values()
+            stage in (ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE)
+            for stage in self.stages.values()
         )
     )
     @rule(data=st.data())
-    def asks(self, data):
-        client = self.pick(data, ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE)
+    def start_request(self, data):
+        client = self.draw_client(data, ClientStage.NEW, ClientStage.PARTIAL_COMMAND, ClientStage.IDLE)
         self.policy.record_request_started(client, self.now)
-        self.put(client, ClientStage.ACTIVE)
+        self.set_stage(client, ClientStage.ACTIVE)
 
-    @precondition(lambda self: ClientStage.ACTIVE in self.model.values())
+    @precondition(lambda self: ClientStage.ACTIVE in self.stages.values())
     @rule(data=st.data(), partial=st.booleans())
-    def is_answered(self, data, partial):
-        client = self.pick(data, ClientStage.ACTIVE)
+    def answer_request(self, data, partial):
+        client = self.draw_client(data, ClientStage.ACTIVE)
         self.policy.record_no_open_request(client, self.now, partial)
-        self.put(client, ClientStage.PARTIAL_COMMAND if partial else ClientStage.IDLE)
+        self.set_stage(client, ClientStage.PARTIAL_COMMAND if partial else ClientStage.IDLE)
 
-    @precondition(lambda self: self.model)
+    @precondition(lambda self: self.stages)
     @rule(data=st.data())
-    def goes(self, data):
-        client = self.pick(data, *ClientStage)
+    def close_connection(self, data):
+        client = self.draw_client(data, *ClientStage)
         self.policy.record_closed(client)
-        del self.model[client]
+        del self.stages[client]
 
     @rule(ms=st.sampled_from([1.0, 30.0, 150.0, 700.0, 2500.0, 11_000.0]))
-    def time_passes(self, ms):
+    def let_time_pass(self, ms):
         self.now += ms
 
     def carry_out(self, closes, data):
         for close in closes:
-            stage = self.model[close.client]
-            assert stage is not ClientStage.ACTIVE, "named with a request in it"
+            stage = self.stages[close.client]
+            assert stage is not ClientStage.ACTIVE, "a connection with an open request is chosen"
             assert (close.reason is CloseReason.CLOSE_TIMEOUT) == (stage is ClientStage.CLOSING)
             if close.reason is CloseReason.CLOSE_TIMEOUT:
                 self.policy.record_closed(close.client)
-                del self.model[close.client]
+                del self.stages[close.client]
             elif data.draw(st.booleans()):
                 self.policy.record_closing(close.client, self.now)
-                self.put(close.client, ClientStage.CLOSING)
+                self.set_stage(close.client, ClientStage.CLOSING)
             else:
-                self.policy.record_close_failed(close.client, self.now)  # a request stands unread
+                self.policy.record_close_failed(close.client, self.now)  # a request is unread
         assert len({close.client for close in closes}) == len(closes)
 
     @rule(data=st.data())
     def sweep(self, data):
         closes = self.policy.choose_expired(self.now)
         for close in closes:
-            limit = {
+            timeout_ms = {
                 ClientStage.NEW: FIRST_REQUEST_TIMEOUT_MS,
                 ClientStage.PARTIAL_COMMAND: PARTIAL_COMMAND_TIMEOUT_MS,
                 ClientStage.IDLE: IDLE_TIMEOUT_MS,
                 ClientStage.CLOSING: CLOSE_TIMEOUT_MS,
             }
-            assert self.now - self.since[close.client] >= limit[self.model[close.client]]
+            assert self.now - self.since_ms[close.client] >= timeout_ms[self.stages[close.client]]
         self.carry_out(closes, data)
 
-    @rule(data=st.data(), wanted=st.integers(1, 10), room=st.integers(-1, 3))
-    def make_room(self, data, wanted, room):
-        closes = self.policy.choose_to_make_room(self.now, wanted, room)
+    @rule(data=st.data(), wanted=st.integers(1, 10), available=st.integers(-1, 3))
+    def make_room(self, data, wanted, available):
+        closes = self.policy.choose_to_make_room(self.now, wanted, available)
         assert len(closes) <= 2 * wanted
         for close in closes:
-            least = {ClientStage.NEW: MIN_FIRST_REQUEST_GRACE_MS, ClientStage.IDLE: RESPONSE_DELIVERY_MS}.get(
-                self.model[close.client], 0.0
+            min_age_ms = {
+                ClientStage.NEW: MIN_FIRST_REQUEST_GRACE_MS,
+                ClientStage.IDLE: RESPONSE_DELIVERY_MS,
+            }.get(self.stages[close.client], 0.0)
+            assert self.now - self.since_ms[close.client] >= min_age_ms, (
+                "a connection is chosen before its time"
             )
-            assert self.now - self.since[close.client] >= least, "named before its time"
         self.carry_out(closes, data)
 
     @rule(data=st.data())
-    def let_ask(self, data):
+    def admit_requests(self, data):
         closes = self.policy.choose_to_admit_requests(self.now)
-        assert all(self.model[close.client] is ClientStage.IDLE and not close.abort for close in closes)
+        assert all(self.stages[close.client] is ClientStage.IDLE and not close.abort for close in closes)
         self.carry_out(closes, data)
 
     @invariant()
-    def keeps_those_who_are_there(self):
+    def knows_exactly_the_open_connections(self):
         if not hasattr(self, "policy"):
             return
         policy = self.policy
-        assert len(policy) == len(self.model)
-        assert {client: policy.stage_of(client) for client in self.model} == self.model
-        assert policy.active_count == list(self.model.values()).count(ClientStage.ACTIVE)
+        assert len(policy) == len(self.stages)
+        assert {client: policy.stage_of(client) for client in self.stages} == self.stages
+        assert policy.active_count == list(self.stages.values()).count(ClientStage.ACTIVE)
         states = policy.states
-        lines = [states.new, states.partial, states.closing, *states.idle]
-        assert sum(map(len, lines)) + policy.active_count == len(self.model)
-        assert sum(states.new_by_source.values()) == list(self.model.values()).count(ClientStage.NEW)
+        stage_dicts = [states.new, states.partial, states.closing, *states.idle]
+        assert sum(map(len, stage_dicts)) + policy.active_count == len(self.stages)
+        assert sum(states.new_by_source.values()) == list(self.stages.values()).count(ClientStage.NEW)
         assert 1 <= policy.reserve_count(self.now) <= max(4, policy.max_clients)
 
 
@@ -142,19 +148,19 @@
 TestConnectionPolicy = ConnectionPolicyMachine.TestCase
 
 
-def test_the_source_that_holds_most_without_asking_gives_first():
+def test_the_source_with_the_most_silent_connections_loses_some_first():
     policy = ClientConnectionPolicy(40, 20, 0.0)
     for number in range(3):
         policy.record_opened(f"a{number}", float(number), "a")
     for number in range(9):
         policy.record_opened(f"b{number}", 10.0 + number, "b")
-    named = [close.client[0] for close in policy.choose_to_make_room(900.0, 4, 1)]
-    assert named == ["b"] * 8
+    sources = [close.client[0] for close in policy.choose_to_make_room(900.0, 4, 1)]
+    assert sources == ["b"] * 8
 
 
-def test_who_asks_once_and_stays_goes_before_who_asks_often():
+def test_a_client_with_one_request_is_closed_before_one_with_many():
     policy = ClientConnectionPolicy(40, 20, 0.0)
-    for number in range(200):  # those that ask once never come back here; the others always do
+    for number in range(200):  # these clients send one request each, and never another
         policy.record_opened(number, float(number), "")
         policy.record_request_started(number, float(number))
         policy.record_no_open_request(number, float(number), False)
@@ -170,7 +176,7 @@
     assert next(close.client for close in policy.choose_to_make_room(500.0, 1, 1)) == "once"
 
 
-def test_a_client_has_about_as_long_to_its_first_request_as_clients_need():
+def test_the_grace_for_the_first_request_follows_the_time_that_clients_need():
     policy = ClientConnectionPolicy(400, 100, 0.0)
     for number in range(300):
         policy.record_opened(number, 1000.0 * number, "")
@@ -182,74 +188,77 @@
     assert 80.0 < policy.first_request_grace_ms() <= MAX_FIRST_REQUEST_GRACE_MS
 
 
-def played(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
-    world = ProxyTestbed(nodes=14 if sockets == 256 else 4, sockets=sockets)
-    clients = Clients(world.net, world.listen, sockets // 3, stay=stay)
-    crowd = Silent(world.net, world.listen, silent) if silent else None
+def run_testbed(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
+    """Runs clients against a proxy in a simulated network, beside `silent` silent connections."""
+    testbed = ProxyTestbed(nodes=14 if sockets == 256 else 4, sockets=sockets)
+    clients = Clients(testbed.net, testbed.listen, sockets // 3, stay=stay)
+    silent_clients = Silent(testbed.net, testbed.listen, silent) if silent else None
     if often:
-        steady = Clients(world.net, world.listen, often)
+        steady = Clients(testbed.net, testbed.listen, often)
         steady.load(per_s, seconds)
     clients.load(per_s, seconds)
-    world.net.run_for(seconds + 2.0)
-    return world, clients, crowd
+    testbed.net.run_for(seconds + 2.0)
+    return testbed, clients, silent_clients
 
 
-def test_every_client_new_and_each_kept_for_ever():
-    # Before: each stood 1.9 s at the third of the descriptors that clients open, and 54% were shut out.
-    _, clients, _ = played(stay=True)
+def test_new_clients_that_all_keep_their_connection_are_served():
+    # The fault: each connection was kept for 1.9 s within the third of the descriptors that clients open, so
+    # that 54% of the clients could not connect.
+    _, clients, _ = run_testbed(stay=True)
     assert clients.share("served") > 0.99, clients.how
     assert clients.how["lost"] == 0
 
 
-def test_400_silent_connections_beside_busy_ones():
-    world, clients, crowd = played(stay=False, silent=400, seconds=6.0)
+def test_clients_are_served_beside_400_silent_connections():
+    testbed, clients, silent_clients = run_testbed(stay=False, silent=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
-    assert crowd.closed > 400  # each within its grace, so that the next is let in
-    assert "fault" not in world.log.getvalue()
+    assert silent_clients.closed > 400  # each after its grace, so that the next one is accepted
+    assert "fault" not in testbed.log.getvalue()
 
 
-def test_a_crowd_of_silent_ones_beside_clients_that_ask_once_and_stay():
-    world, clients, _ = played(stay=True, silent=400, seconds=6.0)
+def test_clients_that_send_one_request_and_stay_are_served_beside_400_silent_connections():
+    testbed, clients, _ = run_testbed(stay=True, silent=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
-    closed = Counter(world.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY))
+    closed = Counter(testbed.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY))
     assert closed["silent"] > closed["room"] > 0
 
 
-def test_the_survivor_of_a_restart_takes_all():
-    # Half of the proxies restart: those clients come over at once, each on a new connection.
-    world = ProxyTestbed(sockets=384)
-    clients = Clients(world.net, world.listen, 128, stay=True)
-    Silent(world.net, world.listen, 200)
+def test_a_proxy_serves_the_clients_of_others_that_restart():
+    # Half of the proxies restart: their clients connect to this one at once, each on a new connection.
+    testbed = ProxyTestbed(sockets=384)
+    clients = Clients(testbed.net, testbed.listen, 128, stay=True)
+    Silent(testbed.net, testbed.listen, 200)
     clients.load(140.0, 8.0)
-    world.net.run_for(4.0)
+    testbed.net.run_for(4.0)
     clients.load(140.0, 4.0)
-    world.net.run_for(6.0)
+    testbed.net.run_for(6.0)
     assert clients.share("served") > 0.98, clients.how
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_few_descriptors_and_a_crowd(sockets):
-    world, clients, _ = played(stay=True, silent=100, per_s=40.0, seconds=5.0, sockets=sockets)
+def test_clients_are_served_beside_silent_ones_with_few_descriptors(sockets):
+    testbed, clients, _ = run_testbed(stay=True, silent=100, per_s=40.0, seconds=5.0, sockets=sockets)
     assert clients.share("served") > 0.97, clients.how
-    held = world.service.budget.held
-    assert sum(held.values()) <= world.service.budget.total
+    held = testbed.service.budget.held
+    assert sum(held.values()) <= testbed.service.budget.total
 
 
 def test_requests_that_cross_a_close_are_not_lost():
-    # Our side is closed with the answer long out; what the client had sent by then must be read, not reset.
-    world = ProxyTestbed(sockets=64)
-    clients = Clients(world.net, world.listen, 21)
+    # The proxy closes its side when the last answer has long been sent. A request that the client had sent by
+    # then must be read, and not be lost to a reset.
+    testbed = ProxyTestbed(sockets=64)
+    clients = Clients(testbed.net, testbed.listen, 21)
     clients.load(300.0, 5.0)
-    world.net.run_for(7.0)
-    assert clients.how["lost"] <= world.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY).get(
+    testbed.net.run_for(7.0)
+    assert clients.how["lost"] <= testbed.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY).get(
         "room", 0
     )
     assert clients.how["failed"] == 0
 
 
-def test_a_slow_writer_goes_only_where_clients_have_no_place_left():
-    # Seen on a crowd day: 341 of 449 clients that wrote slowly were cut off at half a second, and silent ones
-    # stood beside them.
+def test_a_slow_writer_is_closed_only_if_other_clients_could_not_connect():
+    # The fault: of 449 clients that wrote slowly, 341 were disconnected after half a second, while silent
+    # connections were kept.
     policy = ClientConnectionPolicy(100, 30, 0.0)
     for client in ("slow", "silent"):
         policy.record_opened(client, 0.0)
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -1,4 +1,4 @@
-"""Idle clients take all descriptors while discovery is down: the rest of the proxy keeps what it needs."""
+"""Idle clients hold all descriptors that they may while discovery is down; the others stay available."""
 
 import contextlib
 import json
@@ -12,59 +12,59 @@
 from lab.processes import PATIENCE_S, CacheNodeHandler, CacheNodeServer, ProxyFixture, wait_for
 from lab.web import serving
 
-DESCRIPTORS = 64  # the fewest that a site may allow
-RESERVED = 12  # of them: for the watch, an operator's call, and ten for cache nodes and the origin
-FULL = "fill their part"  # the log's word once clients hold all descriptors that they may
+DESCRIPTORS = 64  # the smallest limit of descriptors that the proxy may be given
+RESERVED = 12  # the descriptors for the watch, an operator's call, and ten for cache nodes and the origin
+FULL = "fill their part"  # a part of the log line that says that clients hold all descriptors that they may
 READ = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
 WRITE = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
-# What idle clients send before they are silent: nothing, a partial command, a question that is answered.
+# The bytes that idle clients send before they are silent: none, a partial command, or a probe.
 FIRST_BYTES = {"silent": [b""], "mixed": [b"", b"mg k v O1 P", b"mn\r\n"]}
 
 
 class IdleClients:
-    """Twice as many idle connections as the proxy has descriptors; each that is closed is opened again."""
+    """A thread that keeps `number` idle connections, and opens a new one for each that is closed."""
 
     def __init__(self, address, number, first_bytes):
         self.address = address
         self.first_bytes = first_bytes
         self.number = number
-        self.going = True
-        self.thread = threading.Thread(target=self._stay)
+        self.is_running = True
+        self.thread = threading.Thread(target=self._run)
         self.thread.start()
 
-    def _open(self, selector, place):
+    def _open(self, selector, index):
         conn = socket.socket()
         conn.setblocking(False)
         conn.connect_ex(self.address)
-        # What can't be sent yet is sent once it is connected.
-        selector.register(conn, selectors.EVENT_WRITE, self.first_bytes[place % len(self.first_bytes)])
+        # The first bytes are sent once the connection is established.
+        selector.register(conn, selectors.EVENT_WRITE, self.first_bytes[index % len(self.first_bytes)])
 
-    def _stay(self):
+    def _run(self):
         with selectors.DefaultSelector() as selector:
-            for place in range(self.number):
-                self._open(selector, place)
-            while self.going:
+            for index in range(self.number):
+                self._open(selector, index)
+            while self.is_running:
                 for key, _ in selector.select(0.02):
                     self._serve(selector, key)
             for key in list(selector.get_map().values()):
                 key.fileobj.close()
 
     def _serve(self, selector, key):
-        conn, first = key.fileobj, key.data
+        conn, first_bytes = key.fileobj, key.data
         with contextlib.suppress(OSError):
-            if first is not None:
-                conn.send(first) if first else conn.getpeername()
+            if first_bytes is not None:
+                conn.send(first_bytes) if first_bytes else conn.getpeername()
                 selector.modify(conn, selectors.EVENT_READ, None)
                 return
             if conn.recv(4096):
                 return
         selector.unregister(conn)
         conn.close()
-        if self.going:
+        if self.is_running:
             self._open(selector, hash(conn))
 
     def stop(self):
-        self.going = False
+        self.is_running = False
         self.thread.join()
 
 
@@ -73,12 +73,12 @@
     return f"{host}:{port}"
 
 
-def descriptors(process):
+def descriptor_count(process):
     return len(os.listdir(f"/proc/{process.popen.pid}/fd"))
 
 
-def ask(address, text):
-    """Answers to one request on a new connection; nothing where it was shut unread, as may be in a crowd."""
+def request_once(address, text):
+    """Returns the answer to one request on a new connection; nothing if it was closed before the request."""
     with contextlib.suppress(OSError), socket.create_connection(address, PATIENCE_S) as conn:
         conn.sendall(text)
         conn.settimeout(PATIENCE_S)
@@ -87,15 +87,15 @@
 
 
 @pytest.fixture
-def place(tmp_path):
-    made = ProxyFixture(tmp_path, sockets=DESCRIPTORS)
-    yield made
-    made.close()
+def proxy_files(tmp_path):
+    fixture = ProxyFixture(tmp_path, sockets=DESCRIPTORS)
+    yield fixture
+    fixture.close()
 
 
 @pytest.fixture
 def second_node():
-    """A cache node that only the restarted discovery lists."""
+    """Yields a cache node that only the restarted discovery lists."""
     node = CacheNodeServer(("127.0.0.1", 0), CacheNodeHandler)
     node.value = b"of-the-second"
     threading.Thread(target=node.serve_forever, daemon=True).start()
@@ -105,40 +105,40 @@
 
 
 class BusyProxy:
-    """A proxy whose descriptors are taken by idle clients."""
+    """A proxy whose descriptors are held by idle clients."""
 
-    def __init__(self, place, first_bytes):
-        self.config = json.loads(place.config.read_text())
-        self.listen = place.listen
-        self.process = place.start().ready()
+    def __init__(self, proxy_files, first_bytes):
+        self.config = json.loads(proxy_files.config.read_text())
+        self.listen = proxy_files.listen
+        self.process = proxy_files.start().ready()
         self.descriptor_counts = []
-        self.clients = IdleClients(place.listen, 2 * DESCRIPTORS, first_bytes)
-        self._requests = 0
+        self.clients = IdleClients(proxy_files.listen, 2 * DESCRIPTORS, first_bytes)
+        self._request_count = 0
 
     def count_descriptors(self):
-        self.descriptor_counts.append(descriptors(self.process))
+        self.descriptor_counts.append(descriptor_count(self.process))
 
-    def failed_calls(self):
-        """The calls to discovery that have failed so far."""
+    def failed_call_count(self):
+        """Returns how many calls to discovery have failed so far."""
         self.count_descriptors()
         return self.process.log.read_text().count("call failed")
 
     def served(self, request, expected):
-        """Whether a request on a new connection gets the expected response."""
+        """Returns whether a request on a new connection gets the expected response."""
         self.count_descriptors()
-        self._requests += 1
-        return expected in ask(self.listen, request % self._requests)
+        self._request_count += 1
+        return expected in request_once(self.listen, request % self._request_count)
 
 
 @pytest.fixture(params=FIRST_BYTES)
-def proxy(request, place):
-    made = BusyProxy(place, FIRST_BYTES[request.param])
-    yield made
-    made.clients.stop()
+def proxy(request, proxy_files):
+    busy_proxy = BusyProxy(proxy_files, FIRST_BYTES[request.param])
+    yield busy_proxy
+    busy_proxy.clients.stop()
 
 
 def restarted_discovery(config, node, origin):
-    """Discovery at its configured address; the node listed before is terminating."""
+    """Starts discovery at its configured address, where the node listed before is terminating."""
     host, port = config["discovery"].split(":")
     first_address = config["known"]["members"][0]["host_port"]
     return serving(
@@ -151,12 +151,14 @@
     )
 
 
-def test_the_watch_reopens_and_requests_are_served_while_idle_clients_hold_all_places(proxy, second_node):
-    # Full, and calls to discovery made and failed while it is.
+def test_the_watch_reopens_and_requests_are_served_while_idle_clients_hold_all_their_descriptors(
+    proxy, second_node
+):
+    # Calls to discovery must be made, and fail, while clients hold all descriptors that they may.
     proxy.process.wait_for_log(FULL)
-    before = proxy.failed_calls()
-    wait_for(lambda: proxy.failed_calls() >= before + 2, "two more failed calls")
-    assert max(proxy.descriptor_counts) <= DESCRIPTORS - RESERVED, "idle clients have what the others need"
+    failed_before = proxy.failed_call_count()
+    wait_for(lambda: proxy.failed_call_count() >= failed_before + 2, "two more failed calls")
+    assert max(proxy.descriptor_counts) <= DESCRIPTORS - RESERVED, "idle clients hold reserved descriptors"
     assert proxy.process.call("GET", "/ready") == 200
     with (
         serving(("127.0.0.1", 0)) as origin,
--- a/tests/test_idle_limits.py
+++ b/tests/test_idle_limits.py
@@ -1,4 +1,4 @@
-"""The idle time after which nodes close connections, learnt from how attempts end."""
+"""The idle time after which nodes close connections, as it is learnt from the outcomes of attempts."""
 
 from random import Random
 
@@ -16,49 +16,51 @@
 
 
 @pytest.mark.parametrize("limit_ms", [100, 460, 2200, 20_500])
-@pytest.mark.parametrize("resets", [0.0, 0.08])
-def test_the_limit_is_found_among_resets_that_befall_all_ages(limit_ms, resets):
-    rng, ages, now = Random(limit_ms), IdleAgeHistogram(0.0), 0.0
+@pytest.mark.parametrize("reset_share", [0.0, 0.08])
+def test_the_limit_is_found_among_resets_at_all_ages(limit_ms, reset_share):
+    rng, histogram, now = Random(limit_ms), IdleAgeHistogram(0.0), 0.0
     for _ in range(1200):
         now += 10.0
-        age = rng.choice(BUCKET_EDGES_MS[: bucket_index(limit_ms) + 4]) + 1.0
-        stale = rng.random() < (0.5 if age >= limit_ms else resets)
-        ages.learn(age, IdleEvidence.RESET if stale else IdleEvidence.ANSWERED, now)
-    assert limit_ms * 0.5 <= ages.limit_ms <= limit_ms * 1.6
+        age_ms = rng.choice(BUCKET_EDGES_MS[: bucket_index(limit_ms) + 4]) + 1.0
+        stale = rng.random() < (0.5 if age_ms >= limit_ms else reset_share)
+        histogram.learn(age_ms, IdleEvidence.RESET if stale else IdleEvidence.ANSWERED, now)
+    assert limit_ms * 0.5 <= histogram.limit_ms <= limit_ms * 1.6
 
 
-def test_resets_at_all_ages_alike_set_no_limit():
-    rng, ages = Random(4), IdleAgeHistogram(0.0)
+def test_resets_that_are_as_frequent_at_all_ages_set_no_limit():
+    rng, histogram = Random(4), IdleAgeHistogram(0.0)
     for step in range(2000):
-        age = rng.choice(BUCKET_EDGES_MS[:24]) + 1.0
-        ages.learn(age, IdleEvidence.RESET if rng.random() < 0.08 else IdleEvidence.ANSWERED, 10.0 * step)
-    assert ages.limit_ms == float("inf")
+        age_ms = rng.choice(BUCKET_EDGES_MS[:24]) + 1.0
+        histogram.learn(
+            age_ms, IdleEvidence.RESET if rng.random() < 0.08 else IdleEvidence.ANSWERED, 10.0 * step
+        )
+    assert histogram.limit_ms == float("inf")
 
 
-def test_evidence_is_forgotten_and_the_same_limit_found_again_is_kept_longer():
-    def found(now):
+def test_evidence_decays_and_more_slowly_once_the_same_limit_is_found_again():
+    def learn_limit(now):
         for _ in range(8):
-            ages.learn(20.0, IdleEvidence.ANSWERED, now)
-            ages.learn(700.0, IdleEvidence.RESET, now)
+            histogram.learn(20.0, IdleEvidence.ANSWERED, now)
+            histogram.learn(700.0, IdleEvidence.RESET, now)
 
-    def forgotten_after(now):
-        start = now
-        while ages.limit_ms < float("inf"):
+    def time_until_forgotten(now):
+        start_ms = now
+        while histogram.limit_ms < float("inf"):
             now += 1000.0
-            ages.decay(now)
-        return now - start
+            histogram.decay(now)
+        return now - start_ms
 
-    ages = IdleAgeHistogram(0.0)
-    found(0.0)
-    assert ages.limit_ms == 580.0
-    first = forgotten_after(0.0)
-    found(first)
-    assert forgotten_after(first) > 1.5 * first
+    histogram = IdleAgeHistogram(0.0)
+    learn_limit(0.0)
+    assert histogram.limit_ms == 580.0
+    first_ms = time_until_forgotten(0.0)
+    learn_limit(first_ms)
+    assert time_until_forgotten(first_ms) > 1.5 * first_ms
 
 
 @given(st.floats(0.0, 200_000.0))
-def test_an_age_stands_in_the_step_that_holds_it(age):
-    place = bucket_index(age)
-    assert BUCKET_EDGES_MS[place] <= age
-    assert place == len(BUCKET_EDGES_MS) - 1 or age < BUCKET_EDGES_MS[place + 1]
+def test_an_age_falls_into_the_bucket_whose_edges_enclose_it(age_ms):
+    index = bucket_index(age_ms)
+    assert BUCKET_EDGES_MS[index] <= age_ms
+    assert index == len(BUCKET_EDGES_MS) - 1 or age_ms < BUCKET_EDGES_MS[index + 1]
     assert 0.0 < LIMIT_MARGIN < 1.0
