--- a/cloverwell/connections/budget.py
+++ b/cloverwell/connections/budget.py
@@ -26,7 +26,7 @@
 
 
 def opposite(side: DescriptorSide) -> DescriptorSide:
-    """Return the other one of the two sides."""
+    """Return the side other than `side`."""
     return DescriptorSide.NODES if side is DescriptorSide.CLIENTS else DescriptorSide.CLIENTS
 
 
--- a/cloverwell/connections/client_policy.py
+++ b/cloverwell/connections/client_policy.py
@@ -31,13 +31,13 @@
 PARTIAL_COMMAND_TIMEOUT_MS = 2400.0  # A client may take 2 s for a command, and must get an error within 3 s.
 IDLE_TIMEOUT_MS = 10_000.0
 CLOSE_TIMEOUT_MS = 1000.0  # the time that a client has to close its side once the proxy's side is closed
-CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # the same while no descriptor is available
+CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # that time while no descriptor is available
 
 # Ages below which a connection is never closed to make room.
 MIN_FIRST_REQUEST_GRACE_MS = 40.0
 MAX_FIRST_REQUEST_GRACE_MS = 400.0
-INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # the grace before any first request has been observed
-GRACE_FACTOR = 3.0  # the grace as a multiple of the time in which nearly all clients send their first request
+INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # the grace until the first requests have been observed
+GRACE_FACTOR = 3.0  # the grace, in times that nearly all clients need at most for their first request
 PARTIAL_COMMAND_GRACE_MS = 500.0
 RESPONSE_DELIVERY_MS = 20.0  # the time for which a response may still be on its way to its client
 
--- a/cloverwell/connections/client_states.py
+++ b/cloverwell/connections/client_states.py
@@ -11,7 +11,7 @@
 
 ClientT = TypeVar("ClientT", bound=Hashable)
 
-IDLE_GROUPS = 3  # the number of results of `idle_group`
+IDLE_GROUPS = 3  # the number of groups that `idle_group` tells apart
 
 
 class ClientStage(Enum):
--- a/cloverwell/connections/closing.py
+++ b/cloverwell/connections/closing.py
@@ -16,8 +16,8 @@
 # How long a new connection is kept open for its first request. If the proxy closed its side while the request
 # is on its way, the request would be read but get no answer.
 FIRST_REQUEST_WAIT_MS = 250.0
-# The same wait once new requests are rejected. It is shorter, since by then whoever directs clients to this
-# process has been told that it ends.
+# The wait for a first request once new requests are rejected. It is shorter, since by then whoever directs
+# clients to this process has been told that it ends.
 LATE_FIRST_REQUEST_WAIT_MS = 50.0
 
 
@@ -74,7 +74,7 @@
 def _due_step(state: ClosingState, instants: EndInstants, now: float) -> ClosingStep:
     if now < instants.close_idle_ms:
         return ClosingStep.KEEP
-    if now >= _release_by_ms(state, instants):
+    if now >= _close_by_ms(state, instants):
         return ClosingStep.CLOSE
     if state.half_closed_ms is not None:
         return ClosingStep.CLOSE if now - state.half_closed_ms >= instants.linger_ms else ClosingStep.KEEP
@@ -91,7 +91,7 @@
     return ClosingStep.KEEP
 
 
-def _release_by_ms(state: ClosingState, instants: EndInstants) -> float:
+def _close_by_ms(state: ClosingState, instants: EndInstants) -> float:
     """Return the time by which the connection is closed on both sides, whatever its client does."""
     if state.streaming:
         return instants.stream_ms
--- a/cloverwell/connections/concurrency_forecast.py
+++ b/cloverwell/connections/concurrency_forecast.py
@@ -11,7 +11,7 @@
 WINDOW_MS = 250.0
 PEAK_WEIGHT = 0.15  # the weight of the last window's peak in the running means
 DEVIATION_MARGIN = 1.5  # how many mean deviations the forecast lies above the mean peak
-MAX_IDLE_WINDOWS = 40  # the most windows without an attempt that are counted after the fact
+MAX_IDLE_WINDOWS = 40  # the most windows without an attempt that one update adds to the means
 
 
 @dataclass(slots=True)
--- a/cloverwell/connections/connection_loss.py
+++ b/cloverwell/connections/connection_loss.py
@@ -14,7 +14,7 @@
     since_write_ms: float  # the time since the last bytes of that attempt were written
     answer_begun: bool  # whether a part of the answer had come
     last_byte_unsent: bool  # whether the last byte of an attempt was held back: that attempt has not run
-    by_reset: bool  # whether the node reset the connection in answer to a write; False: it closed it
+    by_reset: bool  # whether the node reset the connection, which answers a write; False: closed it
     had_served: bool  # whether an attempt had ended on the connection before
 
     @property
--- a/cloverwell/connections/idle_limits.py
+++ b/cloverwell/connections/idle_limits.py
@@ -38,16 +38,16 @@
 # connection, all attempts on it are lost.
 MIN_JUMP, MIN_JUMP_SILENT = 0.25, 0.6
 SILENT_SHARE = 0.5  # the share of silent connections among the stale ones that counts as most of them
-PRIOR_RESETS, PRIOR_ATTEMPTS = 1.0, 30.0  # the evidence that is assumed at ages below the limit
+PRIOR_RESETS, PRIOR_ATTEMPTS = 1.0, 30.0  # the losses and attempts at young ages that are assumed at first
 MIN_HALF_LIFE_MS, MAX_HALF_LIFE_MS = 30_000.0, 960_000.0  # the limits of the half-life of the evidence
 STEPS_PER_HALF_LIFE = 8.0  # the number of steps in which evidence decays during one half-life
-MIN_PROOF = 4.0  # the answered attempts at an idle age or above which prove that connections live so long
+MIN_PROOF = 4.0  # how many answered attempts at an idle age or above prove that connections live so long
 DOUBT_FACTOR = 0.2  # the share of the proof of an age that remains after an unexpected loss at that age
 TYPE_WEIGHT = 0.25  # the weight of an attempt at another node of the type in the proof for a node
 # Connections are retired at this share of the limit, which may lie anywhere in its bucket and is not the same
 # for each connection.
 LIMIT_MARGIN = 0.85
-MIN_SEEN = 0.5  # the least decayed count that still stands for one lost connection
+MIN_LOSS_COUNT = 0.5  # the least decayed count of losses that still counts as a loss
 
 
 class IdleEvidence(Enum):
@@ -150,7 +150,7 @@
 
     def has_loss_up_to(self, age_ms: float) -> bool:
         """Tells whether an attempt was lost lately on a connection of that age or below."""
-        return sum(self._stale[: bucket_index(age_ms) + 1]) >= MIN_SEEN
+        return sum(self._stale[: bucket_index(age_ms) + 1]) >= MIN_LOSS_COUNT
 
     def _find_limit(self) -> None:
         """Sets the limit to the edge at which a jump explains the losses best, or to none."""
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -29,8 +29,8 @@
 from cloverwell.connections.node_type import SILENT_SHARE, NodeTypeStatistics
 from cloverwell.connections.round_trip import RoundTripEstimate
 
-MIN_HOLD_BACK_MS, MAX_HOLD_BACK_MS = 4.0, 45.0  # the limits of the time for which a last byte is held back
-HOLD_BACK_FACTOR = 1.25  # that time as a multiple of the longest that resets have lately taken to arrive
+MIN_HOLD_BACK_MS, MAX_HOLD_BACK_MS = 4.0, 45.0  # limits of the time for which a last byte is held back
+HOLD_BACK_FACTOR = 1.25  # a last byte is held back for this multiple of the longest recent reset time
 YOUNG_MS = 50.0  # a connection that was idle for less counts as open, unless resets show otherwise
 COSTLY_PROOF_FACTOR = 4.0  # how many times the usual proof of an age is needed for a costly attempt
 COSTLY_CONNECT_MS = 3.0  # connections with faster handshakes are not worth opening ahead
@@ -174,11 +174,11 @@
         statistics.record_loss(loss.since_write_ms, loss.by_reset)
         if loss.idle_age_ms is None:
             return
-        unexpected = statistics.resets_are_rare
+        is_unexpected = statistics.resets_are_rare
         were_silent = statistics.losses_are_silent
         statistics.record_stale()
         self._report_limits_if(statistics.losses_are_silent != were_silent)
-        evidence = IdleEvidence.UNEXPECTED_RESET if unexpected else IdleEvidence.RESET
+        evidence = IdleEvidence.UNEXPECTED_RESET if is_unexpected else IdleEvidence.RESET
         self.idle_limits.learn(node, entry.node_type, loss.idle_age_ms, evidence, now)
 
     def record_silence(self, node: str, idle_age_ms: float | None, elapsed_ms: float, now: float) -> None:
@@ -194,7 +194,7 @@
             return
         statistics = self._types[entry.node_type]
         were_silent = statistics.losses_are_silent
-        statistics.record_silent()
+        statistics.record_silent_loss()
         self._report_limits_if(not were_silent)
         self.idle_limits.learn(node, entry.node_type, idle_age_ms, IdleEvidence.SILENT, now)
 
--- a/cloverwell/connections/node_type.py
+++ b/cloverwell/connections/node_type.py
@@ -51,20 +51,20 @@
         self.long_reset_share *= 1.0 - LONG_RESET_WEIGHT
         self.stale_share *= 1.0 - STALE_WEIGHT
 
-    def record_loss(self, after_ms: float, by_reset: bool) -> None:
-        """Records a connection that ended `after_ms` after the last bytes of an attempt."""
+    def record_loss(self, since_write_ms: float, by_reset: bool) -> None:
+        """Records a connection that ended `since_write_ms` after the last bytes of an attempt."""
         self.reset_share += RESET_WEIGHT * (1.0 - self.reset_share)
         self.long_reset_share += LONG_RESET_WEIGHT * (1.0 - self.long_reset_share)
         if by_reset:
-            decayed_ms = (1.0 - RESET_TIME_WEIGHT) * self.reset_ms + RESET_TIME_WEIGHT * after_ms
-            self.reset_ms = max(after_ms, decayed_ms)
+            decayed_ms = (1.0 - RESET_TIME_WEIGHT) * self.reset_ms + RESET_TIME_WEIGHT * since_write_ms
+            self.reset_ms = max(since_write_ms, decayed_ms)
 
     def record_stale(self) -> None:
         """Records that the connection of the last `record_loss` had stood idle before its attempt."""
         self.stale_share += STALE_WEIGHT * (1.0 - self.stale_share)
         self.silent_share *= 0.5
 
-    def record_silent(self) -> None:
-        """Records an attempt on an idle connection that was given up without any answer or reset."""
+    def record_silent_loss(self) -> None:
+        """Records an attempt on an idle connection that was abandoned without any answer or reset."""
         self.silent_share = 1.0
         self.long_reset_share += LONG_RESET_WEIGHT * (1.0 - self.long_reset_share)
--- a/cloverwell/connections/unsent_retry.py
+++ b/cloverwell/connections/unsent_retry.py
@@ -22,7 +22,7 @@
     has_attempt_in_flight: bool  # whether another attempt of the request is in flight
     may_have_run: bool  # whether an attempt may have run at a node
     is_rejected_or_failed: bool  # whether the balancer's decision is to reject or fail the request
-    is_ordered: bool  # whether requests with this key are sent in order: later ones would overtake it
+    is_ordered: bool  # whether requests with its key keep their order: later ones would overtake it
     answer_by_ms: float  # when the client must have its answer
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -188,13 +188,13 @@
     assert 80.0 < policy.first_request_grace_ms() <= MAX_FIRST_REQUEST_GRACE_MS
 
 
-def run_testbed(stay, silent=0, often=0, per_s=140.0, seconds=10.0, sockets=384):
-    """Runs clients against a proxy in a simulated network, beside `silent` silent connections."""
+def run_testbed(stay, silent_count=0, steady_count=0, per_s=140.0, seconds=10.0, sockets=384):
+    """Runs clients against a proxy in a simulated network, beside `silent_count` silent connections."""
     testbed = ProxyTestbed(nodes=14 if sockets == 256 else 4, sockets=sockets)
     clients = Clients(testbed.net, testbed.listen, sockets // 3, stay=stay)
-    silent_clients = Silent(testbed.net, testbed.listen, silent) if silent else None
-    if often:
-        steady = Clients(testbed.net, testbed.listen, often)
+    silent_clients = Silent(testbed.net, testbed.listen, silent_count) if silent_count else None
+    if steady_count:
+        steady = Clients(testbed.net, testbed.listen, steady_count)
         steady.load(per_s, seconds)
     clients.load(per_s, seconds)
     testbed.net.run_for(seconds + 2.0)
@@ -210,14 +210,14 @@
 
 
 def test_clients_are_served_beside_400_silent_connections():
-    testbed, clients, silent_clients = run_testbed(stay=False, silent=400, seconds=6.0)
+    testbed, clients, silent_clients = run_testbed(stay=False, silent_count=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
     assert silent_clients.closed > 400  # each after its grace, so that the next one is accepted
     assert "fault" not in testbed.log.getvalue()
 
 
 def test_clients_that_send_one_request_and_stay_are_served_beside_400_silent_connections():
-    testbed, clients, _ = run_testbed(stay=True, silent=400, seconds=6.0)
+    testbed, clients, _ = run_testbed(stay=True, silent_count=400, seconds=6.0)
     assert clients.share("served") > 0.99, clients.how
     closed = Counter(testbed.service.metrics.counts_by_name(ConnectionEvent.CLOSED_BY_PROXY))
     assert closed["silent"] > closed["room"] > 0
@@ -237,7 +237,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 256])
 def test_clients_are_served_beside_silent_ones_with_few_descriptors(sockets):
-    testbed, clients, _ = run_testbed(stay=True, silent=100, per_s=40.0, seconds=5.0, sockets=sockets)
+    testbed, clients, _ = run_testbed(stay=True, silent_count=100, per_s=40.0, seconds=5.0, sockets=sockets)
     assert clients.share("served") > 0.97, clients.how
     held = testbed.service.budget.held
     assert sum(held.values()) <= testbed.service.budget.total
--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -1,4 +1,4 @@
-"""Idle clients hold all descriptors that they may while discovery is down; the others stay available."""
+"""Idle clients hold all descriptors that they may while discovery is down; the reserved ones stay free."""
 
 import contextlib
 import json
@@ -14,7 +14,7 @@
 
 DESCRIPTORS = 64  # the smallest limit of descriptors that the proxy may be given
 RESERVED = 12  # the descriptors for the watch, an operator's call, and ten for cache nodes and the origin
-FULL = "fill their part"  # a part of the log line that says that clients hold all descriptors that they may
+FULL_LOG_TEXT = "fill their part"  # in the log line that says that clients hold all descriptors that they may
 READ = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
 WRITE = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
 # The bytes that idle clients send before they are silent: none, a partial command, or a probe.
@@ -138,7 +138,7 @@
 
 
 def restarted_discovery(config, node, origin):
-    """Starts discovery at its configured address, where the node listed before is terminating."""
+    """Returns a context manager that serves discovery; the node listed before is terminating."""
     host, port = config["discovery"].split(":")
     first_address = config["known"]["members"][0]["host_port"]
     return serving(
@@ -155,7 +155,7 @@
     proxy, second_node
 ):
     # Calls to discovery must be made, and fail, while clients hold all descriptors that they may.
-    proxy.process.wait_for_log(FULL)
+    proxy.process.wait_for_log(FULL_LOG_TEXT)
     failed_before = proxy.failed_call_count()
     wait_for(lambda: proxy.failed_call_count() >= failed_before + 2, "two more failed calls")
     assert max(proxy.descriptor_counts) <= DESCRIPTORS - RESERVED, "idle clients hold reserved descriptors"
