--- a/tests/test_bounded_waits.py
+++ b/tests/test_bounded_waits.py
@@ -70,7 +70,7 @@
     assert "broken_value" in proxy.log.getvalue()
 
 
-def test_a_client_that_does_not_close_its_side_after_the_proxy_is_disconnected(rig):
+def test_a_client_that_keeps_its_side_open_after_the_proxy_closed_is_disconnected(rig):
     proxy = rig()
     conn = proxy.client(b"mn\r\n")
     assert run_until(proxy, lambda: not connections(proxy), proxy.now() + IDLE_TIMEOUT_MS + 2000.0)
