--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -95,7 +95,7 @@
     @rule(ms=st.sampled_from([1.0, 60.0, 960.0, 40_000.0]))
     def advance_time(self, ms):
         self.now += ms
-        self.policy.idle_limits.forget_old(self.now)
+        self.policy.idle_limits.decay_due(self.now)
 
     @rule(
         node=st.sampled_from("abcdef"),
