--- a/cloverwell/front/client_closer.py
+++ b/cloverwell/front/client_closer.py
@@ -66,4 +66,6 @@
         """Return whether the client may still read responses that were sent before the close."""
         if self._timer_wheel.now() - connection.write_closed_ms >= LAST_READ_TIMEOUT_MS:
             return False
-        return unacknowledged_bytes(connection.fileno()) > 1  # The close of the sending side itself counts as one byte.
+        return (
+            unacknowledged_bytes(connection.fileno()) > 1
+        )  # The close of the sending side itself counts as one byte.
--- a/tests/faulty_sockets.py
+++ b/tests/faulty_sockets.py
@@ -122,7 +122,9 @@
 
 def inject_accept_faults(port, calls=None, **accepted):
     """Replaces the port's listening socket by one with these faults, and returns it."""
-    port.socket._listening_socket = made = FaultyListeningSocket(port.socket._listening_socket, calls, **accepted)
+    port.socket._listening_socket = made = FaultyListeningSocket(
+        port.socket._listening_socket, calls, **accepted
+    )
     return made
 
 
