--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -125,7 +125,7 @@
     for number in range(CHANGES):
         endpoint.phase = "terminated" if number % 2 else "in_service"
         world.service.endpoint_discovery.apply(EndpointList(42 + number, False, [endpoint]))
-        world.service.dispatcher.settle()
+        world.service.dispatcher.carry_out_due_decisions()
     return 1000.0 * (time.process_time() - began_s) / CHANGES
 
 
--- a/benchmarks/long_values.py
+++ b/benchmarks/long_values.py
@@ -19,7 +19,7 @@
 
 from process_usage import rss_mb
 
-from cloverwell.streamed_value import LONGEST
+from cloverwell.streamed_value import MAX_STREAMED_VALUE_BYTES
 from lab.processes import ProxyFixture
 
 RECEIVE_BYTES = 16 * 1024
@@ -43,7 +43,10 @@
         client.settimeout(TIMEOUT_S)
         client.connect(address)
         client.sendall(b"mg k%d v O%d Pc=page,t=acme,d=2000\r\n" % (number, number))
-        received, wanted = 0, len(f"VA {LONGEST} O{number}\r\n") + LONGEST + 2
+        received, wanted = (
+            0,
+            len(f"VA {MAX_STREAMED_VALUE_BYTES} O{number}\r\n") + MAX_STREAMED_VALUE_BYTES + 2,
+        )
         while data := client.recv(RECEIVE_BYTES):
             received += len(data)
             if received == wanted:
@@ -56,7 +59,9 @@
     """Measures a proxy with that many readers; `memory_mb` is its memory limit."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        contextlib.closing(ProxyFixture(Path(folder), b"v" * LONGEST, 1024, memory_mb)) as place,
+        contextlib.closing(
+            ProxyFixture(Path(folder), b"v" * MAX_STREAMED_VALUE_BYTES, 1024, memory_mb)
+        ) as place,
     ):
         proxy = place.start().ready().popen
         before_mb = max_mb = rss_mb(proxy.pid)
--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -6,7 +6,7 @@
 from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
-from cloverwell.streamed_value import LONG, LONGEST
+from cloverwell.streamed_value import MAX_STREAMED_VALUE_BYTES, STREAMING_THRESHOLD_BYTES
 
 
 class CacheConnection(NodeConnection):
@@ -15,8 +15,8 @@
     def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the meta command of an attempt, with the propagated deadline in its `P` flag."""
         request = attempt.request
-        info = request.info_with(attempt.propagated_ms)
-        if not request.write:
+        info = request.info_with_deadline(attempt.propagated_ms)
+        if not request.is_write:
             return f"mg {request.key} v O{request.id} P{info}\r\n".encode()
         line = f"ms {request.key} {len(request.value)} O{request.id} P{info}\r\n"
         return line.encode() + request.value + b"\r\n"
@@ -27,10 +27,12 @@
             raise MalformedMessageError("an answer that no attempt waits for")
         words = line.split()
         match words[:1]:
-            case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
+            case [b"VA"] if (
+                len(words) >= 3 and words[1].isdigit() and int(words[1]) <= MAX_STREAMED_VALUE_BYTES
+            ):
                 self._check(words[2:], write=False)
                 length = int(words[1])
-                if length > LONG:
+                if length > STREAMING_THRESHOLD_BYTES:
                     self.begin_stream(length)
                 else:
                     self.expect_value(length + len(self.delimiter))
@@ -53,7 +55,7 @@
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value, and awaits the line end behind the last one."""
         super().pieceReceived(data)
-        if self.stream is not None and not self.stream.left:
+        if self.stream is not None and not self.stream.remaining_bytes:
             self.expect_value(len(self.delimiter))
 
     def valueReceived(self, data: bytes) -> None:
@@ -71,5 +73,5 @@
         request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
             raise MalformedMessageError("an answer under another id")
-        if write not in (None, request.write):
+        if write not in (None, request.is_write):
             raise MalformedMessageError("an answer of another kind")
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -151,7 +151,7 @@
         now = self._pool.now()
         hold_ms = self._pool.hold_ms() if use is ConnectionUse.HOLD_LAST_BYTE else 0.0
         # The timer wheel rounds the wait up to its next tick.
-        left_ms = attempt.left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
+        left_ms = attempt.time_left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
         if left_ms < MIN_PROPAGATED_MS:
             return SendResult.LATE
         if not self.attempts and self._is_unusable():
@@ -173,7 +173,7 @@
 
     def _written(self, attempt: Attempt, before_ms: float) -> None:
         """Takes an attempt as in flight; `before_ms` is the clock before the write, which can stall."""
-        attempt.written_from_ms = before_ms
+        attempt.written_earliest_ms = before_ms
         attempt.written_ms = self._pool.now()
         self.attempts.append(attempt)
 
@@ -276,28 +276,28 @@
         self.expect_pieces(length)
         self.hold()  # until its turn has come at the client
         attempt.end(AttemptOutcome.SERVED, stream)
-        if not stream.wanted:  # too late, or its client has disconnected
-            stream.drop()
+        if not stream.has_sink:  # too late, or its client has disconnected
+            stream.cancel()
 
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value."""
         self.stream_data_ms = self._pool.now()
         assert self.stream is not None  # pieces are expected only for one
-        self.stream.piece(data)
+        self.stream.receive(data)
 
     def end_stream(self, named: bool = True) -> None:
         """Completes a long value, all of which has come and whose end is sound."""
         stream, self.stream = self.stream, None
         assert stream is not None
         del self.transport.bufferSize  # the class has its own
-        stream.whole()
+        stream.complete()
         if not self.ended:
             self._answer_ended(named)
 
     def _break_stream(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.broken()
+            stream.abort()
 
     # The end --------------------------------------------------------------------------------------
 
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -105,7 +105,7 @@
         self._context.metrics.add(ConnectionEvent.CONNECT_NOT_BEGUN, self._pool.node)
         now = self._wheel.now()
         if self._retry.record_fault(fault):
-            self._wheel.not_before(now + CONNECT_RETRY_MS, self._try_again)
+            self._wheel.call_not_before(now + CONNECT_RETRY_MS, self._try_again)
         self._pool.open_not_started(now)
 
     def _try_again(self) -> None:
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -12,7 +12,7 @@
 from cloverwell.connections.close_reason import NodeCloseReason
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
-from cloverwell.streamed_value import LONG, LONGEST
+from cloverwell.streamed_value import MAX_STREAMED_VALUE_BYTES, STREAMING_THRESHOLD_BYTES
 
 RECEIPT = re.compile(rb"[!-~]{1,250}")  # it becomes a flag of the client's answer, so one word
 
@@ -30,9 +30,9 @@
         request = attempt.request
         headers = {
             "Request-Id": request.id,
-            "Request-Info": request.info_with(attempt.propagated_ms),
+            "Request-Info": request.info_with_deadline(attempt.propagated_ms),
         }
-        method, body = ("PUT", request.value) if request.write else ("GET", None)
+        method, body = ("PUT", request.value) if request.is_write else ("GET", None)
         assert self._pool.address is not None  # it was opened to one
         host, port = self._pool.address
         return encode_request(method, "/" + quote(request.key), f"{host}:{port}", headers, body)
@@ -45,10 +45,10 @@
 
     def long_body(self, status: int, headers: dict[str, str], length: int) -> bool:
         """Begins a long value, and returns True, if the body is one."""
-        if status != 200 or not LONG < length <= LONGEST:
+        if status != 200 or not STREAMING_THRESHOLD_BYTES < length <= MAX_STREAMED_VALUE_BYTES:
             return False
         self._check(headers)
-        if self.attempts[0].request.write:
+        if self.attempts[0].request.is_write:
             return False
         self._close_after_answer = headers.get("connection", "").lower() == "close"
         self.begin_stream(length)
@@ -57,7 +57,7 @@
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value, and completes it with the last one."""
         super().pieceReceived(data)
-        if self.stream is not None and not self.stream.left:
+        if self.stream is not None and not self.stream.remaining_bytes:
             self._reset()
             self.end_stream(named=False)
 
@@ -75,7 +75,7 @@
 
     def _outcome(self, status: int, headers: dict[str, str], body: bytes) -> AttemptOutcome:
         if status == 200:
-            if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
+            if self.attempts[0].request.is_write and not RECEIPT.fullmatch(body):
                 # In the client's line it would be noise, or a second flag.
                 raise MalformedMessageError("not a receipt")
             return AttemptOutcome.SERVED
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -40,7 +40,7 @@
         self.address: tuple[str, int] | None = None
         self.log = context.log
         self.now = context.timer_wheel.now
-        self.later = context.timer_wheel.not_before
+        self.later = context.timer_wheel.call_not_before
         self.tick_ms = context.timer_wheel.granularity_ms
         self.connections: list[NodeConnection] = []
         self.left = False  # the endpoint list has the node no more
@@ -59,7 +59,7 @@
         """
         self._context.timer_wheel.check_after_stall()
         now = self.now()
-        if attempt.over or self.address is None:
+        if attempt.is_over or self.address is None:
             return True
         return now > attempt.write_by_ms or self._policy.is_past_grace(self.node, now)
 
@@ -78,7 +78,7 @@
     def reassign(self, attempt: Attempt) -> None:
         """Gives an attempt whose connection ended before its last byte to another connection."""
         attempt.reassignments += 1
-        if attempt.over:
+        if attempt.is_over:
             return
         if attempt.reassignments > MAX_REASSIGNMENTS or self.too_late(attempt):
             attempt.end(AttemptOutcome.NOT_CONNECTED)
@@ -104,7 +104,7 @@
     def _write(self, connection: NodeConnection, attempt: Attempt) -> SendResult:
         """Writes an attempt to a free connection, as the policy decides."""
         age_ms = connection.age_ms(self.now())
-        use = self._policy.choose_use(self.node, age_ms, attempt.costly)
+        use = self._policy.choose_use(self.node, age_ms, attempt.forbids_retry)
         if use is ConnectionUse.RETIRE:
             self.retire(connection)
             return SendResult.BROKEN
@@ -136,7 +136,7 @@
             and len(attempts) <= self._context.max_attempts_per_connection
             and connection.stream is None
             and not connection.has_partial_write
-            and not any(attempt.request.write for attempt in attempts)
+            and not any(attempt.request.is_write for attempt in attempts)
         )
 
     def _wait(self, attempt: Attempt) -> None:
@@ -156,7 +156,7 @@
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends an attempt with that outcome, whether it waits or is on a connection."""
-        if attempt.over:
+        if attempt.is_over:
             return
         if self._waiting.remove(attempt):
             # No byte of it was written: to cancel it, or time it out, leaves nothing that may have run.
@@ -183,7 +183,7 @@
         if self.forbids_concurrent_attempts and attempt.written_ms is not None:
             request = attempt.request
             closed_ms = self.now() + self._policy.close_delay_bound_ms(self.node)
-            request.next_attempt_from_ms = max(request.next_attempt_from_ms, closed_ms)
+            request.earliest_next_attempt_ms = max(request.earliest_next_attempt_ms, closed_ms)
         attempt.end(outcome)
 
     def answered(self, age_ms: float | None, first_byte_ms: float) -> None:
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -69,17 +69,17 @@
                 connection.framingLost("it stopped short")
             else:
                 self.partial_answers[connection] = checks + 1
-        self.timer_wheel.not_before(self.timer_wheel.now() + CHECK_MS, self._check_partial_answers)
+        self.timer_wheel.call_not_before(self.timer_wheel.now() + CHECK_MS, self._check_partial_answers)
 
     def _sweep(self) -> None:
         now = self.timer_wheel.now()
         if self.timer_wheel.just_stalled:  # nothing is too old before the data that came meanwhile is read
-            self.timer_wheel.at(now, self._sweep)
+            self.timer_wheel.call_by(now, self._sweep)
             return
         for pool in self._schedule.sweep(now):
             self._visit(pool, now)
         self.node_policy.idle_limits.forget_old(now)
-        self.timer_wheel.at(now + SWEEP_MS, self._sweep)
+        self.timer_wheel.call_by(now + SWEEP_MS, self._sweep)
 
     def _visit(self, pool: Pool, now: float) -> None:
         pool.sweep(now)
--- a/cloverwell/back/waiting_attempts.py
+++ b/cloverwell/back/waiting_attempts.py
@@ -25,7 +25,7 @@
         if len(self.attempts) >= MAX_WAITING:
             return False
         self.attempts.append(attempt)
-        self._wheel.at(attempt.write_by_ms, lambda: self._check_overdue(attempt))
+        self._wheel.call_by(attempt.write_by_ms, lambda: self._check_overdue(attempt))
         return True
 
     def _check_overdue(self, attempt: Attempt) -> None:
@@ -45,4 +45,4 @@
 
     def older_than(self, age_ms: float, now: float) -> list[Attempt]:
         """Returns the attempts that were asked for at least `age_ms` ago."""
-        return [attempt for attempt in self.attempts if now - attempt.asked_ms >= age_ms]
+        return [attempt for attempt in self.attempts if now - attempt.created_ms >= age_ms]
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -157,7 +157,7 @@
             self._end_wait()
         self._update_divisor()
         interval_ms = START_CHECK_INTERVAL_MS if self._on_ready is not None else CHECK_INTERVAL_MS
-        self._timer = self._timer_wheel.not_before(self._timer_wheel.now() + interval_ms, self._check)
+        self._timer = self._timer_wheel.call_not_before(self._timer_wheel.now() + interval_ms, self._check)
 
     def _end_wait(self) -> None:
         assert self._on_ready is not None
--- a/cloverwell/counters.py
+++ b/cloverwell/counters.py
@@ -7,7 +7,7 @@
 
 
 class Counters:
-    """Sums and maxima since the last `line`. Names beyond `MAX_NAMES` are ignored."""
+    """Sums and maxima since the last `take_line`. Names beyond `MAX_NAMES` are ignored."""
 
     def __init__(self) -> None:
         """Start without any name."""
@@ -19,12 +19,12 @@
         if name in self._sums or len(self._sums) < MAX_NAMES:
             self._sums[name] += number
 
-    def highest(self, name: str, value: float) -> None:
+    def record_max(self, name: str, value: float) -> None:
         """Keep the highest value of that name."""
         if name in self._highest or len(self._highest) < MAX_NAMES:
             self._highest[name] = max(value, self._highest.get(name, value))
 
-    def line(self) -> str:
+    def take_line(self) -> str:
         """Return `name=sum` and `name<maximum` for all names, sorted, and reset them. It may be empty."""
         sums = [f"{name}={number}" for name, number in sorted(self._sums.items())]
         maxima = [f"{name}<{value:.0f}" for name, value in sorted(self._highest.items())]
--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -32,7 +32,7 @@
     def __init__(
         self, facade: Facade, timer_wheel: TimerWheel, pools: NodePools, log: Log, counts: Counters
     ) -> None:
-        """Connects the parts, and has the timer wheel call `settle` at each tick."""
+        """Connects the parts, and has the timer wheel call `carry_out_due_decisions` at each tick."""
         self._facade = facade
         self._wheel = timer_wheel
         self._pools = pools
@@ -41,9 +41,9 @@
         self._open: dict[str, Request] = {}
         self._settling = False
         self._close_by_ms = math.inf
-        self.watch: Callable[[], None] = lambda: None  # has discovery watch the endpoint list
+        self.watch_endpoints: Callable[[], None] = lambda: None  # has discovery watch the endpoint list
         self.list_age_ms: Callable[[], float] = lambda: 0.0  # the age of the endpoint list
-        timer_wheel.each_tick = self.settle
+        timer_wheel.on_tick = self.carry_out_due_decisions
 
     @property
     def open_count(self) -> int:
@@ -54,25 +54,27 @@
         """Accepts a new request, which from here on gets exactly one final answer."""
         now = self._wheel.now()
         self._counts.add("taken")
-        request.left_ms -= WAY_MS  # the clients' side has taken off what passed since its first byte was here
-        request.left_ms = min(request.left_ms, self._close_by_ms - now)
-        request.deadline_ms = now + request.left_ms
+        request.time_left_ms -= (
+            WAY_MS  # the clients' side has taken off what passed since its first byte was here
+        )
+        request.time_left_ms = min(request.time_left_ms, self._close_by_ms - now)
+        request.deadline_ms = now + request.time_left_ms
         if request.id in self._open:
             # Ids are never used twice: one that is would mix up two clients' answers.
             self._note_failed(request, "twice")
-            request.finish(Failed())
+            request.complete(Failed())
             return
         bound = self._facade.settings.max_open_requests
         if bound and len(self._open) >= bound:
-            self.note_rejected(request, "open")
-            request.finish(Rejected(self._facade.settings.max_retry_after_ms))
+            self.record_rejection(request, "open")
+            request.complete(Rejected(self._facade.settings.max_retry_after_ms))
             return
         self._open[request.id] = request
-        request.deadline_timer = self._wheel.at(
+        request.deadline_timer = self._wheel.call_by(
             request.deadline_ms - DEADLINE_MARGIN_MS, lambda: self._fail_at_deadline(request)
         )
-        self._carry_out(self._facade.pick(request), request)
-        self.settle()
+        self._carry_out(self._facade.decide(request), request)
+        self.carry_out_due_decisions()
 
     def answer_all_by(self, when_ms: float) -> None:
         """Has all open and all later requests answered by then; infinite: each by its own deadline."""
@@ -81,7 +83,7 @@
     def fail_all_open(self) -> None:
         """Fails all open requests, since their connections are closed now."""
         for request in list(self._open.values()):
-            if not request.over:
+            if not request.is_over:
                 self._note_failed(request, "ending")
                 self._fail(request)
 
@@ -90,15 +92,15 @@
 
         All are closed before any attempt is given up: its place must not go to another of them.
         """
-        closed = [request for request in requests if not request.over]
+        closed = [request for request in requests if not request.is_over]
         for request in closed:
-            request.close()
+            request.mark_over()
             self._facade.report(request, f.ClientDisconnected())
         for request in closed:
             self._cancel_attempts(request)
             self._forget_if_done(request)
         if closed:
-            self.settle()
+            self.carry_out_due_decisions()
 
     def _cancel_attempts(self, request: Request) -> None:
         """Cancels what nobody waits for any more.
@@ -107,15 +109,15 @@
         before it, is not sent any more.
         """
         for attempt in list(request.attempts.values()):
-            if not request.write or attempt.pool.is_unsent(attempt):
+            if not request.is_write or attempt.pool.is_unsent(attempt):
                 attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
 
     def update_endpoints(self, update: f.EndpointUpdate | f.EndpointUpdateFailed) -> None:
         """Hands an update of the endpoint list, or the failure of one, to the facade."""
         self._facade.report(f.WatchEndpoints(), update)
-        self.settle()
+        self.carry_out_due_decisions()
 
-    def settle(self) -> None:
+    def carry_out_due_decisions(self) -> None:
         """Carries out the decisions that are due until there are none; a nested call does nothing."""
         if self._settling:
             return
@@ -132,7 +134,7 @@
         match decision:
             case f.SendAttempt(name):
                 request = self._open.get(name)
-                if request is None or request.over:
+                if request is None or request.is_over:
                     # Decided as its client disconnected: unreported, it would hold its capacity for good.
                     self._facade.report(decision, AttemptOutcome.NOT_SENT, True)
                 else:
@@ -147,7 +149,7 @@
             case f.CloseConnections(node):
                 self._pools.close_idle(node)
             case f.WatchEndpoints():
-                self.watch()
+                self.watch_endpoints()
             case f.LogEvent(text):
                 self._log.info("decision", text)
 
@@ -156,15 +158,15 @@
             case f.SendAttempt():
                 self._start_attempt(decision, request)
             case f.RejectRequest(_, retry_after_ms, reason):
-                self.note_rejected(request, reason)
-                request.finish(Rejected(retry_after_ms))
+                self.record_rejection(request, reason)
+                request.complete(Rejected(retry_after_ms))
                 self._forget_if_done(request)
             case f.FailRequest(_, reason):
                 self._note_failed(request, reason)
-                request.finish(Failed())
+                request.complete(Failed())
                 self._forget_if_done(request)
 
-    def note_rejected(self, request: Request, reason: str) -> None:
+    def record_rejection(self, request: Request, reason: str) -> None:
         """Logs and counts a request that is rejected, here or before it was accepted."""
         self._counts.add(f"refused.{reason}")
         self._log.info("refused", f"request {request.id}: {reason}")
@@ -178,23 +180,23 @@
         settings = self._facade.settings
         write_by_ms = decision.decided_ms + min(decision.timeout_ms, settings.connect_timeout_ms)
         window_ms = f.resend_window_ms(settings, request.class_number)
-        if window_ms is not None and request.first_run_ms is not None:
+        if window_ms is not None and request.first_possible_run_ms is not None:
             # Nodes recognise a repeat for so long: one that waits for a connection must not be sent after.
-            write_by_ms = min(write_by_ms, request.first_run_ms + window_ms)
+            write_by_ms = min(write_by_ms, request.first_possible_run_ms + window_ms)
         pool = self._pools.pool_of(decision.node)
-        self._counts.highest("list.age_ms", self.list_age_ms())
+        self._counts.record_max("list.age_ms", self.list_age_ms())
         costly = f.forbids_retry(settings, request.class_number)
         # From the decision on: behind a stall the guard would otherwise come before the attempt's timeout.
         deadline_ms = min(decision.decided_ms + decision.timeout_ms, request.deadline_ms)
         attempt = Attempt(
-            decision, request, write_by_ms, self._ended, pool, deadline_ms, costly, asked_ms=now
+            decision, request, write_by_ms, self._ended, pool, deadline_ms, costly, created_ms=now
         )
         if decision.number:
             self._note_further_attempt(attempt)
         request.attempts[decision.number] = attempt
-        attempt.timer = self._wheel.not_before(deadline_ms, lambda: self._time_out(attempt))
-        if request.next_attempt_from_ms > now:
-            self._wheel.at(now, lambda: self._start_after_close(attempt))
+        attempt.timer = self._wheel.call_not_before(deadline_ms, lambda: self._time_out(attempt))
+        if request.earliest_next_attempt_ms > now:
+            self._wheel.call_by(now, lambda: self._start_after_close(attempt))
         else:
             pool.start(attempt)
 
@@ -207,7 +209,7 @@
             return
         else:
             cause = f"after {request.last_outcome.value.value}"
-        node, number = attempt.choice.node, attempt.choice.number
+        node, number = attempt.decision.node, attempt.decision.number
         self._log.info("retry", f"request {request.id}: attempt {number} at {node}, {cause}")
 
     def _start_after_close(self, attempt: Attempt) -> None:
@@ -218,9 +220,9 @@
         """
         delay_ms = self._wheel.last_tick_delay_ms
         stall_ms = delay_ms if delay_ms > self._wheel.granularity_ms else 0.0
-        start_ms = attempt.request.next_attempt_from_ms + stall_ms
+        start_ms = attempt.request.earliest_next_attempt_ms + stall_ms
         if start_ms > self._wheel.now():
-            self._wheel.not_before(start_ms, attempt.start_unless_over)
+            self._wheel.call_not_before(start_ms, attempt.start_unless_over)
         else:
             attempt.start_unless_over()
 
@@ -230,50 +232,50 @@
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
         request = attempt.request
         self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
-        request.attempts.pop(attempt.choice.number, None)
+        request.attempts.pop(attempt.decision.number, None)
         request.last_outcome = outcome
         self._count_exceeded_deadline(attempt)
         if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
-            from_ms = attempt.written_from_ms
-            request.first_run_ms = min(request.first_run_ms or from_ms, from_ms)
+            from_ms = attempt.written_earliest_ms
+            request.first_possible_run_ms = min(request.first_possible_run_ms or from_ms, from_ms)
         if outcome is AttemptOutcome.SERVED:
-            request.finish(Served(body))
-        decision = self._facade.report(attempt.choice, outcome, request.over)
+            request.complete(Served(body))
+        decision = self._facade.report(attempt.decision, outcome, request.is_over)
         if outcome is AttemptOutcome.NOT_SENT:
             self._carry_out_unsent(decision, request)
-        elif not request.over:
+        elif not request.is_over:
             self._carry_out(decision, request)
         self._forget_if_done(request)
-        self.settle()
+        self.carry_out_due_decisions()
 
     def _carry_out_unsent(self, decision: f.Decision, request: Request) -> None:
         """Carries out the decision after an attempt that could not be sent, or decides again later."""
         state = UnsentRequest(
-            is_over=request.over,
+            is_over=request.is_over,
             has_attempt_in_flight=bool(request.attempts),
-            may_have_run=request.first_run_ms is not None,
+            may_have_run=request.first_possible_run_ms is not None,
             is_rejected_or_failed=isinstance(decision, f.RejectRequest | f.FailRequest),
             is_ordered=self._facade.settings.classes[request.class_number].is_ordered,
             answer_by_ms=self._answer_by_ms(request) - DEADLINE_MARGIN_MS,
         )
         at_ms = retry_at_ms(state, self._wheel.now(), self._wheel.granularity_ms)
         if at_ms is not None:
-            self._wheel.not_before(at_ms, lambda: self._decide_again(request, decision))
-        elif not request.over:
+            self._wheel.call_not_before(at_ms, lambda: self._decide_again(request, decision))
+        elif not request.is_over:
             self._carry_out(decision, request)
 
     def _decide_again(self, request: Request, fallback: f.Decision) -> None:
         """Decides again; `fallback` is the decision where an event-loop stall has used up the time."""
-        if request.over:
+        if request.is_over:
             return
         decision = fallback
         request.deadline_ms = self._answer_by_ms(request)
         if request.deadline_ms > self._wheel.now():
             self._counts.add("picked_again")
-            decision = self._facade.pick(request)
+            decision = self._facade.decide(request)
         self._carry_out(decision, request)
         self._forget_if_done(request)
-        self.settle()
+        self.carry_out_due_decisions()
 
     def _answer_by_ms(self, request: Request) -> float:
         return min(request.deadline_ms, self._close_by_ms)
@@ -285,7 +287,7 @@
         excess_ms = attempt.exceeded_deadline_by_ms(attempt.written_ms)
         if excess_ms > 0.0:
             self._counts.add("deadline.exceeded_at_send")
-            self._counts.highest("deadline.exceeded_at_send_ms", excess_ms)
+            self._counts.record_max("deadline.exceeded_at_send_ms", excess_ms)
 
     def _fail_at_deadline(self, request: Request) -> None:
         """Ends a request that is still open; the balancer ends each in time unless one of us is at fault.
@@ -295,20 +297,20 @@
         """
         for attempt in list(request.attempts.values()):
             attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
-        if not request.over:
+        if not request.is_over:
             self._log.warn("overdue", f"request {request.id} was failed at its deadline")
             self._fail(request)
 
     def _fail(self, request: Request) -> None:
         """Fails a request that is open, whatever the balancer would do with it."""
-        if request.finish(Failed()):
+        if request.complete(Failed()):
             self._facade.report(request, f.ClientDisconnected())
             for attempt in list(request.attempts.values()):
                 attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
             self._forget_if_done(request)
-            self.settle()
+            self.carry_out_due_decisions()
 
     def _forget_if_done(self, request: Request) -> None:
-        if not request.over or request.attempts:
+        if not request.is_over or request.attempts:
             return
         self._open.pop(request.id, None)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -1,6 +1,6 @@
-"""The balancer as calls that return decisions: pick, report, tick. Its events and actions end here.
+"""The balancer as calls that return decisions: decide, report, tick. Its events and actions end here.
 
-`pick` and `report` return the choice for the request in hand; whatever the module decides on the way
+`decide` and `report` return the choice for the request in hand; whatever the module decides on the way
 for others is kept for the next `tick`, which the loop calls after each of them.
 """
 
@@ -39,9 +39,9 @@
     id: str
     class_number: int
     tenant: int
-    write: bool
+    is_write: bool
     deadline_ms: float  # by the facade's clock
-    over: bool
+    is_over: bool
 
     @property
     def key(self) -> str | None:
@@ -52,7 +52,7 @@
 class SendAttempt:
     """Send one attempt of the request to the node, now."""
 
-    request: str
+    request_id: str
     node: str
     number: int
     timeout_ms: float
@@ -68,7 +68,7 @@
 class RejectRequest:
     """Reject the request: the client may safely retry, best after that time."""
 
-    request: str
+    request_id: str
     retry_after_ms: float
     reason: str = ""  # counted as `refused.REASON`
 
@@ -77,7 +77,7 @@
 class FailRequest:
     """Fail the request: an attempt of it may have run."""
 
-    request: str
+    request_id: str
     reason: str = ""
 
 
@@ -85,7 +85,7 @@
 class CancelAttempt:
     """Cancel an attempt that is in flight."""
 
-    request: str
+    request_id: str
     number: int
 
 
@@ -115,7 +115,7 @@
     revision: int
     complete: bool
     entries: tuple[ServerEntry, ...]
-    held: bool = False  # the list as this proxy had it before it started
+    is_cached: bool = False  # the list as this proxy had it before it started
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,7 +163,7 @@
         self._pending: deque[Decision] = deque()
         self._attempts: dict[str, AttemptCount] = {}  # of the requests that had an attempt and are not over
 
-    def pick(self, request: RoutableRequest) -> Decision:
+    def decide(self, request: RoutableRequest) -> Decision:
         """Returns the first decision for a new request."""
         now = self._now()
         event = api.Request(
@@ -172,7 +172,7 @@
             request.deadline_ms - now,  # by this reading: the process may have been held up since any other
             request.key,
             request.tenant,
-            request.write,
+            request.is_write,
         )
         return self._hand_over(now, event, request.id)
 
@@ -180,15 +180,15 @@
         self,
         subject: SendAttempt | RoutableRequest | WatchEndpoints,
         outcome: AttemptOutcome | ClientDisconnected | EndpointUpdate | EndpointUpdateFailed,
-        over: bool = False,
+        is_over: bool = False,
     ) -> Decision:
-        """How an attempt or a watch ended, or that the client left; `over`: its answer has been given."""
+        """How an attempt or a watch ended, or that the client left; `is_over`: its answer has been given."""
         now = self._now()
         match outcome:
             case AttemptOutcome():
                 assert isinstance(subject, SendAttempt)
-                name = subject.request
-                ended = over or outcome is AttemptOutcome.SERVED
+                name = subject.request_id
+                ended = is_over or outcome is AttemptOutcome.SERVED
                 self._attempts[name].out -= 1
                 if ended:
                     self._forget(name)
@@ -200,7 +200,7 @@
                 return self._hand_over(now, api.ClientGone(request.id), request.id)
             case EndpointUpdate():
                 kind = ListKind.FULL if outcome.complete else ListKind.DELTA
-                kind = ListKind.CACHED if outcome.held else kind
+                kind = ListKind.CACHED if outcome.is_cached else kind
                 return self._hand_over(
                     now, api.EndpointListChanged(kind, outcome.revision, outcome.entries), None
                 )
@@ -235,7 +235,7 @@
             if (
                 isinstance(meant, SendAttempt | RejectRequest | FailRequest)
                 and choice is UNDECIDED
-                and meant.request == mine
+                and meant.request_id == mine
             ):
                 choice = meant
             else:
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -117,7 +117,7 @@
             self._throttled = True
             self.transport.pauseProducing()
             timer_wheel = self._owner.timer_wheel
-            timer_wheel.not_before(timer_wheel.now() + pause_ms, self._end_throttle)
+            timer_wheel.call_not_before(timer_wheel.now() + pause_ms, self._end_throttle)
 
     def _end_throttle(self) -> None:
         self._throttled = False
@@ -147,11 +147,11 @@
             class_number=fields.class_number,
             tenant=fields.tenant,
             key=fields.key,
-            write=write,
-            left_ms=left_ms,
+            is_write=write,
+            time_left_ms=left_ms,
             value=value,
             info=fields.info,
-            answer=partial(self._respond, response),
+            on_answer=partial(self._respond, response),
         )
         self._malformed_count = 0
         self._responses.pending.append(response)
@@ -159,7 +159,7 @@
         if len(self._responses.pending) >= MAX_PIPELINED_COMMANDS:
             self.hold()
         if self._owner.should_reject(request):
-            request.finish(Rejected(self._owner.retry_after_ms))
+            request.complete(Rejected(self._owner.retry_after_ms))
         else:
             self._owner.dispatcher.accept(request)
 
@@ -188,7 +188,7 @@
         response.data = encode_answer(request, answer)
         if isinstance(answer, Served) and isinstance(answer.body, StreamedValue):
             response.stream = answer.body
-            response.stream.wanted = True
+            response.stream.has_sink = True
         self.send_responses()
 
     def _send_line(self, data: bytes) -> None:
--- a/cloverwell/front/client_connections.py
+++ b/cloverwell/front/client_connections.py
@@ -25,7 +25,7 @@
 from cloverwell.log import Log
 from cloverwell.request import Request
 from cloverwell.serving import Serving
-from cloverwell.streamed_value import ahead
+from cloverwell.streamed_value import read_ahead_bytes
 from cloverwell.timer_wheel import TimerWheel
 
 BACKLOG = 512  # connections that the kernel lets wait to be accepted
@@ -226,17 +226,17 @@
         Without the second, descriptors would run out: an accept that fails would lose requests.
         """
         if self.drainer.rejects_requests:
-            self.dispatcher.note_rejected(request, "ending")
+            self.dispatcher.record_rejection(request, "ending")
             return True
         if self.policy.states.active_count <= self._budget.max_active_clients:
             return False
         self._metrics.add(ConnectionEvent.REQUEST_REFUSED)
-        self.dispatcher.note_rejected(request, "descriptors")
+        self.dispatcher.record_rejection(request, "descriptors")
         return True
 
     def stream_buffer_bytes(self) -> int:
         """Return how many bytes of a streamed value may wait for a client that reads slowly."""
-        return ahead(self._stream_bytes, self.stream_count)
+        return read_ahead_bytes(self._stream_bytes, self.stream_count)
 
     # Clients that have disconnected ---------------------------------------------------------------
 
@@ -254,7 +254,7 @@
 
     def _check_disconnected_periodically(self) -> None:
         now = self.timer_wheel.now()
-        self.timer_wheel.at(now + DISCONNECT_CHECK_INTERVAL_MS, self._check_disconnected_periodically)
+        self.timer_wheel.call_by(now + DISCONNECT_CHECK_INTERVAL_MS, self._check_disconnected_periodically)
         self.check_paused_connections()
 
     def _check_after_stall(self) -> None:
@@ -274,9 +274,9 @@
         now = self.timer_wheel.now()
         if self.timer_wheel.just_stalled:
             # What has come or could leave meanwhile is handled before anything counts as expired.
-            self.timer_wheel.at(now, self._check_policy)
+            self.timer_wheel.call_by(now, self._check_policy)
             return
-        self.timer_wheel.at(now + POLICY_CHECK_INTERVAL_MS, self._check_policy)
+        self.timer_wheel.call_by(now + POLICY_CHECK_INTERVAL_MS, self._check_policy)
         expired = self.policy.choose_expired(now)
         self._closer.close(expired, len(expired))
         for connection in self._unread_responses.to_check(now):
--- a/cloverwell/front/meta_answers.py
+++ b/cloverwell/front/meta_answers.py
@@ -14,7 +14,7 @@
     match answer:
         case Served(StreamedValue() as stream):
             return f"VA {stream.length} O{request.id}\r\n".encode()
-        case Served(bytes() as body) if request.write:
+        case Served(bytes() as body) if request.is_write:
             return b"HD O" + request.id.encode() + b" c" + body + b"\r\n"
         case Served(bytes() as body):
             return f"VA {len(body)} O{request.id}\r\n".encode() + body + b"\r\n"
--- a/cloverwell/front/operators.py
+++ b/cloverwell/front/operators.py
@@ -139,7 +139,7 @@
         """Start the call's timeout."""
         install_steady_socket(self.transport)
         timer_wheel = self._owner.timer_wheel
-        self._timer = timer_wheel.at(
+        self._timer = timer_wheel.call_by(
             timer_wheel.now() + CALL_TIMEOUT_MS, lambda: self.close("it took too long")
         )
 
--- a/cloverwell/front/response_queue.py
+++ b/cloverwell/front/response_queue.py
@@ -99,7 +99,7 @@
         self.pending.clear()
         for response in abandoned:
             if response.stream is not None:
-                response.stream.drop()
+                response.stream.cancel()
         return [response.request for response in abandoned if response.request is not None]
 
     def _start_stream(self, value: StreamedValue) -> None:
--- a/cloverwell/front/response_stream.py
+++ b/cloverwell/front/response_stream.py
@@ -55,7 +55,7 @@
     def resume(self) -> None:
         """Let the source go on if the client has read enough."""
         if self._connection.unsent_bytes <= self._owner.stream_buffer_bytes() // 2:
-            self._value.go_on()
+            self._value.resume_source()
 
     def close(self) -> None:
         """Count the stream no longer."""
@@ -64,10 +64,10 @@
     def _send(self, data: bytes) -> None:
         if not self._connection.try_write(data):
             self.close()
-            self._value.drop()
+            self._value.cancel()
             self._user.stream_failed()
         elif self._connection.unsent_bytes > self._owner.stream_buffer_bytes():
-            self._value.hold()
+            self._value.pause_source()
 
     def _end(self, complete: bool) -> None:
         self.close()
--- a/cloverwell/graceful_shutdown.py
+++ b/cloverwell/graceful_shutdown.py
@@ -62,7 +62,7 @@
             return
         self._check_scheduled = True
         next_tick_ms = self._timer_wheel.now() + self._timer_wheel.granularity_ms
-        self._timer_wheel.at(next_tick_ms, self._check)
+        self._timer_wheel.call_by(next_tick_ms, self._check)
 
     def _check(self) -> None:
         self._check_scheduled = False
@@ -99,7 +99,7 @@
         began_ms = self._serving.since_ms
         if self._serving.state is ServingState.DRAINED and began_ms != self._report_scheduled_for_ms:
             self._report_scheduled_for_ms = began_ms
-            self._timer_wheel.not_before(began_ms + DRAIN_REPORT_MS, lambda: self._report_held(began_ms))
+            self._timer_wheel.call_not_before(began_ms + DRAIN_REPORT_MS, lambda: self._report_held(began_ms))
 
     def _report_held(self, began_ms: float) -> None:
         if self._serving.state is not ServingState.DRAINED or self._serving.since_ms != began_ms:
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -183,7 +183,7 @@
         """Wait for the hello, and refuse a process of another user."""
         timer_wheel = self._successor_listener.timer_wheel
         deadline_ms = timer_wheel.now() + HELLO_TIMEOUT_MS
-        self._hello_timer = timer_wheel.at(deadline_ms, lambda: self._refuse(Refusal.SILENT.value))
+        self._hello_timer = timer_wheel.call_by(deadline_ms, lambda: self._refuse(Refusal.SILENT.value))
         if not is_same_user(self.transport.getHandle()):
             self._refuse(Refusal.OTHER_USER.value)
 
--- a/cloverwell/handover_coordinator.py
+++ b/cloverwell/handover_coordinator.py
@@ -160,5 +160,7 @@
     def _divide_descriptors(self, sockets: int) -> None:
         """From now on this process has that many descriptors; idle connections beyond them are closed."""
         self._parts.budget.resize(connection_budget(self._config, sockets))
-        self._parts.side.policy.max_clients = self._parts.budget.max_held(DescriptorSide.CLIENTS)
+        self._parts.client_connections.policy.max_clients = self._parts.budget.max_held(
+            DescriptorSide.CLIENTS
+        )
         self._parts.pools.shrink()
--- a/cloverwell/membership/endpoint_discovery.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -169,7 +169,7 @@
         wait_ms = self._wait_ms(immediate)
         now = self._timer_wheel.now()
         due_ms = now + wait_ms + self._answer_timeout_ms(wait_ms)
-        timeout = self._timer_wheel.not_before(due_ms, self._timed_out)
+        timeout = self._timer_wheel.call_not_before(due_ms, self._timed_out)
         self._pending = PendingPoll(timeout, now, is_long_poll=wait_ms > 0.0)
         self._send(self._target(wait_ms))
 
@@ -224,7 +224,7 @@
         """Connect again soon, within the time of the pending poll. Discovery has not failed."""
         self._counters.add("list.not_opened")
         due_ms = self._timer_wheel.now() + RECONNECT_MS
-        self._timer_wheel.not_before(due_ms, lambda: self._reconnect(connector))
+        self._timer_wheel.call_not_before(due_ms, lambda: self._reconnect(connector))
 
     def _reconnect(self, connector: WatchConnector) -> None:
         if self._connector is connector and self._pending is not None:
@@ -265,7 +265,7 @@
         self._counters.add("list.failed")
         self._log.warn("discovery", f"call failed: {reason}")
         due_ms = self._timer_wheel.now() + self._backoff.failed(took_ms)
-        self._backoff_timer = self._timer_wheel.not_before(due_ms, self._poll)
+        self._backoff_timer = self._timer_wheel.call_not_before(due_ms, self._poll)
         self.on_update(EndpointUpdateFailed())
 
     def _timed_out(self) -> None:
--- a/cloverwell/metrics_log.py
+++ b/cloverwell/metrics_log.py
@@ -49,16 +49,16 @@
         if line := self._metrics.format_totals(*ConnectionEvent):
             self._log.info("connections", line)
         next_ms = self._timer_wheel.now() + CONNECTION_METRICS_INTERVAL_MS
-        self._timer_wheel.at(next_ms, self._log_metrics_periodically)
+        self._timer_wheel.call_by(next_ms, self._log_metrics_periodically)
 
     def _log_counters_periodically(self) -> None:
         self._log_counters()
         next_ms = self._timer_wheel.now() + COUNTERS_INTERVAL_MS
-        self._timer_wheel.at(next_ms, self._log_counters_periodically)
+        self._timer_wheel.call_by(next_ms, self._log_counters_periodically)
 
     def _log_counters(self) -> None:
         self._count_connection_events()
-        if line := self._counters.line():
+        if line := self._counters.take_line():
             self._log.info("counts", line)
 
     def _count_connection_events(self) -> None:
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -96,14 +96,20 @@
         self.facade = parts.facade
         self.dispatcher = parts.dispatcher
         self.endpoint_discovery = parts.endpoint_discovery
-        self.side = parts.side
-        self._client_port = ClientPort(parts.side)
+        self.side = parts.client_connections
+        self._client_port = ClientPort(parts.client_connections)
         self._operator_port: SharedListeningPort | None = None
         self._control: ProxyControl | None = None  # where the configuration has a `control` section
         self._metrics_log = MetricsLog(parts.timer_wheel, log, parts.metrics, parts.counts)
         self._handover = HandoverCoordinator(config, log, parts, self._client_port, predecessor)
         self._shutdown = GracefulShutdown(
-            parts.timer_wheel, parts.serving, parts.dispatcher, parts.side, self._client_port, log, self._end
+            parts.timer_wheel,
+            parts.serving,
+            parts.dispatcher,
+            parts.client_connections,
+            self._client_port,
+            log,
+            self._end,
         )
 
     # Start --------------------------------------------------------------------------------------------
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -64,22 +64,22 @@
 class Attempt:
     """One try of a request at one node. It ends exactly once, and reports its outcome to its owner."""
 
-    choice: SendAttempt
+    decision: SendAttempt
     request: Request
     write_by_ms: float  # no byte of it is written later
-    done: Callable[[Attempt, AttemptOutcome, bytes | StreamedValue], None]
+    on_end: Callable[[Attempt, AttemptOutcome, bytes | StreamedValue], None]
     pool: AttemptPool
     deadline_ms: float  # it is given up then, which is at its client's deadline at the latest
-    costly: bool = False  # it may not run twice: a reset after its last byte loses the request
-    asked_ms: float = 0.0  # when it was asked for
+    forbids_retry: bool = False  # it may not run twice: a reset after its last byte loses the request
+    created_ms: float = 0.0  # when it was asked for
     reassignments: int = 0  # connections that were found closed before its last byte
     timer: Timer | None = None
     propagated_ms: int = 0  # the time left that its command tells its node, set when it is formatted
     written_ms: float | None = None  # when its last byte was handed to the kernel, at the latest
-    written_from_ms: float = 0.0  # and at the earliest: the clock before that write
-    over: bool = False
+    written_earliest_ms: float = 0.0  # and at the earliest: the clock before that write
+    is_over: bool = False
 
-    def left_ms(self, now: float, delay_ms: float = 0.0) -> int:
+    def time_left_ms(self, now: float, delay_ms: float = 0.0) -> int:
         """Returns the propagated deadline in whole milliseconds for a command that is formatted now.
 
         Node and proxy then stop at the same moment. `delay_ms` is how much later the last byte is written.
@@ -92,57 +92,59 @@
 
     def start_unless_over(self) -> None:
         """Starts the attempt after a delay, unless it has ended meanwhile."""
-        if not self.over:
+        if not self.is_over:
             self.pool.start(self)
 
     def end(self, outcome: AttemptOutcome, body: bytes | StreamedValue = b"") -> None:
         """Reports the outcome to the owner. Calls after the first have no effect."""
         # A late answer or a second break must not be reported again, or reach another request.
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         if self.timer is not None:
             self.timer.cancel()
-        self.done(self, outcome, body)
+        self.on_end(self, outcome, body)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One client request. `answer` is called exactly once, unless the client disconnects first."""
+    """One client request. `on_answer` is called exactly once, unless the client disconnects first."""
 
     id: str
     class_number: int
     tenant: int
     key: str
-    write: bool
-    left_ms: float
+    is_write: bool
+    time_left_ms: float
     value: bytes
     info: str  # its names and values as they came
-    answer: Callable[[Request, FinalAnswer], None]
+    on_answer: Callable[[Request, FinalAnswer], None]
     deadline_ms: float = 0.0
-    over: bool = False
+    is_over: bool = False
     attempts: dict[int, Attempt] = field(default_factory=dict)  # those in flight, by number
     last_outcome: AttemptOutcome | None = None  # of the attempt that ended last
-    first_run_ms: float | None = None  # the clock before the write of the first attempt that may have run
+    first_possible_run_ms: float | None = (
+        None  # the clock before the write of the first attempt that may have run
+    )
     # No new attempt is written before: until then a closed one may still be at its node.
-    next_attempt_from_ms: float = 0.0
+    earliest_next_attempt_ms: float = 0.0
     deadline_timer: Timer | None = None
 
-    def finish(self, answer: FinalAnswer) -> bool:
+    def complete(self, answer: FinalAnswer) -> bool:
         """Gives the final answer. Returns False, and does nothing, if the request is already over."""
-        if self.over:
+        if self.is_over:
             return False
-        self.close()
-        self.answer(self, answer)
+        self.mark_over()
+        self.on_answer(self, answer)
         return True
 
-    def close(self) -> None:
+    def mark_over(self) -> None:
         """Marks the request as over without an answer."""
-        self.over = True
+        self.is_over = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
 
-    def info_with(self, wait_ms: float) -> str:
+    def info_with_deadline(self, wait_ms: float) -> str:
         """Returns the names and values as they came, with `d` replaced by the time that this proxy waits."""
         parts = (f"d={int(wait_ms)}" if part.startswith("d=") else part for part in self.info.split(","))
         return ",".join(parts)
--- a/cloverwell/timer_wheel.py
+++ b/cloverwell/timer_wheel.py
@@ -65,7 +65,7 @@
         just_stalled: whether the last tick came late. What arrived at the sockets during the stall may not
             have been read yet, so a judgement by age alone has to wait for the next tick, before which the
             loop reads. It is never true of two ticks in a row.
-        each_tick: called after the timers of each wake-up.
+        on_tick: called after the timers of each wake-up.
         on_stall: called after a stall, to check what arrived during it.
 
     """
@@ -78,7 +78,7 @@
         self.granularity_ms = max(1.0, granularity_ms)
         self.last_tick_delay_ms = 0.0
         self.just_stalled = False
-        self.each_tick: Callable[[], None] = lambda: None
+        self.on_tick: Callable[[], None] = lambda: None
         self.on_stall: Callable[[], None] = lambda: None
         self._reactor = reactor
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
@@ -109,11 +109,11 @@
         due_ms = (self._tick + 1) * self.granularity_ms
         self._reactor.callLater(max(0.0, due_ms - self.now()) / 1000.0, self._wake_up)
 
-    def at(self, deadline_ms: float, call: Callable[[], None]) -> Timer:
+    def call_by(self, deadline_ms: float, call: Callable[[], None]) -> Timer:
         """Make the call at the last tick not after the deadline, or at the next tick if it has passed."""
         return self._add(math.floor(deadline_ms / self.granularity_ms), call)
 
-    def not_before(self, due_ms: float, call: Callable[[], None]) -> Timer:
+    def call_not_before(self, due_ms: float, call: Callable[[], None]) -> Timer:
         """Make the call at the first tick that is not before `due_ms`.
 
         This is for the end of an attempt: ended too early, it would be followed by another one of a few
@@ -135,7 +135,7 @@
         try:
             self.check_after_stall()  # the reactor makes delayed calls before it reads
             self._advance(current_tick)
-            self.each_tick()
+            self.on_tick()
         finally:
             # A tick that fails must not be the last one, because every deadline depends on the wheel.
             self._schedule_wake_up()
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -101,25 +101,25 @@
         request = SimpleNamespace(
             id=name,
             key="k",
-            write=False,
-            info_with=lambda wait_ms: f"c=page,d={int(wait_ms)}",
+            is_write=False,
+            info_with_deadline=lambda wait_ms: f"c=page,d={int(wait_ms)}",
             deadline_ms=now + timeout_ms,
         )
         choice = SendAttempt(name, self._names[place], 0, timeout_ms)
         pool = self.pools.pool_of(self._names[place])
         attempt = Attempt(choice, request, now + 250.0, self._ended, pool, now + timeout_ms, costly)
-        attempt.timer = self.timer_wheel.not_before(
+        attempt.timer = self.timer_wheel.call_not_before(
             now + timeout_ms, lambda: pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
         )
-        attempt.asked_ms = now
+        attempt.created_ms = now
         pool.start(attempt)
         return attempt
 
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes) -> None:
         self.tally.outcomes[outcome] += 1
         if outcome is AttemptOutcome.SERVED:
-            self.tally.waits_ms.append(attempt.written_ms - attempt.asked_ms)
-        elif attempt.costly and attempt.written_ms is not None:
+            self.tally.waits_ms.append(attempt.written_ms - attempt.created_ms)
+        elif attempt.forbids_retry and attempt.written_ms is not None:
             self.tally.costly_lost += 1
 
     def load(self, per_s: float, seconds: float, seed: int = 1, costly_share: float = 0.05) -> None:
--- a/lab/client_population.py
+++ b/lab/client_population.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Protocol
 
-from cloverwell.streamed_value import LONG
+from cloverwell.streamed_value import STREAMING_THRESHOLD_BYTES
 from lab.clock import START_S
 from lab.invariant_checker import InvariantChecker, RequestHistory
 from lab.net import Net
@@ -197,7 +197,7 @@
     def answered(self, client: SimulatedClient, attempt: ClientAttempt, answer: Answer) -> None:
         """The attempt has got its answer: it is checked, and retried where that is allowed."""
         at_s = self._now
-        if len(answer.text) > LONG and answer.first_byte_s is not None:
+        if len(answer.text) > STREAMING_THRESHOLD_BYTES and answer.first_byte_s is not None:
             at_s = answer.first_byte_s  # a long value counts from its first byte
         self.checker.answered(at_s, attempt.id, answer.end, self._is_right(attempt, answer))
         self._environment.record("end", attempt.id, answer.end)
--- a/lab/http_connection.py
+++ b/lab/http_connection.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.streamed_value import LONG
+from cloverwell.streamed_value import STREAMING_THRESHOLD_BYTES
 from lab.node_answers import write_in_pieces
 from lab.node_environment import NodeEnvironment
 
@@ -84,7 +84,7 @@
             return
         self._settle()
         data = self._response(status, body.encode(), headers)
-        if len(data) > LONG:
+        if len(data) > STREAMING_THRESHOLD_BYTES:
             settings = self._environment.scenario.nodes
             write_in_pieces(self._environment.net, settings, self.transport, data, self._next_request)
         else:
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -118,7 +118,7 @@
             self.failed_calls += 1
             return
         lines = len(update.entries)
-        self._record(messages.SERVER_LIST, update.revision, update.complete, lines, update.held)
+        self._record(messages.SERVER_LIST, update.revision, update.complete, lines, update.is_cached)
 
     def _record(self, source: str, revision: int, complete: bool, lines: int, held: bool = False) -> None:
         now = time.monotonic()
--- a/lab/simulated_cache_node.py
+++ b/lab/simulated_cache_node.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from cloverwell.streamed_value import LONG
+from cloverwell.streamed_value import STREAMING_THRESHOLD_BYTES
 from lab.line_connection import LineConnection
 from lab.listener import Address
 from lab.node_answers import deadline_ms_of, write_in_pieces
@@ -199,7 +199,7 @@
         self._idle_since_s = self._node.now
 
     def _write(self, answer: bytes) -> None:
-        if len(answer) <= LONG:
+        if len(answer) <= STREAMING_THRESHOLD_BYTES:
             self.transport.write(answer)
             return
         self._writing_long = True
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -149,7 +149,7 @@
     leave(conn)
     proxy.clock_offset_ms += LAG_MS
     node.dataReceived(answer)
-    assert all(attempt.over for attempt in begun)
+    assert all(attempt.is_over for attempt in begun)
     assert nothing_begins(proxy, begun, 1)
 
 
@@ -167,7 +167,7 @@
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
     assert nothing_begins(proxy, begun, before)
     assert len(begun) <= before + 1
-    assert all(attempt.over for attempt in begun)
+    assert all(attempt.is_over for attempt in begun)
 
 
 @LEAVE
@@ -294,7 +294,7 @@
     real = ClientConnections.clients_disconnected
 
     def clients_disconnected(self, connections):
-        self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: real(self, connections))
+        self.timer_wheel.call_not_before(self.timer_wheel.now() + ms, lambda: real(self, connections))
 
     patch.setattr(ClientConnections, "clients_disconnected", clients_disconnected)
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -14,18 +14,18 @@
     counts = Counters()
     counts.add("b", 2)
     counts.add("a")
-    counts.highest("age", 7.0)
-    counts.highest("age", 5.0)
-    assert counts.line() == "a=1 b=2 age<7"
-    assert counts.line() == ""
+    counts.record_max("age", 7.0)
+    counts.record_max("age", 5.0)
+    assert counts.take_line() == "a=1 b=2 age<7"
+    assert counts.take_line() == ""
 
 
 def test_names_are_bounded():
     counts = Counters()
     for number in range(MAX_NAMES + 5):
         counts.add(str(number))
-        counts.highest(str(number), 1.0)
-    assert len(counts.line().split()) == 2 * MAX_NAMES
+        counts.record_max(str(number), 1.0)
+    assert len(counts.take_line().split()) == 2 * MAX_NAMES
 
 
 def test_a_miss_is_counted_at_the_node_and_at_the_origin():
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -26,18 +26,18 @@
 def _ended_twice(real):
     def ended(self, attempt, outcome, body):
         real(self, attempt, outcome, body)
-        if outcome is facade.AttemptOutcome.SERVED and attempt.request.over:
-            side = attempt.request.answer.func.__self__
+        if outcome is facade.AttemptOutcome.SERVED and attempt.request.is_over:
+            side = attempt.request.on_answer.func.__self__
             side.try_write(f"VA {len(body)} O{attempt.request.id}\r\n".encode() + body + b"\r\n")
 
     return ended
 
 
 def serves_another_value(patch):
-    real = Request.finish
+    real = Request.complete
     patch.setattr(
         Request,
-        "finish",
+        "complete",
         lambda self, answer: real(self, Served(b"x") if isinstance(answer, Served) else answer),
     )
 
@@ -56,11 +56,11 @@
     real = dispatcher.Dispatcher.accept
 
     def take(self, request):
-        request.left_ms += 5000.0
+        request.time_left_ms += 5000.0
         real(self, request)
 
     patch.setattr(dispatcher.Dispatcher, "accept", take)
-    patch.setattr(Request, "info_with", lambda self, wait_ms: self.info)
+    patch.setattr(Request, "info_with_deadline", lambda self, wait_ms: self.info)
 
 
 def drops_what_is_open_at_its_end(patch):
@@ -102,18 +102,18 @@
 
 
 def holds_the_rest_of_long_values(patch):
-    patch.setattr(StreamedValue, "go_on", lambda self: None)
+    patch.setattr(StreamedValue, "resume_source", lambda self: None)
 
 
 def cuts_long_values(patch):
-    real = StreamedValue.piece
+    real = StreamedValue.receive
 
     def piece(self, data):
         real(self, data)
-        if self.length - self.left > 1024 * 1024:
-            self.broken()
+        if self.length - self.remaining_bytes > 1024 * 1024:
+            self.abort()
 
-    patch.setattr(StreamedValue, "piece", piece)
+    patch.setattr(StreamedValue, "receive", piece)
 
 
 def sends_on_while_its_close_is_on_the_way(patch):
@@ -165,7 +165,7 @@
 
 
 def tells_what_was_left_when_it_was_chosen(patch):
-    patch.setattr(Attempt, "left_ms", lambda self, now, held_ms=0.0: int(self.choice.timeout_ms))
+    patch.setattr(Attempt, "time_left_ms", lambda self, now, held_ms=0.0: int(self.decision.timeout_ms))
 
 
 CRASH = [Fault("crash", 1.0, 2.0, 0.5)]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -55,8 +55,8 @@
 def test_timer_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
     timer_wheel, clock = wheel_and_clock()
     due, fired = timer_wheel.now() + delay, {}
-    timer_wheel.at(due, lambda: fired.update(at=timer_wheel.now()))
-    timer_wheel.not_before(due, lambda: fired.update(not_before=timer_wheel.now()))
+    timer_wheel.call_by(due, lambda: fired.update(at=timer_wheel.now()))
+    timer_wheel.call_not_before(due, lambda: fired.update(not_before=timer_wheel.now()))
     while len(fired) < 2:
         clock.advance(0.001)
         assert timer_wheel.now() < due + 20
@@ -69,38 +69,38 @@
     # Guards every deadline: one fault must not stop the wheel or take the slot's other timers with it.
     timer_wheel, clock = wheel_and_clock()
     fired = []
-    timer_wheel.at(timer_wheel.now() + 10, lambda: 1 / 0)
-    timer_wheel.at(timer_wheel.now() + 10, lambda: fired.append("same slot"))
-    timer_wheel.at(timer_wheel.now() + 90, lambda: fired.append("later"))
-    timer_wheel.at(timer_wheel.now() + 50, lambda: fired.append("cancelled")).cancel()
+    timer_wheel.call_by(timer_wheel.now() + 10, lambda: 1 / 0)
+    timer_wheel.call_by(timer_wheel.now() + 10, lambda: fired.append("same slot"))
+    timer_wheel.call_by(timer_wheel.now() + 90, lambda: fired.append("later"))
+    timer_wheel.call_by(timer_wheel.now() + 50, lambda: fired.append("cancelled")).cancel()
     clock.advance(0.1)
     assert fired == ["same slot", "later"]
     assert timer_wheel.last_tick_delay_ms > 90
 
 
 def subject(name="r1", **more):
-    base = {"id": name, "class_number": 0, "tenant": 0, "key": "k", "write": False}
-    return SimpleNamespace(**(base | {"deadline_ms": 1900.0, "over": False} | more))
+    base = {"id": name, "class_number": 0, "tenant": 0, "key": "k", "is_write": False}
+    return SimpleNamespace(**(base | {"deadline_ms": 1900.0, "is_over": False} | more))
 
 
 def a_facade():
     clock = SimpleNamespace(now=1000.0)
     facade = f.Facade(read_settings(SETTINGS), 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("origin", machine_type=1))
-    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, held=True))
+    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, is_cached=True))
     return facade, clock
 
 
 def test_facade_picks_reports_and_ticks():
     facade, clock = a_facade()
-    choice = facade.pick(subject())
+    choice = facade.decide(subject())
     assert isinstance(choice, f.SendAttempt)
     assert (choice.node, choice.number) == ("s1", 0)
     fetch = facade.report(choice, f.AttemptOutcome.MISS)
     assert isinstance(fetch, f.SendAttempt)
     assert (fetch.node, fetch.number) == ("origin", 1)
     # Another read of the key waits for that fetch; its choice comes with a tick, not with a report.
-    assert facade.pick(subject("r2")) == f.UNDECIDED
+    assert facade.decide(subject("r2")) == f.UNDECIDED
     assert facade.report(fetch, f.AttemptOutcome.SERVED) == f.UNDECIDED
     assert [
         type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.WatchEndpoints)
@@ -236,13 +236,13 @@
     settings = read_settings(SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}})
     facade = f.Facade(settings, 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("s2"), ServerEntry("origin", machine_type=1))
-    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, held=True))
+    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, is_cached=True))
     names = (f"k{n}" for n in range(1000))
-    key = next(key for key in names if facade.pick(subject(f"first {key}", key=key)).node == "s1")
-    facade.report(facade.pick(subject("r0", key=key)), f.AttemptOutcome.NOT_CONNECTED)
+    key = next(key for key in names if facade.decide(subject(f"first {key}", key=key)).node == "s1")
+    facade.report(facade.decide(subject("r0", key=key)), f.AttemptOutcome.NOT_CONNECTED)
     assert "s1 marked missed" in [
         choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.LogEvent)
     ]
     clock.now += 600.0
     facade.tick(clock.now)
-    assert facade.pick(subject("r1", key=key)).node == "s1"
+    assert facade.decide(subject("r1", key=key)).node == "s1"
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -34,7 +34,7 @@
 from cloverwell.handover import successor
 from cloverwell.log import Log
 from cloverwell.membership.poll_backoff import PollBackoff
-from cloverwell.streamed_value import LONG
+from cloverwell.streamed_value import STREAMING_THRESHOLD_BYTES
 from cloverwell.timer_wheel import TimerWheel
 from lab.proxy_testbed import SETTINGS as SITE
 
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("stall_ms", [5.0, 11.0, 20.0, 100.0])
-@pytest.mark.parametrize("where", ["pick", "_hand_over"])
+@pytest.mark.parametrize("where", ["decide", "_hand_over"])
 def test_a_stall_at_the_decision_does_not_have_the_guard_fail_what_the_balancer_would_reject(
     monkeypatch, where, stall_ms
 ):
@@ -68,7 +68,7 @@
 
     def stalled(facade, *arguments):
         monkeypatch.undo()  # once
-        if where == "pick":
+        if where == "decide":
             late(player, stall_ms)
             return real(facade, *arguments)
         decision = real(facade, *arguments)
@@ -202,7 +202,7 @@
     client = rig.client(read(1))
     node = rig.nodes[0].accept()
     rig.receive_until(node, b"mg k1")
-    value = b"v" * (LONG + 1000)
+    value = b"v" * (STREAMING_THRESHOLD_BYTES + 1000)
     node.sendall(b"VA %d O1\r\n%s" % (len(value), value[:1000]))
     rig.receive_until(client, b"v")
     node.sendall(value[1000:] + b"\r\n")
@@ -215,7 +215,7 @@
     client = rig.client(read(1))
     node = rig.nodes[0].accept()
     rig.receive_until(node, b"mg k1")
-    node.sendall(b"VA %d O1\r\n%s" % (LONG + 1000, b"v" * 1000))
+    node.sendall(b"VA %d O1\r\n%s" % (STREAMING_THRESHOLD_BYTES + 1000, b"v" * 1000))
     rig.receive_until(client, b"v")
     rig.stall(STREAM_STALL_MS + 50.0)
     rig.advance_clock(100)
@@ -367,7 +367,7 @@
     )
     timer_wheel.start()
     for _, took_ms, _ in turns:
-        timer_wheel.not_before(
+        timer_wheel.call_not_before(
             timer_wheel.now() + retry.failed(took_ms), lambda: calls.append(timer_wheel.now())
         )
         clock.pump([0.02] * 350)
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -9,9 +9,15 @@
 from cloverwell.facade import AttemptOutcome, SendAttempt
 from cloverwell.front.client_connection import STREAM_PIECE_BYTES
 from cloverwell.request import Attempt, Request
-from cloverwell.streamed_value import AHEAD, LONG, LONGEST, StreamedValue, ahead
+from cloverwell.streamed_value import (
+    MAX_STREAMED_VALUE_BYTES,
+    READ_AHEAD_BOUNDS_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    StreamedValue,
+    read_ahead_bytes,
+)
 
-SIZE = LONG + 1000
+SIZE = STREAMING_THRESHOLD_BYTES + 1000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"x" * (SIZE % 256)
 HEAD = f"VA {SIZE} O1\r\n".encode()
 
@@ -146,7 +152,7 @@
 def test_one_too_long_is_refused_and_the_read_goes_on_elsewhere():
     player = Player()
     client, (node, transport) = asked(player)
-    node.dataReceived(f"VA {LONGEST + 1} O1\r\n".encode() + VALUE)
+    node.dataReceived(f"VA {MAX_STREAMED_VALUE_BYTES + 1} O1\r\n".encode() + VALUE)
     assert transport.aborted
     assert client.value() == b""
     player.play("wait 25")  # the close must reach the node before the next attempt leaves
@@ -159,9 +165,9 @@
     for place in range(1, number + 1):
         _, (node, transport) = asked(player, f"O{place}", f"client#{place}", f"s1#{place}")
         pairs.append((node, transport, Slow(player.connection("client", place - 1)[1])))
-    value = b"v" * LONGEST
+    value = b"v" * MAX_STREAMED_VALUE_BYTES
     for place, (node, transport, _) in enumerate(pairs, 1):
-        data = f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
+        data = f"VA {MAX_STREAMED_VALUE_BYTES} O{place}\r\n".encode() + value + b"\r\n"
         node.rest = memoryview(data)
         while transport.producerState == "producing":
             node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
@@ -172,7 +178,7 @@
         len(slow.held) + len(slow.transport.protocol._outgoing) + len(node._incoming)
         for node, _, slow in pairs
     )
-    assert held <= number * (STREAM_PIECE_BYTES + AHEAD[1] + 2 * STREAM_READ_BYTES)
+    assert held <= number * (STREAM_PIECE_BYTES + READ_AHEAD_BOUNDS_BYTES[1] + 2 * STREAM_READ_BYTES)
     player.play("wait 5000")
     for place, (node, transport, slow) in enumerate(pairs, 1):
         while node.rest:
@@ -180,8 +186,8 @@
             if transport.producerState == "producing":
                 node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
                 node.rest = node.rest[STREAM_READ_BYTES:]
-        slow.read(LONGEST)
-        assert bytes(slow.got) == f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
+        slow.read(MAX_STREAMED_VALUE_BYTES)
+        assert bytes(slow.got) == f"VA {MAX_STREAMED_VALUE_BYTES} O{place}\r\n".encode() + value + b"\r\n"
     assert not side.stream_count
 
 
@@ -222,7 +228,7 @@
     assert ends == [AttemptOutcome.TIMED_OUT]
     # the value goes on, or breaks off so that the attempt is out no more
     assert transport.aborted is not copies
-    assert (behind.next_attempt_from_ms > 0.0) is not copies
+    assert (behind.earliest_next_attempt_ms > 0.0) is not copies
 
 
 @given(st.binary(min_size=1, max_size=60), st.lists(st.integers(1, 20), max_size=8), st.sampled_from("wbd"))
@@ -234,12 +240,12 @@
     for cut in cuts:
         piece, rest = rest[:cut], rest[cut:]
         if piece:
-            flow.piece(piece)
+            flow.receive(piece)
     if how == "w" and rest:
-        flow.piece(rest)
+        flow.receive(rest)
         rest = b""
-    {"w": flow.whole, "b": flow.broken, "d": flow.drop}[how]()
-    flow.drop()
+    {"w": flow.complete, "b": flow.abort, "d": flow.cancel}[how]()
+    flow.cancel()
     came = value[: len(value) - len(rest)]
     assert b"".join(got) == (value if how == "w" else came if rest else came[:-1])
     assert ended == {"w": [True], "b": [False], "d": []}[how]
@@ -248,6 +254,6 @@
 
 @given(st.integers(0, 10**9), st.integers(0, 10**4))
 def test_all_streams_together_stay_in_their_room_where_there_is_any(room, streams):
-    each = ahead(room, streams)
-    assert AHEAD[0] <= each <= AHEAD[1]
-    assert each == AHEAD[0] or each * streams <= room
+    each = read_ahead_bytes(room, streams)
+    assert READ_AHEAD_BOUNDS_BYTES[0] <= each <= READ_AHEAD_BOUNDS_BYTES[1]
+    assert each == READ_AHEAD_BOUNDS_BYTES[0] or each * streams <= room
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -72,7 +72,7 @@
     def add(self, early, delay_ms, cancels=None, follows=None):
         name = len(self.timers)
         when_ms = self.reactor.now_ms + delay_ms
-        where = self.timer_wheel.at if early else self.timer_wheel.not_before
+        where = self.timer_wheel.call_by if early else self.timer_wheel.call_not_before
         self.timers[name] = where(when_ms, lambda: self.fire(name))
         self.model.append((self.tick_of(early, when_ms), name))
         self.cancels[name], self.follows[name] = cancels, follows
@@ -152,7 +152,7 @@
         reactor = WakeUps(start_ms)
         timer_wheel, fired = wheel_on(reactor, 5.0), []
         for name, (early, delay_ms) in enumerate(timers):
-            (timer_wheel.at if early else timer_wheel.not_before)(
+            (timer_wheel.call_by if early else timer_wheel.call_not_before)(
                 start_ms + delay_ms, partial(fired.append, name)
             )
         for jump_ms, too_soon in zip(jumps, spurious, strict=False):
@@ -174,7 +174,7 @@
     reactor = WakeUps(start_ms)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
     due_ms = start_ms + rounds * SLOTS * 5.0
-    timer_wheel.at(due_ms, lambda: fired.append(reactor.now_ms))
+    timer_wheel.call_by(due_ms, lambda: fired.append(reactor.now_ms))
     reactor.pass_time(rounds * SLOTS * 5.0 + 5.0)
     assert len(fired) == 1
     assert due_ms - 5.1 <= fired[0] <= due_ms
@@ -183,7 +183,9 @@
 def test_a_timer_that_a_call_adds_to_its_own_slot_a_round_ahead_is_kept():
     reactor = WakeUps(0.0)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
-    timer_wheel.at(50.0, lambda: timer_wheel.at(50.0 + SLOTS * 5.0, lambda: fired.append(reactor.now_ms)))
+    timer_wheel.call_by(
+        50.0, lambda: timer_wheel.call_by(50.0 + SLOTS * 5.0, lambda: fired.append(reactor.now_ms))
+    )
     reactor.pass_time(60.0 + SLOTS * 5.0)
     assert fired == [50.0 + SLOTS * 5.0]
 
@@ -203,7 +205,7 @@
     reactor = WakeUps(1e6)
     timer_wheel, fired = wheel_on(reactor, granularity_ms), []
     for seconds in (0.1, 0.5, 60.0, 59.0, 3599.0, 3601.0):
-        timer_wheel.at(1e6 + seconds * 1000.0, lambda seconds=seconds: fired.append(seconds))
+        timer_wheel.call_by(1e6 + seconds * 1000.0, lambda seconds=seconds: fired.append(seconds))
     timer_wheel._slots = CountedSlots(timer_wheel._slots)
     reactor.now_ms += HOUR_MS
     reactor.wake()
@@ -219,11 +221,11 @@
     reactor = WakeUps(0.0)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
     timer_wheel.on_stall = lambda: 1 / 0
-    timer_wheel.at(50.0, lambda: fired.append("deadline"))
+    timer_wheel.call_by(50.0, lambda: fired.append("deadline"))
     reactor.now_ms += 1000.0
     reactor.wake()
     assert fired == ["deadline"]
-    timer_wheel.at(reactor.now_ms + 50.0, lambda: fired.append("next"))
+    timer_wheel.call_by(reactor.now_ms + 50.0, lambda: fired.append("next"))
     reactor.pass_time(60.0)
     assert fired == ["deadline", "next"]
 
@@ -231,8 +233,8 @@
 def test_a_tick_that_fails_is_not_the_last_one():
     reactor = WakeUps(0.0)
     timer_wheel, fired = wheel_on(reactor, 5.0), []
-    timer_wheel.each_tick = lambda: 1 / 0
-    timer_wheel.at(50.0, lambda: fired.append("deadline"))
+    timer_wheel.on_tick = lambda: 1 / 0
+    timer_wheel.call_by(50.0, lambda: fired.append("deadline"))
     for _ in range(20):
         reactor.now_ms += 5.0
         with pytest.raises(ZeroDivisionError):  # the reactor logs it
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -245,15 +245,15 @@
         watch(player)
     player.play("wait 2100")
     assert player.service.dispatcher.open_count == 0
-    assert "deadline.exceeded_at_send" not in player.service.counts.line()
+    assert "deadline.exceeded_at_send" not in player.service.counts.take_line()
 
 
 def test_an_attempt_that_tells_its_node_more_than_its_client_has_left_is_counted(monkeypatch):
     # That the check above can fail.
-    monkeypatch.setattr(Attempt, "left_ms", lambda self, now, delay_ms=0.0: 5000)
+    monkeypatch.setattr(Attempt, "time_left_ms", lambda self, now, delay_ms=0.0: 5000)
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 v O1 *\ns1 send VA 1 O1|x")
-    line = player.service.counts.line()
+    line = player.service.counts.take_line()
     assert "deadline.exceeded_at_send=1" in line
     assert "deadline.exceeded_at_send_ms" in line
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -187,7 +187,7 @@
     player.play("client#2 send ms k2 1 O2 Pc=order,t=acme,d=900|a")  # asks for one more
     player.play("origin send 200 r1\nclient expect HD O1 cr1\norigin#2 close\nwait 20")
     player.play("origin expect PUT /k2 *\norigin send 200 r2\nclient#2 expect HD O2 cr2")
-    assert "origin.connect_failed" not in player.service.counts.line()
+    assert "origin.connect_failed" not in player.service.counts.take_line()
 
 
 @pytest.mark.parametrize("line", ["SERVER_ERROR busy", "SERVER_ERROR failed"])
