--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
         self.now = now
         self.names = [f"s{i}" for i in range(servers)]
         self.sends: dict[str, list[str]] = {}
-        self.limits: dict[str, float] = {}
+        self.timeouts_ms: dict[str, float] = {}
         self.ended: dict[str, api.Action] = {}
         self.cancels: list[tuple[str, int]] = []
         self.logs: list[str] = []
@@ -70,16 +70,16 @@
         entries = [api.ServerEntry(name) for name in self.names]
         if origin:
             entries.append(api.ServerEntry("origin", machine_type=ORIGIN_KIND))
-        self.first = self.list(api.ListKind.CACHED, entries)
+        self.first_actions = self.list(api.ListKind.CACHED, entries)
 
-    def do(self, event):
+    def handle(self, event):
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             match action:
                 case api.Send():
                     assert action.request_id not in self.ended, "sent after the final answer"
                     self.sends.setdefault(action.request_id, []).append(action.server)
-                    self.limits[action.request_id] = action.timeout_ms
+                    self.timeouts_ms[action.request_id] = action.timeout_ms
                 case api.Reject() | api.Fail():
                     assert action.request_id not in self.ended, "two final answers"
                     self.ended[action.request_id] = action
@@ -96,11 +96,11 @@
         return actions
 
     def list(self, kind, entries=()):
-        return self.do(api.EndpointListChanged(kind, 1, tuple(entries)))
+        return self.handle(api.EndpointListChanged(kind, 1, tuple(entries)))
 
     def ask(self, key="k", cls=0, left=2000.0, **more):
         name = f"r{next(self._ids)}"
-        self.do(api.Request(name, cls, left, key, **more))
+        self.handle(api.Request(name, cls, left, key, **more))
         return name
 
     def answer(self, name, status=api.Status.OK, after=0.0):
@@ -108,7 +108,7 @@
         self.now += after
         number = len(self.sends[name]) - 1
         closed = status is api.Status.OK
-        self.do(api.AttemptEnded(name, self.sends[name][number], number, status, after, closed))
+        self.handle(api.AttemptEnded(name, self.sends[name][number], number, status, after, closed))
 
     def serve(self, name, after=50.0):
         self.answer(name, api.Status.OK, after)
@@ -120,7 +120,7 @@
             timer = min(self.timers)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            self.do(api.TimerDue(timer[1]))
+            self.handle(api.TimerDue(timer[1]))
         self.now = end
 
     def owner(self, key):
@@ -151,7 +151,7 @@
 
 
 @pytest.fixture
-def begun(monkeypatch):
+def started_attempts(monkeypatch):
     """The attempts that have been given to a node's connections so far."""
     attempts = []
     real = Pool.start
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -120,9 +120,9 @@
         )
         self.service = Proxy(self.reactor, config, Log(self.now, self.log), self.now, lambda: self.epoch_ms)
         self.service.start()
-        self.opened = {}  # party -> its connections as (protocol, transport)
-        self.asked = 0  # connections the proxy has asked for and a party has taken or refused
-        self.waiting = {}  # party -> factories whose connection is asked for
+        self.connections = {}  # party -> its connections as (protocol, transport)
+        self.requested_count = 0  # connections the proxy has asked for and a party has taken or refused
+        self.pending_factories = {}  # party -> factories whose connection is asked for
 
     def now(self):
         return self.reactor.seconds() * 1000.0
@@ -161,14 +161,14 @@
 
     def connection(self, name, place):
         """The party's connection of that number, taken now if it is asked for or is a client's."""
-        held = self.opened.setdefault(name, [])
+        held = self.connections.setdefault(name, [])
         while len(held) <= place:
             if name == "client":
                 factory = self.reactor.tcpServers[0][1]
             elif name == "operator":
                 factory = self.reactor.tcpServers[1][1]
             else:
-                factory = self.next_asked(name)
+                factory = self.next_requested_factory(name)
                 assert factory is not None, "no connection was asked for"
             protocol = factory.buildProtocol(IPv4Address("TCP", "127.0.0.9", self.ports.get(name, 1)))
             transport = Transport()
@@ -177,12 +177,12 @@
             protocol.makeConnection(transport)
         return held[place]
 
-    def next_asked(self, name):
-        for _, port, factory, *_ in self.reactor.tcpClients[self.asked :]:
-            self.asked += 1
+    def next_requested_factory(self, name):
+        for _, port, factory, *_ in self.reactor.tcpClients[self.requested_count :]:
+            self.requested_count += 1
             owner = next(party for party, own in self.ports.items() if own == port)
-            self.waiting.setdefault(owner, []).append(factory)
-        return self.waiting[name].pop(0) if self.waiting.get(name) else None
+            self.pending_factories.setdefault(owner, []).append(factory)
+        return self.pending_factories[name].pop(0) if self.pending_factories.get(name) else None
 
     def send(self, name, place, text):
         protocol, _ = self.connection(name, place)
@@ -200,8 +200,8 @@
         protocol.dataReceived((data + more.replace("|", "\r\n")).encode())
 
     def expect(self, name, place, text):
-        if text == "nothing" and not self.opened.get(name):
-            return self.check(self.next_asked(name) is None, "a connection was asked for")
+        if text == "nothing" and not self.connections.get(name):
+            return self.check(self.next_requested_factory(name) is None, "a connection was asked for")
         _, transport = self.connection(name, place)
         written = transport.value().decode()
         if text == "end":
@@ -227,12 +227,12 @@
         return place
 
     def close(self, name, place, text):
-        held = self.opened.get(name, [])
+        held = self.connections.get(name, [])
         if len(held) > place:
             held[place][0].connectionLost(
                 Failure(ConnectionDone() if text == "orderly" else ConnectionLost())
             )
         else:
-            factory = self.next_asked(name)
+            factory = self.next_requested_factory(name)
             assert factory is not None, "no connection was asked for"
             factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -50,7 +50,7 @@
     assert useless in d.ended
     assert useful in d.sends
     assert write in d.sends
-    assert d.limits[useful] < 200.0  # 300 ms of the aim of 500 went by before
+    assert d.timeouts_ms[useful] < 200.0  # 300 ms of the aim of 500 went by before
 
 
 def test_one_time_out_does_not_read_as_a_jam(drive):
--- a/tests/test_attempt_evaluation.py
+++ b/tests/test_attempt_evaluation.py
@@ -29,7 +29,7 @@
     for i in range(3):
         name = d.ask(f"k{i}")
         d.answer(name, Status.CONNECT_FAILED, after=1.0)
-        d.do(api.ProbeEnded(d.sends[name][0], Status.OK, 1.0))
+        d.handle(api.ProbeEnded(d.sends[name][0], Status.OK, 1.0))
         d.serve(name, 60.0)
     assert d.closes[-1][1] == d.sends[name][-1]
     warm_up(d)
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def rig(begun, rig):
+def rig(started_attempts, rig):
     """Every attempt from the first on is noted."""
     return rig
 
@@ -40,10 +40,10 @@
     conn.shutdown(socket.SHUT_WR)
 
 
-def nothing_begins(proxy, begun, before):
+def nothing_begins(proxy, started_attempts, before):
     """Return whether nothing is open, and no attempt was sent to a node since there were so many."""
     proxy.advance_clock(600)
-    left = [attempt for attempt in begun[before:] if attempt.written_ms is not None]
+    left = [attempt for attempt in started_attempts[before:] if attempt.written_ms is not None]
     return not left and not proxy.service.dispatcher.open_count
 
 
@@ -56,17 +56,19 @@
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset, half_close])
-def test_what_stands_behind_malformed_commands_is_not_sent_for_a_client_that_left(rig, begun, leave):
+def test_what_stands_behind_malformed_commands_is_not_sent_for_a_client_that_left(
+    rig, started_attempts, leave
+):
     # Each error pauses reading for 50 ms; without an open request the close was once not checked for.
     proxy = rig()
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
     proxy.advance_clock(20)
     assert errors > UNTHROTTLED_MALFORMED_COMMANDS + 4
-    assert not begun
+    assert not started_attempts
     leave(conn)
     proxy.advance_clock(50 * errors)
-    assert not begun
+    assert not started_attempts
     assert not proxy.service.side.connections
 
 
@@ -116,7 +118,9 @@
 
 @LEAVE
 @pytest.mark.parametrize("data", [read(1), write(1), read(1) + write(2) + b"ms k3 5 O3 Pc=or"])
-def test_a_client_that_left_while_it_waited_to_be_accepted_has_nothing_sent(rig, begun, leave, data):
+def test_a_client_that_left_while_it_waited_to_be_accepted_has_nothing_sent(
+    rig, started_attempts, leave, data
+):
     proxy = rig()
     proxy.service._port.pauseProducing()  # as when the descriptors are used up
     conn = proxy.client(data)
@@ -125,82 +129,92 @@
     proxy.run_until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
     proxy.service._port.resumeProducing()
     proxy.advance_clock(400)
-    assert not begun
+    assert not started_attempts
     assert not proxy.service.dispatcher.open_count
 
 
 # After an event-loop stall ------------------------------------------------------------------------
 
 
-def taken(proxy, begun, data, number=1):
+def taken(proxy, started_attempts, data, number=1):
     """A client whose requests are sent to a node, or queued."""
     conn = proxy.client(data)
-    proxy.run_until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
+    proxy.run_until(
+        lambda: len(started_attempts) >= number and started_attempts[number - 1].written_ms is not None
+    )
     return conn
 
 
 @LEAVE
 @pytest.mark.parametrize("answer", [b"EN O1\r\n", b"SERVER_ERROR busy\r\n", b"SERVER_ERROR failed\r\n"])
-def test_an_answer_read_before_its_clients_old_close_brings_no_further_attempt(rig, begun, leave, answer):
+def test_an_answer_read_before_its_clients_old_close_brings_no_further_attempt(
+    rig, started_attempts, leave, answer
+):
     # Both are in their buffers after a stall, and the reactor reads the node's first.
     proxy = rig(nodes=2)
-    conn = taken(proxy, begun, read(1))
-    (node,) = begun[0].pool.connections
+    conn = taken(proxy, started_attempts, read(1))
+    (node,) = started_attempts[0].pool.connections
     leave(conn)
     proxy.clock_offset_ms += LAG_MS
     node.dataReceived(answer)
-    assert all(attempt.is_over for attempt in begun)
-    assert nothing_begins(proxy, begun, 1)
+    assert all(attempt.is_over for attempt in started_attempts)
+    assert nothing_begins(proxy, started_attempts, 1)
 
 
 @LEAVE
-def test_a_place_that_comes_free_behind_a_lag_is_not_given_to_a_client_that_left(rig, begun, leave):
+def test_a_place_that_comes_free_behind_a_lag_is_not_given_to_a_client_that_left(
+    rig, started_attempts, leave
+):
     proxy = rig(nodes=0, sockets=512)
     conns = [proxy.client(read(number)) for number in range(60)]
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < 60
     (first,) = [conn for conn in proxy.service.pools.pool_of("origin").connections if conn.attempts][:1]
     for conn in conns:
         leave(conn)
     proxy.clock_offset_ms += LAG_MS
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
-    assert nothing_begins(proxy, begun, before)
-    assert len(begun) <= before + 1
-    assert all(attempt.is_over for attempt in begun)
+    assert nothing_begins(proxy, started_attempts, before)
+    assert len(started_attempts) <= before + 1
+    assert all(attempt.is_over for attempt in started_attempts)
 
 
 @LEAVE
-def test_the_first_tick_after_a_lag_sends_nothing_for_a_client_that_left(rig, begun, leave):
+def test_the_first_tick_after_a_lag_sends_nothing_for_a_client_that_left(rig, started_attempts, leave):
     # The tick comes before the reads: it ends attempts whose time is over, and what followed was sent.
     limits = SETTINGS["limits"] | {"cancel": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
-    conn = taken(proxy, begun, read(1))
+    conn = taken(proxy, started_attempts, read(1))
     leave(conn)
     proxy.stall(1000.0)  # the attempt's time, half of the request's
     proxy.run_iterations(1)
-    assert len(begun) == 1
-    assert nothing_begins(proxy, begun, 1)
+    assert len(started_attempts) == 1
+    assert nothing_begins(proxy, started_attempts, 1)
 
 
 @LEAVE
-def test_an_attempt_that_waits_for_the_close_of_the_one_before_is_not_sent_by_that_tick(rig, begun, leave):
+def test_an_attempt_that_waits_for_the_close_of_the_one_before_is_not_sent_by_that_tick(
+    rig, started_attempts, leave
+):
     limits = SETTINGS["limits"] | {"second-copies": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     proxy.service.node_policy.close_delay_bound_ms = lambda node: 40.0
-    conn = taken(proxy, begun, read(1))
-    begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
+    conn = taken(proxy, started_attempts, read(1))
+    started_attempts[0].pool.give_up(started_attempts[0], AttemptOutcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1
-    assert len(begun) == 1
+    assert len(started_attempts) == 1
     leave(conn)
     proxy.stall(LAG_MS)
     proxy.run_iterations(1)
-    assert len(begun) == 1
-    assert nothing_begins(proxy, begun, 1)
+    assert len(started_attempts) == 1
+    assert nothing_begins(proxy, started_attempts, 1)
 
 
 @LEAVE
-def test_a_connection_that_comes_up_behind_a_lag_is_not_used_for_a_client_that_left(rig, begun, leave):
+def test_a_connection_that_comes_up_behind_a_lag_is_not_used_for_a_client_that_left(
+    rig, started_attempts, leave
+):
     proxy = rig()
     conn = proxy.client()
     proxy.run_iterations()
@@ -212,7 +226,7 @@
     leave(conn)
     proxy.clock_offset_ms += LAG_MS / 2
     connector.doConnect()
-    assert nothing_begins(proxy, begun, 0)
+    assert nothing_begins(proxy, started_attempts, 0)
 
 
 # Many at once -------------------------------------------------------------------------------------
@@ -220,30 +234,30 @@
 
 @LEAVE
 @pytest.mark.parametrize("number", [60, 300])
-def test_of_a_burst_that_leaves_none_is_given_the_place_of_another(rig, begun, leave, number):
+def test_of_a_burst_that_leaves_none_is_given_the_place_of_another(rig, started_attempts, leave, number):
     # Each close once cancelled an open read; its place at the origin went to the next disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
     proxy.run_until(lambda: len(proxy.service.side.connections) == number)
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < number
     for conn in conns:
         leave(conn)
     proxy.run_iterations(5)
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert not proxy.service.dispatcher.open_count
 
 
-def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, begun):
+def test_of_one_connections_commands_none_is_given_the_place_of_another(rig, started_attempts):
     proxy = rig(nodes=0)
     conn = proxy.client(b"".join(read(n) for n in range(MAX_PIPELINED_COMMANDS - 1)))
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < MAX_PIPELINED_COMMANDS - 1
     conn.close()
     proxy.run_iterations(5)
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert not proxy.service.dispatcher.open_count
 
 
@@ -251,9 +265,9 @@
 
 
 @LEAVE
-def test_what_waits_behind_a_long_value_is_not_sent_for_a_client_that_left(rig, begun, leave):
+def test_what_waits_behind_a_long_value_is_not_sent_for_a_client_that_left(rig, started_attempts, leave):
     proxy = rig(backlog=0)
-    conn = taken(proxy, begun, read(1))
+    conn = taken(proxy, started_attempts, read(1))
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
@@ -268,7 +282,7 @@
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.side.connections
     assert not proxy.service.side.stream_count
-    assert nothing_begins(proxy, begun, 1)
+    assert nothing_begins(proxy, started_attempts, 1)
 
 
 # In the simulation: an invariant checker, over whole runs -----------------------------------------
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -150,9 +150,9 @@
 def test_a_retry_names_its_request_and_why_a_fetch_after_a_miss_is_none():
     player = Player(nodes=2)
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900")
-    owner = "s1" if player.next_asked("s1") else "s2"
-    player.opened.clear()
-    player.asked = 0
+    owner = "s1" if player.next_requested_factory("s1") else "s2"
+    player.connections.clear()
+    player.requested_count = 0
     player.play(f"{owner} expect mg k1 *\n{owner} send SERVER_ERROR failed\nwait 20")
     (retry,) = lines(player, "retry")
     assert retry.startswith("request 1: attempt 1 at ")
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -148,8 +148,8 @@
 
 def fail_all_connects(player):
     """Each connection to a node that has been asked for ends by a fault of this machine."""
-    asked = player.reactor.tcpClients[player.asked :]
-    player.asked += len(asked)
+    asked = player.reactor.tcpClients[player.requested_count :]
+    player.requested_count += len(asked)
     for _, port, factory, *_ in asked:
         if port != player.ports["discovery"]:
             factory.clientConnectionFailed(None, Failure(ConnectError(osError=errno.ENFILE)))
--- a/tests/test_endpoint_changes.py
+++ b/tests/test_endpoint_changes.py
@@ -9,10 +9,10 @@
 
 def test_list_is_asked_for_once_and_again_with_backoff(drive):
     d = drive()
-    assert len(list_timers(d.first)) == 1
+    assert len(list_timers(d.first_actions)) == 1
     waits = []
     for _ in range(6):
-        assert [type(a) for a in d.do(api.TimerDue(RESUBSCRIBE))] == [api.Subscribe]
+        assert [type(a) for a in d.handle(api.TimerDue(RESUBSCRIBE))] == [api.Subscribe]
         (wait,) = list_timers(d.list(api.ListKind.FAILED))
         waits.append(wait)
     assert waits[-1] > 3 * waits[0]
@@ -21,22 +21,22 @@
 
 def test_first_calls_of_hundreds_are_spread_but_in_time_to_be_told(drive):
     # Hundreds that called at their start failed together.
-    waits = [list_timers(drive(seed=i, peers_total=400).first)[0] for i in range(400)]
+    waits = [list_timers(drive(seed=i, peers_total=400).first_actions)[0] for i in range(400)]
     assert max(waits) <= 5000.0
     assert all(sum(1 for w in waits if start <= w < start + 500) < 70 for start in range(0, 5000, 500))
-    assert list_timers(drive(peers_total=2).first)[0] <= 40.0
+    assert list_timers(drive(peers_total=2).first_actions)[0] <= 40.0
 
 
 def test_pushed_lists_are_not_asked_for(drive):
-    assert not any(isinstance(a, api.Subscribe) for a in drive(is_list_pushed=True).first)
+    assert not any(isinstance(a, api.Subscribe) for a in drive(is_list_pushed=True).first_actions)
 
 
 def test_unknown_requests_and_repeated_outcomes_are_ignored(drive):
     d = drive()
-    assert d.do(api.AttemptEnded("nobody", "s0", 0, Status.OK, 1.0, True)) == []
+    assert d.handle(api.AttemptEnded("nobody", "s0", 0, Status.OK, 1.0, True)) == []
     name = d.ask()
     d.serve(name)
-    assert d.do(api.AttemptEnded(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
+    assert d.handle(api.AttemptEnded(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
 
 
 def test_before_the_first_list_a_request_is_refused():
@@ -54,7 +54,7 @@
         when, token = min(d.timers)
         d.timers.remove((when, token))
         d.now = max(d.now, when - 0.001)
-        d.do(api.TimerDue(token))
+        d.handle(api.TimerDue(token))
     assert waiter in d.ended
 
 
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -37,10 +37,10 @@
 def test_the_turn_passes_when_the_attempts_of_the_earlier_are_over(drive):
     d = ordered(drive)
     first, gone, third = (d.ask("a", write=True) for _ in range(3))
-    d.do(api.ClientGone(gone))
-    d.do(api.ClientGone(first))
+    d.handle(api.ClientGone(gone))
+    d.handle(api.ClientGone(first))
     assert third not in d.sends  # the first one's attempt has no outcome yet
-    d.do(api.AttemptEnded(first, "origin", 0, Status.TIMEOUT, 1.0, True))
+    d.handle(api.AttemptEnded(first, "origin", 0, Status.TIMEOUT, 1.0, True))
     assert third in d.sends
     assert gone not in d.sends
 
@@ -48,8 +48,8 @@
 def test_a_key_rests_after_an_attempt_that_may_still_run(drive):
     d = ordered(drive, in_doubt_hold_ms=100.0)
     first, second = (d.ask("a", write=True) for _ in range(2))
-    d.do(api.ClientGone(first))
-    d.do(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
+    d.handle(api.ClientGone(first))
+    d.handle(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
     later = d.ask("a", write=True)
     d.pass_time(100)
     assert second not in d.sends
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -31,7 +31,7 @@
 def assert_serves(player):
     """A read is answered or rejected in time, and nothing raised an unexpected exception."""
     assert "fault" not in player.log.getvalue(), player.log.getvalue()
-    number = len(player.opened.get("client", ())) + 1
+    number = len(player.connections.get("client", ())) + 1
     player.play(f"client#{number} send mg k{number} v O{number} Pc=page,t=acme,d=600\nwait 620")
     assert player.connection("client", number - 1)[1].value(), "no answer"
     assert "fault" not in player.log.getvalue(), player.log.getvalue()
--- a/tests/test_origin_fetch.py
+++ b/tests/test_origin_fetch.py
@@ -34,8 +34,8 @@
     first = d.ask("hot")
     d.answer(first, Status.MISS)
     waiter = d.ask("hot")
-    d.do(api.ClientGone(first))
-    d.do(api.AttemptEnded(first, "origin", 1, Status.CANCELLED, 1.0, True))
+    d.handle(api.ClientGone(first))
+    d.handle(api.AttemptEnded(first, "origin", 1, Status.CANCELLED, 1.0, True))
     assert d.sends[waiter]
 
 
@@ -81,8 +81,8 @@
     # bauakte-bayern big-1: a fifth of the answers came late, worth nothing, while their servers were jammed.
     d = drive()
     name, late = d.ask("k"), d.ask("l", cls=3)
-    assert d.limits[name] < 500.0 < d.limits[late]
-    d.answer(name, Status.TIMEOUT, after=d.limits[name])
+    assert d.timeouts_ms[name] < 500.0 < d.timeouts_ms[late]
+    d.answer(name, Status.TIMEOUT, after=d.timeouts_ms[name])
     assert isinstance(d.ended[name], api.Reject)
 
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -24,9 +24,9 @@
     d.pass_time(600)
     assert d.owner("k") != victim
     assert set(d.probes) == {victim}
-    d.do(api.ProbeEnded(victim, Status.TIMEOUT))
+    d.handle(api.ProbeEnded(victim, Status.TIMEOUT))
     assert d.owner("k") != victim
-    d.do(api.ProbeEnded(victim, Status.OK, 2.0))
+    d.handle(api.ProbeEnded(victim, Status.OK, 2.0))
     assert d.owner("k") == victim
 
 
@@ -35,7 +35,7 @@
     d = drive(may_probe=True)
     warm_up(d)
     for name in d.names:
-        d.do(api.ProbeEnded(name, Status.OK, 2.0))
+        d.handle(api.ProbeEnded(name, Status.OK, 2.0))
     victim = d.owner("k")
     name = d.ask("k")
     d.pass_time(300)
@@ -52,7 +52,7 @@
     for _ in range(4):
         d.pass_time(100)
         for name in d.probes:
-            d.do(api.ProbeEnded(name, Status.OK, 2.0))
+            d.handle(api.ProbeEnded(name, Status.OK, 2.0))
     assert d.probes
     assert not d.cancels
     assert not d.logs
@@ -140,7 +140,7 @@
     assert d.probes == [owner]
     assert not d.cancels
     assert d.sends[first][1] != owner
-    d.do(api.ProbeEnded(owner, Status.OK, 1.0))
+    d.handle(api.ProbeEnded(owner, Status.OK, 1.0))
     d.serve(second, 5.0)
     assert d.owner("k") == owner
 
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -135,7 +135,7 @@
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
     held_up(player, 100.0)
     player.play("wait 30")
-    assert player.next_asked("origin") is None
+    assert player.next_requested_factory("origin") is None
     assert player.service.dispatcher.open_count == 1
     player.play("wait 20\norigin#2 expect PUT /k1 *\norigin#2 send 200 r\nclient expect HD O1 cr")
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -11,7 +11,7 @@
     stream = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, is_stream=True)
     d = drive(classes=(stream,), origin=False)
     name = d.ask()
-    d.do(api.StreamStarted(name, d.sends[name][0], 0))
+    d.handle(api.StreamStarted(name, d.sends[name][0], 0))
     d.pass_time(5000)
     assert not d.cancels
     assert name not in d.ended
@@ -27,7 +27,7 @@
     d.answer(late, Status.OK, 60.0)
     assert d.cancels == [(late, 0)]
     # It was worth it: the next is sent again sooner.
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
+    d.handle(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0, True))
     assert d.balancer._hedges.delay < 8.0
     assert not d.balancer._requests
     assert not any(server.in_flight for server in d.balancer._servers.values())
@@ -36,7 +36,7 @@
 def test_where_the_first_copy_answers_after_all_the_next_is_sent_again_later(drive):
     d = drive(may_hedge=True)
     late = out_of_two(d)
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
+    d.handle(api.AttemptEnded(late, d.sends[late][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(late, 1)]
     assert d.balancer._hedges.delay > 8.0
 
@@ -45,7 +45,7 @@
     d = drive(may_hedge=True)
     late = out_of_two(d)
     d.answer(late, Status.MISS, 1.0)
-    d.do(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
+    d.handle(api.AttemptEnded(late, d.sends[late][0], 0, Status.CANCELLED, 1.0))
     assert d.sends[late][2] == "origin"
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
     d = drive()
     name = d.ask()
     d.answer(name, Status.MISS)
-    d.answer(name, Status.TIMEOUT, after=d.limits[name])
+    d.answer(name, Status.TIMEOUT, after=d.timeouts_ms[name])
     assert isinstance(d.ended[name], api.Reject)
 
 
@@ -83,12 +83,12 @@
 def test_nothing_after_the_client_is_gone(drive):
     d = drive()
     name = d.ask()
-    d.do(api.ClientGone(name))
+    d.handle(api.ClientGone(name))
     d.answer(name, Status.RESET)
     assert len(d.sends[name]) == 1
     assert name not in d.ended
-    d.do(api.ClientGone(name))
-    d.do(api.AttemptEnded(name, "s0", 0, Status.OK, 1.0, True))
+    d.handle(api.ClientGone(name))
+    d.handle(api.AttemptEnded(name, "s0", 0, Status.OK, 1.0, True))
     assert not d.balancer._requests
 
 
@@ -270,7 +270,7 @@
     names = [d.ask("k", cls=3) for _ in range(3)]
     victim = d.sends[names[0]][0]
     out = [name for name in names if d.sends[name] == [victim]]
-    d.do(api.ProbeEnded(victim, Status.RESET))
+    d.handle(api.ProbeEnded(victim, Status.RESET))
     assert len(out) > 1
     assert len(d.cancels) == 1
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -110,7 +110,9 @@
 
 
 @pytest.mark.parametrize("out", [b"", read(7)])
-def test_a_key_whose_fetch_ends_as_its_client_leaves_is_not_asked_for_that_client_again(rig, begun, out):
+def test_a_key_whose_fetch_ends_as_its_client_leaves_is_not_asked_for_that_client_again(
+    rig, started_attempts, out
+):
     # The second read of a key waits for the first one's fetch, which waits for a place at the origin; both
     # are one client's. `out` is a third that is called off as it leaves, before the others are forgotten.
     proxy = rig()
@@ -125,11 +127,11 @@
     proxy.run_iterations()
     conn.sendall(read(2).replace(b"k2", b"k1"))
     proxy.run_until(lambda: proxy.service.dispatcher.open_count == 3 + bool(out))
-    before = len(begun)
+    before = len(started_attempts)
     conn.close()
     proxy.advance_clock(60)
     assert proxy.service.dispatcher.open_count == 1
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert places_taken(proxy) == {"9"}
 
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -226,9 +226,9 @@
             case "late", (ms,):
                 late(player, ms)
             case "connect", (party,):
-                if (factory := player.next_asked(party)) is not None:
-                    player.waiting.setdefault(party, []).insert(0, factory)
-                    player.connection(party, len(player.opened.get(party, [])))
+                if (factory := player.next_requested_factory(party)) is not None:
+                    player.pending_factories.setdefault(party, []).insert(0, factory)
+                    player.connection(party, len(player.connections.get(party, [])))
             case "close", (party, place):
                 if open_connection(player, party, place):
                     player.play(f"{party}#{place + 1} close")
@@ -236,10 +236,10 @@
                 answer(player, party, place)
             case "clog", (party, place, taken):
                 if open_connection(player, party, place):
-                    clog(player.opened[party][place][1], taken)
+                    clog(player.connections[party][place][1], taken)
             case "drain", (party, place):
                 if open_connection(player, party, place):
-                    protocol, transport = player.opened[party][place]
+                    protocol, transport = player.connections[party][place]
                     transport.__dict__.pop("send", None)
                     protocol.resumeProducing()
         watch(player)
@@ -273,20 +273,20 @@
 
 
 def open_connection(player, party, place):
-    held = player.opened.get(party, [])
+    held = player.connections.get(party, [])
     return place < len(held) and not held[place][1].ended and not held[place][0].ended
 
 
 def watch(player):
     for party in ("s1", "origin"):
-        for place in range(len(player.opened.get(party, []))):
+        for place in range(len(player.connections.get(party, []))):
             player.check(party, place)
 
 
 def answer(player, party, place):
     if not open_connection(player, party, place):
         return
-    protocol, _ = player.opened[party][place]
+    protocol, _ = player.connections[party][place]
     if protocol.attempts:
         name = protocol.attempts[0].request.id
         words = "200 r" if party == "origin" else f"VA 1 O{name}|a"
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -108,13 +108,13 @@
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
     player.play("origin expect end\nwait 30")
-    assert player.next_asked("origin") is None
+    assert player.next_requested_factory("origin") is None
     assert player.service.dispatcher.open_count == 1
     if stays:
         player.play("wait 15\norigin#2 expect PUT /k1 *\norigin#2 send 200 r\nclient expect HD O1 cr")
     else:
         player.play("client close\nwait 300")
-        assert player.next_asked("origin") is None
+        assert player.next_requested_factory("origin") is None
         assert player.service.dispatcher.open_count == 0
 
 
@@ -136,7 +136,7 @@
     transport.send = lambda data: 3
     player.play("wait 20\nclient send ms k3 1 O3 Pc=order,t=acme,d=900|a\nclient close\norigin expect end")
     player.play("wait 300")
-    assert player.next_asked("origin") is None
+    assert player.next_requested_factory("origin") is None
     assert player.service.dispatcher.open_count == 0
 
 
@@ -148,7 +148,7 @@
     told(player, {"id": "s1", "host_port": "127.0.0.9:301", "flavor": "large"})
     # What is out is let finish, and its connection goes; the other one is never used.
     player.play("s1 send VA 1 O1|a\nclient expect VA 1 O1|a\ns1 expect end")
-    factory = player.next_asked("s1")
+    factory = player.next_requested_factory("s1")
     assert factory.buildProtocol(None) is None
     player.play("s1b expect mg k2 *\ns1b send VA 1 O2|b\nclient#2 expect VA 1 O2|b")
     assert player.service.pools.pool_of("s1").opening_count == 0
@@ -170,7 +170,7 @@
     player.play("client send ms k1 1 O1 Pc=order,t=acme,d=900|a\norigin expect PUT /k1 *\norigin send 200 r1")
     player.play("client expect HD O1 cr1\nclient send ms k2 1 O2 Pc=order,t=acme,d=900|a\nwait 20")
     player.play("origin expect PUT /k2 *\norigin send 200 r2\nclient expect HD O2 cr2")
-    assert player.next_asked("origin") is None
+    assert player.next_requested_factory("origin") is None
 
 
 def test_of_two_that_wait_the_second_does_not_count_on_the_connection_that_the_first_takes():
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -21,8 +21,8 @@
 def delay_of_next_poll_ms(player, ms, connection):
     """Return after how long a poll that does not wait arrives on discovery's connection of that number."""
     for waited in range(0, ms, 5):
-        if player.next_asked("discovery") is not None:
-            player.waiting["discovery"] = [player.reactor.tcpClients[-1][2]]
+        if player.next_requested_factory("discovery") is not None:
+            player.pending_factories["discovery"] = [player.reactor.tcpClients[-1][2]]
             player.play(f"discovery#{connection} expect GET /v1/servers?after=*&wait_ms=0 *")
             return waited
         player.play("wait 5")
@@ -103,8 +103,8 @@
     player = Player(settings=SETTINGS | {"membership-mode": "pushed", "guarantees": rules})
     for number in range(1, 9):
         player.play(f"discovery#{number} expect GET *\ndiscovery#{number} close\nwait {within_ms}")
-        assert player.next_asked("discovery") is not None, number
-        player.waiting["discovery"] = [player.reactor.tcpClients[-1][2]]
+        assert player.next_requested_factory("discovery") is not None, number
+        player.pending_factories["discovery"] = [player.reactor.tcpClients[-1][2]]
     player.play(f"discovery#9 expect GET *\ndiscovery#9 send 200 {DRAINS}")
     assert knows_draining(player)
 
