--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -1,7 +1,8 @@
-"""Carries out the facade's decisions: attempts go to the connection pools, answers to the clients' side.
+"""Carries out the balancer's decisions: sends attempts through the connection pools, and answers requests.
 
-The dispatcher owns the open requests from their arrival to their final answer. What to do with them is
-decided by the facade, and when an unsent attempt is decided again by `connections.unsent_retry`.
+The dispatcher owns each request from its arrival to its final answer. The facade decides what to do with the
+request, and `connections.unsent_retry` decides when the facade is asked again after an attempt that could not
+be sent.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import math
 from collections.abc import Callable
 
-from cloverwell import facade as f
+from cloverwell import facade as balancer_facade
 from cloverwell.back.pools import NodePools
 from cloverwell.connections.unsent_retry import UnsentRequest, retry_at_ms
 from cloverwell.counters import Counters
@@ -19,11 +20,12 @@
 from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import TimerWheel
 
-# A request that nothing has ended is failed so long before its client gives up. The balancer ends its
-# attempts two ticks and 2 ms before the deadline: a timer rounded down into that tick would fail a request
-# that the balancer is about to reject.
+# The dispatcher fails a request that is still open this long before its client gives up. The balancer ends
+# the request's attempts two ticks and 2 ms before the deadline. With a larger margin the timer, which is
+# rounded down to a tick, could fall into the same tick and fail a request that the balancer is about to
+# reject.
 DEADLINE_MARGIN_MS = 1.0
-WAY_MS = 1.0  # a request's way here and an answer's way back
+CLIENT_ROUND_TRIP_MS = 1.0  # the time that a request and its answer travel between client and proxy
 
 
 class Dispatcher:
@@ -32,176 +34,193 @@
     def __init__(
         self, facade: Facade, timer_wheel: TimerWheel, pools: NodePools, log: Log, counts: Counters
     ) -> None:
-        """Connects the parts, and has the timer wheel call `carry_out_due_decisions` at each tick."""
+        """Sets up a dispatcher without requests, and has the timer wheel call it at each tick.
+
+        `counts` are the counters of the proxy's `counts` log lines.
+        """
         self._facade = facade
-        self._wheel = timer_wheel
+        self._timer_wheel = timer_wheel
         self._pools = pools
         self._log = log
-        self._counts = counts
-        self._open: dict[str, Request] = {}
-        self._settling = False
-        self._close_by_ms = math.inf
-        self.watch_endpoints: Callable[[], None] = lambda: None  # has discovery watch the endpoint list
-        self.list_age_ms: Callable[[], float] = lambda: 0.0  # the age of the endpoint list
+        self._counters = counts
+        self._open: dict[str, Request] = {}  # by request id
+        self._is_carrying_out = False
+        self._answer_all_by_ms = math.inf
+        # `assembly` connects these two to discovery: the first has it watch the endpoint list, the second
+        # returns the age of that list in ms.
+        self.watch_endpoints: Callable[[], None] = lambda: None
+        self.list_age_ms: Callable[[], float] = lambda: 0.0
         timer_wheel.on_tick = self.carry_out_due_decisions
 
     @property
     def open_count(self) -> int:
-        """How many requests are open."""
+        """The number of open requests."""
         return len(self._open)
 
     def accept(self, request: Request) -> None:
-        """Accepts a new request, which from here on gets exactly one final answer."""
-        now = self._wheel.now()
-        self._counts.add("taken")
-        request.time_left_ms -= (
-            WAY_MS  # the clients' side has taken off what passed since its first byte was here
-        )
-        request.time_left_ms = min(request.time_left_ms, self._close_by_ms - now)
+        """Accepts a new request, which from now on gets exactly one final answer."""
+        now = self._timer_wheel.now()
+        self._counters.add("taken")
+        # The clients' side has already subtracted the time since the request's first byte arrived.
+        request.time_left_ms -= CLIENT_ROUND_TRIP_MS
+        request.time_left_ms = min(request.time_left_ms, self._answer_all_by_ms - now)
         request.deadline_ms = now + request.time_left_ms
         if request.id in self._open:
-            # Ids are never used twice: one that is would mix up two clients' answers.
-            self._note_failed(request, "twice")
+            # No two open requests may share an id: their answers would be mixed up.
+            self._record_failure(request, "twice")
             request.complete(Failed())
             return
-        bound = self._facade.settings.max_open_requests
-        if bound and len(self._open) >= bound:
+        max_open = self._facade.settings.max_open_requests
+        if max_open and len(self._open) >= max_open:
             self.record_rejection(request, "open")
             request.complete(Rejected(self._facade.settings.max_retry_after_ms))
             return
         self._open[request.id] = request
-        request.deadline_timer = self._wheel.call_by(
+        request.deadline_timer = self._timer_wheel.call_by(
             request.deadline_ms - DEADLINE_MARGIN_MS, lambda: self._fail_at_deadline(request)
         )
         self._carry_out(self._facade.decide(request), request)
         self.carry_out_due_decisions()
 
     def answer_all_by(self, when_ms: float) -> None:
-        """Has all open and all later requests answered by then; infinite: each by its own deadline."""
-        self._close_by_ms = when_ms
+        """Has all open and later requests answered by `when_ms`; infinity leaves each its own deadline."""
+        self._answer_all_by_ms = when_ms
 
     def fail_all_open(self) -> None:
-        """Fails all open requests, since their connections are closed now."""
+        """Fails all open requests, because their connections are being closed now."""
         for request in list(self._open.values()):
             if not request.is_over:
-                self._note_failed(request, "ending")
+                self._record_failure(request, "ending")
                 self._fail(request)
 
     def client_disconnected(self, requests: list[Request]) -> None:
         """Ends the requests of a client that has disconnected, without an answer.
 
-        All are closed before any attempt is given up: its place must not go to another of them.
+        All of them are ended before any attempt is given up. Otherwise the connection that an attempt frees
+        could go to another request of the same client.
         """
-        closed = [request for request in requests if not request.is_over]
-        for request in closed:
+        ended = [request for request in requests if not request.is_over]
+        for request in ended:
             request.mark_over()
-            self._facade.report(request, f.ClientDisconnected())
-        for request in closed:
+            self._facade.report(request, balancer_facade.ClientDisconnected())
+        for request in ended:
             self._cancel_attempts(request)
             self._forget_if_done(request)
-        if closed:
+        if ended:
             self.carry_out_due_decisions()
 
     def _cancel_attempts(self, request: Request) -> None:
-        """Cancels what nobody waits for any more.
+        """Cancels the attempts of a request whose client has disconnected.
 
-        A write that was sent may finish. One that waits for a connection, or for the close of the attempt
-        before it, is not sent any more.
+        A write that has been sent may finish. One that still waits for a connection, or for the close of the
+        attempt before it, is not sent.
         """
         for attempt in list(request.attempts.values()):
             if not request.is_write or attempt.pool.is_unsent(attempt):
                 attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
 
-    def update_endpoints(self, update: f.EndpointUpdate | f.EndpointUpdateFailed) -> None:
-        """Hands an update of the endpoint list, or the failure of one, to the facade."""
-        self._facade.report(f.WatchEndpoints(), update)
+    def update_endpoints(
+        self, update: balancer_facade.EndpointUpdate | balancer_facade.EndpointUpdateFailed
+    ) -> None:
+        """Reports an update of the endpoint list, or a failed call to discovery, to the facade."""
+        self._facade.report(balancer_facade.WatchEndpoints(), update)
         self.carry_out_due_decisions()
 
     def carry_out_due_decisions(self) -> None:
-        """Carries out the decisions that are due until there are none; a nested call does nothing."""
-        if self._settling:
+        """Carries out due decisions until none is left. A call from within this one does nothing."""
+        if self._is_carrying_out:
             return
-        self._settling = True
+        self._is_carrying_out = True
         try:
-            while decisions := self._facade.tick(self._wheel.now()):
+            while decisions := self._facade.tick(self._timer_wheel.now()):
                 for decision in decisions:
                     self._carry_out_due(decision)
         finally:
-            self._settling = False
+            self._is_carrying_out = False
 
-    def _carry_out_due(self, decision: f.Decision) -> None:
-        """Carries out a decision that is not the direct reply to a report or a new request."""
+    def _carry_out_due(self, decision: balancer_facade.Decision) -> None:
+        """Carries out a decision that `tick` has returned, rather than `decide` or `report`."""
         match decision:
-            case f.SendAttempt(name):
-                request = self._open.get(name)
+            case balancer_facade.SendAttempt(request_id):
+                request = self._open.get(request_id)
                 if request is None or request.is_over:
-                    # Decided as its client disconnected: unreported, it would hold its capacity for good.
+                    # The client disconnected as the attempt was decided. Without a report the balancer would
+                    # count the attempt as in flight for ever.
                     self._facade.report(decision, AttemptOutcome.NOT_SENT, True)
                 else:
                     self._carry_out(decision, request)
-            case f.RejectRequest(name) | f.FailRequest(name):
-                if (request := self._open.get(name)) is not None:
+            case balancer_facade.RejectRequest(request_id) | balancer_facade.FailRequest(request_id):
+                if (request := self._open.get(request_id)) is not None:
                     self._carry_out(decision, request)
-            case f.CancelAttempt(name, number):
-                request = self._open.get(name)
+            case balancer_facade.CancelAttempt(request_id, number):
+                request = self._open.get(request_id)
                 if request is not None and (attempt := request.attempts.get(number)) is not None:
                     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
-            case f.CloseConnections(node):
+            case balancer_facade.CloseConnections(node):
                 self._pools.close_idle(node)
-            case f.WatchEndpoints():
+            case balancer_facade.WatchEndpoints():
                 self.watch_endpoints()
-            case f.LogEvent(text):
+            case balancer_facade.LogEvent(text):
                 self._log.info("decision", text)
 
-    def _carry_out(self, decision: f.Decision, request: Request) -> None:
+    def _carry_out(self, decision: balancer_facade.Decision, request: Request) -> None:
         match decision:
-            case f.SendAttempt():
+            case balancer_facade.SendAttempt():
                 self._start_attempt(decision, request)
-            case f.RejectRequest(_, retry_after_ms, reason):
+            case balancer_facade.RejectRequest(_, retry_after_ms, reason):
                 self.record_rejection(request, reason)
                 request.complete(Rejected(retry_after_ms))
                 self._forget_if_done(request)
-            case f.FailRequest(_, reason):
-                self._note_failed(request, reason)
+            case balancer_facade.FailRequest(_, reason):
+                self._record_failure(request, reason)
                 request.complete(Failed())
                 self._forget_if_done(request)
 
     def record_rejection(self, request: Request, reason: str) -> None:
-        """Logs and counts a request that is rejected, here or before it was accepted."""
-        self._counts.add(f"refused.{reason}")
+        """Logs and counts a rejected request, also one that the clients' side rejects by itself."""
+        self._counters.add(f"refused.{reason}")
         self._log.info("refused", f"request {request.id}: {reason}")
 
-    def _note_failed(self, request: Request, reason: str) -> None:
-        self._counts.add(f"failed.{reason}")
+    def _record_failure(self, request: Request, reason: str) -> None:
+        self._counters.add(f"failed.{reason}")
         self._log.info("failed", f"request {request.id}: {reason}")
 
-    def _start_attempt(self, decision: f.SendAttempt, request: Request) -> None:
-        now = self._wheel.now()
+    def _start_attempt(self, decision: balancer_facade.SendAttempt, request: Request) -> None:
+        now = self._timer_wheel.now()
         settings = self._facade.settings
         write_by_ms = decision.decided_ms + min(decision.timeout_ms, settings.connect_timeout_ms)
-        window_ms = f.resend_window_ms(settings, request.class_number)
+        window_ms = balancer_facade.resend_window_ms(settings, request.class_number)
         if window_ms is not None and request.first_possible_run_ms is not None:
-            # Nodes recognise a repeat for so long: one that waits for a connection must not be sent after.
+            # The nodes recognise a repeated write only within this window. An attempt that waits for a
+            # connection until the window has passed must not be sent, or the write could run twice.
             write_by_ms = min(write_by_ms, request.first_possible_run_ms + window_ms)
         pool = self._pools.pool_of(decision.node)
-        self._counts.record_max("list.age_ms", self.list_age_ms())
-        costly = f.forbids_retry(settings, request.class_number)
-        # From the decision on: behind a stall the guard would otherwise come before the attempt's timeout.
+        self._counters.record_max("list.age_ms", self.list_age_ms())
+        is_unrepeatable = balancer_facade.forbids_retry(settings, request.class_number)
+        # The timeout counts from the decision. Counted from now, after a stall, it could come later than the
+        # request's deadline timer, which would fail a request that the balancer could still reject.
         deadline_ms = min(decision.decided_ms + decision.timeout_ms, request.deadline_ms)
         attempt = Attempt(
-            decision, request, write_by_ms, self._ended, pool, deadline_ms, costly, created_ms=now
+            decision,
+            request,
+            write_by_ms,
+            self._attempt_ended,
+            pool,
+            deadline_ms,
+            is_unrepeatable,
+            created_ms=now,
         )
         if decision.number:
-            self._note_further_attempt(attempt)
+            self._log_further_attempt(attempt)
         request.attempts[decision.number] = attempt
-        attempt.timer = self._wheel.call_not_before(deadline_ms, lambda: self._time_out(attempt))
+        attempt.timer = self._timer_wheel.call_not_before(deadline_ms, lambda: self._time_out(attempt))
         if request.earliest_next_attempt_ms > now:
-            self._wheel.call_by(now, lambda: self._start_after_close(attempt))
+            self._timer_wheel.call_by(now, lambda: self._start_after_close(attempt))
         else:
             pool.start(attempt)
 
-    def _note_further_attempt(self, attempt: Attempt) -> None:
-        """Logs a retry or a hedged request; what a miss sends to the origin is neither."""
+    def _log_further_attempt(self, attempt: Attempt) -> None:
+        """Logs a retry or a hedged request. The fetch from the origin after a miss is neither."""
         request = attempt.request
         if request.attempts:
             cause = "hedged"
@@ -213,29 +232,29 @@
         self._log.info("retry", f"request {request.id}: attempt {number} at {node}, {cause}")
 
     def _start_after_close(self, attempt: Attempt) -> None:
-        """Starts an attempt once the close of the one before has reached its node.
+        """Starts an attempt once the close of the attempt before it has reached that attempt's node.
 
-        The close was sent by the end of this turn of the event loop, later by as much as the loop has
-        stalled.
+        The close leaves at the end of a turn of the event loop. If the loop has stalled, the close is late by
+        as much, and so is the start.
         """
-        delay_ms = self._wheel.last_tick_delay_ms
-        stall_ms = delay_ms if delay_ms > self._wheel.granularity_ms else 0.0
+        delay_ms = self._timer_wheel.last_tick_delay_ms
+        stall_ms = delay_ms if delay_ms > self._timer_wheel.granularity_ms else 0.0
         start_ms = attempt.request.earliest_next_attempt_ms + stall_ms
-        if start_ms > self._wheel.now():
-            self._wheel.call_not_before(start_ms, attempt.start_unless_over)
+        if start_ms > self._timer_wheel.now():
+            self._timer_wheel.call_not_before(start_ms, attempt.start_unless_over)
         else:
             attempt.start_unless_over()
 
     def _time_out(self, attempt: Attempt) -> None:
         attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
+    def _attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, body: bytes | StreamedValue) -> None:
         request = attempt.request
-        self._counts.add(f"{attempt.pool.kind}.{outcome.value.value}")
+        self._counters.add(f"{attempt.pool.kind}.{outcome.value.value}")
         request.attempts.pop(attempt.decision.number, None)
         request.last_outcome = outcome
         self._count_exceeded_deadline(attempt)
-        if outcome not in f.NEVER_RAN and attempt.written_ms is not None:
+        if outcome not in balancer_facade.NEVER_RAN and attempt.written_ms is not None:
             from_ms = attempt.written_earliest_ms
             request.first_possible_run_ms = min(request.first_possible_run_ms or from_ms, from_ms)
         if outcome is AttemptOutcome.SERVED:
@@ -248,52 +267,54 @@
         self._forget_if_done(request)
         self.carry_out_due_decisions()
 
-    def _carry_out_unsent(self, decision: f.Decision, request: Request) -> None:
+    def _carry_out_unsent(self, decision: balancer_facade.Decision, request: Request) -> None:
         """Carries out the decision after an attempt that could not be sent, or decides again later."""
         state = UnsentRequest(
             is_over=request.is_over,
             has_attempt_in_flight=bool(request.attempts),
             may_have_run=request.first_possible_run_ms is not None,
-            is_rejected_or_failed=isinstance(decision, f.RejectRequest | f.FailRequest),
+            is_rejected_or_failed=isinstance(
+                decision, balancer_facade.RejectRequest | balancer_facade.FailRequest
+            ),
             is_ordered=self._facade.settings.classes[request.class_number].is_ordered,
             answer_by_ms=self._answer_by_ms(request) - DEADLINE_MARGIN_MS,
         )
-        at_ms = retry_at_ms(state, self._wheel.now(), self._wheel.granularity_ms)
+        at_ms = retry_at_ms(state, self._timer_wheel.now(), self._timer_wheel.granularity_ms)
         if at_ms is not None:
-            self._wheel.call_not_before(at_ms, lambda: self._decide_again(request, decision))
+            self._timer_wheel.call_not_before(at_ms, lambda: self._decide_again(request, decision))
         elif not request.is_over:
             self._carry_out(decision, request)
 
-    def _decide_again(self, request: Request, fallback: f.Decision) -> None:
-        """Decides again; `fallback` is the decision where an event-loop stall has used up the time."""
+    def _decide_again(self, request: Request, fallback: balancer_facade.Decision) -> None:
+        """Has the facade decide again, or carries out `fallback` if a stall has used up the time left."""
         if request.is_over:
             return
         decision = fallback
         request.deadline_ms = self._answer_by_ms(request)
-        if request.deadline_ms > self._wheel.now():
-            self._counts.add("picked_again")
+        if request.deadline_ms > self._timer_wheel.now():
+            self._counters.add("picked_again")
             decision = self._facade.decide(request)
         self._carry_out(decision, request)
         self._forget_if_done(request)
         self.carry_out_due_decisions()
 
     def _answer_by_ms(self, request: Request) -> float:
-        return min(request.deadline_ms, self._close_by_ms)
+        return min(request.deadline_ms, self._answer_all_by_ms)
 
     def _count_exceeded_deadline(self, attempt: Attempt) -> None:
-        """Counts an attempt that told its node more time than its client had left: none should."""
+        """Counts an attempt whose propagated deadline was later than its client's, which is a fault."""
         if attempt.written_ms is None:
             return
         excess_ms = attempt.exceeded_deadline_by_ms(attempt.written_ms)
         if excess_ms > 0.0:
-            self._counts.add("deadline.exceeded_at_send")
-            self._counts.record_max("deadline.exceeded_at_send_ms", excess_ms)
+            self._counters.add("deadline.exceeded_at_send")
+            self._counters.record_max("deadline.exceeded_at_send_ms", excess_ms)
 
     def _fail_at_deadline(self, request: Request) -> None:
-        """Ends a request that is still open; the balancer ends each in time unless one of us is at fault.
+        """Ends a request that is still open at its deadline, which happens only if this program has a fault.
 
-        An attempt may have its timeout in this very tick. The balancer then has the last word: it knows
-        whether the request may be repeated without harm.
+        An attempt may have its timeout in this very tick. It is timed out first, so that the balancer decides
+        about the request: the balancer knows whether the client may safely retry it.
         """
         for attempt in list(request.attempts.values()):
             attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
@@ -302,9 +323,9 @@
             self._fail(request)
 
     def _fail(self, request: Request) -> None:
-        """Fails a request that is open, whatever the balancer would do with it."""
+        """Fails an open request without asking the balancer."""
         if request.complete(Failed()):
-            self._facade.report(request, f.ClientDisconnected())
+            self._facade.report(request, balancer_facade.ClientDisconnected())
             for attempt in list(request.attempts.values()):
                 attempt.pool.give_up(attempt, AttemptOutcome.TIMED_OUT)
             self._forget_if_done(request)
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -1,7 +1,8 @@
-"""The balancer as calls that return decisions: decide, report, tick. Its events and actions end here.
+"""The balancer behind three calls that return decisions: `decide`, `report` and `tick`.
 
-`decide` and `report` return the choice for the request in hand; whatever the module decides on the way
-for others is kept for the next `tick`, which the loop calls after each of them.
+No other module of this package sees the balancer's events and actions. `decide` and `report` return the
+decision for the request that they are called with. What the balancer decides at the same time for other
+requests is kept for the next `tick`, which the dispatcher calls after each of them.
 """
 
 import heapq
@@ -26,21 +27,22 @@
     NOT_CONNECTED = Status.CONNECT_FAILED
     RESET = Status.RESET
     CANCELLED = Status.CANCELLED
-    # Its request was over, or this machine at fault: it says nothing of the server.
+    # Its request had ended, or this machine was at fault: the outcome tells nothing about the server.
     NOT_SENT = Status.ABANDONED
 
 
+# The outcomes after which the request has certainly not run at the node.
 NEVER_RAN = tuple(AttemptOutcome(status) for status in api.NEVER_RAN)
 
 
 class RoutableRequest(Protocol):
-    """The fields of a request by which it is routed."""
+    """The fields of a request that the balancer decides by."""
 
     id: str
     class_number: int
     tenant: int
     is_write: bool
-    deadline_ms: float  # by the facade's clock
+    deadline_ms: float  # the clock's reading at the deadline, in ms
     is_over: bool
 
     @property
@@ -50,23 +52,25 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send one attempt of the request to the node, now."""
+    """Send an attempt of the request to the node now."""
 
     request_id: str
     node: str
-    number: int
+    number: int  # of the attempt: 0 for the first of its request
     timeout_ms: float
-    decided_ms: float = 0.0  # the timeout counts from then, however much later this is carried out
+    decided_ms: float = (
+        0.0  # the time of the decision, from which the timeout counts even if it is sent later
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class Undecided:
-    """There is nothing to do now; a later `tick` returns the next decision."""
+    """Do nothing now: the request waits, and a later `tick` returns its next decision."""
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Reject the request: the client may safely retry, best after that time."""
+    """Reject the request, which its client may safely retry, best after `retry_after_ms`."""
 
     request_id: str
     retry_after_ms: float
@@ -75,10 +79,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Fail the request: an attempt of it may have run."""
+    """Fail the request: an attempt of it may have run, so a retry could run it twice."""
 
     request_id: str
-    reason: str = ""
+    reason: str = ""  # counted as `failed.REASON`
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,29 +102,29 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Watch the endpoint list from now on; `report` each update, or the failure."""
+    """Watch the endpoint list from now on, and pass each update or failed call to `report`."""
 
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """A line for the log."""
+    """Log a line in which the balancer describes an event."""
 
     text: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """An update of the endpoint list: the complete list, or the entries that changed."""
+    """An update of the endpoint list: a complete list, or only the entries that have changed."""
 
     revision: int
     complete: bool
     entries: tuple[ServerEntry, ...]
-    is_cached: bool = False  # the list as this proxy had it before it started
+    is_cached: bool = False  # the list was known before this process started, and may be out of date
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdateFailed:
-    """A call to discovery has failed; the list stays as it is."""
+    """A call to discovery has failed, and the endpoint list stays as it is."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -143,38 +147,45 @@
 
 @dataclass(slots=True)
 class AttemptCount:
-    """The attempts of a request: all of them, which numbers the next, and those in flight."""
+    """How many attempts of a request were started, which is the number of the next one, and are in flight."""
 
-    chosen: int = 0
-    out: int = 0
+    started: int = 0
+    in_flight: int = 0
 
 
 class Facade:
-    """One balancer, its clock and its timers, behind calls that return the decision for their request."""
+    """One balancer with its clock and its timers, behind calls that return decisions."""
 
     def __init__(self, settings: api.Settings, seed: int, now: Callable[[], float]) -> None:
-        """`now` returns the time in milliseconds, of the clock that `tick` is called with."""
+        """Sets up the balancer with these settings and this seed of its random numbers.
+
+        `now` returns the reading in ms of the clock whose readings `tick` is called with.
+        """
         self.settings = settings
-        # This proxy carries out no probes: a module that counted on them would keep a marked node out until
-        # the list changed, waiting for an answer that never comes. Without them it sends trial requests.
+        # This proxy sends no probes. A balancer that relied on them would wait for answers that never come,
+        # and keep an ejected node out until the endpoint list changed. Without probes it readmits a node by
+        # sending it a client's request.
         self._balancer = Balancer(replace(settings, may_probe=False), seed)
         self._now = now
         self._timers: list[tuple[float, int]] = []
         self._pending: deque[Decision] = deque()
-        self._attempts: dict[str, AttemptCount] = {}  # of the requests that had an attempt and are not over
+        # By request id, for the requests that have had an attempt and have not ended.
+        self._attempts: dict[str, AttemptCount] = {}
 
     def decide(self, request: RoutableRequest) -> Decision:
-        """Returns the first decision for a new request."""
+        """Returns the decision for a new request, or for one whose attempt could not be sent."""
         now = self._now()
+        # The time left counts from this reading of the clock: since an earlier one the process may have
+        # stalled.
         event = api.Request(
             request.id,
             request.class_number,
-            request.deadline_ms - now,  # by this reading: the process may have been held up since any other
+            request.deadline_ms - now,
             request.key,
             request.tenant,
             request.is_write,
         )
-        return self._hand_over(now, event, request.id)
+        return self._handle_event(now, event, request.id)
 
     def report(
         self,
@@ -182,98 +193,106 @@
         outcome: AttemptOutcome | ClientDisconnected | EndpointUpdate | EndpointUpdateFailed,
         is_over: bool = False,
     ) -> Decision:
-        """How an attempt or a watch ended, or that the client left; `is_over`: its answer has been given."""
+        """Reports an outcome to the balancer, and returns the next decision for the request.
+
+        `subject` is the attempt that has ended, the request whose client has disconnected, or the watch of
+        the endpoint list. `is_over` says that the attempt's request has ended.
+        """
         now = self._now()
         match outcome:
             case AttemptOutcome():
                 assert isinstance(subject, SendAttempt)
-                name = subject.request_id
-                ended = is_over or outcome is AttemptOutcome.SERVED
-                self._attempts[name].out -= 1
-                if ended:
-                    self._forget(name)
-                event = api.AttemptEnded(name, subject.node, subject.number, outcome.value, 0.0, ended)
-                return self._hand_over(now, event, name)
+                subject_request_id = subject.request_id
+                is_request_over = is_over or outcome is AttemptOutcome.SERVED
+                self._attempts[subject_request_id].in_flight -= 1
+                if is_request_over:
+                    self._forget(subject_request_id)
+                event = api.AttemptEnded(
+                    subject_request_id, subject.node, subject.number, outcome.value, 0.0, is_request_over
+                )
+                return self._handle_event(now, event, subject_request_id)
             case ClientDisconnected():
                 request = cast(RoutableRequest, subject)
                 self._forget(request.id)
-                return self._hand_over(now, api.ClientGone(request.id), request.id)
+                return self._handle_event(now, api.ClientGone(request.id), request.id)
             case EndpointUpdate():
                 kind = ListKind.FULL if outcome.complete else ListKind.DELTA
                 kind = ListKind.CACHED if outcome.is_cached else kind
-                return self._hand_over(
+                return self._handle_event(
                     now, api.EndpointListChanged(kind, outcome.revision, outcome.entries), None
                 )
             case EndpointUpdateFailed():
-                return self._hand_over(now, api.EndpointListChanged(ListKind.FAILED), None)
+                return self._handle_event(now, api.EndpointListChanged(ListKind.FAILED), None)
 
     def tick(self, now: float) -> list[Decision]:
-        """The choices that are due for others: what the last calls left, and what timers bring."""
+        """Returns the decisions that are due: those that the last calls kept, and those of expired timers."""
         while self._timers and self._timers[0][0] <= now:
             _, token = heapq.heappop(self._timers)
-            self._hand_over(now, api.TimerDue(token), None)
+            self._handle_event(now, api.TimerDue(token), None)
         due, self._pending = list(self._pending), deque()
         return due
 
     def resize(self, peers_total: int) -> None:
-        """Adapts the decisions to the number of proxies that share the servers."""
+        """Changes the number of proxies that share the servers, by which the balancer divides limits."""
         self.settings = replace(self.settings, peers_total=peers_total)
         self._balancer.resize(peers_total)
 
-    def _forget(self, request: str) -> None:
-        """The request is over: its count is dropped with its last attempt."""
-        if (count := self._attempts.get(request)) is not None and not count.out:
-            del self._attempts[request]
+    def _forget(self, request_id: str) -> None:
+        """Drops the attempt count of a request that has ended, unless attempts are still in flight."""
+        if (count := self._attempts.get(request_id)) is not None and not count.in_flight:
+            del self._attempts[request_id]
 
-    def _hand_over(self, now: float, event: api.Event, mine: str | None) -> Decision:
-        choice: Decision = UNDECIDED
+    def _handle_event(self, now: float, event: api.Event, current_request_id: str | None) -> Decision:
+        current_decision: Decision = UNDECIDED
         for action in self._balancer.handle(now, event):
             if type(action) is api.SetTimer:
                 heapq.heappush(self._timers, (now + action.delay_ms, action.token))
                 continue
-            meant = self._read(action, now)
+            decision = self._decision_from(action, now)
             if (
-                isinstance(meant, SendAttempt | RejectRequest | FailRequest)
-                and choice is UNDECIDED
-                and meant.request_id == mine
+                isinstance(decision, SendAttempt | RejectRequest | FailRequest)
+                and current_decision is UNDECIDED
+                and decision.request_id == current_request_id
             ):
-                choice = meant
+                current_decision = decision
             else:
-                self._pending.append(meant)
-        return choice
+                self._pending.append(decision)
+        return current_decision
 
-    def _read(self, action: api.Action, now: float) -> Decision:
+    def _decision_from(self, action: api.Action, now: float) -> Decision:
         match action:
-            case api.Send(name, node, timeout_ms):
-                count = self._attempts.setdefault(name, AttemptCount())
-                count.chosen += 1
-                count.out += 1
-                return SendAttempt(name, node, count.chosen - 1, timeout_ms, now)
-            case api.Reject(name, retry_after_ms, reason):
-                self._forget(name)
-                return RejectRequest(name, retry_after_ms, reason)
-            case api.Fail(name, reason):
-                self._forget(name)
-                return FailRequest(name, reason)
-            case api.Cancel(name, number):
-                return CancelAttempt(name, number)
+            case api.Send(request_id, node, timeout_ms):
+                count = self._attempts.setdefault(request_id, AttemptCount())
+                count.started += 1
+                count.in_flight += 1
+                return SendAttempt(request_id, node, count.started - 1, timeout_ms, now)
+            case api.Reject(request_id, retry_after_ms, reason):
+                self._forget(request_id)
+                return RejectRequest(request_id, retry_after_ms, reason)
+            case api.Fail(request_id, reason):
+                self._forget(request_id)
+                return FailRequest(request_id, reason)
+            case api.Cancel(request_id, number):
+                return CancelAttempt(request_id, number)
             case api.CloseConnections(node):
                 return CloseConnections(node)
             case api.Subscribe():
                 return WatchEndpoints()
             case api.Log(text):
                 return LogEvent(text)
-        # Probes are never carried out, and the module is told that they may not be (see __init__).
+        # A probe would get here, but the settings forbid the balancer to send any (see `__init__`).
         return LogEvent(f"not carried out: {action}")
 
 
 def resend_window_ms(settings: api.Settings, class_number: int) -> float | None:
-    """How long after an attempt that may have run a further one may leave; None where the class sets no
-    limit."""
-    cls = settings.classes[class_number]
-    return cls.dedup_window_ms if cls.idempotency is Idempotency.KEYED else None
+    """Returns for how many ms after an attempt that may have run another one may be sent.
+
+    That is how long the nodes recognise a repeated write. It is None if the class sets no limit.
+    """
+    request_class = settings.classes[class_number]
+    return request_class.dedup_window_ms if request_class.idempotency is Idempotency.KEYED else None
 
 
 def forbids_retry(settings: api.Settings, class_number: int) -> bool:
-    """Whether an attempt that may have run forbids any other."""
+    """Returns whether a request of the class must not be sent again after an attempt that may have run."""
     return settings.classes[class_number].idempotency is Idempotency.UNSAFE
--- a/cloverwell/request.py
+++ b/cloverwell/request.py
@@ -1,6 +1,6 @@
 """A request and its attempts, independent of the protocol that the request came by.
 
-`Request` owns the final answer, which is given once, and `Attempt` owns the outcome of one try at one node.
+`Request` gives its final answer exactly once, and `Attempt` reports the outcome of one try at one node once.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 
 FinalAnswer = Served | Rejected | Failed
 
-# The propagated deadline `d` is a whole number of milliseconds, so an attempt with less left is not sent.
+# The propagated deadline `d` is a whole number of ms, so an attempt with less time left is not sent.
 MIN_PROPAGATED_MS = 1
 
 
 class AttemptPool(Protocol):
-    """What the owner of an attempt needs of the connection pool that carries it."""
+    """The part of a connection pool that the owner of an attempt uses."""
 
-    kind: str  # `cache` or `origin`, as in the names of counters
+    kind: str  # `cache` or `origin`, the prefix of the pool's counters
 
     def start(self, attempt: Attempt) -> None:
         """Writes the attempt to a connection, or has it wait for one."""
@@ -62,27 +62,31 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at one node. It ends exactly once, and reports its outcome to its owner."""
+    """One try of a request at one node. It ends exactly once, and then reports its outcome to its owner."""
 
     decision: SendAttempt
     request: Request
-    write_by_ms: float  # no byte of it is written later
+    write_by_ms: float  # the time after which no byte of the attempt may be written
     on_end: Callable[[Attempt, AttemptOutcome, bytes | StreamedValue], None]
     pool: AttemptPool
-    deadline_ms: float  # it is given up then, which is at its client's deadline at the latest
-    forbids_retry: bool = False  # it may not run twice: a reset after its last byte loses the request
-    created_ms: float = 0.0  # when it was asked for
-    reassignments: int = 0  # connections that were found closed before its last byte
-    timer: Timer | None = None
+    deadline_ms: float  # the time at which the attempt is given up, not after its client's deadline
+    # The request must not run twice, so a reset after the last byte of the attempt fails it.
+    forbids_retry: bool = False
+    created_ms: float = 0.0
+    reassignments: int = 0  # how often its connection was found closed before its last byte was written
+    timer: Timer | None = None  # gives the attempt up at its deadline
     propagated_ms: int = 0  # the time left that its command tells its node, set when it is formatted
-    written_ms: float | None = None  # when its last byte was handed to the kernel, at the latest
-    written_earliest_ms: float = 0.0  # and at the earliest: the clock before that write
+    # The clock's readings after and before the write that handed the attempt's last byte to the kernel. The
+    # write happened between them.
+    written_ms: float | None = None
+    written_earliest_ms: float = 0.0
     is_over: bool = False
 
     def time_left_ms(self, now: float, delay_ms: float = 0.0) -> int:
-        """Returns the propagated deadline in whole milliseconds for a command that is formatted now.
+        """Returns the propagated deadline in whole milliseconds for a command that is formatted at `now`.
 
-        Node and proxy then stop at the same moment. `delay_ms` is how much later the last byte is written.
+        With it the node gives up at the same moment as this proxy. `delay_ms` is the time from `now` to the
+        write of the last byte.
         """
         return math.floor(self.deadline_ms - now - delay_ms)
 
@@ -91,13 +95,13 @@
         return now + self.propagated_ms - self.request.deadline_ms
 
     def start_unless_over(self) -> None:
-        """Starts the attempt after a delay, unless it has ended meanwhile."""
+        """Starts an attempt whose start was delayed, unless it has ended meanwhile."""
         if not self.is_over:
             self.pool.start(self)
 
     def end(self, outcome: AttemptOutcome, body: bytes | StreamedValue = b"") -> None:
         """Reports the outcome to the owner. Calls after the first have no effect."""
-        # A late answer or a second break must not be reported again, or reach another request.
+        # A late answer, or a connection that breaks after the end, must not be reported a second time.
         if self.is_over:
             return
         self.is_over = True
@@ -108,25 +112,24 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One client request. `on_answer` is called exactly once, unless the client disconnects first."""
+    """One client request. `on_answer` gets the final answer exactly once, unless the client disconnects."""
 
     id: str
     class_number: int
     tenant: int
     key: str
     is_write: bool
-    time_left_ms: float
-    value: bytes
-    info: str  # its names and values as they came
+    time_left_ms: float  # when the dispatcher gets the request; the client's deadline is then so far away
+    value: bytes  # what a write stores; empty for a read
+    info: str  # the client's names and values, `NAME=VALUE,...`, as they came
     on_answer: Callable[[Request, FinalAnswer], None]
-    deadline_ms: float = 0.0
+    deadline_ms: float = 0.0  # the clock's reading at the deadline
     is_over: bool = False
-    attempts: dict[int, Attempt] = field(default_factory=dict)  # those in flight, by number
-    last_outcome: AttemptOutcome | None = None  # of the attempt that ended last
-    first_possible_run_ms: float | None = (
-        None  # the clock before the write of the first attempt that may have run
-    )
-    # No new attempt is written before: until then a closed one may still be at its node.
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # the attempts in flight, by number
+    last_outcome: AttemptOutcome | None = None  # the outcome of the attempt that ended last
+    # The clock's reading before the write of the first attempt that may have run.
+    first_possible_run_ms: float | None = None
+    # The time before which no new attempt is written, because a closed one may still be at its node.
     earliest_next_attempt_ms: float = 0.0
     deadline_timer: Timer | None = None
 
@@ -139,12 +142,12 @@
         return True
 
     def mark_over(self) -> None:
-        """Marks the request as over without an answer."""
+        """Marks the request as ended, without giving an answer."""
         self.is_over = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
 
     def info_with_deadline(self, wait_ms: float) -> str:
-        """Returns the names and values as they came, with `d` replaced by the time that this proxy waits."""
+        """Returns the client's names and values with `d` replaced by `wait_ms`, the time this proxy waits."""
         parts = (f"d={int(wait_ms)}" if part.startswith("d=") else part for part in self.info.split(","))
         return ",".join(parts)
--- a/cloverwell/streamed_value.py
+++ b/cloverwell/streamed_value.py
@@ -1,10 +1,11 @@
 """A long value that is passed on from a node's connection to a client's while it arrives. No I/O.
 
-The source reports what arrives (`receive`, `complete`, `abort`). The sink takes it once its turn has come
-(`open`), says when it wants no more for now (`pause_source`, `resume_source`), or nothing any more
-(`cancel`). Until it is opened the source is held, and so is the sender, by its connection's flow control:
-nothing is buffered here except one byte. That last byte is passed on only when the end of the value is known
-to be sound, so that a malformed value never looks complete.
+The source is the node's connection: it reports what arrives (`receive`, `complete`, `abort`). The sink is the
+client's connection: it takes the data once all answers before this one have been sent (`open`), pauses and
+resumes the source (`pause_source`, `resume_source`), or stops it (`cancel`). Until `open` the source is
+paused, and flow control of its connection pauses the node. Nothing is buffered here except the last byte. It
+is passed on only when the end of the value is known to be well-formed, so that a malformed value never looks
+complete.
 """
 
 from __future__ import annotations
@@ -12,36 +13,34 @@
 from collections.abc import Callable
 from enum import Enum
 
-STREAMING_THRESHOLD_BYTES = 64 * 1024  # a value of more bytes is passed on while it arrives
-MAX_STREAMED_VALUE_BYTES = 4 * 1024 * 1024  # bytes of a value at most
-READ_AHEAD_BOUNDS_BYTES = (
-    8 * 1024,
-    64 * 1024,
-)  # bytes that a slow client may be behind, at the least and at the most
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # a longer value is passed on while it arrives
+MAX_STREAMED_VALUE_BYTES = 4 * 1024 * 1024  # the length of the longest value that is accepted
+# The least and the most bytes that are buffered for a client that reads more slowly than the value arrives.
+READ_AHEAD_BOUNDS_BYTES = (8 * 1024, 64 * 1024)
 
 
 class StreamStage(Enum):
-    """How far the sink is."""
+    """The state of a streamed value as its sink sees it."""
 
-    WAITING = "waiting"  # its turn in the order of answers has not come
-    OPEN = "open"
-    ENDED = "ended"
+    WAITING = "waiting"  # answers that the client gets before this one have not been sent
+    OPEN = "open"  # the sink takes the data
+    ENDED = "ended"  # the value is complete, broken off or cancelled
 
 
 def read_ahead_bytes(buffer_bytes: int, streams: int) -> int:
-    """Returns how many bytes each stream may be ahead of its reader; all of them share `buffer_bytes`."""
+    """Returns how many bytes are buffered for each of the `streams`, which share `buffer_bytes`."""
     return max(READ_AHEAD_BOUNDS_BYTES[0], min(READ_AHEAD_BOUNDS_BYTES[1], buffer_bytes // max(1, streams)))
 
 
 class StreamedValue:
-    """One value of `length` bytes. A sink that takes the Served answer with it sets `has_sink`."""
+    """One long value. The client's connection that takes it as an answer sets `has_sink`."""
 
     def __init__(
         self, length: int, pause: Callable[[], None], resume: Callable[[], None], stop: Callable[[], None]
     ) -> None:
-        """Makes a value of `length` bytes whose source has these three calls.
+        """Sets up a value of `length` bytes whose source is controlled by three calls.
 
-        They are called when the sink wants no more for now, more again, or nothing any more.
+        `pause` stops the source for now, `resume` has it go on, and `stop` ends it.
         """
         self.length = length
         self.remaining_bytes = length
@@ -49,32 +48,32 @@
         self.has_sink = False
         self._pause, self._resume, self._stop = pause, resume, stop
         self._take: Callable[[bytes], None] = lambda _data: None
-        self._end: Callable[[bool], None] = lambda _whole: None
-        self._last = b""
+        self._end: Callable[[bool], None] = lambda _is_complete: None
+        self._last_byte = b""
 
     # The sink ---------------------------------------------------------------------------------------
 
     def open(self, take: Callable[[bytes], None], end: Callable[[bool], None]) -> None:
-        """Has the pieces given to `take`; `end` is called once, with whether all of the value has come."""
+        """Passes the data to `take` from now on, and at the end calls `end`: True for a complete value."""
         self._take, self._end = take, end
-        if self.stage is StreamStage.ENDED:  # it broke while it waited
+        if self.stage is StreamStage.ENDED:  # the node broke it off while it waited
             end(False)
             return
         self.stage = StreamStage.OPEN
         self._resume()
 
     def pause_source(self) -> None:
-        """Asks the source for no more until `resume_source`."""
+        """Pauses the source until `resume_source` is called."""
         if self.stage is StreamStage.OPEN:
             self._pause()
 
     def resume_source(self) -> None:
-        """Asks the source for more again."""
+        """Resumes a source that `pause_source` has paused."""
         if self.stage is StreamStage.OPEN:
             self._resume()
 
     def cancel(self) -> None:
-        """Stops the source, since the reader has gone."""
+        """Stops the source, because nobody takes the value any more."""
         if self.stage is not StreamStage.ENDED:
             self.stage = StreamStage.ENDED
             self._stop()
@@ -85,21 +84,21 @@
         """Passes on the next bytes, except the last byte of the value."""
         self.remaining_bytes -= len(data)
         if not self.remaining_bytes:
-            data, self._last = data[:-1], data[-1:]
+            data, self._last_byte = data[:-1], data[-1:]
         if data and self.stage is StreamStage.OPEN:
             self._take(data)
 
     def complete(self) -> None:
-        """Completes the value, all of which has come and whose end is sound."""
+        """Passes on the last byte of a value that has arrived completely, and ends it as complete."""
         if self.stage is StreamStage.OPEN:
-            self._take(self._last)
+            self._take(self._last_byte)
         self._finish(True)
 
     def abort(self) -> None:
-        """Ends the value, the rest of which will not come."""
+        """Ends the value as incomplete, because the rest of it will not arrive."""
         self._finish(False)
 
-    def _finish(self, whole: bool) -> None:
-        was, self.stage = self.stage, StreamStage.ENDED
-        if was is StreamStage.OPEN:
-            self._end(whole)
+    def _finish(self, is_complete: bool) -> None:
+        last_stage, self.stage = self.stage, StreamStage.ENDED
+        if last_stage is StreamStage.OPEN:
+            self._end(is_complete)
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -20,7 +20,7 @@
 
 
 def answers_twice(patch):
-    patch.setattr(dispatcher.Dispatcher, "_ended", _ended_twice(dispatcher.Dispatcher._ended))
+    patch.setattr(dispatcher.Dispatcher, "_attempt_ended", _ended_twice(dispatcher.Dispatcher._attempt_ended))
 
 
 def _ended_twice(real):
