--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of one proxy, made and connected to each other."""
+"""Builds the parts of one proxy and connects them to each other."""
 
 from __future__ import annotations
 
@@ -34,26 +34,27 @@
 from cloverwell.serving import Serving
 from cloverwell.timer_wheel import TimerWheel
 
-# The timer wheel turns no faster than this. The balancer is told, and keeps its timeouts that far from
-# deadlines.
+# The shortest time from one tick of the timer wheel to the next. The balancer gets the actual time as a
+# setting, and keeps its timeouts that far from deadlines.
 MIN_GRANULARITY_MS = 5.0
-# Descriptors for the standard streams, the reactor, discovery, and connections that are closed but not yet
-# free.
+# The descriptors for the standard streams, the reactor, discovery, and connections that are closed but still
+# have their descriptors.
 SPARE_DESCRIPTORS = 24
-# Descriptors for the operators' port and its connections, which must not wait for clients to close theirs.
+# The descriptors for the operators' port and its connections, which must not wait until clients close theirs.
 OPERATOR_DESCRIPTORS = 10
-# Connections that a process may hold, however few descriptors it has during a handover.
+# The number of connections that a process may have, however few descriptors it gets during a handover.
 MIN_CONNECTIONS = 8
-# The platform's clients open connections for requests for no more than this share of all descriptors.
+# The share of all descriptors up to which the platform's clients open connections for requests.
 REQUEST_CONNECTIONS_SHARE = 1.0 / 3.0
-# The share of the memory limit that buffers streamed values whose clients read more slowly than they come.
+# The share of the memory limit for buffers of streamed values, whose clients may read more slowly than the
+# values arrive.
 STREAMED_VALUES_MEMORY_SHARE = 0.125
-# Our idle connections are closed after this share of the time after which their node would close them, so
-# that no request is written to a connection that the node closes at that moment.
+# An idle connection to a node is closed after this share of the time after which the node would close it.
+# Otherwise a request could be written to a connection that the node is just closing.
 IDLE_CLOSE_SHARE = 0.9
-# After a node leaves, attempts to it may still be written for the settings' grace less a margin. The rule
-# counts from a send's first byte at the node; between the reading of the clock and that moment come a stall
-# of the event loop and the network.
+# After a node has left, attempts to it may still be written during the grace period of the settings, less a
+# margin. An attempt is in time if its first byte reaches the node within the grace period. Between the
+# reading of the clock and that moment, the event loop may stall and the network takes its time.
 MAX_EVENT_LOOP_STALL_MS = 150.0
 NETWORK_DELAY_MS = 50.0
 DRAIN_GRACE_MARGIN_MS = MAX_EVENT_LOOP_STALL_MS + NETWORK_DELAY_MS
@@ -62,10 +63,10 @@
 
 
 class ProxyReactor(IReactorCore, IReactorTime, IReactorTCP, IReactorSocket):
-    """What a proxy needs of Twisted's reactor.
+    """The interfaces of Twisted's reactor that a proxy uses.
 
-    The calls that the proxy itself makes are typed again: the methods of a zope interface have no `self`, and
-    a type checker without a plugin takes their first argument for it.
+    The methods that the proxy itself calls are declared again: the methods of a zope interface have no
+    `self`, and a type checker without a plugin takes their first argument for it.
     """
 
     callLater: Callable[..., IDelayedCall]
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyParts:
-    """The parts of one proxy, each with one job; `client_connections` is the clients' side."""
+    """The parts of one proxy."""
 
     timer_wheel: TimerWheel
     metrics: ConnectionMetrics
@@ -92,12 +93,12 @@
 
 
 def reserved_descriptors(config: Config) -> int:
-    """Descriptors that are not for connections of clients and to nodes."""
+    """Returns the number of descriptors that connections of clients and to nodes must leave free."""
     return SPARE_DESCRIPTORS + (OPERATOR_DESCRIPTORS if config.operator else 0)
 
 
 def connection_budget(config: Config, sockets: int) -> int:
-    """How many connections fit into that many descriptors."""
+    """Returns how many connections a process with `sockets` descriptors may have."""
     return max(MIN_CONNECTIONS, sockets - reserved_descriptors(config))
 
 
@@ -109,10 +110,10 @@
     read_epoch_ms: Callable[[], float],
     predecessor: Predecessor | None,
 ) -> ProxyParts:
-    """Makes all parts; nothing listens or connects yet.
+    """Builds all parts of a proxy, which neither listen nor connect yet.
 
-    `now`: ms of the monotonic clock; `read_epoch_ms`: what that clock showed when Unix time was 0;
-    `predecessor`: the process that is replaced, which keeps some of the descriptors until its end.
+    `now` returns the reading of the monotonic clock in ms, and `read_epoch_ms` what that clock showed at Unix
+    time 0. `predecessor` is the process that this one replaces, and it keeps some descriptors until it ends.
     """
     granularity_ms = max(MIN_GRANULARITY_MS, config.settings.granularity_ms)
     settings = replace(config.settings, granularity_ms=granularity_ms)
@@ -126,7 +127,9 @@
     endpoint_discovery = EndpointDiscovery(
         reactor, timer_wheel, settings, pools, log, config.discovery, read_epoch_ms, counts, config.seed
     )
-    side = _make_client_connections(config, settings, dispatcher, timer_wheel, log, budget, metrics, serving)
+    client_connections = _make_client_connections(
+        config, settings, dispatcher, timer_wheel, log, budget, metrics, serving
+    )
     parts = ProxyParts(
         timer_wheel,
         metrics,
@@ -138,7 +141,7 @@
         facade,
         dispatcher,
         endpoint_discovery,
-        side,
+        client_connections,
     )
     _connect(parts)
     return parts
@@ -206,15 +209,16 @@
 
 
 def build_connection(pool: Pool, asked_ms: float) -> NodeConnection:
-    """A connection in the protocol of the pool's node; `asked_ms`: when it was asked for."""
+    """Returns a connection in the protocol of the pool's node, which the pool has asked for at `asked_ms`."""
     return OriginConnection(pool, asked_ms) if pool.is_origin else CacheConnection(pool, asked_ms)
 
 
 def _connect(parts: ProxyParts) -> None:
-    """Gives each part the calls that it makes to others."""
+    """Gives each part the methods of other parts that it calls."""
     parts.endpoint_discovery.on_update = parts.dispatcher.update_endpoints
     parts.dispatcher.watch_endpoints = parts.endpoint_discovery.watch
     parts.dispatcher.list_age_ms = parts.endpoint_discovery.age_ms
-    # Either side that finds no descriptors left asks the other to close what is idle beyond its floor.
+    # When one side needs a descriptor and none is left, it asks the other side to close idle connections, as
+    # far as that side uses more than its guaranteed share.
     parts.pools.request_descriptor = parts.client_connections.release_descriptor
     parts.client_connections.request_descriptor = parts.pools.release_descriptor
--- a/cloverwell/metrics_log.py
+++ b/cloverwell/metrics_log.py
@@ -1,4 +1,4 @@
-"""The log lines in which a proxy sums up what it did: `connections` and `counts`."""
+"""The periodic log lines with a proxy's metrics: `connections` and `counts`."""
 
 from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
 from cloverwell.counters import Counters
@@ -7,8 +7,8 @@
 
 COUNTERS_INTERVAL_MS = 5_000.0  # between two `counts` lines
 CONNECTION_METRICS_INTERVAL_MS = 60_000.0  # between two `connections` lines
-# The events of connections that the `counts` lines have too, so that a fleet's connections can be summed up
-# at the finer interval.
+# The connection events that the `counts` lines contain too, so that the events of a whole fleet can be summed
+# up at the shorter interval.
 COUNTED_EVENTS = (
     ConnectionEvent.OPENED,
     ConnectionEvent.CONNECT_REFUSED,
@@ -27,7 +27,7 @@
     def __init__(
         self, timer_wheel: TimerWheel, log: Log, metrics: ConnectionMetrics, counters: Counters
     ) -> None:
-        """`metrics` and `counters`: what is written; writing `counters` sets them back to zero."""
+        """Sets up the log of `metrics` and `counters`. Each line of `counters` sets them back to zero."""
         self._timer_wheel = timer_wheel
         self._log = log
         self._metrics = metrics
@@ -36,12 +36,12 @@
         self._counted_reasons: dict[tuple[ConnectionEvent, str], int] = {}
 
     def start(self) -> None:
-        """Begins the periodic lines; a line that would be empty is left out."""
+        """Starts to write the periodic lines. A line that would be empty is left out."""
         self._log_metrics_periodically()
         self._log_counters_periodically()
 
     def log_final(self) -> None:
-        """Writes both lines once more, as the last ones of the process."""
+        """Writes both lines once more, when the process ends."""
         self._log.info("connections", self._metrics.format_totals(*ConnectionEvent))
         self._log_counters()
 
@@ -62,7 +62,7 @@
             self._log.info("counts", line)
 
     def _count_connection_events(self) -> None:
-        """Adds what has happened since the last line to the counters."""
+        """Adds the connection events since the last line to the counters."""
         for event, counted in self._counted_totals.items():
             total = self._metrics.total(event)
             if total != counted:
--- a/cloverwell/system_calls.py
+++ b/cloverwell/system_calls.py
@@ -1,4 +1,4 @@
-"""Classifies the error numbers of failed system calls: who is at fault, and whether it is transient."""
+"""Classifies the error numbers of failed system calls: which side is at fault, and whether to try again."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from twisted.internet.error import ConnectError
 
-# Of `read` and `write`: a momentary shortage of memory, or a signal. Nothing has been transferred.
+# Errors of `read` and `write`: a momentary shortage of memory, or a signal. Nothing has been transferred.
 TRANSIENT_ERRORS = frozenset({errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
-# Of `accept`: the next connection in the queue has ended, or a signal arrived. The one after it may be
+# Errors of `accept`: the next connection in the queue has ended, or a signal arrived. The one after it may be
 # usable.
 ABORTED_CONNECTION_ERRORS = frozenset(
     {
@@ -29,7 +29,7 @@
     }
 )
 
-# Of `socket` and `connect`: this machine cannot begin a connection to any server now.
+# Errors of `socket` and `connect`: this machine cannot begin a connection to any server now.
 SHORTAGE = frozenset(
     {
         errno.EADDRINUSE,
@@ -43,19 +43,20 @@
     }
 )
 
-# Of `connect`: this machine has no route to the server, or forbids the connection. Others may be reachable.
+# Errors of `connect`: this machine has no route to the server, or forbids the connection. It may reach other
+# servers.
 UNREACHABLE = frozenset({errno.EACCES, errno.ENETDOWN, errno.ENETUNREACH, errno.EPERM})
 
 
 class LocalFault(Enum):
     """Why this machine could not begin a connection. Nothing was sent, so the server is not at fault."""
 
-    SHORTAGE = auto()  # of descriptors, ports, buffers or memory
-    UNREACHABLE = auto()  # no route, or not permitted
+    SHORTAGE = auto()  # descriptors, ports, buffers or memory have run out
+    UNREACHABLE = auto()  # there is no route to the server, or the connection is not permitted
 
 
 def connect_fault(error: BaseException | None) -> LocalFault | None:
-    """Return this machine's fault in a connection that failed to open, or None if the server is at fault.
+    """Return this machine's fault if it could not open a connection, or None if the server is at fault.
 
     The error is an `OSError`, or one of Twisted's connection errors, which keep the number as `osError`.
     """
--- a/cloverwell/unix_time.py
+++ b/cloverwell/unix_time.py
@@ -1,4 +1,4 @@
-"""The only reading of the wall clock. It may be stepped at any moment, so no duration is computed from it."""
+"""The only function that reads the wall clock, which may be stepped, so no duration is computed from it."""
 
 import time
 
@@ -6,8 +6,8 @@
 
 
 def read_epoch_ms() -> float:
-    """Return the reading of the monotonic clock at Unix time 0, in milliseconds, by the wall clock now.
+    """Return the monotonic clock's reading in ms at Unix time 0, computed from both clocks' present readings.
 
-    It converts the starts of cache nodes, which discovery gives in Unix time: see `membership.node_starts`.
+    Discovery gives the starts of cache nodes in Unix time; `membership.node_starts` converts them with this.
     """
     return monotonic_ms() - time.time() * 1000.0
