--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""A small driver: feeds one balancer events and reads its actions. No clock, no bench."""
+"""Fixtures that several test files use: a driver of one balancer, and a whole proxy on real sockets.
+
+It also sets up hypothesis and the test ports, and marks the tests that are known to fail.
+"""
 
 import itertools
 import os
@@ -13,12 +16,13 @@
 from cloverwell.back.pool import Pool
 from lab.processes import share_ports
 
-# Tests run in several processes: none takes a port that another may have looked at.
+# Tests run in several processes, each of which has ports of its own. Otherwise one process could take a port
+# that another one has just found free.
 WORKERS = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 share_ports(WORKER, WORKERS)
 
-# The same examples in every run, and none that fails because the machine was busy while it was tried.
+# Hypothesis tries the same examples in every run, and fails none because it took long on a busy machine.
 settings.register_profile("repeatable", derandomize=True, deadline=None)
 settings.load_profile("repeatable")
 
@@ -26,7 +30,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """A listed test may fail, and must not pass."""
+    """Marks the listed tests as expected to fail; one that passes is an error."""
     for item in items:
         for known in KNOWN_RED:
             if known.covers(item.nodeid):
@@ -34,7 +38,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Prints what is passed over."""
+    """Prints the tests that are listed as known to fail."""
     for known in KNOWN_RED:
         terminalreporter.write_line(f"KNOWN-RED {known.test}: {known.cause} ({known.issue})")
 
@@ -49,7 +53,12 @@
 
 
 class Driver:
-    """Keeps the clock and the attempt numbers; `sends` maps a request to the servers it was sent to."""
+    """Passes events to one balancer on a clock that the test advances, and records the balancer's actions.
+
+    `sends` maps each request to the servers that it was sent to, in the order of its attempts. `timeouts_ms`
+    has the timeout of each request's last attempt, and `ended` the final answer of each request that the
+    balancer has rejected or failed.
+    """
 
     def __init__(self, servers=4, origin=True, seed=1, now=100_000.0, classes=None, **settings):
         settings.setdefault("origin_machine_type", ORIGIN_KIND if origin else -1)
@@ -63,9 +72,9 @@
         self.ended: dict[str, api.Action] = {}
         self.cancels: list[tuple[str, int]] = []
         self.logs: list[str] = []
-        self.timers: list[tuple[float, int]] = []  # when, token
+        self.timers: list[tuple[float, int]] = []  # (time in ms, token)
         self.probes: list[str] = []
-        self.closes: list[tuple[float, str]] = []  # when, server
+        self.closes: list[tuple[float, str]] = []  # (time in ms, server)
         self._ids = itertools.count()
         entries = [api.ServerEntry(name) for name in self.names]
         if origin:
@@ -73,6 +82,7 @@
         self.first_actions = self.list(api.ListKind.CACHED, entries)
 
     def handle(self, event):
+        """Passes the event to the balancer, records its actions and returns them."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             match action:
@@ -99,12 +109,13 @@
         return self.handle(api.EndpointListChanged(kind, 1, tuple(entries)))
 
     def ask(self, key="k", cls=0, left=2000.0, **more):
+        """Sends a new request with `left` ms until its deadline, and returns its id."""
         name = f"r{next(self._ids)}"
         self.handle(api.Request(name, cls, left, key, **more))
         return name
 
     def answer(self, name, status=api.Status.OK, after=0.0):
-        """Answers the request's last attempt."""
+        """Ends the request's last attempt with this status, `after` ms from now."""
         self.now += after
         number = len(self.sends[name]) - 1
         closed = status is api.Status.OK
@@ -114,7 +125,7 @@
         self.answer(name, api.Status.OK, after)
 
     def pass_time(self, ms):
-        """Calls the timers that come due until the time has passed."""
+        """Advances the clock by `ms`, and fires the timers that come due on the way."""
         end = self.now + ms
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
@@ -124,7 +135,7 @@
         self.now = end
 
     def owner(self, key):
-        """Whom the key goes to; the request is answered at once."""
+        """Returns the server that a request for the key is sent to. The request is served after 1 ms."""
         name = self.ask(key)
         server = self.sends[name][0]
         self.serve(name, 1.0)
@@ -138,27 +149,27 @@
 
 @pytest.fixture
 def rig():
-    """Makes whole proxies on real sockets, which end with the test."""
+    """Makes whole proxies on real sockets, which are closed at the end of the test."""
     made = []
 
-    def make(**more):
-        made.append(Rig(**more))
+    def make(**options):
+        made.append(Rig(**options))
         return made[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for proxy in made:
+        proxy.close()
 
 
 @pytest.fixture
 def started_attempts(monkeypatch):
-    """The attempts that have been given to a node's connections so far."""
+    """The attempts that have been started at a node's connection pool so far."""
     attempts = []
-    real = Pool.start
+    start_unrecorded = Pool.start
 
     def start(pool, attempt):
         attempts.append(attempt)
-        real(pool, attempt)
+        start_unrecorded(pool, attempt)
 
     monkeypatch.setattr(Pool, "start", start)
     return attempts
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,19 +1,25 @@
-"""The scenario language: a statement a line, `PARTY VERB TEXT`, on a fake clock and string transports.
-
-    client send mg k v O1 Pc=page,t=acme,d=900     bytes to the proxy; `|` is a line end, one is added
-    s1 expect mg k v O1 *                          what the proxy wrote to it next (`*`: anything)
-    s1 expect nothing | s1 expect end              no bytes | the proxy has closed it
-    s1 close | s1 close orderly                    it breaks the connection, or refuses the one asked for
-    proxy close                                    SIGTERM;  `proxy expect end`: the program has ended
-    proxy send discovery2                          SIGHUP, with its file replaced (`nonsense`: by a bad one)
-    wait 250                                       milliseconds
-
-    operator send PUT /drain                       a caller's whole call; where it holds `|`, as it stands
-
-Parties: `client`, the nodes `s1`, `s2`..., `origin`, `discovery` and `discovery2`; `client#2` is its second
-connection. A node takes a connection when it first expects something. `origin` and `discovery` send HTTP:
-`STATUS [Name: value;]... BODY` (`Until: close;` first: without a length), and `++ TEXT` behind it are further
-bytes that come with it.
+"""Runs scenarios: texts of one statement a line, on a whole proxy with a fake clock and fake transports.
+
+A statement is `PARTY VERB TEXT`:
+
+    client send mg k v O1 Pc=page,t=acme,d=900     sends bytes to the proxy; `|` is a line end, one is added
+    s1 expect mg k v O1 *                          checks what the proxy wrote to it next; `*` is any text
+    s1 expect nothing                              checks that the proxy wrote nothing more to it
+    s1 expect end                                  checks that the proxy has closed the connection
+    s1 close                                       breaks its connection, or refuses one that is requested
+    s1 close orderly                               closes its connection without an error
+    proxy close                                    asks the proxy to end, as SIGTERM does
+    proxy expect end                               checks that the program has ended
+    proxy send discovery2                          reloads a configuration with this address of discovery, as
+                                                   SIGHUP does; `nonsense` is a malformed configuration
+    wait 250                                       advances the clock by so many milliseconds
+    operator send PUT /drain                       sends a whole HTTP call; with `|` it is sent as it stands
+
+The parties are `client`, `operator`, the nodes `s1`, `s2` and so on, `origin`, `discovery` and `discovery2`;
+`client#2` is the client's second connection. A node takes a connection that the proxy has requested when a
+statement first refers to it. `origin` and `discovery` send HTTP responses: `STATUS [NAME: VALUE;]... BODY`.
+The first header `Until: close;` stands for a body without a length, which ends with the connection. `++ TEXT`
+at the end adds bytes behind the response. Comments begin with `#`, or with `##` behind a statement.
 """
 
 import fnmatch
@@ -34,15 +40,20 @@
 from cloverwell.proxy import Proxy
 from lab.proxy_testbed import SETTINGS
 
-HTTP = ("origin", "discovery", "discovery2")
-NOBODY = os.eventfd(0)  # a descriptor on which nothing ever happens
-EPOCH_MS = -1.0e9  # the fake clock shows 0 then
+HTTP_PARTIES = ("origin", "discovery", "discovery2")
+IDLE_DESCRIPTOR = os.eventfd(0)  # a descriptor on which no event ever occurs
+EPOCH_MS = -1.0e9  # what the fake clock showed at Unix time 0
 
 
 class Transport(StringTransport):
+    """A transport that records what the proxy writes, and stands in for its own socket.
+
+    As the proxy's listening port, it only shows whether accepting is paused.
+    """
+
     aborted = shut = False
     reactor = None
-    unread = b""  # what the machine has not handed to the proxy yet
+    unread = b""  # bytes in the socket's buffer, which the proxy has not read yet
 
     def setTcpNoDelay(self, on):
         self.no_delay = on
@@ -50,7 +61,7 @@
     def abortConnection(self):
         self.aborted = True
         self.loseConnection()
-        if self.reactor is not None:  # as the real one: with the next turn of the loop
+        if self.reactor is not None:  # like a real transport, in the next turn of the event loop
             self.reactor.callLater(0, self.protocol.connectionLost, Failure(ConnectionAborted()))
 
     def loseWriteConnection(self):
@@ -62,11 +73,11 @@
 
     @property
     def accepting(self):
-        """As a listening port: it is not paused."""
+        """Returns whether this listening port is not paused."""
         return self.producerState == "producing"
 
     def waits(self):
-        """As a listening port: nobody waits to be accepted."""
+        """Returns whether connections wait to be accepted at this listening port: never."""
         return False
 
     @property
@@ -77,7 +88,7 @@
         return self
 
     def fileno(self):
-        return NOBODY
+        return IDLE_DESCRIPTOR
 
     def send(self, data):
         self.write(data)
@@ -99,8 +110,10 @@
 
 
 class Player:
+    """A whole proxy on a fake clock, and the parties of a scenario, whose statements it runs."""
+
     def __init__(self, nodes=1, sockets=1024, operator=False, settings=SETTINGS, epoch_ms=EPOCH_MS):
-        self.epoch_ms = epoch_ms  # by a wall clock that a test may step
+        self.epoch_ms = epoch_ms  # a test changes it to step the wall clock
         self.reactor = MemoryReactorClock()
         self.reactor.advance(100.0)
         self.log = io.StringIO()
@@ -120,14 +133,16 @@
         )
         self.service = Proxy(self.reactor, config, Log(self.now, self.log), self.now, lambda: self.epoch_ms)
         self.service.start()
-        self.connections = {}  # party -> its connections as (protocol, transport)
-        self.requested_count = 0  # connections the proxy has asked for and a party has taken or refused
-        self.pending_factories = {}  # party -> factories whose connection is asked for
+        self.connections = {}  # party -> its connections, each as (protocol, transport)
+        self.requested_count = 0  # of the reactor's outgoing connections, how many have been sorted by party
+        # party -> the factories of requested connections that it has neither taken nor refused
+        self.pending_factories = {}
 
     def now(self):
         return self.reactor.seconds() * 1000.0
 
     def play(self, text):
+        """Runs the statements of a scenario; a failed check names its line and shows the proxy's log."""
         for number, line in enumerate(text.splitlines(), 1):
             line = line.split("##")[0].strip()
             if line and not line.startswith("#"):
@@ -137,102 +152,111 @@
                     raise AssertionError(f"line {number}: {line}: {error}\n{self.log.getvalue()}") from None
 
     def step(self, line):
-        party, verb, text = [*line.split(None, 2), "", ""][:3]
+        party, command, text = [*line.split(None, 2), "", ""][:3]
         if party == "wait":
-            for _ in range(int(verb)):
+            for _ in range(int(command)):
                 self.reactor.advance(0.001)
         elif party == "proxy":
-            if verb == "send":
-                self.service.reload(lambda: self.reread(text))
+            if command == "send":
+                self.service.reload(lambda: self.read_replaced_config(text))
             else:
-                self.service.stop() if verb == "close" else self.check(self.reactor.hasStopped, "still runs")
+                self.service.stop() if command == "close" else self.check(
+                    self.reactor.hasStopped, "the program still runs"
+                )
         else:
-            name, _, place = party.partition("#")
-            getattr(self, verb)(name, int(place or 1) - 1, text)
+            name, _, number = party.partition("#")
+            getattr(self, command)(name, int(number or 1) - 1, text)
 
-    def reread(self, text):
+    def read_replaced_config(self, text):
         if text not in self.ports:
             raise ConfigError("EDGE_CONFIG", "malformed")
         return msgspec.structs.replace(self.config, discovery=("127.0.0.9", self.ports[text]))
 
     @staticmethod
-    def check(truth, reason):
-        assert truth, reason
+    def check(condition, failure):
+        assert condition, failure
+
+    def connection(self, name, index):
+        """Returns the party's connection of that index, counted from 0.
 
-    def connection(self, name, place):
-        """The party's connection of that number, taken now if it is asked for or is a client's."""
-        held = self.connections.setdefault(name, [])
-        while len(held) <= place:
+        One that is not there yet is made now: a client connects, a node takes a connection that the proxy has
+        requested.
+        """
+        made = self.connections.setdefault(name, [])
+        while len(made) <= index:
             if name == "client":
                 factory = self.reactor.tcpServers[0][1]
             elif name == "operator":
                 factory = self.reactor.tcpServers[1][1]
             else:
                 factory = self.next_requested_factory(name)
-                assert factory is not None, "no connection was asked for"
+                assert factory is not None, "the proxy requested no connection"
             protocol = factory.buildProtocol(IPv4Address("TCP", "127.0.0.9", self.ports.get(name, 1)))
             transport = Transport()
-            held.append((protocol, transport))
+            made.append((protocol, transport))
             transport.protocol, transport.reactor = protocol, self.reactor
             protocol.makeConnection(transport)
-        return held[place]
+        return made[index]
 
     def next_requested_factory(self, name):
+        """Takes the oldest connection that the proxy has requested from the party, or returns None."""
         for _, port, factory, *_ in self.reactor.tcpClients[self.requested_count :]:
             self.requested_count += 1
-            owner = next(party for party, own in self.ports.items() if own == port)
+            owner = next(party for party, party_port in self.ports.items() if party_port == port)
             self.pending_factories.setdefault(owner, []).append(factory)
         return self.pending_factories[name].pop(0) if self.pending_factories.get(name) else None
 
-    def send(self, name, place, text):
-        protocol, _ = self.connection(name, place)
-        text, _, more = text.partition(" ++ ")
-        if name == "operator":  # the text is the call's first line, or with `|` its head
+    def send(self, name, index, text):
+        protocol, _ = self.connection(name, index)
+        text, _, surplus = text.partition(" ++ ")
+        if name == "operator":  # the text is the call's request line, or the whole head if it contains `|`
             text = text if "|" in text else f"{text} HTTP/1.1|Host: x|"
         data = text.replace("|", "\r\n") + "\r\n"
-        if name in HTTP:
+        if name in HTTP_PARTIES:
             *headers, body = text.split(" ", 1)[1].split("; ")
-            ends = f"Content-Length: {len(body)}"
+            framing = f"Content-Length: {len(body)}"
             if headers[:1] == ["Until: close"]:
-                ends = "Connection: close"
-            lines = [f"HTTP/1.1 {text.split()[0]} -", *headers, ends, "", body]
+                framing = "Connection: close"
+            lines = [f"HTTP/1.1 {text.split()[0]} -", *headers, framing, "", body]
             data = "\r\n".join(lines)
-        protocol.dataReceived((data + more.replace("|", "\r\n")).encode())
+        protocol.dataReceived((data + surplus.replace("|", "\r\n")).encode())
 
-    def expect(self, name, place, text):
+    def expect(self, name, index, text):
         if text == "nothing" and not self.connections.get(name):
-            return self.check(self.next_requested_factory(name) is None, "a connection was asked for")
-        _, transport = self.connection(name, place)
+            return self.check(self.next_requested_factory(name) is None, "the proxy requested a connection")
+        _, transport = self.connection(name, index)
         written = transport.value().decode()
         if text == "end":
             return self.check(transport.ended, "not closed")
         if text == "nothing":
             return self.check(not written, repr(written))
-        wanted = text.replace("|", "\r\n")
-        # As many lines as are expected; of HTTP the whole, which is one message at a time.
+        expected = text.replace("|", "\r\n")
+        # Of memcache commands, as many lines are compared as the statement has. An HTTP message is compared
+        # whole.
         size = (
             len(written)
-            if name in HTTP or name == "operator"
-            else self.lines(written, wanted.count("\r\n") + 1)
+            if name in HTTP_PARTIES or name == "operator"
+            else self.size_of_lines(written, expected.count("\r\n") + 1)
         )
         transport.clear()
         transport.write(written[size:].encode())
-        return self.check(fnmatch.fnmatchcase(written[:size].strip(), wanted.strip()), repr(written))
+        return self.check(fnmatch.fnmatchcase(written[:size].strip(), expected.strip()), repr(written))
 
     @staticmethod
-    def lines(text, number):
-        place = 0
+    def size_of_lines(text, number):
+        """Returns the length of the text's first `number` lines."""
+        end = 0
         for _ in range(number):
-            place = text.find("\r\n", place) + 2 if "\r\n" in text[place:] else len(text)
-        return place
+            end = text.find("\r\n", end) + 2 if "\r\n" in text[end:] else len(text)
+        return end
 
-    def close(self, name, place, text):
-        held = self.connections.get(name, [])
-        if len(held) > place:
-            held[place][0].connectionLost(
+    def close(self, name, index, text):
+        made = self.connections.get(name, [])
+        if len(made) > index:
+            made[index][0].connectionLost(
                 Failure(ConnectionDone() if text == "orderly" else ConnectionLost())
             )
         else:
             factory = self.next_requested_factory(name)
-            assert factory is not None, "no connection was asked for"
+            assert factory is not None, "the proxy requested no connection"
             factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
--- a/tests/test_clock_sources.py
+++ b/tests/test_clock_sources.py
@@ -1,9 +1,9 @@
-"""Only the places named here read the wall clock, or use the reactor that Twisted installs by default.
+"""Only the files in `EXCEPTIONS` read the wall clock, or use the reactor that Twisted installs by default.
 
 A wall clock may be stepped at any moment, by seconds or by an hour. Durations and deadlines are therefore
-reckoned by the monotonic clock, and Twisted's default reactor, which runs its delayed calls by the wall
-clock, is not used. docs/design/overview.md, "Unix time", has what each remaining use is for and what guards
-it.
+computed from the monotonic clock, and Twisted's default reactor, which runs its delayed calls by the wall
+clock, is not used. docs/design/overview.md, "Unix time", says what each exception is for and which tests
+cover it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Use(NamedTuple):
-    """`name`: as in `FORBIDDEN`, or `DEFAULT_REACTOR`."""
+    """A file's use of a name in `FORBIDDEN`, `FORBIDDEN_WITHOUT_TIME` or `CLOCK_READERS`."""
 
     file: str
     name: str
@@ -27,13 +27,15 @@
 
 DEFAULT_REACTOR = "twisted.internet.reactor"
 
-# Each exception, with its reason. One that no longer occurs fails the test too.
+# The uses that are allowed, each with its reason. The test also fails for one that no longer occurs.
 EXCEPTIONS = {
-    Use("cloverwell/unix_time.py", "time.time"): "the epoch for nodes' starts; see node_starts.py",
-    Use("examples/toy_server.py", DEFAULT_REACTOR): "a program of its own, run without this package at hand",
+    Use(
+        "cloverwell/unix_time.py", "time.time"
+    ): "converts the nodes' starts, which are in Unix time; see node_starts.py",
+    Use("examples/toy_server.py", DEFAULT_REACTOR): "a separate program, which runs without this package",
 }
 
-# Names that read the wall clock wherever they stand, called or handed on.
+# Names that give access to the wall clock, whether they are called or passed on.
 FORBIDDEN = {
     "time.time",
     "time.time_ns",
@@ -47,7 +49,7 @@
     "uuid.uuid1",
     DEFAULT_REACTOR,
 }
-# Functions that read it unless they are given a time, with the place of that argument.
+# Functions that read the wall clock unless a time is passed to them, with the index of that argument.
 FORBIDDEN_WITHOUT_TIME = {
     "time.localtime": 0,
     "time.gmtime": 0,
@@ -55,21 +57,22 @@
     "time.asctime": 0,
     "time.strftime": 1,
 }
-# Functions that read the clock of that number: 0 is the wall clock's, so a name has to stand there.
+# Functions that read the clock whose number is passed. A literal number may be the wall clock's, 0, so the
+# argument must be a name.
 CLOCK_READERS = {"time.clock_gettime", "time.clock_gettime_ns"}
 
 
 class ClockUses(ast.NodeVisitor):
-    """Collects the forbidden names of one source, whatever they are imported as.
+    """Collects the forbidden names that one source uses, whatever they are imported as.
 
-    What is put together at run time, as by `getattr` with a string, is not seen.
+    Names that are only composed at run time, for example by `getattr` with a string, are not found.
     """
 
     def __init__(self, tree: ast.Module) -> None:
         self.found: set[str] = set()
-        self._meanings: dict[str, str] = {}  # a name in this source -> what it was imported as
-        self._given_time: set[int] = set()  # ids of the functions of calls that are given a time
-        for node in ast.walk(tree):  # all imports first: a function may stand above the one that it needs
+        self._full_names: dict[str, str] = {}  # a name in this source -> the full name of what it stands for
+        self._calls_with_time: set[int] = set()  # ids of the function nodes of calls that pass a time
+        for node in ast.walk(tree):  # all imports first: a function may stand above the import that it uses
             if isinstance(node, ast.Import):
                 self._import(node)
             elif isinstance(node, ast.ImportFrom):
@@ -78,57 +81,57 @@
 
     def _import(self, node: ast.Import) -> None:
         for alias in node.names:
-            self._judge(alias.name)
+            self._check_name(alias.name)
             top = alias.name.partition(".")[0]
-            self._meanings[alias.asname or top] = alias.name if alias.asname else top
+            self._full_names[alias.asname or top] = alias.name if alias.asname else top
 
     def _import_from(self, node: ast.ImportFrom) -> None:
         module = str(node.module)
-        self._judge(module)
+        self._check_name(module)
         for alias in node.names:
             name = f"{module}.{alias.name}"
-            self._meanings[alias.asname or alias.name] = name
-            if alias.name == "*":  # it may bring any of the module's names
-                self.found |= {hidden for hidden in FORBIDDEN if hidden.startswith(f"{module}.")}
-            self._judge(name)
+            self._full_names[alias.asname or alias.name] = name
+            if alias.name == "*":  # it may import any of the module's names
+                self.found |= {forbidden for forbidden in FORBIDDEN if forbidden.startswith(f"{module}.")}
+            self._check_name(name)
 
     def visit_Call(self, node: ast.Call) -> None:
         name = self._name_of(node.func)
-        place = FORBIDDEN_WITHOUT_TIME.get(name)
-        if place is not None and len(node.args) > place:
-            self._given_time.add(id(node.func))
+        time_index = FORBIDDEN_WITHOUT_TIME.get(name)
+        if time_index is not None and len(node.args) > time_index:
+            self._calls_with_time.add(id(node.func))
         if name in CLOCK_READERS and not (node.args and self._name_of(node.args[0])):
             self.found.add(name)
         self.generic_visit(node)
 
     def visit_Attribute(self, node: ast.Attribute) -> None:
-        self._judge_use(node)
+        self._check_use(node)
         self.generic_visit(node)
 
     def visit_Name(self, node: ast.Name) -> None:
-        self._judge_use(node)
+        self._check_use(node)
 
     def _name_of(self, node: ast.expr) -> str:
-        """The full name that a dotted expression stands for; "" for any other expression."""
+        """Returns the full name that a dotted expression stands for, or "" for any other expression."""
         if isinstance(node, ast.Name):
-            return self._meanings.get(node.id, "")
+            return self._full_names.get(node.id, "")
         if isinstance(node, ast.Attribute) and (base := self._name_of(node.value)):
             return f"{base}.{node.attr}"
         return ""
 
-    def _judge(self, name: str) -> None:
+    def _check_name(self, name: str) -> None:
         if name in FORBIDDEN:
             self.found.add(name)
 
-    def _judge_use(self, node: ast.expr) -> None:
+    def _check_use(self, node: ast.expr) -> None:
         name = self._name_of(node)
-        self._judge(name)
-        if name in FORBIDDEN_WITHOUT_TIME and id(node) not in self._given_time:
+        self._check_name(name)
+        if name in FORBIDDEN_WITHOUT_TIME and id(node) not in self._calls_with_time:
             self.found.add(name)
 
 
-def uses(source: str) -> set[str]:
-    """The forbidden names that a source uses."""
+def forbidden_names(source: str) -> set[str]:
+    """Returns the forbidden names that a source uses."""
     return ClockUses(ast.parse(source)).found
 
 
@@ -137,19 +140,19 @@
         Use(path.relative_to(ROOT).as_posix(), name)
         for package in PACKAGES
         for path in sorted((ROOT / package).rglob("*.py"))
-        for name in uses(path.read_text())
+        for name in forbidden_names(path.read_text())
     }
 
 
-def test_the_wall_clock_is_read_at_the_named_places_alone():
+def test_the_wall_clock_is_read_only_in_the_excepted_files():
     assert sorted(all_uses() - set(EXCEPTIONS)) == []
 
 
-def test_no_exception_outlives_its_use():
+def test_every_exception_still_occurs():
     assert sorted(set(EXCEPTIONS) - all_uses()) == []
 
 
-def test_each_package_is_there_to_be_searched():
+def test_every_package_has_files_to_search():
     for package in PACKAGES:
         assert any((ROOT / package).rglob("*.py")), package
 
@@ -188,8 +191,8 @@
         ("from twisted.python import runtime\nruntime.seconds()", "twisted.python.runtime.seconds"),
     ],
 )
-def test_a_planted_use_is_found(source, name):
-    assert name in uses(source)
+def test_a_forbidden_use_is_found(source, name):
+    assert name in forbidden_names(source)
 
 
 @pytest.mark.parametrize(
@@ -204,5 +207,5 @@
         "class Clock:\n    def time(self):\n        return self.now\nClock().time()\nreactor = Clock()",
     ],
 )
-def test_what_reads_no_wall_clock_is_let_pass(source):
-    assert uses(source) == set()
+def test_a_source_that_does_not_read_the_wall_clock_passes(source):
+    assert forbidden_names(source) == set()
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""The counts in the log, and their sum over a fleet's logs."""
+"""The counters in a proxy's log, and their sums over the logs of a fleet."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 TOOL = Path(__file__).parent.parent / "benchmarks" / "fleet_counts.py"
 
 
-def test_a_line_tells_what_happened_since_the_last():
+def test_a_line_has_the_sums_and_maxima_since_the_line_before():
     counts = Counters()
     counts.add("b", 2)
     counts.add("a")
@@ -20,7 +20,7 @@
     assert counts.take_line() == ""
 
 
-def test_names_are_bounded():
+def test_the_number_of_names_is_limited():
     counts = Counters()
     for number in range(MAX_NAMES + 5):
         counts.add(str(number))
@@ -44,7 +44,7 @@
         assert word in counts_line.split()
 
 
-def test_the_sum_over_a_fleet(tmp_path):
+def test_the_tool_adds_up_the_logs_of_a_fleet(tmp_path):
     (tmp_path / "n0.log").write_text("7 info start: x\n4000 info counts: taken=3 list.age_ms<5\n")
     (tmp_path / "n1.log").write_text("9.000 9000 info counts: taken=4 cache.ok=1 list.age_ms<9\n")
     run = subprocess.run([sys.executable, TOOL, tmp_path], capture_output=True, text=True)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The proxy's parts by themselves: ring buffer, wheel, facade, log and configuration."""
+"""Parts of the proxy on their own: ring buffer, timer wheel, facade, log, configuration and signals."""
 
 import io
 import json
@@ -13,7 +13,7 @@
 
 from balancer.api import ServerEntry
 from balancer.settings import SettingsError, read_settings
-from cloverwell import facade as f
+from cloverwell import facade as balancer_facade
 from cloverwell.__main__ import install_signal_handlers
 from cloverwell.codec.ring_buffer import MIN_RING_BYTES, RingBuffer
 from cloverwell.config import ConfigError, read_config
@@ -21,20 +21,20 @@
 from cloverwell.timer_wheel import TimerWheel
 
 
-def test_ring_keeps_order_round_its_end_and_takes_no_more_than_its_bound():
-    ring, sent, got = RingBuffer(2 * MIN_RING_BYTES), b"", b""
+def test_a_ring_buffer_keeps_the_order_when_it_wraps_and_never_exceeds_its_bound():
+    ring, written, received = RingBuffer(2 * MIN_RING_BYTES), b"", b""
     for number in range(40):
         piece = bytes([number]) * 997
-        sent += piece[: ring.write(piece)]
+        written += piece[: ring.write(piece)]
         assert len(ring) <= ring.bound
-        got += ring.read(701)
+        received += ring.read(701)
     assert ring.write(b"x" * 3 * MIN_RING_BYTES) + len(ring) >= ring.bound
     assert ring.room == 0
-    left = ring.read(ring.bound)
-    assert (got + left).startswith(sent)
+    rest = ring.read(ring.bound)
+    assert (received + rest).startswith(written)
 
 
-def test_ring_finds_a_mark_that_lies_round_its_end():
+def test_a_ring_buffer_finds_a_separator_that_wraps_around_its_end():
     ring = RingBuffer(MIN_RING_BYTES)
     ring.write(b"x" * (MIN_RING_BYTES - 1))
     ring.read(MIN_RING_BYTES - 2)
@@ -52,21 +52,22 @@
 
 
 @pytest.mark.parametrize("delay", [6.0, 12.5, 249.0, 6000.0])
-def test_timer_wheel_never_overruns_a_deadline_nor_ends_an_attempt_early(delay):
+def test_the_timer_wheel_neither_passes_a_deadline_nor_ends_an_attempt_early(delay):
     timer_wheel, clock = wheel_and_clock()
     due, fired = timer_wheel.now() + delay, {}
-    timer_wheel.call_by(due, lambda: fired.update(at=timer_wheel.now()))
-    timer_wheel.call_not_before(due, lambda: fired.update(not_before=timer_wheel.now()))
+    timer_wheel.call_by(due, lambda: fired.update(call_by=timer_wheel.now()))
+    timer_wheel.call_not_before(due, lambda: fired.update(call_not_before=timer_wheel.now()))
     while len(fired) < 2:
         clock.advance(0.001)
         assert timer_wheel.now() < due + 20
-    step = 1.01  # of the fake clock
-    assert due - 6 < fired["at"] < due + step
-    assert due <= fired["not_before"] + 0.01 < due + 5 + step
+    step = 1.01  # the fake clock's step in ms, with a margin
+    assert due - 6 < fired["call_by"] < due + step
+    assert due <= fired["call_not_before"] + 0.01 < due + 5 + step
 
 
-def test_timer_wheel_goes_on_behind_a_timer_that_fails_and_a_stall():
-    # Guards every deadline: one fault must not stop the wheel or take the slot's other timers with it.
+def test_the_timer_wheel_goes_on_after_a_call_that_fails_and_after_a_stall():
+    # Every deadline depends on the wheel: one call that fails must neither stop it nor prevent the other
+    # calls of its slot.
     timer_wheel, clock = wheel_and_clock()
     fired = []
     timer_wheel.call_by(timer_wheel.now() + 10, lambda: 1 / 0)
@@ -78,46 +79,50 @@
     assert timer_wheel.last_tick_delay_ms > 90
 
 
-def subject(name="r1", **more):
-    base = {"id": name, "class_number": 0, "tenant": 0, "key": "k", "is_write": False}
-    return SimpleNamespace(**(base | {"deadline_ms": 1900.0, "is_over": False} | more))
+def routable_request(name="r1", **fields):
+    defaults = {"id": name, "class_number": 0, "tenant": 0, "key": "k", "is_write": False}
+    return SimpleNamespace(**(defaults | {"deadline_ms": 1900.0, "is_over": False} | fields))
 
 
-def a_facade():
+def facade_and_clock():
     clock = SimpleNamespace(now=1000.0)
-    facade = f.Facade(read_settings(SETTINGS), 1, lambda: clock.now)
+    facade = balancer_facade.Facade(read_settings(SETTINGS), 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("origin", machine_type=1))
-    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, is_cached=True))
+    facade.report(
+        balancer_facade.WatchEndpoints(), balancer_facade.EndpointUpdate(1, True, entries, is_cached=True)
+    )
     return facade, clock
 
 
-def test_facade_picks_reports_and_ticks():
-    facade, clock = a_facade()
-    choice = facade.decide(subject())
-    assert isinstance(choice, f.SendAttempt)
-    assert (choice.node, choice.number) == ("s1", 0)
-    fetch = facade.report(choice, f.AttemptOutcome.MISS)
-    assert isinstance(fetch, f.SendAttempt)
+def test_the_facade_decides_on_a_request_on_a_report_and_at_a_tick():
+    facade, clock = facade_and_clock()
+    attempt = facade.decide(routable_request())
+    assert isinstance(attempt, balancer_facade.SendAttempt)
+    assert (attempt.node, attempt.number) == ("s1", 0)
+    fetch = facade.report(attempt, balancer_facade.AttemptOutcome.MISS)
+    assert isinstance(fetch, balancer_facade.SendAttempt)
     assert (fetch.node, fetch.number) == ("origin", 1)
-    # Another read of the key waits for that fetch; its choice comes with a tick, not with a report.
-    assert facade.decide(subject("r2")) == f.UNDECIDED
-    assert facade.report(fetch, f.AttemptOutcome.SERVED) == f.UNDECIDED
+    # Another read of the key waits for that fetch. Its decision comes with a tick, not with the report.
+    assert facade.decide(routable_request("r2")) == balancer_facade.UNDECIDED
+    assert facade.report(fetch, balancer_facade.AttemptOutcome.SERVED) == balancer_facade.UNDECIDED
     assert [
-        type(choice) for choice in facade.tick(clock.now) if not isinstance(choice, f.WatchEndpoints)
-    ] == [f.SendAttempt]
+        type(decision)
+        for decision in facade.tick(clock.now)
+        if not isinstance(decision, balancer_facade.WatchEndpoints)
+    ] == [balancer_facade.SendAttempt]
 
 
-def test_facade_wishes_for_discovery_after_its_start_and_after_a_failure():
-    facade, clock = a_facade()
+def test_the_facade_asks_for_a_watch_after_its_start_and_after_a_failed_call():
+    facade, clock = facade_and_clock()
     assert facade.tick(clock.now) == []
     clock.now += 100.0
-    assert facade.tick(clock.now) == [f.WatchEndpoints()]
-    facade.report(f.WatchEndpoints(), f.EndpointUpdateFailed())
+    assert facade.tick(clock.now) == [balancer_facade.WatchEndpoints()]
+    facade.report(balancer_facade.WatchEndpoints(), balancer_facade.EndpointUpdateFailed())
     assert facade.tick(clock.now + 100.0) == []
-    assert facade.tick(clock.now + 700.0) == [f.WatchEndpoints()]
+    assert facade.tick(clock.now + 700.0) == [balancer_facade.WatchEndpoints()]
 
 
-def test_log_is_limited_by_kind_and_says_what_it_left_out():
+def test_the_log_limits_the_lines_of_a_kind_and_tells_how_many_it_left_out():
     now, stream = SimpleNamespace(ms=0.0), io.StringIO()
     log = Log(lambda: now.ms, stream)
     for _ in range(50):
@@ -141,7 +146,7 @@
         ({"granularity": []}, "granularity"),
     ],
 )
-def test_settings_name_the_field_that_is_wrong(change, field):
+def test_an_error_in_the_settings_names_the_field(change, field):
     with pytest.raises((SettingsError, ValueError), match=field):
         read_settings(SETTINGS | change)
 
@@ -169,7 +174,7 @@
         ({"known": {"revision": 1, "complete": True, "members": [{"id": "a", "host_port": ":"}]}}, "known"),
     ],
 )
-def test_bad_configuration_ends_with_one_plain_line_and_2(tmp_path, change, field):
+def test_a_malformed_configuration_ends_the_program_with_one_line_and_exit_code_2(tmp_path, change, field):
     path = tmp_path / "config.json"
     if change is not None:
         path.write_text(json.dumps(CONFIG | change))
@@ -183,7 +188,7 @@
     assert "Traceback" not in run.stderr
 
 
-def test_log_whose_reader_went_away_does_not_end_the_proxy():
+def test_a_log_whose_reader_has_ended_does_not_end_the_proxy():
     class Broken(io.StringIO):
         def write(self, text):
             raise BrokenPipeError
@@ -191,8 +196,9 @@
     Log(lambda: 0.0, Broken()).warn("answer", "malformed")
 
 
-def test_a_file_that_has_been_replaced_gives_discovery_and_a_bad_one_is_named(tmp_path):
-    # The platform's variable still holds the first address: read again, it hid the new one for ever.
+def test_a_reload_reads_discovery_from_the_file_and_names_the_error_in_a_bad_one(tmp_path):
+    # The platform's environment variable keeps the first address. If a reload read it again, it would always
+    # override the new address in the file.
     path = tmp_path / "config.json"
     environ = {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.9:100", "EDGE_LISTEN": "127.0.0.1:1"}
     path.write_text(json.dumps({"discovery": "127.0.0.9:101", "settings": SETTINGS}))
@@ -203,46 +209,50 @@
         read_config(environ, reloading=True)
 
 
-def test_each_signal_is_handed_to_the_loop_and_none_ends_the_program():
-    # SIGHUP had no handler: the first reload ended the proxy with 129.
+def test_each_signal_is_passed_to_the_event_loop_and_none_ends_the_program():
+    # Without a handler, the first SIGHUP would end the proxy with exit code 129.
     calls, service = [], SimpleNamespace(stop="stop", reload="reload")
-    kept = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
+    saved = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
     try:
         install_signal_handlers(service, lambda call, *_: calls.append(call))
-        for number in kept:
+        for number in saved:
             signal.raise_signal(number)
     finally:
-        for number, handler in kept.items():
+        for number, handler in saved.items():
             signal.signal(number, handler)
     assert calls == ["stop", "stop", "reload"]
 
 
 @pytest.mark.parametrize("grace_ms", [500.0, 1000.0])
-def test_a_leaving_node_gets_no_new_attempt_past_the_sites_own_drain_time(monkeypatch, grace_ms):
-    # Held at the first site by luck: its 1 s was built in, where another site's rule is 500 ms.
+def test_a_node_that_has_left_gets_no_new_attempt_after_the_configured_drain_grace(monkeypatch, grace_ms):
+    # A built-in grace period of 1 s would be too long at a site that has configured 500 ms.
     import lab.proxy_testbed
 
     monkeypatch.setattr(lab.proxy_testbed, "SETTINGS", SETTINGS | {"guarantees": {"drain-grace": grace_ms}})
-    back, now = lab.proxy_testbed.ProxyTestbed().service.node_policy, 1000.0
-    back.record_left("s0", now)
-    assert not back.is_past_grace("s0", now + grace_ms - 210.0)
-    assert back.is_past_grace("s0", now + grace_ms - 200.0)
+    policy, now = lab.proxy_testbed.ProxyTestbed().service.node_policy, 1000.0
+    policy.record_left("s0", now)
+    assert not policy.is_past_grace("s0", now + grace_ms - 210.0)
+    assert policy.is_past_grace("s0", now + grace_ms - 200.0)
 
 
-def test_a_marked_node_gets_a_trial_where_probes_are_allowed_but_none_is_carried_out():
-    # Seen at Teorifart, where probes are allowed: "marked missed", then only "not carried out: Probe", and
-    # the node's keys went to others for as long as the list stood.
+def test_an_ejected_node_gets_a_request_again_where_probes_are_allowed_but_not_sent():
+    # The settings may allow probes, but the proxy sends none. A balancer that relied on them would log "not
+    # carried out: Probe" and keep the node ejected until the endpoint list changed.
     clock = SimpleNamespace(now=1000.0)
     settings = read_settings(SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}})
-    facade = f.Facade(settings, 1, lambda: clock.now)
+    facade = balancer_facade.Facade(settings, 1, lambda: clock.now)
     entries = (ServerEntry("s1"), ServerEntry("s2"), ServerEntry("origin", machine_type=1))
-    facade.report(f.WatchEndpoints(), f.EndpointUpdate(1, True, entries, is_cached=True))
-    names = (f"k{n}" for n in range(1000))
-    key = next(key for key in names if facade.decide(subject(f"first {key}", key=key)).node == "s1")
-    facade.report(facade.decide(subject("r0", key=key)), f.AttemptOutcome.NOT_CONNECTED)
+    facade.report(
+        balancer_facade.WatchEndpoints(), balancer_facade.EndpointUpdate(1, True, entries, is_cached=True)
+    )
+    keys = (f"k{number}" for number in range(1000))
+    key = next(key for key in keys if facade.decide(routable_request(f"first {key}", key=key)).node == "s1")
+    facade.report(
+        facade.decide(routable_request("r0", key=key)), balancer_facade.AttemptOutcome.NOT_CONNECTED
+    )
     assert "s1 marked missed" in [
-        choice.text for choice in facade.tick(clock.now) if isinstance(choice, f.LogEvent)
+        decision.text for decision in facade.tick(clock.now) if isinstance(decision, balancer_facade.LogEvent)
     ]
     clock.now += 600.0
     facade.tick(clock.now)
-    assert facade.decide(subject("r1", key=key)).node == "s1"
+    assert facade.decide(routable_request("r1", key=key)).node == "s1"
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -1,8 +1,8 @@
-"""What is bound by time holds when the loop was held up: each act looks at the clock itself, and what came
-meanwhile is read before anything is judged by its age.
+"""Deadlines and timeouts hold when the event loop has stalled.
 
-The proxy may have been stopped anywhere. Two orders are forced: its sockets are read before the late tick
-(`late`), or the tick comes before they are read (`Rig.stall`).
+Each action reads the clock again, and data that arrived during the stall is read before anything is given up
+for its silence. The stall may happen anywhere. The tests force both orders: the sockets are read before the
+late tick (`advance_without_turn`), or the tick comes before they are read (`stall`, `Rig.stall`).
 """
 
 import io
@@ -44,39 +44,40 @@
 ANSWER = b"VA 5 O1\r\nhello\r\n"
 
 
-def late(player, ms):
-    """The clock goes on, and the loop has no turn."""
+def advance_without_turn(player, ms):
+    """Advances the clock without a turn of the event loop."""
     player.reactor.rightNow += ms / 1000.0
 
 
-def sent(player, party, place=1):
-    return player.connection(party, place - 1)[1].value()
+def written_to(player, party, number=1):
+    """Returns what the proxy has written to the party's connection of that number, counted from 1."""
+    return player.connection(party, number - 1)[1].value()
 
 
 # Requests -------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("stall_ms", [5.0, 11.0, 20.0, 100.0])
-@pytest.mark.parametrize("where", ["decide", "_hand_over"])
-def test_a_stall_at_the_decision_does_not_have_the_guard_fail_what_the_balancer_would_reject(
-    monkeypatch, where, stall_ms
+@pytest.mark.parametrize("stalled_call", ["decide", "_handle_event"])
+def test_a_stall_at_the_decision_does_not_fail_a_request_that_the_balancer_would_reject(
+    monkeypatch, stalled_call, stall_ms
 ):
-    # Seen in the soak, in the first second of a process: the guard came before the attempt's own timeout,
-    # which had been counted from a later reading of the clock, and failed a read that is safe to repeat.
+    # If the attempt's timeout were counted from a reading of the clock after the stall, the dispatcher's
+    # deadline timer would come before it, and fail a read that is safe to repeat.
     player = Player()
-    real = getattr(Facade, where)
+    real_call = getattr(Facade, stalled_call)
 
     def stalled(facade, *arguments):
-        monkeypatch.undo()  # once
-        if where == "decide":
-            late(player, stall_ms)
-            return real(facade, *arguments)
-        decision = real(facade, *arguments)
-        late(player, stall_ms)
+        monkeypatch.undo()  # only one call stalls
+        if stalled_call == "decide":
+            advance_without_turn(player, stall_ms)
+            return real_call(facade, *arguments)
+        decision = real_call(facade, *arguments)
+        advance_without_turn(player, stall_ms)
         return decision
 
     player.play("client send mn\nclient expect MN")
-    monkeypatch.setattr(Facade, where, stalled)
+    monkeypatch.setattr(Facade, stalled_call, stalled)
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=500\ns1 expect mg k1 *")
     player.play("wait 500\nclient expect SERVER_ERROR busy*")
     assert "overdue" not in player.log.getvalue()
@@ -85,73 +86,75 @@
 @pytest.mark.parametrize(
     "command", ["mg k1 v O1 Pc=page,t=acme,d=500|", "ms k1 1 O1 Pc=order,t=acme,d=500|a|"]
 )
-def test_a_request_that_lay_unread_past_its_time_is_not_forwarded(command):
+def test_a_request_that_was_unread_until_after_its_deadline_is_not_forwarded(command):
     player = Player()
     client, transport = player.connection("client", 0)
-    late(player, 600)
+    advance_without_turn(player, 600)
     client.dataReceived(command.replace("|", "\r\n").encode())
     assert not [port for _, port, *_ in player.reactor.tcpClients if port >= player.ports["origin"]]
     assert transport.value().startswith(b"SERVER_ERROR busy")
 
 
-def test_a_request_that_lay_unread_tells_its_node_what_is_left():
+def test_a_request_that_was_unread_for_a_while_propagates_only_the_time_left():
     player = Player()
     client, _ = player.connection("client", 0)
-    late(player, 300)
+    advance_without_turn(player, 300)
     client.dataReceived(b"ms k1 1 O1 Pc=order,t=acme,d=900\r\na\r\n")
-    told = int(sent(player, "origin").split(b"d=")[1].split(b"\r")[0])
-    assert 500 < told <= 900 - 295
+    propagated_ms = int(written_to(player, "origin").split(b"d=")[1].split(b"\r")[0])
+    assert 500 < propagated_ms <= 900 - 295
 
 
-@pytest.mark.parametrize(("waited", "leaves"), [(90, True), (101, False)])
-def test_a_window_counts_from_before_the_write_where_the_proxy_is_held_up_behind_it(
-    monkeypatch, waited, leaves
+@pytest.mark.parametrize(("waited_ms", "is_sent"), [(90, True), (101, False)])
+def test_the_repeat_window_starts_before_the_write_when_the_proxy_stalls_after_it(
+    monkeypatch, waited_ms, is_sent
 ):
-    # Nodes drop a repeat for 1500 ms from when the first came. The proxy is stopped for 100 ms between the
-    # write of its last byte and the next look at the clock.
+    # Nodes recognise a repeated write for 1500 ms after the first one. The proxy stalls for 100 ms between
+    # the write of the last byte and its next reading of the clock: counted from that reading, the window
+    # would be too long.
     player = Player()
     write = NodeConnection.try_write_command
 
-    def write_and_stop(connection, data):
-        kept = write(connection, data)
-        late(player, 100)
-        return kept
+    def write_and_stall(connection, data):
+        result = write(connection, data)
+        advance_without_turn(player, 100)
+        return result
 
-    monkeypatch.setattr(NodeConnection, "try_write_command", write_and_stop)
+    monkeypatch.setattr(NodeConnection, "try_write_command", write_and_stall)
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=1950|a\norigin expect PUT *")
     monkeypatch.undo()
     player.play("wait 1300\norigin close")
-    late(player, waited)
-    assert bool(sent(player, "origin", 2)) == leaves
+    advance_without_turn(player, waited_ms)
+    assert bool(written_to(player, "origin", 2)) == is_sent
 
 
-def test_an_attempt_that_waits_for_a_close_waits_for_one_that_left_late():
-    # A connection is closed with the loop's next turn. The proxy is stopped before that, for longer than the
-    # close may take on its way: the next attempt would meet the first at the node.
+def test_an_attempt_that_waits_for_a_close_also_waits_when_the_close_leaves_late():
+    # A connection is closed in the next turn of the event loop. If the proxy stalls before that turn, for
+    # longer than the close takes to the node, the next attempt could be there at the same time as the first
+    # one.
     player = Player(settings=SITE | {"limits": SITE["limits"] | {"second-copies": False}})
     player.service.node_policy.close_delay_bound_ms = lambda node: 40.0
     player.play("client send ms k1 1 O1 Pc=adjust,t=acme,d=900|a\norigin expect PUT *")
     attempt = player.service.dispatcher._open["1"].attempts[0]
     attempt.pool.give_up(attempt, AttemptOutcome.CANCELLED)
-    held_up(player, 100.0)
+    stall(player, 100.0)
     player.play("wait 30")
     assert player.next_requested_factory("origin") is None
     assert player.service.dispatcher.open_count == 1
     player.play("wait 20\norigin#2 expect PUT /k1 *\norigin#2 send 200 r\nclient expect HD O1 cr")
 
 
-# Judged by age, behind a hold-up ---------------------------------------------------------------------
+# Given up by age, after a stall ---------------------------------------------------------------------
 
 
 @pytest.fixture
 def rig():
-    made = Rig()
-    yield made
-    made.close()
+    proxy = Rig()
+    yield proxy
+    proxy.close()
 
 
-def half_read():
-    """A client that has not read its answer: it is still with the proxy, and no request is open."""
+def unread_answer():
+    """Returns a player and a client that has not read its answer, which is the only thing still pending."""
     player = Player()
     _, transport = player.connection("client", 0)
     client = Slow(transport)
@@ -163,15 +166,15 @@
     return player, client
 
 
-def held_up(player, ms):
-    """The loop is held up for so long, and its late tick comes before its sockets are read or written."""
+def stall(player, ms):
+    """Stalls the event loop, whose late tick then comes before its sockets are read or written."""
     player.reactor.advance(ms / 1000.0)
 
 
-def test_an_answer_that_is_being_read_is_not_cut_off_behind_a_hold_up():
-    # After 10 s nobody waits for an answer; but the proxy was stopped, and its client has read on.
-    player, client = half_read()
-    held_up(player, 10_050.0)
+def test_an_answer_that_is_being_read_is_not_given_up_after_a_stall():
+    # An answer that is not read for 10 s is given up. Here the proxy has stalled, and the client has read on.
+    player, client = unread_answer()
+    stall(player, 10_050.0)
     assert not client.transport.aborted
     client.read(100)
     assert client.got == ANSWER
@@ -179,26 +182,25 @@
     assert not client.transport.aborted
 
 
-def test_an_answer_that_nobody_reads_is_given_up_all_the_same():
-    player, client = half_read()
-    held_up(player, 10_050.0)
+def test_an_answer_that_nobody_reads_is_given_up_soon_after_a_stall():
+    player, client = unread_answer()
+    stall(player, 10_050.0)
     player.play("wait 10")
     assert client.transport.aborted
 
 
-def test_the_end_of_the_program_waits_for_the_last_answers_behind_a_hold_up():
-    player, client = half_read()
-    player.play(
-        "proxy close\nwait 800"
-    )  # past the cut, in the half second in which the last answers may leave
-    held_up(player, 600.0)
+def test_the_end_of_the_program_waits_for_the_last_answers_after_a_stall():
+    player, client = unread_answer()
+    # By then all connections are being closed, and the last answers may still leave for half a second.
+    player.play("proxy close\nwait 800")
+    stall(player, 600.0)
     assert not player.reactor.hasStopped
     client.read(100)
     assert client.got == ANSWER
     player.play("wait 600\nproxy expect end")
 
 
-def test_a_long_value_goes_on_behind_a_hold_up(rig):
+def test_a_long_value_goes_on_after_a_stall(rig):
     client = rig.client(read(1))
     node = rig.nodes[0].accept()
     rig.receive_until(node, b"mg k1")
@@ -211,7 +213,7 @@
     assert rig.receive_until(client, b"v\r\n")
 
 
-def test_a_long_value_that_stands_still_is_given_up_all_the_same(rig):
+def test_a_long_value_that_has_stopped_arriving_is_given_up_after_a_stall(rig):
     client = rig.client(read(1))
     node = rig.nodes[0].accept()
     rig.receive_until(node, b"mg k1")
@@ -222,23 +224,23 @@
     rig.receive_to_end(client)
 
 
-def test_half_an_answer_is_given_up_by_looks_and_not_by_a_clock_that_ran_on_unread():
+def test_half_an_answer_is_given_up_by_the_number_of_checks_and_not_by_the_time_of_stalls():
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=1900\ns1 expect mg k1 *")
     node, transport = player.connection("s1", 0)
     node.dataReceived(b"VA 5 O1\r\nhe")
-    for _ in range(3):  # longer than it may stand still, in fewer looks
-        held_up(player, 60.0)
+    for _ in range(3):  # longer than an answer may stop arriving, but in too few checks
+        stall(player, 60.0)
     assert not transport.aborted
-    player.play("wait 80")  # nothing has come in between
+    player.play("wait 80")  # several checks, between which nothing has arrived
     assert transport.aborted
 
 
-# Other processes, judged by their silence -----------------------------------------------------------
+# Other processes, given up for their silence --------------------------------------------------------
 
 
-def met():
-    """A view of a tier of three, all of them alive, and a ping out."""
+def view_of_three():
+    """Returns the view of one of three proxies, all of them alive, with a ping in flight."""
     view = MembershipView(0, 3, 1000, 1)
     for number in (1, 2):
         view.receive(0.0, Datagram(DatagramKind.PING, number, 1000, 1, NO_PROXY, ()))
@@ -247,34 +249,34 @@
     return view
 
 
-def states(view):
+def statuses(view):
     return {number: member.status for number, member in view.members.items()}
 
 
-def test_a_proxy_that_was_stopped_takes_nobody_elses_silence_for_a_death():
-    view = met()
+def test_a_proxy_that_has_stalled_does_not_count_silent_members_as_dead():
+    view = view_of_three()
     view.tick(50.0)
     view.receive(
         50.0,
         Datagram(DatagramKind.PING, 1, 1000, 2, NO_PROXY, (MembershipUpdate(2, 1000, MemberStatus.SUSPECT),)),
     )
-    view.tick(10_050.0)  # what both have sent meanwhile is not read yet
-    assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.SUSPECT}
+    view.tick(10_050.0)  # what both have sent meanwhile has not been read yet
+    assert statuses(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.SUSPECT}
     view.receive(10_051.0, Datagram(DatagramKind.PING, 2, 1001, 9, NO_PROXY, ()))
     view.tick(10_100.0)
-    assert states(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.ALIVE}
+    assert statuses(view) == {1: MemberStatus.ALIVE, 2: MemberStatus.ALIVE}
 
 
-def test_behind_a_stop_a_silent_one_dies_in_its_time():
-    view, now = met(), 10_000.0
+def test_a_silent_member_is_counted_as_dead_in_time_after_a_stall():
+    view, now = view_of_three(), 10_000.0
     while now < 10_000.0 + 2 * GOSSIP_TIMING.protocol_period_ms + 2 * GOSSIP_TIMING.suspicion_timeout_ms:
         view.tick(now)
         now += GOSSIP_TIMING.protocol_period_ms / 4.0
-    assert MemberStatus.DEAD in states(view).values()
+    assert MemberStatus.DEAD in statuses(view).values()
 
 
 def leader(now):
-    """A control node that leads, with a lease: the second of three has voted for it and taken its entry."""
+    """Returns a control node that leads three with a lease: the second has voted and accepted its entry."""
     node = ControlNode("a", ("a", "b", "c"), "log", StoredState(), Random(1), 0.0)
     node.tick(now)
     node.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), now)
@@ -285,10 +287,10 @@
     return node
 
 
-@pytest.mark.parametrize("late_answer", [True, False])
-def test_a_leader_that_was_stopped_serves_nobody_as_one_before_its_tick(late_answer):
+@pytest.mark.parametrize("has_late_answer", [True, False])
+def test_a_leader_that_has_stalled_does_not_act_as_leader_before_its_tick(has_late_answer):
     node, now = leader(4000.0), 14_000.0
-    if late_answer:  # it has lain in the socket
+    if has_late_answer:  # it was in the socket during the stall
         node.receive_peer("b", AppendAnswer(1, "b", True, 1, 4000.0, 0.0), now)
     assert not node.status(now).has_quorum
     assert node.status(now).lease_ms == 0.0
@@ -299,13 +301,13 @@
 # A predecessor --------------------------------------------------------------------------------------
 
 
-def test_a_successor_waits_for_a_slow_predecessor_no_longer_than_it_says(tmp_path, monkeypatch):
-    # Each step may take its time, all of them together no more than one of them.
-    waits = []
+def test_a_successor_waits_for_a_slow_predecessor_no_longer_than_wait_s(tmp_path, monkeypatch):
+    # The limit holds for all steps of the handover together, and not for each of them.
+    timeouts_s = []
 
-    class Slow(socket.socket):
+    class SlowSocket(socket.socket):
         def settimeout(self, seconds):
-            waits.append(seconds)
+            timeouts_s.append(seconds)
             super().settimeout(seconds)
 
         def connect(self, address):
@@ -317,68 +319,69 @@
     with socket.socket(socket.AF_UNIX) as listening:
         listening.bind(path)
         listening.listen()
-        monkeypatch.setattr(successor.socket, "socket", Slow)
+        monkeypatch.setattr(successor.socket, "socket", SlowSocket)
         monkeypatch.setattr(successor.time, "monotonic", lambda: clock[0])
         assert (
             successor.request_handover(path, ("127.0.0.1", 1), Log(lambda: 0.0, io.StringIO()), wait_s=1.0)
             is None
         )
-    assert waits[0] <= 1.0
-    assert waits[-1] <= 0.25
+    assert timeouts_s[0] <= 1.0
+    assert timeouts_s[-1] <= 0.25
 
 
 # Steps of the wall clock ----------------------------------------------------------------------------
 
 STATUSES = st.sampled_from([api.Status.RESET, api.Status.TIMEOUT, api.Status.FULL, api.Status.MISS])
-TURNS = st.lists(st.tuples(st.integers(0, 2), st.floats(0.0, 700.0), STATUSES), min_size=1, max_size=6)
+# Attempts, each as (request class, time in ms after which it ends, status).
+ATTEMPTS = st.lists(st.tuples(st.integers(0, 2), st.floats(0.0, 700.0), STATUSES), min_size=1, max_size=6)
 WALL_STEPS = st.lists(st.floats(-1e9, 1e9), min_size=1, max_size=10)
 
 
-def stepping(steps):
-    """A wall clock that steps each time it is read."""
-    wall_s, endless = [1.7e9], cycle(steps)
+def stepping_clock(steps):
+    """Returns a wall clock that makes the next of these steps each time it is read."""
+    wall_s, endless_steps = [1.7e9], cycle(steps)
 
     def read_wall():
-        wall_s[0] += next(endless)
+        wall_s[0] += next(endless_steps)
         return wall_s[0]
 
     return read_wall
 
 
-def retries_of(turns):
-    """What becomes of requests whose attempts end so, each after so long: the decisions with their times."""
-    drive, decided = Driver(), []
-    for cls, after_ms, status in turns:
+def retries_of(attempts):
+    """Returns the decisions, with their times, for requests whose attempts end like this."""
+    drive, decisions = Driver(), []
+    for cls, after_ms, status in attempts:
         name = drive.ask("k", cls)
-        while name not in drive.ended and name in drive.sends and len(decided) < 200:
+        while name not in drive.ended and name in drive.sends and len(decisions) < 200:
             drive.answer(name, status, after_ms)
             drive.pass_time(5.0)
-            decided.append((drive.now, tuple(drive.sends[name]), drive.ended.get(name)))
-    return decided
+            decisions.append((drive.now, tuple(drive.sends[name]), drive.ended.get(name)))
+    return decisions
 
 
-def pauses_of(turns):
-    """When discovery is called again, on the wheel, behind calls that fail after so long."""
+def poll_times_of(attempts):
+    """Returns the times at which discovery is called again after calls that fail like these attempts."""
     clock = Clock()
-    timer_wheel, retry, calls = (
+    timer_wheel, backoff, times_ms = (
         TimerWheel(clock, 5.0, lambda: clock.seconds() * 1000.0),
         PollBackoff(SETTINGS, 7),
         [],
     )
     timer_wheel.start()
-    for _, took_ms, _ in turns:
+    for _, failed_after_ms, _ in attempts:
         timer_wheel.call_not_before(
-            timer_wheel.now() + retry.failed(took_ms), lambda: calls.append(timer_wheel.now())
+            timer_wheel.now() + backoff.failed(failed_after_ms), lambda: times_ms.append(timer_wheel.now())
         )
         clock.pump([0.02] * 350)
-    return calls
+    return times_ms
 
 
-@given(TURNS, WALL_STEPS)
-def test_steps_of_the_wall_clock_change_no_retry(turns, steps):
+@given(ATTEMPTS, WALL_STEPS)
+def test_steps_of_the_wall_clock_change_no_retry(attempts, steps):
     with mock.patch("time.time", return_value=1.7e9):
-        steady = retries_of(turns), pauses_of(turns[:2])
-    with mock.patch("time.time", stepping(steps)):
-        assert (retries_of(turns), pauses_of(turns[:2])) == steady
-    assert steady[0]
-    assert len(steady[1]) == len(turns[:2])
+        expected = retries_of(attempts), poll_times_of(attempts[:2])
+    with mock.patch("time.time", stepping_clock(steps)):
+        assert (retries_of(attempts), poll_times_of(attempts[:2])) == expected
+    assert expected[0]
+    assert len(expected[1]) == len(attempts[:2])
