--- a/cloverwell/dispatcher.py
+++ b/cloverwell/dispatcher.py
@@ -268,7 +268,7 @@
         self.carry_out_due_decisions()
 
     def _carry_out_unsent(self, decision: balancer_facade.Decision, request: Request) -> None:
-        """Carries out the decision after an attempt that could not be sent, or decides again later."""
+        """Carries out the decision after an attempt that could not be sent, or has it decided again later."""
         state = UnsentRequest(
             is_over=request.is_over,
             has_attempt_in_flight=bool(request.attempts),
--- a/cloverwell/facade.py
+++ b/cloverwell/facade.py
@@ -56,11 +56,10 @@
 
     request_id: str
     node: str
-    number: int  # of the attempt: 0 for the first of its request
+    number: int  # 0 for the first attempt of the request
     timeout_ms: float
-    decided_ms: float = (
-        0.0  # the time of the decision, from which the timeout counts even if it is sent later
-    )
+    # The time of the decision. The timeout counts from it, even if the attempt is sent later.
+    decided_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -147,9 +146,9 @@
 
 @dataclass(slots=True)
 class AttemptCount:
-    """How many attempts of a request were started, which is the number of the next one, and are in flight."""
+    """The number of attempts that a request has had so far, and how many of them are in flight."""
 
-    started: int = 0
+    started: int = 0  # also the number of the next attempt
     in_flight: int = 0
 
 
--- a/tests/test_clock_sources.py
+++ b/tests/test_clock_sources.py
@@ -29,9 +29,7 @@
 
 # The uses that are allowed, each with its reason. The test also fails for one that no longer occurs.
 EXCEPTIONS = {
-    Use(
-        "cloverwell/unix_time.py", "time.time"
-    ): "converts the nodes' starts, which are in Unix time; see node_starts.py",
+    Use("cloverwell/unix_time.py", "time.time"): "nodes' starts are in Unix time; see node_starts.py",
     Use("examples/toy_server.py", DEFAULT_REACTOR): "a separate program, which runs without this package",
 }
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -51,18 +51,18 @@
     return timer_wheel, clock
 
 
-@pytest.mark.parametrize("delay", [6.0, 12.5, 249.0, 6000.0])
-def test_the_timer_wheel_neither_passes_a_deadline_nor_ends_an_attempt_early(delay):
+@pytest.mark.parametrize("delay_ms", [6.0, 12.5, 249.0, 6000.0])
+def test_the_timer_wheel_neither_passes_a_deadline_nor_ends_an_attempt_early(delay_ms):
     timer_wheel, clock = wheel_and_clock()
-    due, fired = timer_wheel.now() + delay, {}
-    timer_wheel.call_by(due, lambda: fired.update(call_by=timer_wheel.now()))
-    timer_wheel.call_not_before(due, lambda: fired.update(call_not_before=timer_wheel.now()))
+    due_ms, fired = timer_wheel.now() + delay_ms, {}
+    timer_wheel.call_by(due_ms, lambda: fired.update(call_by=timer_wheel.now()))
+    timer_wheel.call_not_before(due_ms, lambda: fired.update(call_not_before=timer_wheel.now()))
     while len(fired) < 2:
         clock.advance(0.001)
-        assert timer_wheel.now() < due + 20
-    step = 1.01  # the fake clock's step in ms, with a margin
-    assert due - 6 < fired["call_by"] < due + step
-    assert due <= fired["call_not_before"] + 0.01 < due + 5 + step
+        assert timer_wheel.now() < due_ms + 20
+    step_ms = 1.01  # the fake clock's step, with a margin
+    assert due_ms - 6 < fired["call_by"] < due_ms + step_ms
+    assert due_ms <= fired["call_not_before"] + 0.01 < due_ms + 5 + step_ms
 
 
 def test_the_timer_wheel_goes_on_after_a_call_that_fails_and_after_a_stall():
