--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -9,7 +9,7 @@
 from cloverwell.codec.errors import MalformedMessageError
 from cloverwell.facade import AttemptOutcome
 from cloverwell.request import Attempt
-from cloverwell.streamed_value import LONG, LONGEST
+from cloverwell.streamed_value import MAX_STREAMED_VALUE_BYTES, STREAMING_THRESHOLD_BYTES
 
 
 class CacheConnection(NodeConnection):
@@ -18,8 +18,8 @@
     def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the meta command of an attempt, with the propagated deadline in its `P` flag."""
         request = attempt.request
-        info = request.info_with(attempt.propagated_ms)
-        if not request.write:
+        info = request.info_with_deadline(attempt.propagated_ms)
+        if not request.is_write:
             return f"mg {request.key} v O{request.id} P{info}\r\n".encode()
         line = f"ms {request.key} {len(request.value)} O{request.id} P{info}\r\n"
         return line.encode() + request.value + b"\r\n"
@@ -30,10 +30,12 @@
             raise MalformedMessageError("an answer without an attempt")
         words = line.split()
         match words[:1]:
-            case [b"VA"] if len(words) >= 3 and words[1].isdigit() and int(words[1]) <= LONGEST:
+            case [b"VA"] if (
+                len(words) >= 3 and words[1].isdigit() and int(words[1]) <= MAX_STREAMED_VALUE_BYTES
+            ):
                 self._check(words[2:], write=False)
                 length = int(words[1])
-                if length > LONG:
+                if length > STREAMING_THRESHOLD_BYTES:
                     self.begin_stream(length)
                 else:
                     self.expect_value(length + len(self.delimiter))
@@ -56,7 +58,7 @@
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value, and expects the line end after the last piece."""
         super().pieceReceived(data)
-        if self.stream is not None and not self.stream.left:
+        if self.stream is not None and not self.stream.remaining_bytes:
             self.expect_value(len(self.delimiter))
 
     def valueReceived(self, data: bytes) -> None:
@@ -76,5 +78,5 @@
         request = self.attempts[0].request
         if b"O" + request.id.encode() not in flags:
             raise MalformedMessageError("an answer with the id of another request")
-        if write not in (None, request.write):
+        if write not in (None, request.is_write):
             raise MalformedMessageError("a value for a write, or a receipt for a read")
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -151,7 +151,7 @@
         now = self._pool.now()
         hold_ms = self._pool.hold_ms() if use is ConnectionUse.HOLD_LAST_BYTE else 0.0
         # The timer wheel rounds the time at which the last byte is written up to its next tick.
-        left_ms = attempt.left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
+        left_ms = attempt.time_left_ms(now, hold_ms + self._pool.tick_ms if hold_ms else 0.0)
         if left_ms < MIN_PROPAGATED_MS:
             return SendResult.TOO_LATE
         if not self.attempts and self._is_unusable():
@@ -173,7 +173,7 @@
 
     def _record_written(self, attempt: Attempt, before_ms: float) -> None:
         """Records that an attempt is in flight; `before_ms` is the time before the write, which can stall."""
-        attempt.written_from_ms = before_ms
+        attempt.written_earliest_ms = before_ms
         attempt.written_ms = self._pool.now()
         self.attempts.append(attempt)
 
@@ -280,28 +280,28 @@
         self.expect_pieces(length)
         self.hold()  # until the earlier answers to the same client have been sent
         attempt.end(AttemptOutcome.SERVED, stream)
-        if not stream.wanted:  # The answer is too late, or the client has disconnected.
-            stream.drop()
+        if not stream.has_sink:  # The answer is too late, or the client has disconnected.
+            stream.cancel()
 
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value."""
         self.last_stream_data_ms = self._pool.now()
         assert self.stream is not None  # pieces are expected only while a long value arrives
-        self.stream.piece(data)
+        self.stream.receive(data)
 
     def end_stream(self, has_id: bool = True) -> None:
         """Completes a long value that has arrived whole, with a valid end."""
         stream, self.stream = self.stream, None
         assert stream is not None
         del self.transport.bufferSize  # The default of the class applies again.
-        stream.whole()
+        stream.complete()
         if not self.ended:
             self._answer_complete(has_id)
 
     def _end_broken_stream(self) -> None:
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.broken()
+            stream.abort()
 
     # The end --------------------------------------------------------------------------------------
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -54,7 +54,7 @@
     assert too_late in d.ended
     assert in_time in d.sends
     assert write in d.sends
-    assert d.limits[in_time] < 200.0  # 300 ms of the objective of 500 ms have passed already
+    assert d.timeouts_ms[in_time] < 200.0  # 300 ms of the objective of 500 ms have passed already
 
 
 def test_a_single_timeout_does_not_count_as_an_overload(drive):
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def rig(begun, rig):
+def rig(started_attempts, rig):
     """The fixture `rig`, with every attempt of its proxies recorded in `begun`."""
     return rig
 
@@ -40,10 +40,10 @@
     conn.shutdown(socket.SHUT_WR)
 
 
-def nothing_is_sent(proxy, begun, before):
+def nothing_is_sent(proxy, started_attempts, before):
     """Return whether no request is open, and no attempt after the first `before` ones was sent to a node."""
     proxy.advance_clock(600)
-    left = [attempt for attempt in begun[before:] if attempt.written_ms is not None]
+    left = [attempt for attempt in started_attempts[before:] if attempt.written_ms is not None]
     return not left and not proxy.service.dispatcher.open_count
 
 
@@ -56,17 +56,19 @@
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, reset, half_close])
-def test_requests_after_malformed_commands_are_not_sent_for_a_disconnected_client(rig, begun, leave):
+def test_requests_after_malformed_commands_are_not_sent_for_a_disconnected_client(
+    rig, started_attempts, leave
+):
     # Each error pauses reading for 50 ms. The close must be detected although no request is open.
     proxy = rig()
     errors = MAX_MALFORMED_COMMANDS - 2
     conn = proxy.client(b"no\r\n" * errors + read(1) + write(2))
     proxy.advance_clock(20)
     assert errors > UNTHROTTLED_MALFORMED_COMMANDS + 4
-    assert not begun
+    assert not started_attempts
     leave(conn)
     proxy.advance_clock(50 * errors)
-    assert not begun
+    assert not started_attempts
     assert not proxy.service.side.connections
 
 
@@ -116,7 +118,9 @@
 
 @CLOSE_OR_RESET
 @pytest.mark.parametrize("data", [read(1), write(1), read(1) + write(2) + b"ms k3 5 O3 Pc=or"])
-def test_nothing_is_sent_for_a_client_that_disconnected_in_the_accept_queue(rig, begun, leave, data):
+def test_nothing_is_sent_for_a_client_that_disconnected_in_the_accept_queue(
+    rig, started_attempts, leave, data
+):
     proxy = rig()
     proxy.service._port.pauseProducing()  # as is done when no descriptor is left
     conn = proxy.client(data)
@@ -125,84 +129,92 @@
     proxy.run_until(lambda: proxy.service.timer_wheel.unread_delay_ms < STALL_MS / 2)
     proxy.service._port.resumeProducing()
     proxy.advance_clock(400)
-    assert not begun
+    assert not started_attempts
     assert not proxy.service.dispatcher.open_count
 
 
 # After an event-loop stall ------------------------------------------------------------------------
 
 
-def client_with_attempts(proxy, begun, data, number=1):
+def client_with_attempts(proxy, started_attempts, data, number=1):
     """Connects a client, and waits until its `number`-th attempt has been written to a node."""
     conn = proxy.client(data)
-    proxy.run_until(lambda: len(begun) >= number and begun[number - 1].written_ms is not None)
+    proxy.run_until(
+        lambda: len(started_attempts) >= number and started_attempts[number - 1].written_ms is not None
+    )
     return conn
 
 
 @CLOSE_OR_RESET
 @pytest.mark.parametrize("answer", [b"EN O1\r\n", b"SERVER_ERROR busy\r\n", b"SERVER_ERROR failed\r\n"])
-def test_an_answer_that_is_read_before_its_clients_close_starts_no_further_attempt(rig, begun, leave, answer):
+def test_an_answer_that_is_read_before_its_clients_close_starts_no_further_attempt(
+    rig, started_attempts, leave, answer
+):
     # After a stall both the answer and the close are unread, and the reactor reads the node's answer first.
     proxy = rig(nodes=2)
-    conn = client_with_attempts(proxy, begun, read(1))
-    (node,) = begun[0].pool.connections
+    conn = client_with_attempts(proxy, started_attempts, read(1))
+    (node,) = started_attempts[0].pool.connections
     leave(conn)
     proxy.clock_offset_ms += EVENT_LOOP_STALL_MS
     node.dataReceived(answer)
-    assert all(attempt.over for attempt in begun)
-    assert nothing_is_sent(proxy, begun, 1)
+    assert all(attempt.is_over for attempt in started_attempts)
+    assert nothing_is_sent(proxy, started_attempts, 1)
 
 
 @CLOSE_OR_RESET
-def test_a_place_that_becomes_free_after_a_stall_is_not_given_to_a_disconnected_client(rig, begun, leave):
+def test_a_place_that_becomes_free_after_a_stall_is_not_given_to_a_disconnected_client(
+    rig, started_attempts, leave
+):
     proxy = rig(nodes=0, sockets=512)
     conns = [proxy.client(read(number)) for number in range(60)]
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < 60
     (first,) = [conn for conn in proxy.service.pools.pool_of("origin").connections if conn.attempts][:1]
     for conn in conns:
         leave(conn)
     proxy.clock_offset_ms += EVENT_LOOP_STALL_MS
     first.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
-    assert nothing_is_sent(proxy, begun, before)
-    assert len(begun) <= before + 1
-    assert all(attempt.over for attempt in begun)
+    assert nothing_is_sent(proxy, started_attempts, before)
+    assert len(started_attempts) <= before + 1
+    assert all(attempt.is_over for attempt in started_attempts)
 
 
 @CLOSE_OR_RESET
-def test_the_first_tick_after_a_stall_sends_nothing_for_a_disconnected_client(rig, begun, leave):
+def test_the_first_tick_after_a_stall_sends_nothing_for_a_disconnected_client(rig, started_attempts, leave):
     # After a stall the timers run before the sockets are read. An attempt that times out then must not be
     # retried for a client whose close is still unread.
     limits = SETTINGS["limits"] | {"cancel": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
-    conn = client_with_attempts(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, started_attempts, read(1))
     leave(conn)
     proxy.stall(1000.0)  # the attempt's timeout, half of the request's
     proxy.run_iterations(1)
-    assert len(begun) == 1
-    assert nothing_is_sent(proxy, begun, 1)
+    assert len(started_attempts) == 1
+    assert nothing_is_sent(proxy, started_attempts, 1)
 
 
 @CLOSE_OR_RESET
-def test_the_first_tick_after_a_stall_sends_no_retry_that_waited_for_the_end_of_an_attempt(rig, begun, leave):
+def test_the_first_tick_after_a_stall_sends_no_retry_that_waited_for_the_end_of_an_attempt(
+    rig, started_attempts, leave
+):
     limits = SETTINGS["limits"] | {"second-copies": False}
     proxy = rig(nodes=3, settings=SETTINGS | {"limits": limits})
     proxy.service.node_policy.close_delay_bound_ms = lambda node: 40.0
-    conn = client_with_attempts(proxy, begun, read(1))
-    begun[0].pool.give_up(begun[0], AttemptOutcome.TIMED_OUT)
+    conn = client_with_attempts(proxy, started_attempts, read(1))
+    started_attempts[0].pool.give_up(started_attempts[0], AttemptOutcome.TIMED_OUT)
     assert proxy.service.dispatcher.open_count == 1
-    assert len(begun) == 1
+    assert len(started_attempts) == 1
     leave(conn)
     proxy.stall(EVENT_LOOP_STALL_MS)
     proxy.run_iterations(1)
-    assert len(begun) == 1
-    assert nothing_is_sent(proxy, begun, 1)
+    assert len(started_attempts) == 1
+    assert nothing_is_sent(proxy, started_attempts, 1)
 
 
 @CLOSE_OR_RESET
 def test_a_connection_that_is_established_after_a_stall_is_not_used_for_a_disconnected_client(
-    rig, begun, leave
+    rig, started_attempts, leave
 ):
     proxy = rig()
     conn = proxy.client()
@@ -215,7 +227,7 @@
     leave(conn)
     proxy.clock_offset_ms += EVENT_LOOP_STALL_MS / 2
     connector.doConnect()
-    assert nothing_is_sent(proxy, begun, 0)
+    assert nothing_is_sent(proxy, started_attempts, 0)
 
 
 # Many at once -------------------------------------------------------------------------------------
@@ -223,30 +235,32 @@
 
 @CLOSE_OR_RESET
 @pytest.mark.parametrize("number", [60, 300])
-def test_in_a_burst_of_disconnects_no_client_is_given_the_place_of_another(rig, begun, leave, number):
+def test_in_a_burst_of_disconnects_no_client_is_given_the_place_of_another(
+    rig, started_attempts, leave, number
+):
     # Each close cancels an open read, whose place at the origin must not go to another disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
     proxy.run_until(lambda: len(proxy.service.side.connections) == number)
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < number
     for conn in conns:
         leave(conn)
     proxy.run_iterations(5)
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert not proxy.service.dispatcher.open_count
 
 
-def test_no_request_of_a_disconnected_client_is_given_the_place_of_another_one(rig, begun):
+def test_no_request_of_a_disconnected_client_is_given_the_place_of_another_one(rig, started_attempts):
     proxy = rig(nodes=0)
     conn = proxy.client(b"".join(read(n) for n in range(MAX_PIPELINED_COMMANDS - 1)))
     proxy.run_iterations(5)
-    before = len(begun)
+    before = len(started_attempts)
     assert 1 < before < MAX_PIPELINED_COMMANDS - 1
     conn.close()
     proxy.run_iterations(5)
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert not proxy.service.dispatcher.open_count
 
 
@@ -254,9 +268,11 @@
 
 
 @CLOSE_OR_RESET
-def test_requests_queued_behind_a_long_value_are_not_sent_for_a_disconnected_client(rig, begun, leave):
+def test_requests_queued_behind_a_long_value_are_not_sent_for_a_disconnected_client(
+    rig, started_attempts, leave
+):
     proxy = rig(backlog=0)
-    conn = client_with_attempts(proxy, begun, read(1))
+    conn = client_with_attempts(proxy, started_attempts, read(1))
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
@@ -271,7 +287,7 @@
     assert not proxy.service.dispatcher.open_count
     assert not proxy.service.side.connections
     assert not proxy.service.side.stream_count
-    assert nothing_is_sent(proxy, begun, 1)
+    assert nothing_is_sent(proxy, started_attempts, 1)
 
 
 # Whole runs of the simulation, with its invariant checker -----------------------------------------
@@ -297,7 +313,7 @@
     original = ClientConnections.clients_disconnected
 
     def clients_disconnected(self, connections):
-        self.timer_wheel.not_before(self.timer_wheel.now() + ms, lambda: original(self, connections))
+        self.timer_wheel.call_not_before(self.timer_wheel.now() + ms, lambda: original(self, connections))
 
     patch.setattr(ClientConnections, "clients_disconnected", clients_disconnected)
 
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -152,9 +152,9 @@
 def test_a_retry_is_logged_with_its_request_and_reason_and_a_fetch_after_a_miss_is_no_retry():
     player = Player(nodes=2)
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900")
-    owner = "s1" if player.next_asked("s1") else "s2"
-    player.opened.clear()
-    player.asked = 0
+    owner = "s1" if player.next_requested_factory("s1") else "s2"
+    player.connections.clear()
+    player.requested_count = 0
     player.play(f"{owner} expect mg k1 *\n{owner} send SERVER_ERROR failed\nwait 20")
     (retry,) = lines(player, "retry")
     assert retry.startswith("request 1: attempt 1 at ")
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -167,8 +167,8 @@
 
 def fail_all_connects(player):
     """Makes each connection to a node that is being opened fail by a fault of this machine."""
-    asked = player.reactor.tcpClients[player.asked :]
-    player.asked += len(asked)
+    asked = player.reactor.tcpClients[player.requested_count :]
+    player.requested_count += len(asked)
     for _, port, factory, *_ in asked:
         if port != player.ports["discovery"]:
             factory.clientConnectionFailed(None, Failure(ConnectError(osError=errno.ENFILE)))
--- a/tests/test_endpoint_changes.py
+++ b/tests/test_endpoint_changes.py
@@ -9,10 +9,10 @@
 
 def test_the_list_is_fetched_once_and_again_with_backoff_after_failures(drive):
     d = drive()
-    assert len(list_call_delays_ms(d.first)) == 1
+    assert len(list_call_delays_ms(d.first_actions)) == 1
     delays_ms = []
     for _ in range(6):
-        assert [type(a) for a in d.do(api.TimerDue(RESUBSCRIBE_TOKEN))] == [api.Subscribe]
+        assert [type(a) for a in d.handle(api.TimerDue(RESUBSCRIBE_TOKEN))] == [api.Subscribe]
         (delay_ms,) = list_call_delays_ms(d.list(api.ListKind.FAILED))
         delays_ms.append(delay_ms)
     assert delays_ms[-1] > 3 * delays_ms[0]
@@ -21,25 +21,25 @@
 
 def test_first_list_calls_of_hundreds_of_balancers_are_spread_over_five_seconds(drive):
     # Calls that hundreds of balancers made as soon as they started failed together.
-    delays_ms = [list_call_delays_ms(drive(seed=i, peers_total=400).first)[0] for i in range(400)]
+    delays_ms = [list_call_delays_ms(drive(seed=i, peers_total=400).first_actions)[0] for i in range(400)]
     assert max(delays_ms) <= 5000.0
     assert all(
         sum(1 for delay_ms in delays_ms if start <= delay_ms < start + 500) < 70
         for start in range(0, 5000, 500)
     )
-    assert list_call_delays_ms(drive(peers_total=2).first)[0] <= 40.0
+    assert list_call_delays_ms(drive(peers_total=2).first_actions)[0] <= 40.0
 
 
 def test_a_list_that_is_pushed_is_not_fetched(drive):
-    assert not any(isinstance(a, api.Subscribe) for a in drive(is_list_pushed=True).first)
+    assert not any(isinstance(a, api.Subscribe) for a in drive(is_list_pushed=True).first_actions)
 
 
 def test_outcomes_of_unknown_and_of_ended_requests_are_ignored(drive):
     d = drive()
-    assert d.do(api.AttemptEnded("nobody", "s0", 0, Status.OK, 1.0, True)) == []
+    assert d.handle(api.AttemptEnded("nobody", "s0", 0, Status.OK, 1.0, True)) == []
     name = d.ask()
     d.serve(name)
-    assert d.do(api.AttemptEnded(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
+    assert d.handle(api.AttemptEnded(name, d.sends[name][0], 0, Status.OK, 1.0, True)) == []
 
 
 def test_a_request_before_the_first_list_is_rejected():
@@ -58,7 +58,7 @@
         when, token = min(d.timers)
         d.timers.remove((when, token))
         d.now = max(d.now, when - 0.001)
-        d.do(api.TimerDue(token))
+        d.handle(api.TimerDue(token))
     assert waiter in d.ended
 
 
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -38,10 +38,10 @@
 def test_the_next_request_is_sent_once_all_attempts_of_the_earlier_one_have_ended(drive):
     d = ordered_driver(drive)
     first, abandoned, third = (d.ask("a", write=True) for _ in range(3))
-    d.do(api.ClientGone(abandoned))
-    d.do(api.ClientGone(first))
+    d.handle(api.ClientGone(abandoned))
+    d.handle(api.ClientGone(first))
     assert third not in d.sends  # The attempt of the first request is still in flight.
-    d.do(api.AttemptEnded(first, "origin", 0, Status.TIMEOUT, 1.0, True))
+    d.handle(api.AttemptEnded(first, "origin", 0, Status.TIMEOUT, 1.0, True))
     assert third in d.sends
     assert abandoned not in d.sends
 
@@ -49,8 +49,8 @@
 def test_a_key_waits_after_an_attempt_that_may_still_be_running(drive):
     d = ordered_driver(drive, in_doubt_hold_ms=100.0)
     first, second = (d.ask("a", write=True) for _ in range(2))
-    d.do(api.ClientGone(first))
-    d.do(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
+    d.handle(api.ClientGone(first))
+    d.handle(api.AttemptEnded(first, "origin", 0, Status.CANCELLED, 1.0, True))
     later = d.ask("a", write=True)
     d.pass_time(100)
     assert second not in d.sends
--- a/tests/test_origin_fetch.py
+++ b/tests/test_origin_fetch.py
@@ -34,8 +34,8 @@
     first = d.ask("hot")
     d.answer(first, Status.MISS)
     waiter = d.ask("hot")
-    d.do(api.ClientGone(first))
-    d.do(api.AttemptEnded(first, "origin", 1, Status.CANCELLED, 1.0, True))
+    d.handle(api.ClientGone(first))
+    d.handle(api.AttemptEnded(first, "origin", 1, Status.CANCELLED, 1.0, True))
     assert d.sends[waiter]
 
 
@@ -83,8 +83,8 @@
     # and the work for them kept the servers overloaded.
     d = drive()
     name, useful_late = d.ask("k"), d.ask("l", cls=3)
-    assert d.limits[name] < 500.0 < d.limits[useful_late]
-    d.answer(name, Status.TIMEOUT, after=d.limits[name])
+    assert d.timeouts_ms[name] < 500.0 < d.timeouts_ms[useful_late]
+    d.answer(name, Status.TIMEOUT, after=d.timeouts_ms[name])
     assert isinstance(d.ended[name], api.Reject)
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -11,7 +11,7 @@
     stream_class = api.RequestClass(latency_objective_ms=500.0, deadline_ms=2000.0, is_stream=True)
     d = drive(classes=(stream_class,), origin=False)
     name = d.ask()
-    d.do(api.StreamStarted(name, d.sends[name][0], 0))
+    d.handle(api.StreamStarted(name, d.sends[name][0], 0))
     d.pass_time(5000)
     assert not d.cancels
     assert name not in d.ended
@@ -28,7 +28,7 @@
     d.answer(hedged, Status.OK, 60.0)
     assert d.cancels == [(hedged, 0)]
     # The hedged attempt was answered first, so the next read is hedged sooner.
-    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0, True))
+    d.handle(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0, True))
     assert d.balancer._hedges.delay_factor < 8.0
     assert not d.balancer._requests
     assert not any(server.in_flight for server in d.balancer._servers.values())
@@ -37,7 +37,7 @@
 def test_a_first_attempt_that_is_answered_before_its_hedge_raises_the_delay(drive):
     d = drive(may_hedge=True)
     hedged = overdue_read(d)
-    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.OK, 1060.0, True))
+    d.handle(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.OK, 1060.0, True))
     assert d.cancels == [(hedged, 1)]
     assert d.balancer._hedges.delay_factor > 8.0
 
@@ -46,7 +46,7 @@
     d = drive(may_hedge=True)
     hedged = overdue_read(d)
     d.answer(hedged, Status.MISS, 1.0)
-    d.do(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0))
+    d.handle(api.AttemptEnded(hedged, d.sends[hedged][0], 0, Status.CANCELLED, 1.0))
     assert d.sends[hedged][2] == "origin"
 
 
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -13,9 +13,15 @@
 from cloverwell.facade import AttemptOutcome, SendAttempt
 from cloverwell.front.client_connection import STREAM_PIECE_BYTES
 from cloverwell.request import Attempt, Request
-from cloverwell.streamed_value import AHEAD, LONG, LONGEST, StreamedValue, ahead
+from cloverwell.streamed_value import (
+    MAX_STREAMED_VALUE_BYTES,
+    READ_AHEAD_BOUNDS_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    StreamedValue,
+    read_ahead_bytes,
+)
 
-SIZE = LONG + 1000
+SIZE = STREAMING_THRESHOLD_BYTES + 1000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"x" * (SIZE % 256)
 HEAD = f"VA {SIZE} O1\r\n".encode()
 
@@ -152,7 +158,7 @@
 def test_a_value_above_the_limit_is_refused_and_the_read_is_retried():
     player = Player()
     client, (node, transport) = send_read(player)
-    node.dataReceived(f"VA {LONGEST + 1} O1\r\n".encode() + VALUE)
+    node.dataReceived(f"VA {MAX_STREAMED_VALUE_BYTES + 1} O1\r\n".encode() + VALUE)
     assert transport.aborted
     assert client.value() == b""
     player.play("wait 25")  # The close must reach the node before the next attempt is sent.
@@ -165,9 +171,9 @@
     for place in range(1, number + 1):
         _, (node, transport) = send_read(player, f"O{place}", f"client#{place}", f"s1#{place}")
         pairs.append((node, transport, SlowClient(player.connection("client", place - 1)[1])))
-    value = b"v" * LONGEST
+    value = b"v" * MAX_STREAMED_VALUE_BYTES
     for place, (node, transport, _) in enumerate(pairs, 1):
-        data = f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
+        data = f"VA {MAX_STREAMED_VALUE_BYTES} O{place}\r\n".encode() + value + b"\r\n"
         node.rest = memoryview(data)
         while transport.producerState == "producing":
             node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
@@ -178,7 +184,9 @@
         len(slow_client.unsent) + len(slow_client.transport.protocol._outgoing) + len(node._incoming)
         for node, _, slow_client in pairs
     )
-    assert buffered_bytes <= number * (STREAM_PIECE_BYTES + AHEAD[1] + 2 * STREAM_READ_BYTES)
+    assert buffered_bytes <= number * (
+        STREAM_PIECE_BYTES + READ_AHEAD_BOUNDS_BYTES[1] + 2 * STREAM_READ_BYTES
+    )
     player.play("wait 5000")
     for place, (node, transport, slow_client) in enumerate(pairs, 1):
         while node.rest:
@@ -186,8 +194,11 @@
             if transport.producerState == "producing":
                 node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
                 node.rest = node.rest[STREAM_READ_BYTES:]
-        slow_client.read(LONGEST)
-        assert bytes(slow_client.received) == f"VA {LONGEST} O{place}\r\n".encode() + value + b"\r\n"
+        slow_client.read(MAX_STREAMED_VALUE_BYTES)
+        assert (
+            bytes(slow_client.received)
+            == f"VA {MAX_STREAMED_VALUE_BYTES} O{place}\r\n".encode() + value + b"\r\n"
+        )
     assert not side.stream_count
 
 
@@ -228,7 +239,7 @@
     assert ends == [AttemptOutcome.TIMED_OUT]
     # The value goes on, or it is broken off, so that the attempt is no longer in flight.
     assert transport.aborted is not copies
-    assert (behind.next_attempt_from_ms > 0.0) is not copies
+    assert (behind.earliest_next_attempt_ms > 0.0) is not copies
 
 
 @given(st.binary(min_size=1, max_size=60), st.lists(st.integers(1, 20), max_size=8), st.sampled_from("wbd"))
@@ -240,12 +251,12 @@
     for cut in cuts:
         piece, rest = rest[:cut], rest[cut:]
         if piece:
-            value_stream.piece(piece)
+            value_stream.receive(piece)
     if ending == "w" and rest:
-        value_stream.piece(rest)
+        value_stream.receive(rest)
         rest = b""
-    {"w": value_stream.whole, "b": value_stream.broken, "d": value_stream.drop}[ending]()
-    value_stream.drop()
+    {"w": value_stream.complete, "b": value_stream.abort, "d": value_stream.cancel}[ending]()
+    value_stream.cancel()
     arrived = value[: len(value) - len(rest)]
     assert b"".join(got) == (value if ending == "w" else arrived if rest else arrived[:-1])
     assert ended == {"w": [True], "b": [False], "d": []}[ending]
@@ -254,6 +265,6 @@
 
 @given(st.integers(0, 10**9), st.integers(0, 10**4))
 def test_all_streams_together_stay_within_the_memory_if_it_is_enough(room, streams):
-    each = ahead(room, streams)
-    assert AHEAD[0] <= each <= AHEAD[1]
-    assert each == AHEAD[0] or each * streams <= room
+    each = read_ahead_bytes(room, streams)
+    assert READ_AHEAD_BOUNDS_BYTES[0] <= each <= READ_AHEAD_BOUNDS_BYTES[1]
+    assert each == READ_AHEAD_BOUNDS_BYTES[0] or each * streams <= room
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("other_read", [b"", read(7)])
 def test_a_fetch_that_ends_because_its_client_disconnects_is_not_repeated_for_that_client(
-    rig, begun, other_read
+    rig, started_attempts, other_read
 ):
     # A client reads a key twice: the second read waits for the first one's fetch, which waits for a place at
     # the origin. When the client disconnects, neither may start an attempt. `other_read` is a third read that
@@ -133,11 +133,11 @@
     proxy.run_iterations()
     conn.sendall(read(2).replace(b"k2", b"k1"))
     proxy.run_until(lambda: proxy.service.dispatcher.open_count == 3 + bool(other_read))
-    before = len(begun)
+    before = len(started_attempts)
     conn.close()
     proxy.advance_clock(60)
     assert proxy.service.dispatcher.open_count == 1
-    assert len(begun) == before
+    assert len(started_attempts) == before
     assert requests_with_places(proxy) == {"9"}
 
 
--- a/tests/test_told_time.py
+++ b/tests/test_told_time.py
@@ -227,9 +227,9 @@
             case "late", (ms,):
                 stall(player, ms)
             case "connect", (party,):
-                if (factory := player.next_asked(party)) is not None:
-                    player.waiting.setdefault(party, []).insert(0, factory)
-                    player.connection(party, len(player.opened.get(party, [])))
+                if (factory := player.next_requested_factory(party)) is not None:
+                    player.pending_factories.setdefault(party, []).insert(0, factory)
+                    player.connection(party, len(player.connections.get(party, [])))
             case "close", (party, place):
                 if is_open(player, party, place):
                     player.play(f"{party}#{place + 1} close")
@@ -237,24 +237,24 @@
                 answer(player, party, place)
             case "clog", (party, place, taken):
                 if is_open(player, party, place):
-                    clog(player.opened[party][place][1], taken)
+                    clog(player.connections[party][place][1], taken)
             case "drain", (party, place):
                 if is_open(player, party, place):
-                    protocol, transport = player.opened[party][place]
+                    protocol, transport = player.connections[party][place]
                     transport.__dict__.pop("send", None)
                     protocol.resumeProducing()
         check_all(player)
     player.play("wait 2100")
     assert player.service.dispatcher.open_count == 0
-    assert "deadline.exceeded_at_send" not in player.service.counts.line()
+    assert "deadline.exceeded_at_send" not in player.service.counts.take_line()
 
 
 def test_an_attempt_that_tells_its_node_more_time_than_is_left_is_counted(monkeypatch):
     # The check above can fail: here each command has a propagated deadline of 5 s.
-    monkeypatch.setattr(Attempt, "left_ms", lambda self, now, delay_ms=0.0: 5000)
+    monkeypatch.setattr(Attempt, "time_left_ms", lambda self, now, delay_ms=0.0: 5000)
     player = Player()
     player.play("client send mg k1 v O1 Pc=page,t=acme,d=900\ns1 expect mg k1 v O1 *\ns1 send VA 1 O1|x")
-    line = player.service.counts.line()
+    line = player.service.counts.take_line()
     assert "deadline.exceeded_at_send=1" in line
     assert "deadline.exceeded_at_send_ms" in line
 
@@ -275,14 +275,14 @@
 
 def is_open(player, party, place):
     """Returns whether this connection of a node or the origin exists and is open."""
-    connections = player.opened.get(party, [])
+    connections = player.connections.get(party, [])
     return place < len(connections) and not connections[place][1].ended and not connections[place][0].ended
 
 
 def check_all(player):
     """Checks the commands on all connections to the node and the origin."""
     for party in ("s1", "origin"):
-        for place in range(len(player.opened.get(party, []))):
+        for place in range(len(player.connections.get(party, []))):
             player.check(party, place)
 
 
@@ -290,7 +290,7 @@
     """Answers the oldest attempt on a connection, if there is one."""
     if not is_open(player, party, place):
         return
-    protocol, _ = player.opened[party][place]
+    protocol, _ = player.connections[party][place]
     if protocol.attempts:
         name = protocol.attempts[0].request.id
         words = "200 r" if party == "origin" else f"VA 1 O{name}|a"
