--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def rig(started_attempts, rig):
-    """The fixture `rig`, with every attempt of its proxies recorded in `begun`."""
+    """The fixture `rig`, with every attempt of its proxies recorded in `started_attempts`."""
     return rig
 
 
