--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -185,7 +185,8 @@
 STORIES = re.compile(
     r"\b([Ss]een (on|with|in|at|by)\b|[Ss]een:|[Ff]ound (on|with|in) (a|the|one|two|seeds?)\b"
     r"|([Bb]y|[Aa]fter) trial\b|turned out\b|used to be\b|(was|were) once\b|once (was|were)\b|tuned\b"
-    r"|(was|were|is|are|not) measured (on|at|with|in)\b|not (measured\b|chosen[,;:.])|(was|were) (chosen|guessed)\b"
+    r"|(was|were|is|are|not) measured (on|at|with|in)\b|not (measured\b|chosen[,;:.])"
+    r"|(was|were) (chosen|guessed)\b"
     r"|([Mm]easured|[Cc]hosen|[Gg]uessed)[,;:])"
 )
 
