--- a/tests/control_net_rig.py
+++ b/tests/control_net_rig.py
@@ -111,7 +111,7 @@
 
 
 @dataclass
-class Lines:
+class RecordingLog:
     """A log that keeps its lines."""
 
     lines: list[str] = field(default_factory=list)
--- a/tests/test_config_failures.py
+++ b/tests/test_config_failures.py
@@ -6,7 +6,7 @@
 import os
 
 import pytest
-from control_net_rig import Lines
+from control_net_rig import RecordingLog
 
 from cloverwell import config as proxy_config
 from cloverwell.config import ConfigError, parse_config, read_config
@@ -59,7 +59,7 @@
 def test_a_reload_that_cannot_read_its_file_changes_nothing_and_says_so_once(failing_at, number):
     failing_at(number)
     service = Proxy.__new__(Proxy)  # a reload that went on would need more of it
-    service._log = Lines()
+    service._log = RecordingLog()
     service.reload(lambda: read_config({"EDGE_CONFIG": "/etc/proxy.json"}, reloading=True))
     (line,) = service._log.lines
     assert line.startswith("warn reload: all stays as it is: EDGE_CONFIG: ")
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from control_net_rig import Lines, Reactor, Transport, end, frame
+from control_net_rig import Reactor, RecordingLog, Transport, end, frame
 from twisted.internet.address import IPv4Address
 
 from cloverwell.control.entry import START, Entry
@@ -144,7 +144,7 @@
 
 @pytest.fixture
 def port():
-    made = ControlPort(Reactor(), RecordingHandler(), Lines())
+    made = ControlPort(Reactor(), RecordingHandler(), RecordingLog())
 
     def connect():
         connection = made.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
@@ -241,7 +241,7 @@
 
 @pytest.fixture
 def link():
-    reactor, lines = Reactor(), Lines()
+    reactor, lines = Reactor(), RecordingLog()
     made = PeerLink(reactor, PeerHello("a", "fleet"), "b", ("127.0.0.1", 7402), Random(1), lines)
     made.start()
     return made, reactor, lines
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from control_net_rig import Lines, Reactor, end, frame
+from control_net_rig import Reactor, RecordingLog, end, frame
 
 from cloverwell.control.entry import START, Entry, LogState, Snapshot
 from cloverwell.control.messages import (
@@ -44,7 +44,7 @@
     """A follower without a proxy, which applies all entries but those in `refused_indexes`."""
 
     def __init__(self):
-        self.reactor, self.lines = Reactor(), Lines()
+        self.reactor, self.lines = Reactor(), RecordingLog()
         self.applied, self.refused_indexes, self.missed = [], set(), 0
         self.follower = Follower(
             self.reactor,
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from control_net_rig import Lines, Reactor, Transport, frame
+from control_net_rig import Reactor, RecordingLog, Transport, frame
 from failing_files import Disk as FailingDisk
 from failing_files import Effect, Fault
 from twisted.internet.address import IPv4Address
@@ -55,7 +55,7 @@
     """One of three nodes; `order` has its writes and what it sent to the others, as they came."""
 
     def __init__(self, nodes="abc", storage=None):
-        self.order, self.reactor, self.lines = [], Reactor(), Lines()
+        self.order, self.reactor, self.lines = [], Reactor(), RecordingLog()
         self.disk = storage or Disk(self.order)
         settings = NodeSettings(
             "a", "fleet", ADDRESSES["a"], Path("data"), {n: ADDRESSES[n] for n in nodes}, {}
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from control_net_rig import Lines, Reactor, frame
+from control_net_rig import Reactor, RecordingLog, frame
 
 from cloverwell.config import parse_config
 from cloverwell.control.configuration import digest
@@ -29,7 +29,7 @@
     """A proxy's part before a control node of the test's own; `done` is what it did to the proxy."""
 
     def __init__(self, environ=None):
-        self.reactor, self.lines = Reactor(), Lines()
+        self.reactor, self.lines = Reactor(), RecordingLog()
         self.done, self.ready = [], 0
         self.timer_wheel = TimerWheel(self.reactor, 5.0, self.reactor.now_ms)
         self.timer_wheel.start()
@@ -170,6 +170,6 @@
         def configuration(self):
             return described
 
-    answer = OperatorHttpFactory(OperatorService(), None, Lines()).answer(method, "/configuration")
+    answer = OperatorHttpFactory(OperatorService(), None, RecordingLog()).answer(method, "/configuration")
     assert answer[0] == status
     assert status != 200 or answer[1] == described
--- a/tests/test_handover_errors.py
+++ b/tests/test_handover_errors.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from control_net_rig import Lines
+from control_net_rig import RecordingLog
 
 from cloverwell.handover import messages
 from cloverwell.handover.messages import HandoverState
@@ -55,7 +55,7 @@
 
 def line_of(predecessor, listen=("127.0.0.1", 1)):
     """The line that is logged when nothing can be taken over."""
-    lines = Lines()
+    lines = RecordingLog()
     assert request_handover(predecessor.path, listen, lines, WAIT_S) is None
     (line,) = lines.lines
     return line
@@ -108,13 +108,13 @@
     path = str(tmp_path / "stale.sock")
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(path)
-    lines = Lines()
+    lines = RecordingLog()
     assert request_handover(path, ("127.0.0.1", 1), lines, WAIT_S) is None
     reason = "the process that left its socket there has gone"
     assert lines.lines == [f"warn handover: nothing is taken over: {reason}"]
 
 
 def test_no_socket_at_all_is_no_line(tmp_path):
-    lines = Lines()
+    lines = RecordingLog()
     assert request_handover(str(tmp_path / "none.sock"), ("127.0.0.1", 1), lines, WAIT_S) is None
     assert lines.lines == []
--- a/tests/test_handover_failures.py
+++ b/tests/test_handover_failures.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from control_net_rig import Lines
+from control_net_rig import RecordingLog
 from twisted.internet import unix
 
 from cloverwell.handover import sockets, successor
@@ -51,7 +51,7 @@
         monkeypatch.setattr(unix.os, "chmod", failing(number))
     else:
         monkeypatch.setattr(sockets.socket, "socket", failing(number))
-    lines = Lines()
+    lines = RecordingLog()
     opened = listener(tmp_path / "s", lines)
     opened.open()
     monkeypatch.undo()
@@ -63,7 +63,7 @@
 def test_a_folder_that_cannot_be_opened_is_one_line(tmp_path, monkeypatch, number):
     path = tmp_path / TOO_LONG / "s"
     monkeypatch.setattr(sockets.os, "open", failing(number))
-    lines = Lines()
+    lines = RecordingLog()
     listener(path, lines).open()
     monkeypatch.undo()
     check_one_warning(lines, number)
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("number", ERRORS)
 def test_a_successor_that_cannot_make_a_socket_takes_nothing_over_and_serves(tmp_path, monkeypatch, number):
     monkeypatch.setattr(successor.socket, "socket", failing(number))
-    lines = Lines()
+    lines = RecordingLog()
     assert request_handover(str(tmp_path / "s"), LISTEN, lines) is None
     monkeypatch.undo()
     (line,) = lines.lines
@@ -86,7 +86,7 @@
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(str(path))
     monkeypatch.setattr(sockets.os, "unlink", failing(number))
-    lines = Lines()
+    lines = RecordingLog()
     opened = listener(path, lines)
     opened.open()
     monkeypatch.undo()
