--- a/tests/failing_files.py
+++ b/tests/failing_files.py
@@ -1,9 +1,9 @@
-"""A disk in memory under the file calls of a storage: it fails, is cut off and forgets where a test says so.
+"""A simulated disk for tests of storage, which can fail at any call and lose data in a power cut.
 
-`Disk` takes the place of a module's `os` and `fcntl`. It keeps apart what processes read (the page cache)
-and what a power cut leaves: content lasts from an fsync on, names from a sync of their folder on. A power
-cut may leave any of the sectors and the first few of the names that were written since. Where a sync fails,
-its pages count as clean ones from then on: they can be read, and no later sync writes them.
+`Disk` replaces a module's `os` and `fcntl`. It distinguishes what processes read (the page cache) from what
+survives a power cut: content is durable after an fsync, and names after a sync of their folder. Of later
+changes, a power cut may leave any of the sectors and the first few of the names. If a sync fails, its pages
+count as clean from then on: they can be read, but no later sync writes them.
 """
 
 from __future__ import annotations
@@ -20,39 +20,46 @@
 FIRST_DESCRIPTOR = 1000
 ROOT = "/"
 
-Choice = Callable[[], bool]
+Choice = Callable[[], bool]  # returns whether the next change survives a power cut
 
 
 class Killed(BaseException):
-    """The process ends within a call: nothing that it does later has an effect."""
+    """The process is killed during a call. No later call of it has an effect."""
 
 
 class Effect(Enum):
-    """What a call has done when it fails."""
+    """The part of its work that a failing call has done."""
 
     NONE = "none"
-    HALF = "half"  # of the bytes of a write; of any other call nothing
+    HALF = "half"  # A write has written half of its bytes, any other call has done nothing.
     WHOLE = "whole"
 
 
 @dataclass(frozen=True)
 class Fault:
-    """At a call, counted from 0. `error`: None kills the process. `lasting`: all later calls fail too.
-    `written`: bytes of a write that are in, in place of half of them."""
+    """A failure at the call of this number, counted from 0.
+
+    An `error` of None kills the process. If `permanent` is set, all later calls fail too. `written_bytes` are
+    the bytes that a failing write has written, instead of half of them.
+    """
 
     call: int
     error: int | None
     effect: Effect = Effect.NONE
-    lasting: bool = False
-    written: int | None = None
+    permanent: bool = False
+    written_bytes: int | None = None
 
-    def strikes(self, call: int) -> bool:
-        return call == self.call or (self.lasting and call > self.call)
+    def applies_to(self, call: int) -> bool:
+        """Returns whether the call of this number fails."""
+        return call == self.call or (self.permanent and call > self.call)
 
 
 @dataclass(eq=False)
 class File:
-    """`dirty`: the sectors that the next sync writes."""
+    """A file. `content` is what processes read, `durable` what is on the disk.
+
+    `dirty` are the sectors that the next sync writes.
+    """
 
     content: bytearray = field(default_factory=bytearray)
     durable: bytearray = field(default_factory=bytearray)
@@ -69,27 +76,27 @@
         self.dirty = {sector for sector in self.dirty if sector * SECTOR < size}
 
     def sync(self) -> None:
-        self._keep(self.dirty, len(self.content))
+        self._make_durable(self.dirty, len(self.content))
         self.dirty.clear()
 
     def sync_failed(self) -> None:
         self.dirty.clear()
 
     def evict(self) -> None:
-        """Clean sectors are read from the disk again."""
+        """Drops the clean sectors from the page cache, so that they are read from the disk again."""
         for sector in range(len(self.content) // SECTOR + 1):
             if sector not in self.dirty:
                 start, end = sector * SECTOR, min((sector + 1) * SECTOR, len(self.content))
                 self.content[start:end] = bytes(self.durable[start:end]).ljust(end - start, b"\0")
 
-    def cut_power(self, chosen: Choice) -> None:
-        kept = {sector for sector in sorted(self.dirty) if chosen()}
-        grown = bool(kept) or chosen()
-        self._keep(kept, len(self.content) if grown else len(self.durable))
+    def cut_power(self, choose: Choice) -> None:
+        kept_sectors = {sector for sector in sorted(self.dirty) if choose()}
+        size_kept = bool(kept_sectors) or choose()
+        self._make_durable(kept_sectors, len(self.content) if size_kept else len(self.durable))
         self.content = bytearray(self.durable)
         self.dirty.clear()
 
-    def _keep(self, sectors: set[int], size: int) -> None:
+    def _make_durable(self, sectors: set[int], size: int) -> None:
         del self.durable[size:]
         self.durable.extend(bytes(size - len(self.durable)))
         for sector in sectors:
@@ -97,12 +104,15 @@
             self.durable[sector * SECTOR : sector * SECTOR + len(part)] = part
 
 
-Names = dict[str, Any]  # of files and folders
+Names = dict[str, Any]  # the files and folders in a folder, by name
 
 
 @dataclass(eq=False)
 class Folder:
-    """`pending`: the changes of names that the next sync makes durable, in order."""
+    """A folder. `names` is what processes see, `durable` what is on the disk.
+
+    `pending` are the changes of names that the next sync makes durable, in order.
+    """
 
     names: Names = field(default_factory=dict)
     durable: Names = field(default_factory=dict)
@@ -123,63 +133,65 @@
         for node in self.names.values():
             node.evict()
 
-    def cut_power(self, chosen: Choice) -> None:
-        while self.pending and chosen():
+    def cut_power(self, choose: Choice) -> None:
+        while self.pending and choose():
             self.pending.pop(0)(self.durable)
         self.pending.clear()
         self.names = dict(self.durable)
         for node in self.names.values():
-            node.cut_power(chosen)
+            node.cut_power(choose)
 
 
 @dataclass
-class Opened:
+class OpenFile:
+    """An open file or folder, and the offset of the next read."""
+
     node: File | Folder
-    place: int = 0
+    offset: int = 0
 
 
 class Disk:
-    """`calls`: what was called since the process began, a name each."""
+    """A disk with the calls of `os` and `fcntl`. `calls` names the calls since the last restart."""
 
     def __init__(self) -> None:
         self.root = Folder()
         self.calls: list[str] = []
         self.fault: Fault | None = None
-        self.most_written = 1 << 30  # bytes of one write
+        self.max_write_bytes = 1 << 30  # the most bytes that one write call takes
         self._killed = False
-        self.opened: dict[int, Opened] = {}  # by descriptor
+        self.open_files: dict[int, OpenFile] = {}  # by descriptor
         self._next_descriptor = FIRST_DESCRIPTOR
-        self._locks: dict[int, int] = {}  # by the id of a file, which descriptor has it
+        self._locks: dict[int, int] = {}  # the descriptor that holds the lock, by the id of the file
 
     def __getattr__(self, name: str) -> Any:
-        """Constants of both modules, and `strerror`."""
+        """Returns a constant of either module, or `strerror`."""
         if name.startswith("LOCK_"):
             return getattr(fcntl, name)
         if name.startswith("O_") or name == "strerror":
             return getattr(os, name)
         raise AttributeError(name)
 
-    # What happens to the process and the machine
+    # Events of the process and the machine
 
     def restart(self, fault: Fault | None = None) -> None:
-        """The process has ended, and another begins."""
-        self.opened.clear()
+        """Ends the process, and starts another one whose calls meet this fault."""
+        self.open_files.clear()
         self._locks.clear()
         self._killed = False
         self.calls, self.fault = [], fault
 
-    def cut_power(self, chosen: Choice) -> None:
-        self.root.cut_power(chosen)
+    def cut_power(self, choose: Choice) -> None:
+        self.root.cut_power(choose)
         self.restart()
 
     def file(self, path: object) -> File:
         return self._find(path)
 
     def names(self, folder: object) -> list[str]:
-        """Of the files in a folder."""
+        """Returns the sorted names of the files in a folder."""
         return sorted(self._find(folder).names)
 
-    # The calls
+    # The calls of `os` and `fcntl`
 
     def open(self, path: object, flags: int, mode: int = 0o777) -> int:
         return self._call("open", lambda: self._open(path, flags))
@@ -189,8 +201,8 @@
             folder, name = self._parent(path)
             if name in folder.names:
                 raise _error(errno.EEXIST)
-            made = Folder()
-            folder.change(lambda names: names.update({name: made}))
+            new_folder = Folder()
+            folder.change(lambda names: names.update({name: new_folder}))
 
         self._call("mkdir", make)
 
@@ -221,24 +233,24 @@
 
     def read(self, descriptor: int, size: int) -> bytes:
         def read() -> bytes:
-            opened = self.opened[descriptor]
-            data = bytes(opened.node.content[opened.place : opened.place + size])
-            opened.place += len(data)
+            open_file = self.open_files[descriptor]
+            data = bytes(open_file.node.content[open_file.offset : open_file.offset + size])
+            open_file.offset += len(data)
             return data
 
         return self._call("read", read)
 
     def write(self, descriptor: int, data: bytes) -> int:
-        node = self.opened[descriptor].node if not self._killed else File()
-        data = bytes(data)[: self.most_written]
+        node = self.open_files[descriptor].node if not self._killed else File()
+        data = bytes(data)[: self.max_write_bytes]
 
         def write() -> int:
             node.append(data)
             return len(data)
 
         def write_half() -> None:
-            written = self.fault.written
-            node.append(data[: len(data) // 2 if written is None else written])
+            written_bytes = self.fault.written_bytes
+            node.append(data[: len(data) // 2 if written_bytes is None else written_bytes])
 
         return self._call("write", write, write_half)
 
@@ -249,50 +261,55 @@
         self._sync(descriptor, "fdatasync")
 
     def ftruncate(self, descriptor: int, size: int) -> None:
-        self._call("ftruncate", lambda: self.opened[descriptor].node.truncate(size))
+        self._call("ftruncate", lambda: self.open_files[descriptor].node.truncate(size))
 
     def close(self, descriptor: int) -> None:
         def close() -> None:
-            del self.opened[descriptor]
-            self._locks = {file: held for file, held in self._locks.items() if held != descriptor}
+            del self.open_files[descriptor]
+            self._locks = {file: holder for file, holder in self._locks.items() if holder != descriptor}
 
-        self._call("close", close, failed=close)  # the descriptor is free, whatever close says
+        self._call("close", close, failed_action=close)  # A failed close frees the descriptor too.
 
     def flock(self, descriptor: int, operation: int) -> None:
         def lock() -> None:
-            if self._locks.setdefault(id(self.opened[descriptor].node), descriptor) != descriptor:
+            if self._locks.setdefault(id(self.open_files[descriptor].node), descriptor) != descriptor:
                 raise _error(errno.EAGAIN)
 
         self._call("flock", lock)
 
-    # Steps
+    # Internals
 
     def _sync(self, descriptor: int, name: str) -> None:
         if self._killed:
             raise Killed
-        node = self.opened[descriptor].node
-        self._call("folder sync" if isinstance(node, Folder) else name, node.sync, failed=node.sync_failed)
+        node = self.open_files[descriptor].node
+        self._call(
+            "folder sync" if isinstance(node, Folder) else name, node.sync, failed_action=node.sync_failed
+        )
 
     def _call(
         self,
         name: str,
-        work: Callable[[], Any],
-        half: Callable[[], Any] = lambda: None,
-        failed: Callable[[], Any] = lambda: None,
+        action: Callable[[], Any],
+        half_action: Callable[[], Any] = lambda: None,
+        failed_action: Callable[[], Any] = lambda: None,
     ) -> Any:
-        """`failed`: what an error without effect leaves."""
+        """Records a call and does its action, unless the fault applies to it.
+
+        `half_action` is done for a fault with half an effect, `failed_action` for an error without effect.
+        """
         if self._killed:
             raise Killed
         number, fault = len(self.calls), self.fault
         self.calls.append(name)
-        if fault is None or not fault.strikes(number):
-            return work()
+        if fault is None or not fault.applies_to(number):
+            return action()
         if fault.effect is Effect.WHOLE and name != "open":
-            work()
+            action()
         elif fault.effect is Effect.HALF:
-            half()
+            half_action()
         elif fault.error is not None:
-            failed()
+            failed_action()
         if fault.error is None:
             self._killed = True
             raise Killed
@@ -306,15 +323,15 @@
             if name not in folder.names:
                 if not flags & os.O_CREAT:
                     raise _error(errno.ENOENT)
-                made = File()
-                folder.change(lambda names: names.update({name: made}))
+                new_file = File()
+                folder.change(lambda names: names.update({name: new_file}))
             elif flags & os.O_EXCL:
                 raise _error(errno.EEXIST)
             node = folder.names[name]
             if flags & os.O_TRUNC:
                 node.truncate(0)
         self._next_descriptor += 1
-        self.opened[self._next_descriptor] = Opened(node)
+        self.open_files[self._next_descriptor] = OpenFile(node)
         return self._next_descriptor
 
     def _parent(self, path: object) -> tuple[Folder, str]:
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -1,4 +1,4 @@
-"""A control node's disk fails at each of its calls, or is cut off there: what was acknowledged stays."""
+"""Acknowledged writes of a control node survive an error, a kill or a power cut at any call to the disk."""
 
 import errno
 from pathlib import PurePosixPath
@@ -24,27 +24,27 @@
     Write(4, "", snapshot=snapshot(entry(1), entry(2, 2))),
     Write(5, "b", entries=(entry(4, 3, bytes(700)),)),
 ]
-STATES = [StoredState()]  # after each number of writes
+STATES = [StoredState()]  # STATES[n] is the state after n writes.
 for _write in WRITES:
     STATES.append(STATES[-1].after(_write))
 
 
 @pytest.fixture
 def disk(monkeypatch):
-    made = Disk()
-    monkeypatch.setattr(durable_files, "os", made)
-    monkeypatch.setattr(durable_files, "fcntl", made)
-    made.mkdir("/machine")
-    made.root.sync()
-    made.restart()
-    return made
+    new_disk = Disk()
+    monkeypatch.setattr(durable_files, "os", new_disk)
+    monkeypatch.setattr(durable_files, "fcntl", new_disk)
+    new_disk.mkdir("/machine")
+    new_disk.root.sync()
+    new_disk.restart()
+    return new_disk
 
 
-def play(writes=WRITES):
-    """Opens the storage and writes until it fails or the process is killed; how many were acknowledged."""
+def run_writes(writes=WRITES):
+    """Opens the storage and writes until an error or a kill. Returns the number of acknowledged writes."""
     acknowledged = 0
     try:
-        FileStorage(FOLDER).close()  # so that the second start finds a file to read
+        FileStorage(FOLDER).close()  # so that the next start has a file to read
         storage = FileStorage(FOLDER)
         for write in writes:
             storage.write(write)
@@ -54,7 +54,8 @@
     return acknowledged
 
 
-def recovered():
+def recover():
+    """Opens the storage again, and returns the state that it loads."""
     storage = FileStorage(FOLDER)
     state = storage.load()
     storage.close()
@@ -62,14 +63,14 @@
 
 
 def healthy_calls(disk):
-    """The names of the calls of a play in which nothing fails."""
-    assert play() == len(WRITES)
+    """Returns the names of the calls that the writes make when no call fails."""
+    assert run_writes() == len(WRITES)
     assert {"write", "fsync", "fdatasync", "rename", "folder sync", "open", "read"} <= set(disk.calls)
     return list(disk.calls)
 
 
-def disk_like(disk):
-    """A new one in its place."""
+def reset_disk(disk):
+    """Makes the disk new and empty again."""
     disk.__init__()
     disk.mkdir("/machine")
     disk.root.sync()
@@ -77,59 +78,64 @@
 
 
 def each_fault(calls, errors):
+    """Yields a fault for each call, error and effect, once for this call only and once for all later ones."""
     for call in range(len(calls)):
         for error in errors:
             for effect in Effect:
-                for lasting in (False, True):
-                    yield Fault(call, error, effect, lasting)
+                for permanent in (False, True):
+                    yield Fault(call, error, effect, permanent)
 
 
-def check_after(disk, fault, lose):
-    """Plays with the fault; `lose`: what the machine forgets before the node starts again."""
-    disk_like(disk)
+def check_after(disk, fault, lose_data):
+    """Writes with the fault, and checks that a restart recovers all acknowledged writes.
+
+    `lose_data` is called before the restart. Returns the number of acknowledged writes and the state.
+    """
+    reset_disk(disk)
     disk.fault = fault
-    acknowledged = play()
-    lose()
+    acknowledged = run_writes()
+    lose_data()
     disk.restart()
-    state = recovered()
+    state = recover()
     # One write may have become durable without having been acknowledged.
     assert state in STATES[acknowledged : acknowledged + 2], fault
     return acknowledged, state
 
 
-def test_after_an_error_or_a_kill_at_any_call_what_was_acknowledged_is_there(disk):
+def test_acknowledged_writes_survive_an_error_or_a_kill_at_any_call(disk):
     calls = healthy_calls(disk)
     for fault in each_fault(calls, [*ERRORS, None]):
         check_after(disk, fault, lambda: None)
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["unsynced lost", "unsynced kept"])
-def test_after_an_error_or_a_kill_at_any_call_and_a_power_cut_what_was_acknowledged_is_there(disk, kept):
+def test_acknowledged_writes_survive_an_error_or_a_kill_at_any_call_and_a_power_cut(disk, kept):
     calls = healthy_calls(disk)
     for fault in each_fault(calls, [errno.EIO, None]):
         check_after(disk, fault, lambda: disk.cut_power(lambda: kept))
 
 
-def test_what_a_start_has_found_is_there_after_a_power_cut(disk):
-    # A node acts by what it finds. A record whose sync failed can be read, but no later sync writes it.
+def test_the_state_that_a_start_loads_survives_a_power_cut(disk):
+    # A node acts on the state that it loads. A record whose sync failed can be read, but no later sync writes
+    # it, so without a rewrite at the start the state could be lost afterwards.
     calls = healthy_calls(disk)
     for fault in each_fault(calls, [errno.EIO, None]):
         _, state = check_after(disk, fault, lambda: None)
         disk.cut_power(lambda: False)
-        assert recovered() == state, fault
+        assert recover() == state, fault
 
 
-def test_after_an_error_no_write_is_taken_until_the_storage_is_opened_again(disk):
+def test_after_an_error_every_write_fails_until_the_storage_is_opened_again(disk):
     calls = healthy_calls(disk)
     for call in range(len(calls)):
         for effect in Effect:
-            disk_like(disk)
+            reset_disk(disk)
             try:
                 storage = FileStorage(FOLDER)
-                opening = len(disk.calls)
+                opening_calls = len(disk.calls)
             except StorageError:
                 continue
-            disk.fault = Fault(call + opening, errno.EIO, effect)
+            disk.fault = Fault(call + opening_calls, errno.EIO, effect)
             acknowledged = failed = 0
             for write in WRITES:
                 try:
@@ -140,50 +146,52 @@
                     failed += 1
             assert storage.load() == STATES[acknowledged]
             disk.restart()
-            assert recovered() in STATES[acknowledged : acknowledged + 2], disk.fault
+            assert recover() in STATES[acknowledged : acknowledged + 2], disk.fault
 
 
 def test_a_folder_whose_name_could_not_be_made_durable_is_made_again(disk):
     for fault in [Fault(call, errno.EIO) for call in range(4)]:
-        disk_like(disk)
+        reset_disk(disk)
         disk.fault = fault
-        play()
+        run_writes()
         disk.restart()
-        assert play() == len(WRITES)
+        assert run_writes() == len(WRITES)
         disk.cut_power(lambda: False)
-        assert recovered() == STATES[-1], fault
+        assert recover() == STATES[-1], fault
 
 
-def test_a_kill_at_any_byte_leaves_what_was_acknowledged(disk):
-    writes = [number for number, name in enumerate(healthy_calls(disk)) if name == "write"]
-    for call in writes:
+def test_acknowledged_writes_survive_a_kill_at_any_byte_of_a_write(disk):
+    write_calls = [number for number, name in enumerate(healthy_calls(disk)) if name == "write"]
+    for call in write_calls:
         length = size_of_write(disk, call)
-        for written in range(length + 1):
-            _, state = check_after(disk, Fault(call, None, Effect.HALF, written=written), lambda: None)
+        for written_bytes in range(length + 1):
+            _, state = check_after(
+                disk, Fault(call, None, Effect.HALF, written_bytes=written_bytes), lambda: None
+            )
             disk.restart()
-            assert recovered() == state
+            assert recover() == state
 
 
 def size_of_write(disk, call):
-    """Bytes of the write that has this number among the calls."""
-    disk_like(disk)
+    """Returns the number of bytes of the write that is the call of this number."""
+    reset_disk(disk)
     sizes = {}
-    real = Disk.write
+    real_write = Disk.write
 
     def write(self, descriptor, data):
         sizes[len(self.calls)] = len(data)
-        return real(self, descriptor, data)
+        return real_write(self, descriptor, data)
 
     Disk.write = write
     try:
-        play()
+        run_writes()
     finally:
-        Disk.write = real
+        Disk.write = real_write
     return sizes[call]
 
 
-def test_a_file_that_ends_at_any_byte_has_all_whole_records_before_it(disk):
-    assert play(WRITES[:3]) == 3
+def test_a_file_cut_off_at_any_byte_keeps_all_complete_records(disk):
+    assert run_writes(WRITES[:3]) == 3
     content = bytes(disk.file(FOLDER / FILE_NAME).content)
     ends = record_ends(content)
     assert len(ends) == 3
@@ -193,15 +201,16 @@
         file.content[:] = content[:size]
         file.sync()
         storage = FileStorage(FOLDER)
-        whole = sum(end <= size for end in ends)
-        assert storage.load() == STATES[whole]
-        assert storage.dropped_bytes == size - ([0, *ends][whole])
-        storage.write(WRITES[whole])
+        complete = sum(end <= size for end in ends)
+        assert storage.load() == STATES[complete]
+        assert storage.dropped_bytes == size - ([0, *ends][complete])
+        storage.write(WRITES[complete])
         disk.restart()
-        assert recovered() == STATES[whole + 1]
+        assert recover() == STATES[complete + 1]
 
 
 def record_ends(content):
+    """Returns the offset at which each record ends."""
     ends, start = [], 0
     while start < len(content):
         start += HEADER.size + HEADER.unpack_from(content, start)[0]
@@ -209,49 +218,49 @@
     return ends
 
 
-def test_writes_that_take_a_few_bytes_at_a_time_are_finished(disk):
-    disk.most_written = 7
-    assert play() == len(WRITES)
+def test_a_write_is_completed_if_the_system_takes_a_few_bytes_per_call(disk):
+    disk.max_write_bytes = 7
+    assert run_writes() == len(WRITES)
     disk.cut_power(lambda: False)
-    assert recovered() == STATES[-1]
+    assert recover() == STATES[-1]
 
 
-def test_a_write_that_takes_nothing_is_an_error_and_no_endless_loop(disk):
+def test_a_write_call_that_takes_no_bytes_raises_an_error_and_does_not_loop_for_ever(disk):
     storage = FileStorage(FOLDER)
-    disk.most_written = 0
+    disk.max_write_bytes = 0
     with pytest.raises(StorageError, match="Input/output error"):
         storage.write(WRITES[0])
 
 
-def test_a_node_takes_part_again_once_there_is_space(disk):
+def test_the_storage_can_be_opened_again_once_the_disk_has_space(disk):
     storage = FileStorage(FOLDER)
     storage.write(WRITES[0])
-    disk.fault = Fault(len(disk.calls), errno.ENOSPC, Effect.HALF, lasting=True)
+    disk.fault = Fault(len(disk.calls), errno.ENOSPC, Effect.HALF, permanent=True)
     with pytest.raises(StorageError, match=r"control\.log: No space left"):
         storage.write(WRITES[1])
-    disk.restart(Fault(4, errno.ENOSPC, lasting=True))
+    disk.restart(Fault(4, errno.ENOSPC, permanent=True))
     with pytest.raises(StorageError, match="No space left"):
         FileStorage(FOLDER)
     disk.restart()
-    assert play(WRITES[1:]) == len(WRITES) - 1
+    assert run_writes(WRITES[1:]) == len(WRITES) - 1
     disk.restart()
-    assert recovered() == STATES[-1]
+    assert recover() == STATES[-1]
 
 
-def test_a_new_file_that_could_not_be_finished_gives_its_space_back(disk):
+def test_an_unfinished_new_file_is_removed(disk):
     calls = healthy_calls(disk)
     for call, name in enumerate(calls):
         if name not in ("write", "fsync", "rename"):
             continue
-        disk_like(disk)
+        reset_disk(disk)
         disk.fault = Fault(call, errno.ENOSPC, Effect.HALF)
-        play()
+        run_writes()
         assert FILE_NAME + NEW_SUFFIX not in disk.names(FOLDER), call
 
 
-@pytest.mark.parametrize("lost", range(3))
-def test_sectors_of_the_last_record_that_a_power_cut_has_lost_are_a_torn_record(disk, lost):
-    # Its header crosses into a second sector, and its body into a third.
+@pytest.mark.parametrize("lost_sector", range(3))
+def test_a_last_record_that_lost_a_sector_in_a_power_cut_is_dropped_as_torn(disk, lost_sector):
+    # The header of the last record spans two sectors, and its body continues in a third.
     storage = FileStorage(FOLDER)
     payload = b"y" * 300
     empty = len(encode_write(Write(1, "a", entries=(entry(1, payload=payload),))))
@@ -262,28 +271,29 @@
     storage.write(Write(2, "b", entries=(entry(2, payload=b"z" * 700),)))
     storage.close()
     file = disk.file(FOLDER / FILE_NAME)
-    start = max(512 - 6, lost * 512)
-    file.content[start : (lost + 1) * 512] = bytes(len(file.content[start : (lost + 1) * 512]))
+    start = max(512 - 6, lost_sector * 512)
+    file.content[start : (lost_sector + 1) * 512] = bytes(len(file.content[start : (lost_sector + 1) * 512]))
     file.sync()
     disk.restart()
-    assert recovered() == before
+    assert recover() == before
 
 
-@pytest.mark.parametrize("place", range(HEADER.size))
-def test_a_damaged_header_is_refused_by_name_wherever_it_is(disk, place):
-    assert play(WRITES[:3]) == 3
+@pytest.mark.parametrize("offset", range(HEADER.size))
+def test_the_error_for_a_damaged_header_names_the_file_and_the_record(disk, offset):
+    assert run_writes(WRITES[:3]) == 3
     content = bytes(disk.file(FOLDER / FILE_NAME).content)
     for start in [0, *record_ends(content)[:-1]]:
         file = disk.file(FOLDER / FILE_NAME)
         file.content[:] = content
-        file.content[start + place] ^= 0x40
+        file.content[start + offset] ^= 0x40
         disk.restart()
         with pytest.raises(StorageError, match=rf"/machine/data/control\.log: the record at byte {start} is"):
             FileStorage(FOLDER)
 
 
-def test_a_sector_lost_in_the_middle_is_refused_by_name(disk):
-    # As where a power cut has lost a header, but a record behind it shows that it was acknowledged.
+def test_the_error_for_a_sector_lost_in_the_middle_names_the_record(disk):
+    # The lost header looks like the result of a power cut, but the record after it shows that the damaged
+    # record was acknowledged.
     storage = FileStorage(FOLDER)
     storage.write(Write(1, "a", entries=(entry(1, payload=b"y" * 600),)))
     storage.write(Write(2, "a", entries=(entry(2, payload=b"z" * 600),)))
@@ -294,14 +304,14 @@
         FileStorage(FOLDER)
 
 
-def test_a_start_that_fails_gives_the_folder_back(disk):
+def test_a_start_that_fails_releases_the_lock_and_all_descriptors(disk):
     calls = healthy_calls(disk)
     for call in range(len(calls)):
-        disk_like(disk)
+        reset_disk(disk)
         disk.fault = Fault(call, errno.EIO)
         try:
             FileStorage(FOLDER).close()
         except StorageError:
             disk.fault = None
-            FileStorage(FOLDER).close()  # in the same process
-        assert not disk.opened
+            FileStorage(FOLDER).close()  # The same process can open the storage again.
+        assert not disk.open_files
--- a/tests/test_durability_stateful.py
+++ b/tests/test_durability_stateful.py
@@ -1,4 +1,4 @@
-"""Any order of writes, failures, kills and power cuts: what was acknowledged or found at a start is there."""
+"""Acknowledged writes and the state loaded at a start survive any order of failures, kills and power cuts."""
 
 from pathlib import PurePosixPath
 from unittest.mock import patch
@@ -20,7 +20,10 @@
 
 
 class StorageOnAFailingDisk(RuleBasedStateMachine):
-    """`states[n]`: after n writes. All up to `promised` must last; the one after it may have lasted."""
+    """A storage on a simulated disk.
+
+    `states[n]` is the state after n writes. The first `durable_count` writes must survive; the next one may.
+    """
 
     def __init__(self):
         super().__init__()
@@ -28,15 +31,15 @@
         self.patches = [patch.object(durable_files, name, self.disk) for name in ("os", "fcntl")]
         for one in self.patches:
             one.start()
-        self.states, self.promised, self.storage = [StoredState()], 0, None
-        self.failed = False  # the storage has raised an error
+        self.states, self.durable_count, self.storage = [StoredState()], 0, None
+        self.failed = False  # whether the storage has raised an error
 
     def teardown(self):
         for one in self.patches:
             one.stop()
 
     @initialize()
-    def machine(self):
+    def make_folder(self):
         self.disk.mkdir("/machine")
         self.disk.root.sync()
         self.disk.restart()
@@ -61,7 +64,7 @@
     @rule(size=st.integers(0, 1500), snapshot=st.booleans(), truncate=st.booleans())
     def write(self, size, snapshot, truncate):
         self._write(size, snapshot, truncate)
-        self.promised += 1
+        self.durable_count += 1
 
     @precondition(lambda self: self.storage is not None and not self.failed)
     @rule(
@@ -71,13 +74,13 @@
         call=st.integers(0, 9),
         error=ERRORS | st.none(),
         effect=EFFECTS,
-        written=st.none() | st.integers(0, 1500),
+        written_bytes=st.none() | st.integers(0, 1500),
     )
-    def write_on_a_failing_disk(self, size, snapshot, truncate, call, error, effect, written):
-        self.disk.fault = Fault(len(self.disk.calls) + call, error, effect, written=written)
+    def write_on_a_failing_disk(self, size, snapshot, truncate, call, error, effect, written_bytes):
+        self.disk.fault = Fault(len(self.disk.calls) + call, error, effect, written_bytes=written_bytes)
         try:
             self._write(size, snapshot, truncate)
-            self.promised += 1
+            self.durable_count += 1
         except StorageError:
             self.failed = True
         except Killed:
@@ -97,7 +100,7 @@
 
     @rule()
     def evict(self):
-        """The kernel forgets clean pages, as it may at any time."""
+        """Drops clean pages from the page cache, as the kernel may at any time."""
         self.disk.root.evict()
 
     @rule(data=st.data())
@@ -106,9 +109,9 @@
         self.disk.cut_power(lambda: data.draw(st.booleans()))
 
     @invariant()
-    def what_is_loaded_is_what_was_promised(self):
+    def the_loaded_state_is_the_durable_one(self):
         if self.storage is not None:
-            assert self.storage.load() == self.states[self.promised]
+            assert self.storage.load() == self.states[self.durable_count]
 
     def _end(self):
         self.storage, self.failed = None, False
@@ -116,18 +119,19 @@
     def _start(self):
         storage = FileStorage(FOLDER)
         state = storage.load()
-        assert state in self.states[self.promised : self.promised + 2]
-        # The node acts by what it has found: from here on that is promised, and nothing more was written.
-        self.promised = self.states.index(state, self.promised)
-        del self.states[self.promised + 1 :]
+        assert state in self.states[self.durable_count : self.durable_count + 2]
+        # The node acts on the state that it loads, so this state must survive from here on. A later state was
+        # not written.
+        self.durable_count = self.states.index(state, self.durable_count)
+        del self.states[self.durable_count + 1 :]
         self.storage = storage
 
     def _write(self, size, snapshot, truncate):
-        state = self.states[self.promised]
+        state = self.states[self.durable_count]
         term = state.term + 1
         last = state.entries[-1].index if state.entries else state.snapshot.position.index
         if snapshot and state.entries:
-            write = Write(term, "", snapshot=folded(state))
+            write = Write(term, "", snapshot=snapshot_of(state))
         elif truncate and state.entries:
             write = Write(term, "a", last, (Entry(last, term, "configuration", bytes(size), "t"),))
         else:
@@ -138,7 +142,8 @@
         self.storage.write(write)
 
 
-def folded(state):
+def snapshot_of(state):
+    """Returns a snapshot of the log after the entries of a state."""
     position, log = state.snapshot.position, LogState()
     for entry in state.entries:
         position, log = position.after(entry), log.after(entry)
