--- a/cloverwell/control/net/__init__.py
+++ b/cloverwell/control/net/__init__.py
@@ -1,1 +1,1 @@
-"""The control log's transport: frames, connections of proxies and control nodes, the operator's client."""
+"""The control log's transport: framing, the connections of proxies and nodes, and the operator's client."""
--- a/cloverwell/control/net/address.py
+++ b/cloverwell/control/net/address.py
@@ -1,4 +1,4 @@
-"""Addresses of control nodes: a host and a port, as sockets take them."""
+"""Addresses of control nodes: a host and a port, in the form that sockets take."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def format_address(address: Address) -> str:
-    """Returns HOST:PORT, as configuration files and messages to operators have it."""
+    """Returns HOST:PORT, the form in configuration files and in messages to operators."""
     host, port = address
     return f"{host}:{port}"
--- a/cloverwell/control/net/connection.py
+++ b/cloverwell/control/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection that carries messages in frames, with a bound on the bytes that wait to be sent."""
+"""A connection that carries messages in frames, with a bound on the bytes that are queued for sending."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 from cloverwell.control.net.framing import FrameDecoder, encode_frame
 from cloverwell.control.net.wire import WireMessage, decode_body, encode_body
 
-# The bound on what waits beyond the transport's own buffer: two of the largest messages.
-MAX_WAITING_BYTES = 2 * MAX_MESSAGE_BYTES
-# Sent bytes that the other machine doesn't confirm end the connection after this time (TCP_USER_TIMEOUT). The
-# system's own limit is a quarter of an hour, in which a link that works again would stay silent.
-UNCONFIRMED_MS = 5000
+# The most bytes that may be queued beyond the transport's own buffer: room for two of the largest messages.
+MAX_QUEUED_BYTES = 2 * MAX_MESSAGE_BYTES
+# The kernel closes the connection when sent bytes stay unacknowledged for this long (TCP_USER_TIMEOUT). With
+# its own limit of about 15 minutes, a connection could stay silent long after the network works again.
+TCP_USER_TIMEOUT_MS = 5000
 
 
 class FrameTransport(TypingProtocol):
-    """What a connection calls of its transport, as `ITCPTransport` and `IConsumer` of Twisted."""
+    """The methods of its transport that a connection calls; see Twisted's `ITCPTransport` and `IConsumer`."""
 
     def setTcpNoDelay(self, enabled: bool, /) -> None:
-        """Sends small messages at once (TCP_NODELAY)."""
+        """Sets whether small messages are sent at once (TCP_NODELAY)."""
 
     def registerProducer(self, producer: object, streaming: bool, /) -> None:
-        """Pauses and resumes the producer as the transport's buffer fills and empties."""
+        """Starts to pause and resume the producer as the transport's buffer fills and empties."""
 
     def unregisterProducer(self) -> None:
-        """Ends that."""
+        """Stops pausing and resuming the producer."""
 
     def write(self, data: bytes, /) -> None:
-        """Sends bytes, or buffers them."""
+        """Sends bytes, or buffers them while the socket takes no more."""
 
     def loseConnection(self) -> None:
         """Closes the connection once the buffer has been sent."""
@@ -49,40 +49,42 @@
 
 @implementer(IPushProducer)
 class FrameConnection(Protocol):
-    """Hands each received message to `message_received`; a fault ends the connection after `fault`.
+    """A connection that passes each received message to `message_received`.
 
-    `waiting_bytes` is the size of the frames that the transport has no room for yet. `ended` is set from the
-    moment at which the connection is closed or lost: nothing is sent or handed on after it.
+    Malformed input, or too many queued bytes, abort the connection after a call of `report_fault`.
+
+    `queued_bytes` is the size of the frames that the transport has no room for yet. `ended` is True from the
+    moment when the connection is closed or lost: no message is sent or passed on after that.
     """
 
     _transport: FrameTransport
 
-    def __init__(self, max_body_bytes: int, max_waiting_bytes: int = MAX_WAITING_BYTES) -> None:
-        """Takes the largest body that may be received, and the most bytes that may wait to be sent."""
+    def __init__(self, max_body_bytes: int, max_queued_bytes: int = MAX_QUEUED_BYTES) -> None:
+        """Sets the largest body that may be received, and the most bytes that may be queued for sending."""
         self._decoder = FrameDecoder(max_body_bytes)
-        self._max_waiting_bytes = max_waiting_bytes
-        self._waiting_frames: deque[bytes] = deque()
-        self._paused = False  # the transport's buffer is full
-        self.waiting_bytes = 0
+        self._max_queued_bytes = max_queued_bytes
+        self._queued_frames: deque[bytes] = deque()
+        self._paused = False  # whether the transport's buffer is full
+        self.queued_bytes = 0
         self.ended = False
 
-    # For the subclass
+    # Overridden by subclasses
 
     def message_received(self, message: WireMessage) -> None:
-        """Handles a message that has come."""
+        """Handles a received message."""
         raise NotImplementedError
 
-    def fault(self, reason: str) -> None:
-        """Notes why the connection is about to end: what came is invalid, or too much waits to be sent."""
+    def report_fault(self, reason: str) -> None:
+        """Logs why the connection is about to end: malformed input, or too many queued bytes."""
 
     # Receiving
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
+        """Sets the options of the new connection's socket, and registers as the transport's producer."""
         self._transport = cast(FrameTransport, self.transport)
         self._transport.setTcpNoDelay(True)
         handle = install_steady_socket(self.transport)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_MS)
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         self._transport.registerProducer(self, True)
 
     def set_max_body_bytes(self, max_body_bytes: int) -> None:
@@ -90,8 +92,8 @@
         self._decoder.max_body_bytes = max_body_bytes
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes have come."""
-        # A closed connection stays up until all is sent; what comes meanwhile must not be handled.
+        """Decodes received bytes, and passes on each complete message."""
+        # A closed connection stays up until all frames are sent; messages received meanwhile are dropped.
         if self.ended:
             return
         try:
@@ -105,66 +107,66 @@
     # Sending
 
     def send(self, message: WireMessage) -> bool:
-        """Sends a message or queues it. Returns False, and ends the connection, where too much waits."""
+        """Sends or queues a message; a full queue aborts the connection. Returns False if it has ended."""
         if self.ended:
             return False
         frame = encode_frame(encode_body(message))
         if not self._paused:
             self._transport.write(frame)
             return True
-        if self.waiting_bytes + len(frame) > self._max_waiting_bytes:
-            self._fail(f"{self.waiting_bytes} bytes wait to leave")
+        if self.queued_bytes + len(frame) > self._max_queued_bytes:
+            self._fail(f"too much data is queued for sending: {self.queued_bytes} bytes")
             return False
-        self._waiting_frames.append(frame)
-        self.waiting_bytes += len(frame)
+        self._queued_frames.append(frame)
+        self.queued_bytes += len(frame)
         return True
 
     def pauseProducing(self) -> None:
-        """Twisted: the transport's buffer is full."""
+        """Starts to queue frames, because the transport's buffer is full."""
         self._paused = True
 
     def resumeProducing(self) -> None:
-        """Twisted: the transport has room again."""
+        """Sends the queued frames, because the transport has room again."""
         self._paused = False
-        while self._waiting_frames and not self._paused:
-            frame = self._waiting_frames.popleft()
-            self.waiting_bytes -= len(frame)
+        while self._queued_frames and not self._paused:
+            frame = self._queued_frames.popleft()
+            self.queued_bytes -= len(frame)
             self._transport.write(frame)
 
     def stopProducing(self) -> None:
-        """Twisted: the connection is lost. `connectionLost` handles it."""
+        """Does nothing: Twisted calls this when the connection is lost, which `connectionLost` handles."""
 
-    # The end
+    # Closing
 
     def close(self) -> None:
-        """Ends the connection once what waits has been sent."""
+        """Closes the connection once all queued frames have been sent."""
         if self.ended:
             return
         self.ended = True
         self._paused = False
-        for frame in self._waiting_frames:
+        for frame in self._queued_frames:
             self._transport.write(frame)
-        self._drop_waiting_frames()
+        self._drop_queued_frames()
         self._transport.unregisterProducer()
         self._transport.loseConnection()
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once, and drops all queued frames."""
         if not self.ended:
             self.ended = True
-            self._drop_waiting_frames()
+            self._drop_queued_frames()
             self._transport.abortConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Twisted: the connection has ended."""
+        """Drops the queued frames, because the connection has ended."""
         self.ended = True
-        self._drop_waiting_frames()
+        self._drop_queued_frames()
 
     def _fail(self, reason: str) -> None:
         if not self.ended:
-            self.fault(reason)
+            self.report_fault(reason)
             self.abort()
 
-    def _drop_waiting_frames(self) -> None:
-        self._waiting_frames.clear()
-        self.waiting_bytes = 0
+    def _drop_queued_frames(self) -> None:
+        self._queued_frames.clear()
+        self.queued_bytes = 0
--- a/cloverwell/control/net/connection_factory.py
+++ b/cloverwell/control/net/connection_factory.py
@@ -1,4 +1,4 @@
-"""Twisted's factory for one connection attempt to a control node."""
+"""The Twisted factory of one connection attempt to a control node."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 
     noisy = False
 
-    def __init__(self, connect: Callable[[], FrameConnection], on_failure: Callable[[str], None]) -> None:
-        """`connect` makes the connection; `on_failure` is called with the reason of a failed attempt."""
-        self._connect = connect
+    def __init__(
+        self, make_connection: Callable[[], FrameConnection], on_failure: Callable[[str], None]
+    ) -> None:
+        """Sets what makes the connection, and what is called with the reason if the attempt fails."""
+        self._make_connection = make_connection
         self._on_failure = on_failure
 
     def buildProtocol(self, _address: IAddress | None) -> FrameConnection:
-        """Twisted: the attempt has succeeded."""
-        return self._connect()
+        """Returns the connection of an attempt that has succeeded."""
+        return self._make_connection()
 
     def clientConnectionFailed(self, _connector: IConnector, reason: Failure) -> None:
-        """Twisted: the attempt has failed."""
+        """Reports that the attempt has failed."""
         self._on_failure(reason.getErrorMessage())
--- a/cloverwell/control/net/errors.py
+++ b/cloverwell/control/net/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control log's transport. Each makes its message from its fields."""
+"""Errors of the control log's transport. Each builds its message from its fields."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 
 class FramingError(ControlTransportError):
-    """The stream can't be cut into frames any more; the connection has to be closed."""
+    """The stream can no longer be split into frames, so the connection has to be closed."""
 
 
 class FrameTooLongError(FramingError):
-    """A frame announces, or a body has, more bytes than a frame may have."""
+    """A frame's header announces, or a body to be sent has, more bytes than a frame may have."""
 
     def __init__(self, body_bytes: int, max_body_bytes: int) -> None:
-        """Takes the size of the body and the largest size that is allowed."""
-        super().__init__(f"a body of {body_bytes} bytes, {max_body_bytes} at most")
+        """Sets the size of the body and the largest size that is allowed."""
+        super().__init__(f"frame body of {body_bytes} bytes exceeds the limit of {max_body_bytes} bytes")
         self.body_bytes = body_bytes
         self.max_body_bytes = max_body_bytes
 
 
 class EmptyFrameError(FramingError):
-    """A frame announces no body, or a body to be sent is empty: no message has no bytes."""
+    """A frame's header announces no body, or a body to be sent is empty. Every message has bytes."""
 
     def __init__(self) -> None:
-        """Takes nothing: the message is always the same."""
-        super().__init__("a frame without a body")
+        """Sets the message, which is always the same."""
+        super().__init__("frame has no body")
 
 
 class NoAnswerError(ControlTransportError):
-    """A control node can't be reached, or has not given the answer that belongs to the request."""
+    """A control node can't be reached, or has sent no answer or one that doesn't match the request."""
 
     def __init__(self, reason: str, address: Address | None = None) -> None:
-        """Takes the reason, and the address of the node where the message should name it."""
+        """Sets the reason, and the address of the node if the message is to name it."""
         super().__init__(reason if address is None else f"{format_address(address)}: {reason}")
         self.reason = reason
         self.address = address
 
 
 class EntryRefusedError(ControlTransportError):
-    """An entry can't be applied at this proxy, and what was active before still is."""
+    """An entry can't be applied at this proxy. What was active before stays active."""
 
     def __init__(self, reason: str) -> None:
-        """Takes the reason, which operators see at the control nodes."""
+        """Sets the reason, which the control nodes show to operators."""
         super().__init__(reason)
         self.reason = reason
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -1,7 +1,7 @@
-"""A proxy's connection to the control log: it follows one control node, and the next one when that fails.
+"""The follower of the control log: it connects a proxy to one control node, and to another if that fails.
 
-`Follower` carries out the effects of a `Subscription`. All that it needs of a proxy is a function that
-applies an entry, so it serves a real proxy as well as a simulated one that has nothing else.
+`Follower` carries out the effects of a `Subscription`. It needs nothing of a proxy but a function that
+applies an entry, so a simulated proxy that has nothing else can use it as well as a real one.
 """
 
 from __future__ import annotations
@@ -36,22 +36,22 @@
 from cloverwell.log import Log
 from cloverwell.timer_wheel import monotonic_ms
 
-CONNECT_TIMEOUT_S = 30.0  # of the reactor; the subscription abandons an attempt long before
-RUN_BITS = 53  # every reader of JSON keeps an integer of this size exactly
-MAX_WAITING_BYTES = 64 * 1024  # a proxy sends a few bytes a second
-NO_ATTEMPT = 0
+CONNECT_TIMEOUT_S = 30.0  # the reactor's limit; the subscription abandons an attempt long before it
+RUN_BITS = 53  # the size of a run's number, which every JSON reader can represent exactly
+MAX_QUEUED_BYTES = 64 * 1024  # This is ample: a proxy sends a few bytes per second.
+NO_ATTEMPT = 0  # stands for the number of an attempt where there is none
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionAttempt:
-    """A numbered attempt to connect to a control node, or the connection that has come of it."""
+    """A numbered attempt to connect to a control node, or the connection that it has led to."""
 
     number: int
     connector: Connector
 
 
 class Follower:
-    """Follows the control log for one proxy, from `start` to `stop`."""
+    """Follows the control log on behalf of one proxy, from `start` to `stop`."""
 
     def __init__(
         self,
@@ -67,22 +67,23 @@
         random: Random | None = None,
         timing: SubscriptionTiming | None = None,
     ) -> None:
-        """Connects to nothing yet.
+        """Sets up a subscription to the log, without connecting yet.
 
         Args:
             reactor: makes the connections and the delayed calls.
-            regions: the addresses of the control nodes by name, a mapping for each region, the proxy's own
-                region first.
+            regions: for each region a mapping from the names of its control nodes to their addresses; the
+                proxy's own region comes first.
             log_name: the control log to follow.
-            proxy: the proxy's name, which no other proxy has.
-            apply_entry: called for each entry in the log's order, and for the entries of a snapshot's state.
-                It applies the entry or raises `EntryRefusedError`.
-            log: where changes of the connection are written, if anywhere.
-            on_purges_missed: called before the entries of a snapshot that no longer lists all purges.
+            proxy: the proxy's name, unique in the fleet.
+            apply_entry: called for each entry in the log's order, and for each entry in a snapshot's state.
+                The function applies the entry or raises `EntryRefusedError`.
+            log: the proxy's log, for changes of the connection; None to log nothing.
+            on_purges_missed: called before a snapshot is applied that lacks purges that this proxy has not
+                applied yet.
             on_change: called after each event.
-            now: milliseconds of a monotonic clock.
-            random: the source of jitter.
-            timing: the timeouts of the subscription, where they are not the usual ones.
+            now: returns the time in ms on a monotonic clock.
+            random: the random generator for jitter.
+            timing: the timeouts of the subscription; None for the default ones.
         """
         self._reactor = reactor
         self._addresses = {name: address for nodes in regions for name, address in nodes.items()}
@@ -100,34 +101,34 @@
         self._connection: FollowerConnection | None = None
         self._timer = DeadlineTimer(reactor, now, self._tick)
         self._started = False
-        self._logged_node = ""  # the node that was logged last, "" for none
-        self._logged_failure = ""
+        self._logged_node = ""  # the followed node according to the last log line, "" if none is followed
+        self._logged_failure = ""  # the failure in the last log line about one, "" before the first
 
     @property
     def status(self) -> SubscriptionStatus:
-        """The state of the subscription, for operators."""
+        """The state of the subscription, as operators see it."""
         return self.subscription.status(self._now())
 
     def divide_by(self, provisioned: int) -> int:
-        """Returns the number of proxies by which a fleet-wide bound is divided at this proxy.
+        """Returns the number of proxies by which this proxy divides a fleet-wide bound.
 
-        `provisioned` is the largest number of proxies that may live, which counts while the real number is
-        not known.
+        `provisioned` is the largest number of proxies that may be alive. It is the divisor while the real
+        number is not known.
         """
         return self.subscription.divide_by(provisioned, self._now())
 
     @property
     def ready(self) -> bool:
-        """Whether a starting proxy need not wait for the control log any longer."""
+        """True if a starting proxy need not wait for the control log any longer."""
         return self.subscription.ready(self._now())
 
     def start(self) -> None:
-        """Connects. Entries that were saved are applied before this returns."""
+        """Starts the subscription and connects. Saved entries are applied before this method returns."""
         self._started = True
         self._handle(self.subscription.start)
 
     def stop(self) -> None:
-        """Says goodbye to the control node, so that this proxy doesn't count as one that may still live."""
+        """Says goodbye to the control node, which otherwise counts this proxy as possibly still alive."""
         if not self._started:
             return
         self._started = False
@@ -138,7 +139,7 @@
     # Events of connections
 
     def connection_opened(self, connection: FollowerConnection) -> None:
-        """Handles a connection that is up; one of an earlier attempt is ended."""
+        """Handles a new connection. The connection of an earlier attempt is aborted."""
         if connection.attempt != self._attempt_number():
             connection.abort()
             return
@@ -146,12 +147,12 @@
         self._handle(self.subscription.connected, connection.attempt)
 
     def message_received(self, connection: FollowerConnection, message: NodeMessage) -> None:
-        """Handles a message of the control node; one of an earlier connection is ignored."""
+        """Handles a message of the control node. A message on an earlier connection is ignored."""
         if connection is self._connection:
             self._handle(self.subscription.receive, connection.attempt, message)
 
     def connection_lost(self, attempt: int, reason: str) -> None:
-        """Handles the end of the connection of an attempt, or the failure of the attempt."""
+        """Handles the failure of a connection attempt, or the end of its connection."""
         if attempt != self._attempt_number():
             return
         self._attempt = None
@@ -159,18 +160,18 @@
         self._warn(reason)
         self._handle(self.subscription.disconnected, attempt)
 
-    def connection_failed(self, reason: str) -> None:
-        """Logs that a connection ends because of what it received, or because too much waits to be sent."""
+    def log_fault(self, reason: str) -> None:
+        """Logs why this proxy ends a connection: an invalid message, or too many queued bytes."""
         self._warn(f"{self._logged_node or 'a control node'}: {reason}")
 
     def _attempt_number(self) -> int:
-        """Returns the number of the current attempt, NO_ATTEMPT where there is none."""
+        """Returns the number of the current attempt, or NO_ATTEMPT if there is none."""
         return NO_ATTEMPT if self._attempt is None else self._attempt.number
 
     # Events and effects
 
     def _handle(self, event: Callable[..., list[ProxyEffect]], *arguments: object) -> None:
-        """Passes an event to the subscription and carries out the effects."""
+        """Passes an event to the subscription, and carries out the effects that it returns."""
         if not self._started:
             return
         self._effects.extend(event(*arguments, self._now()))
@@ -204,7 +205,7 @@
         host, port = self._addresses[node]
         factory = ConnectionFactory(
             lambda: FollowerConnection(self, attempt),
-            lambda reason: self.connection_lost(attempt, f"not connected: {reason}"),
+            lambda reason: self.connection_lost(attempt, f"could not connect to the control node: {reason}"),
         )
         connector = self._reactor.connectTCP(host, port, factory, timeout=CONNECT_TIMEOUT_S)
         self._attempt = ConnectionAttempt(attempt, connector)
@@ -218,17 +219,17 @@
             attempt.connector.disconnect()
 
     def _apply_snapshot(self, state: LogState, position: Position, previous: Position) -> None:
-        """Applies the state of a snapshot at `position`, at a proxy that has come as far as `previous`."""
+        """Applies the state of a snapshot at `position` to a proxy whose log ended at `previous`."""
         if previous.index < state.purges_complete_from:
             self._on_purges_missed()
-        # Entries that are applied already are applied again: the snapshot may be of another log, in which
-        # other entries have the same indices.
+        # The latest entry of each kind is applied even if its index was applied before: the snapshot may be
+        # of another log, in which that index has another entry.
         purges = (entry for entry in state.purges if entry.index > previous.index)
         entries = sorted((*state.latest.values(), *purges), key=lambda entry: entry.index)
         self._apply(entries, position.index)
 
     def _apply(self, entries: list[Entry], index: int) -> None:
-        """Applies entries and reports the log as applied up to `index`, with the last refusal if any."""
+        """Applies entries, and reports the log as applied up to `index`, with the last refusal if any."""
         refusal: EntryRefusedError | None = None
         refused_kind = ""
         for entry in entries:
@@ -246,11 +247,11 @@
     # The log
 
     def _log_changes(self) -> None:
-        """Logs which node is followed, and why the last one is not, where that has changed."""
+        """Logs the followed node, and why the previous one was left, if that has changed."""
         status = self.status
         if status.last_failure != self._logged_failure:
             self._logged_failure = status.last_failure
-            self._warn(f"left {status.last_failure}")
+            self._warn(f"stopped following {status.last_failure}")
         if status.node != self._logged_node:
             self._logged_node = status.node
             if self._log is not None:
@@ -263,40 +264,42 @@
 
 
 def _new_run() -> int:
-    """Returns the number that distinguishes this process from earlier ones of the same proxy.
+    """Returns the number that distinguishes this process from earlier processes of the same proxy.
 
-    It is drawn from the system, because the `random` of two processes may have the same seed.
+    The system's random generator draws it, because the `random` of two processes may have the same seed.
     """
     return SystemRandom().getrandbits(RUN_BITS)
 
 
 class FollowerConnection(FrameConnection):
-    """A proxy's connection to a control node. `attempt` is the number of the attempt that it came of."""
+    """A proxy's connection to a control node. `attempt` is the number of the connection attempt."""
 
     def __init__(self, follower: Follower, attempt: int) -> None:
-        """Reports its events to the follower."""
-        super().__init__(MAX_MESSAGE_BYTES, MAX_WAITING_BYTES)
+        """Sets the follower, to which the connection reports its events."""
+        super().__init__(MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES)
         self.attempt = attempt
         self._follower = follower
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
+        """Tells the follower that the connection is up."""
         super().connectionMade()
         self._follower.connection_opened(self)
 
     def message_received(self, message: WireMessage) -> None:
-        """Hands on what a control node sends to proxies; any other message ends the connection."""
+        """Passes on a message that control nodes send to proxies; any other message ends the connection."""
         if isinstance(message, NodeMessage):
             self._follower.message_received(self, message)
         else:
-            self.fault(f"sent a {type(message).__name__} where none is due")
+            self.report_fault(f"sent an unexpected message: {type(message).__name__}")
             self.abort()
 
-    def fault(self, reason: str) -> None:
-        """Has the follower log the reason."""
-        self._follower.connection_failed(reason)
+    def report_fault(self, reason: str) -> None:
+        """Makes the follower log the reason."""
+        self._follower.log_fault(reason)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection has ended."""
+        """Tells the follower that the connection has ended."""
         super().connectionLost(reason)
-        self._follower.connection_lost(self.attempt, f"connection lost: {reason.getErrorMessage()}")
+        self._follower.connection_lost(
+            self.attempt, f"connection to the control node lost: {reason.getErrorMessage()}"
+        )
--- a/cloverwell/control/net/framing.py
+++ b/cloverwell/control/net/framing.py
@@ -1,8 +1,8 @@
-"""Length-prefixed frames of a byte stream. No I/O.
+"""Length-prefixed frames in a byte stream. No I/O.
 
-A frame is a length and a body: 4 bytes, unsigned, big-endian, then that many bytes. `wire` defines what a
-body holds, its version byte first. A decoder that has raised an error has lost its place in the stream, so
-the connection has to be closed.
+A frame is a length (4 bytes, unsigned, big-endian) and a body of that many bytes. `wire` defines the content
+of a body, which begins with a version byte. A decoder that has raised an error no longer knows where the next
+frame begins, so the connection has to be closed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def encode_frame(body: bytes, max_body_bytes: int = MAX_MESSAGE_BYTES) -> bytes:
-    """Returns the length and the body. Raises `FramingError`."""
+    """Returns a frame: the length of the body, then the body. Raises `FramingError`."""
     _check_length(len(body), max_body_bytes)
     return HEADER.pack(len(body)) + body
 
@@ -31,26 +31,26 @@
 
 
 class FrameDecoder:
-    """Cuts a stream into bodies, wherever its pieces begin and end.
+    """Splits a stream into the bodies of its frames, wherever the received pieces begin and end.
 
-    It buffers one incomplete frame at most. `max_body_bytes` may be changed between two frames.
+    A decoder buffers one incomplete frame at most. `max_body_bytes` may be changed between two frames.
     """
 
     def __init__(self, max_body_bytes: int = MAX_MESSAGE_BYTES) -> None:
-        """Takes the largest body that is accepted."""
+        """Sets the size of the largest body that is accepted."""
         self.max_body_bytes = max_body_bytes
         self._buffer = bytearray()
 
     @property
     def buffered_bytes(self) -> int:
-        """The bytes that have come of a frame that is not complete yet."""
+        """The number of bytes received so far of a frame that is not complete yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Takes a piece of the stream, and yields the bodies that are complete now, in order.
+        """Takes a piece of the stream, and yields the bodies that are now complete, in order.
 
-        Raises `FramingError` after the bodies that precede the fault. The iterator has to be exhausted before
-        the next call.
+        Raises `FramingError` after it has yielded all bodies before the invalid frame. The iterator has to be
+        exhausted before the next call.
         """
         self._buffer += data
         return self._complete_bodies()
@@ -66,7 +66,7 @@
             del self._buffer[:start]
 
     def _frame_end(self, start: int) -> int | None:
-        """Returns where the frame that begins at `start` ends; None while it is incomplete."""
+        """Returns the offset in the buffer where the frame at `start` ends; None while it is incomplete."""
         available_bytes = len(self._buffer) - start
         if available_bytes < HEADER.size:
             return None
--- a/cloverwell/control/net/operator_client.py
+++ b/cloverwell/control/net/operator_client.py
@@ -1,6 +1,6 @@
-"""The operator's client of the control nodes: a request and its answer over a connection of its own.
+"""The operator's client of the control nodes. Each request and its answer have a connection of their own.
 
-Every function blocks until the answer has come or the timeout has passed.
+Every public function blocks until the answer is received or the timeout has passed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from cloverwell.control.net.wire import StatusAnswer, StatusRequest, WireMessage, decode_body, encode_body
 from cloverwell.membership.endpoint_list import split_address
 
-RECEIVE_BYTES = 65536  # of one call
+RECEIVE_BYTES = 65536  # the most bytes that one recv call returns
 MIN_TIMEOUT_S = 0.001  # a timeout of 0 would make the socket non-blocking
 MAX_REDIRECTS = 3  # the leader may change between two requests
 
@@ -29,10 +29,10 @@
 
 
 def propose_to_leader(address: Address, proposal: Propose, timeout_s: float) -> ProposalAnswer:
-    """Brings a proposal to the leader, whichever control node is at the address.
+    """Sends a proposal to a control node, and on to the leader if the node at the address doesn't lead.
 
-    Returns the answer of the leader, or that of the last node where no leader could be found. Raises
-    `NoAnswerError`: the proposal may have been committed nevertheless.
+    Returns the answer of the leader, or that of the last node asked if no leader could be found. After a
+    `NoAnswerError` the proposal may still have been committed.
     """
     deadline_s = time.monotonic() + timeout_s
     answer = _propose(address, proposal, timeout_s)
@@ -48,7 +48,7 @@
 
 
 def send_request(address: Address, request: WireMessage, timeout_s: float) -> WireMessage:
-    """Sends a request, and returns the first message that comes back. Raises `NoAnswerError`."""
+    """Sends a request, and returns the first message that is received. Raises `NoAnswerError`."""
     timeout_s = max(MIN_TIMEOUT_S, timeout_s)
     deadline_s = time.monotonic() + timeout_s
     try:
@@ -72,12 +72,12 @@
 
 
 def _unexpected(answer: WireMessage) -> NoAnswerError:
-    """Returns the error for a message that is no answer to the request."""
-    return NoAnswerError(f"answered with a {type(answer).__name__}")
+    """Returns the error for a message that doesn't answer the request."""
+    return NoAnswerError(f"unexpected answer: {type(answer).__name__}")
 
 
 def _receive(connection: socket.socket, deadline_s: float) -> WireMessage | None:
-    """Returns the first message; None where the connection ends before it."""
+    """Returns the first message received; None if the connection ends before a whole message."""
     decoder = FrameDecoder()
     while True:
         connection.settimeout(max(MIN_TIMEOUT_S, deadline_s - time.monotonic()))
--- a/cloverwell/control/net/wire.py
+++ b/cloverwell/control/net/wire.py
@@ -1,7 +1,7 @@
-"""All messages that a control node's port accepts and sends, as bodies of frames. No I/O.
+"""The encoding of all messages that a control node's port receives and sends as frame bodies. No I/O.
 
-To the messages of the log itself this adds those that belong to connections alone: the hello of a control
-node that has connected, and an operator's request for the status of a node.
+Besides the messages of the log itself, these are the messages that concern connections only: the hello of a
+control node that has connected, and an operator's request for the status of a node.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class StatusRequest(msgspec.Struct, frozen=True, tag=True):
-    """An operator requests a `StatusAnswer`."""
+    """An operator's request for a `StatusAnswer`."""
 
 
 class StatusAnswer(msgspec.Struct, frozen=True, tag=True):
     """The status of one control node.
 
-    `leader_address` is HOST:PORT, "" where no leader is known. `own` counts the proxies that are subscribed
-    to this node. `activation` says at how many proxies of the fleet the last committed entry is applied; it
+    `leader_address` is HOST:PORT, or "" if no leader is known. `own` counts the proxies that are subscribed
+    to this node. `activation` tells how many proxies of the fleet have applied the last committed entry; it
     is None on a node that doesn't lead.
     """
 
@@ -47,18 +47,18 @@
 
 
 def encode_body(message: WireMessage) -> bytes:
-    """Returns the body of a frame with this message."""
-    # `encode` declares the log's own messages, and encodes those of connections in the same way.
+    """Returns the frame body that holds this message."""
+    # The type of `encode` names the log's own messages only, but it encodes the other messages as well.
     return encode(cast(Message, message))
 
 
 def decode_body(body: bytes) -> WireMessage:
     """Returns the message in a frame's body. Raises `MessageError`."""
     if not body:
-        raise MessageError("empty")
+        raise MessageError("frame body is empty")
     if body[0] != VERSION:
-        raise MessageError(f"version {body[0]}, not {VERSION}")
+        raise MessageError(f"unsupported message version {body[0]}, expected {VERSION}")
     try:
         return _decoder.decode(memoryview(body)[1:])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise MessageError(f"malformed: {error}") from None
+        raise MessageError(f"malformed message: {error}") from None
--- a/cloverwell/control/proxy/__init__.py
+++ b/cloverwell/control/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The control log in a serving proxy: what an entry changes in it, and when a start has caught up."""
+"""The control log in a serving proxy: it applies entries, and waits at the start until it has caught up."""
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -1,7 +1,9 @@
-"""The control log's part in a serving proxy: entries are applied whole or refused, and the start waits.
+"""The control log's part in a serving proxy. An entry is applied as a whole or refused as a whole.
 
-Nothing else of a proxy imports `cloverwell.control`, and this module is imported only where the configuration
-has a `control` section.
+A starting proxy waits for a bounded time until it has caught up with the log.
+
+The other modules of a proxy import nothing else of `cloverwell.control`, and import this module only if the
+configuration has a `control` section.
 """
 
 from __future__ import annotations
@@ -22,28 +24,29 @@
 from cloverwell.log import Log
 from cloverwell.timer_wheel import Timer, TimerWheel
 
-# How often the subscription is checked: until the start has caught up, and after that for the number of
-# proxies that live.
+# The time between two checks of the subscription: at the start, until the proxy has caught up, and after that
+# for a change in the number of live proxies.
 START_CHECK_INTERVAL_MS = 50.0
 CHECK_INTERVAL_MS = 1000.0
-SHOWN_CHARS = 60  # of a kind that a reason quotes
+MAX_QUOTED_CHARS = 60  # of an entry's kind, in the reason of a refusal
 
 
 class ConfigurationTarget(Protocol):
-    """What a version of the configuration changes in a running proxy."""
+    """The parts of a running proxy that a version of the configuration changes."""
 
     def activate(self, discovery: Address, peers_total: int) -> None:
-        """Takes discovery's address, and the number of proxies by which fleet-wide bounds are divided."""
+        """Changes discovery's address, and the number of proxies by which fleet-wide bounds are divided."""
 
     def resize(self, peers_total: int) -> None:
-        """Takes the number of proxies alone."""
+        """Changes the number of proxies by which fleet-wide bounds are divided."""
 
 
 @dataclass(slots=True, frozen=True)
 class ActiveVersion:
     """The active version of the configuration.
 
-    `index` is that of its entry, 0 for the proxy's own file. `peers_total` is the most proxies that may live.
+    `index` is the index of its entry, or 0 for the proxy's own file. `peers_total` is the largest number of
+    proxies that may be alive.
     """
 
     index: int
@@ -52,7 +55,7 @@
 
 
 class ProxyControl:
-    """Follows the control log for one proxy from `start` to `stop`, and applies the entries."""
+    """Follows the control log on behalf of one proxy, from `start` to `stop`, and applies the entries."""
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
         target: ConfigurationTarget,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        """Connects to nothing yet. `config` must have a `control` section."""
+        """Sets up the follower, without connecting yet. `config` must have a `control` section."""
         control = config.control
         assert control is not None
         self._timer_wheel = timer_wheel
@@ -71,7 +74,7 @@
         self._own_document = config.document
         self._target = target
         self._environ = environ
-        self._on_ready: Callable[[], None] | None = None  # until it has been called
+        self._on_ready: Callable[[], None] | None = None  # None before `start`, and once it has been called
         self._timer: Timer | None = None
         self.version = ActiveVersion(0, digest(config.document), config.settings.peers_total)
         self._divided_by = config.settings.peers_total
@@ -87,26 +90,26 @@
         )
 
     def start(self, on_ready: Callable[[], None]) -> None:
-        """Connects. `on_ready` is called once: when the proxy has caught up, or has waited long enough."""
+        """Connects. `on_ready` is called once, when the proxy has caught up or the wait has timed out."""
         self._on_ready = on_ready
         self.follower.start()
         self._check()
 
     def stop(self) -> None:
-        """Says goodbye to the control node. The active version stays active."""
+        """Stops following the log, and says goodbye to the control node. The active version stays active."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self.follower.stop()
 
     def resume(self) -> None:
-        """Follows the log again after `stop`; does nothing where it was not stopped."""
+        """Follows the log again after `stop`; does nothing if it was not stopped."""
         if self._timer is None:
             self.follower.start()
             self._check()
 
     def describe(self) -> str:
-        """Returns one line for operators."""
+        """Returns the state in one line, for operators."""
         status = self.follower.status
         fields = {
             "version": self.version.index,
@@ -124,10 +127,10 @@
     def apply_entry(self, entry: Entry) -> None:
         """Makes the configuration in an entry the active one.
 
-        Raises `EntryRefusedError`: the version that was active before still is.
+        Raises `EntryRefusedError` if it can't; the version that was active before then stays active.
         """
         if entry.kind != EntryKind.CONFIGURATION:
-            raise EntryRefusedError(f"kind {entry.kind[:SHOWN_CHARS]!r}: not known to this proxy")
+            raise EntryRefusedError(f"kind {entry.kind[:MAX_QUOTED_CHARS]!r}: not known to this proxy")
         entry_digest = digest(entry.payload)
         try:
             change = read_change(self._own_document, entry.payload, self._environ)
@@ -138,21 +141,21 @@
         self._activate(ActiveVersion(entry.index, entry_digest, change.peers_total), change)
 
     def _log_refusal(self, index: int, entry_digest: str, reason: str) -> None:
-        kept = f"version {self.version.index} stays in force"
+        kept = f"version {self.version.index} stays active"
         self._log.warn("version", f"{index} refused, digest {entry_digest}: {reason}; {kept}")
 
     def _activate(self, version: ActiveVersion, change: ConfigurationChange) -> None:
-        """Makes a version active. This is the only place at which one takes effect."""
+        """Makes a version active. No other code makes a version take effect."""
         self.version = version
         self._divided_by = self.follower.divide_by(version.peers_total)
         self._target.activate(change.discovery, self._divided_by)
         content = f"discovery is at {format_address(change.discovery)}, {version.peers_total} proxies"
-        self._log.info("version", f"{version.index} in force, digest {version.digest}: {content}")
+        self._log.info("version", f"{version.index} active, digest {version.digest}: {content}")
 
     # Checks of the subscription
 
     def _check(self) -> None:
-        """Ends the wait of the start when it may end, follows the number of proxies, and schedules itself."""
+        """Ends the wait at the start if it may end, updates the divisor, and schedules the next check."""
         if self._on_ready is not None and self.follower.ready:
             self._end_wait()
         self._update_divisor()
@@ -164,15 +167,18 @@
         on_ready, self._on_ready = self._on_ready, None
         status = self.follower.status
         if status.caught_up:
-            self._log.info("control", f"caught up at {status.position.index}")
+            self._log.info("control", f"caught up with the control log at index {status.position.index}")
         else:
-            self._log.warn("control", f"serves without being caught up, at {status.position.index}")
+            self._log.warn(
+                "control",
+                f"not caught up with the control log in time, serving at index {status.position.index}",
+            )
         on_ready()
 
     def _update_divisor(self) -> None:
-        """Divides fleet-wide bounds by the number of proxies that live, as far as that is known."""
+        """Divides fleet-wide bounds by the number of live proxies, if that is known."""
         divided_by = self.follower.divide_by(self.version.peers_total)
         if divided_by != self._divided_by:
             self._divided_by = divided_by
             self._target.resize(divided_by)
-            self._log.info("fleet", f"bounds are divided by {divided_by}")
+            self._log.info("fleet", f"fleet-wide bounds are now divided by {divided_by} proxies")
--- a/cloverwell/control/server/__init__.py
+++ b/cloverwell/control/server/__init__.py
@@ -1,1 +1,1 @@
-"""A control node as a program: its file, its storage on disk, and its connections."""
+"""A control node as a program: its configuration file, its storage on disk, and its connections."""
--- a/cloverwell/control/server/durable_files.py
+++ b/cloverwell/control/server/durable_files.py
@@ -1,6 +1,6 @@
-"""Files and folders that survive a power cut: system calls in the order that makes content and names last.
+"""File operations whose results survive a power cut, both the content of files and their names.
 
-Every function raises `OSError` where a call fails, and leaves no descriptor open then.
+If a system call fails, the function raises `OSError` and leaves no descriptor open.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 NEW_SUFFIX = ".new"
 FILE_MODE = 0o600
-READ_BYTES = 1 << 20  # of one read call
+READ_BYTES = 1 << 20  # the most bytes that one read call returns
 
 
 def make_folder(folder: Path) -> None:
-    """Makes a folder and its parents durably. One that can't be made durable is removed again."""
+    """Makes a folder and its parents durably. A folder that can't be made durable is removed again."""
     try:
         os.mkdir(folder)
     except FileExistsError:
-        # An earlier process may have been killed between making the folder and syncing its parent. A parent
-        # that this process may not read is not one in which it has made the folder.
+        # An earlier process may have been killed after making the folder and before syncing its parent. If
+        # this process may not read the parent, that process didn't make the folder either.
         with contextlib.suppress(PermissionError):
             _sync_folder(folder.parent)
         return
@@ -32,16 +32,16 @@
     try:
         _sync_folder(folder.parent)
     except OSError:
-        # The next start would take a folder that exists for a durable one.
+        # If the folder stayed, the next start would assume that it is durable.
         with contextlib.suppress(OSError):
             os.rmdir(folder)
         raise
 
 
 def lock_file(path: Path) -> int:
-    """Takes an exclusive lock that lasts as long as the returned descriptor.
+    """Takes an exclusive lock on a file, which is held until the returned descriptor is closed.
 
-    Raises `BlockingIOError` where another process holds the lock.
+    Raises `BlockingIOError` if another process holds the lock.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
     try:
@@ -53,7 +53,7 @@
 
 
 def read_file(path: Path) -> bytes:
-    """Returns the whole content of a file, b"" where there is none."""
+    """Returns the whole content of a file, or b"" if there is no file."""
     try:
         descriptor = os.open(path, os.O_RDONLY)
     except FileNotFoundError:
@@ -68,14 +68,14 @@
 
 
 def replace_file(path: Path, content: bytes) -> int:
-    """Puts a file with this content in the place of the old one, durably.
+    """Replaces a file durably by a new one with this content, and returns a descriptor to append to it.
 
-    Until the rename the old file is untouched. After it a power cut leaves either the old file under the name
-    or the new one, both of which are whole. Returns a descriptor of the new file that appends.
+    Until the rename the old file is untouched. A power cut after the rename leaves either the old or the new
+    file under the name, and both are complete.
     """
     new_path = path.with_name(path.name + NEW_SUFFIX)
-    # A file of an earlier attempt must not be written again: a sync of it that failed has marked its pages as
-    # clean, and no later sync would write them.
+    # A file left by an earlier attempt must not be reused: if its sync failed, the kernel has marked its
+    # pages as clean, and no later sync would write them.
     with contextlib.suppress(FileNotFoundError):
         os.unlink(new_path)
     descriptor = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_APPEND, FILE_MODE)
@@ -86,7 +86,7 @@
         _sync_folder(path.parent)
     except OSError:
         close_file(descriptor)
-        # Where the disk is full, the unfinished file takes space that is needed.
+        # On a full disk, the unfinished file would take space that is needed.
         with contextlib.suppress(OSError):
             os.unlink(new_path)
         raise
@@ -94,22 +94,22 @@
 
 
 def append(descriptor: int, data: bytes) -> None:
-    """Appends to a file, and returns when the data is durable."""
+    """Appends data to a file, and returns when the data is durable."""
     _write_all(descriptor, data)
     os.fdatasync(descriptor)
 
 
 def close_file(descriptor: int) -> None:
-    """Closes a descriptor; an error is ignored.
+    """Closes a descriptor and ignores an error.
 
-    All that must last has been synced before, and the descriptor is free whatever close returns.
+    Data that must last was synced before, and the kernel frees the descriptor whatever close returns.
     """
     with contextlib.suppress(OSError):
         os.close(descriptor)
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Writes all the data, in as many calls as the system takes for it."""
+    """Writes all the data, in as many write calls as it takes."""
     remaining = memoryview(data)
     while remaining:
         written = os.write(descriptor, remaining)
@@ -119,7 +119,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Makes the names in a folder durable."""
+    """Makes the names in a folder durable: those of files made, renamed or removed in it."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/cloverwell/control/server/file_storage.py
+++ b/cloverwell/control/server/file_storage.py
@@ -1,15 +1,15 @@
-"""A control node's state in a file: one checked record for each write, durable before `write` returns.
+"""A control node's state in a file: one record with checksums per write, durable before `write` returns.
 
 The file is a sequence of records (`records.py`); the body of each is a `Write` in MessagePack. A torn record
 at the end was never acknowledged, and is dropped at the next start. After any other damage the state can't
-be trusted, and the node must not vote by it.
+be trusted, so the node must not vote on the strength of it.
 
 The file is rewritten at each write that has a snapshot, and at each start: a new file with the whole content
-replaces the old one once it is durable. A start rewrites because the content that is read may never have
-reached the disk: where an fsync fails, the kernel may mark the pages as clean, so that they can be read while
-a later fsync has nothing to write and succeeds (Rebello et al., "Can Applications Recover from fsync
-Failures?", USENIX ATC 2020). For the same reason nothing is written any more after a failure: the node ends,
-and the next start finds out what the file holds.
+replaces the old one once it is durable. A start rewrites the file because the content that it reads may never
+have reached the disk. When an fsync fails, the kernel may mark the pages as clean: they can be read, but a
+later fsync succeeds without writing them (Rebello et al., "Can Applications Recover from fsync Failures?",
+USENIX ATC 2020). For the same reason nothing more is written after a failure: the node ends, and the next
+start reads what the file holds.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
 class FileStorage:
     """Storage in a folder of its own, which no other process may use at the same time.
 
-    `dropped_bytes` is the size of the torn record that the start has dropped, 0 where there was none.
+    `dropped_bytes` is the size of the torn record that was dropped at the start, 0 if there was none.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Opens the storage, and makes the folder where there is none. Raises `FileStorageError`."""
+        """Opens the storage, and makes the folder if it doesn't exist. Raises `FileStorageError`."""
         self._path = folder / FILE_NAME
         self._state = StoredState()
         self._lock_descriptor: int | None = None
         self._descriptor: int | None = None
-        self._failure = ""  # the reason of the first write that failed
+        self._failure = ""  # why the first failed write failed, "" before any failure
         self.dropped_bytes = 0
         try:
             self._open(folder)
@@ -61,13 +61,13 @@
             raise
 
     def load(self) -> StoredState:
-        """Returns what is stored durably."""
+        """Returns the state that is stored durably."""
         return self._state
 
     def write(self, write: Write) -> None:
         """Makes a change durable, and returns when it would survive a crash.
 
-        Raises `FileStorageError`. The node must stop then: each later write is refused.
+        Raises `FileStorageError`. The node must stop then, since each later write is refused.
         """
         if self._failure:
             raise FileStorageError(self._path, f"nothing is written after a failure: {self._failure}")
@@ -83,7 +83,7 @@
         self._state = state
 
     def close(self) -> None:
-        """Closes the file and releases the lock on the folder. What is durable stays so."""
+        """Closes the file, and releases the lock on the folder."""
         for descriptor in (self._descriptor, self._lock_descriptor):
             if descriptor is not None:
                 close_file(descriptor)
@@ -91,7 +91,7 @@
         self._lock_descriptor = None
 
     def _open(self, folder: Path) -> None:
-        """Locks the folder, recovers the state and rewrites the file without a torn record."""
+        """Locks the folder, recovers the state, and rewrites the file without a torn record."""
         make_folder(folder)
         try:
             self._lock_descriptor = lock_file(folder / LOCK_NAME)
@@ -103,7 +103,7 @@
         self._descriptor = replace_file(self._path, content[:valid_bytes])
 
     def _recover(self, content: bytes) -> int:
-        """Sets the state to that after all valid records. Returns the offset at which they end."""
+        """Sets the state to the one after all valid records. Returns the offset where they end."""
         end = 0
         try:
             for record in read_records(content):
@@ -114,7 +114,7 @@
         return end
 
     def _decode(self, record: FileRecord) -> Write:
-        """Returns the write in a record. Raises `FileStorageError`."""
+        """Returns the write that a record holds. Raises `FileStorageError`."""
         try:
             return _decoder.decode(record.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -136,7 +136,7 @@
 
 
 def encode_write(write: Write) -> bytes:
-    """Returns the record of a write, as it is in the file."""
+    """Returns the bytes of a write's record in the file."""
     return encode_record(_encoder.encode(write))
 
 
--- a/cloverwell/control/server/node_server.py
+++ b/cloverwell/control/server/node_server.py
@@ -1,7 +1,7 @@
-"""One control node in service: its state machine, its storage and its connections.
+"""The server of a control node, which joins its state machine, its storage and its connections.
 
 Each event of a connection or of the clock goes to `ControlNode`, and the effects that it returns are carried
-out in their order: a write is durable before any message that follows it is sent (Raft, figure 2: persistent
+out in order, so a write is durable before any message that follows it is sent (Raft, figure 2: persistent
 state is updated on stable storage before an RPC is answered).
 """
 
@@ -39,26 +39,26 @@
 from cloverwell.log import Log
 
 BACKLOG = 512  # connections that may wait to be accepted
-SHOWN_CHARS = 60  # of an id or a kind that a log line quotes
+MAX_QUOTED_CHARS = 60  # of a proposal's id or kind, in a log line
 
 
 class ClosableStorage(Storage, Protocol):
-    """Storage that is released when the node stops."""
+    """Storage that can be closed, as the node does when it stops."""
 
     def close(self) -> None:
-        """Releases the storage. What is durable stays so."""
+        """Releases the storage, so that another process may open it."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
-    """The leader that this node knows and its term; "" and 0 while it knows none."""
+    """The leader known to this node, and its term; "" and 0 while none is known."""
 
     name: str
     term: int
 
 
 class NodeServer:
-    """Serves one control node until `stop`, or until its storage fails: `failed` is set then."""
+    """Serves one control node until `stop`, or until its storage fails, which sets `failed`."""
 
     def __init__(
         self,
@@ -71,17 +71,17 @@
         timing: Timing | None = None,
         fanout: FanoutTiming | None = None,
     ) -> None:
-        """Connects to nothing yet.
+        """Sets up the node and its links, without listening or connecting yet.
 
         Args:
             reactor: makes the connections and the delayed calls; stopping the node stops it.
-            settings: the node's file.
-            storage: what the node starts from, and where it writes.
-            log: where events are written.
-            now: milliseconds of a monotonic clock.
-            random: the source of election timeouts and jitter.
-            timing: the timeouts of the consensus, where they are not the usual ones.
-            fanout: the timeouts towards proxies, where they are not the usual ones.
+            settings: the settings from the node's file.
+            storage: holds the state from which the node starts, and takes its writes.
+            log: the node's log.
+            now: returns the time in ms on a monotonic clock.
+            random: the random generator for election timeouts and jitter.
+            timing: the timeouts of the consensus; None for the default ones.
+            fanout: the timeouts towards proxies; None for the default ones.
         """
         self._reactor = reactor
         self._settings = settings
@@ -110,11 +110,11 @@
         for link in self._links.values():
             link.start()
         node_count = len(self._settings.nodes)
-        self._log.info("start", f"{self._settings.name} of {node_count} serves on {host}:{port}")
+        self._log.info("start", f"{self._settings.name}, one of {node_count} nodes, serves on {host}:{port}")
         self._set_timer()
 
     def stop(self) -> None:
-        """Ends at once: what was acknowledged is durable, and other requests may be repeated elsewhere."""
+        """Stops at once. All acknowledged requests are durable; others may be repeated at another node."""
         if self._stopped:
             return
         self._stopped = True
@@ -128,10 +128,10 @@
         self._log.info("stop", "stopped")
         self._reactor.stop()
 
-    # Messages of connections, as `ControlRequestHandler`
+    # Events of connections, as a `ControlRequestHandler`
 
     def is_peer(self, hello: PeerHello) -> bool:
-        """Returns whether the hello is that of another control node of this log."""
+        """Returns whether the hello comes from another control node of this log."""
         return hello.log == self._settings.log and hello.node in self._links
 
     def peer_message(self, peer: str, message: PeerMessage) -> None:
@@ -148,7 +148,7 @@
 
     def proposal(self, connection: int, message: Propose) -> None:
         """Handles an operator's proposal."""
-        kind, proposal = message.kind[:SHOWN_CHARS], message.proposal[:SHOWN_CHARS]
+        kind, proposal = message.kind[:MAX_QUOTED_CHARS], message.proposal[:MAX_QUOTED_CHARS]
         self._log.info("proposal", f"{kind} {proposal}, {len(message.payload)} bytes")
         self._handle(self.node.propose, connection, message)
 
@@ -168,14 +168,14 @@
     # Events and effects
 
     def _handle(self, event: Callable[..., list[NodeEffect]], *arguments: object) -> None:
-        """Passes an event to the node and carries out the effects. A storage that fails ends the node."""
+        """Passes an event to the node, and carries out the effects. If the storage fails, the node stops."""
         if self._stopped:
             return
         try:
             for effect in event(*arguments, self._now()):
                 self._carry_out(effect)
         except StorageError as error:
-            self._log.warn("storage", f"this node stops: {error}; start it again once the disk is sound")
+            self._log.warn("storage", f"storage failed, node stops: {error}; restart it once the disk works")
             self.failed = True
             self.stop()
             return
@@ -196,7 +196,7 @@
             case EntriesCommitted(entries):
                 self._log_committed(entries)
             case SnapshotInstalled(snapshot):
-                self._log.info("commit", f"snapshot at {snapshot.position.index} taken from the leader")
+                self._log.info("commit", f"snapshot at {snapshot.position.index} installed from the leader")
 
     def _send(self, number: int, message: WireMessage) -> None:
         """Sends a message to the connection of that number, unless it has ended."""
@@ -222,11 +222,11 @@
 
     def _log_committed(self, entries: Sequence[Entry]) -> None:
         for entry in entries:
-            proposal = entry.proposal[:SHOWN_CHARS]
+            proposal = entry.proposal[:MAX_QUOTED_CHARS]
             self._log.info("commit", f"entry {entry.index}: {entry.kind} {proposal}".rstrip())
 
     def _log_leader_change(self) -> None:
-        """Logs the leader where it is not the one that was logged last."""
+        """Logs the leader if it has changed since the last line about it."""
         consensus = self.node.consensus
         leader = KnownLeader(consensus.leader, consensus.term if consensus.leader else 0)
         if leader == self._logged_leader:
@@ -235,4 +235,4 @@
         if leader.name:
             self._log.info("leader", f"{leader.name} leads, term {leader.term}")
         else:
-            self._log.warn("leader", f"none is known, term {consensus.term}")
+            self._log.warn("leader", f"no leader is known, term {consensus.term}")
--- a/cloverwell/control/server/port.py
+++ b/cloverwell/control/server/port.py
@@ -1,7 +1,7 @@
 """The port of a control node, to which other control nodes, proxies and operators connect.
 
-The first message of a connection tells which of them it is. A connection that has not become a control
-node's or a proxy's is an operator's, and is closed after a while.
+A message shows that a connection is a control node's or a proxy's. Until then it counts as an operator's, and
+is closed after a time limit.
 """
 
 from __future__ import annotations
@@ -23,42 +23,42 @@
 from cloverwell.log import Log
 
 MAX_CONNECTIONS = 4096
-OPERATOR_TIMEOUT_S = 20.0  # for a connection that is neither a control node's nor a proxy's
-# A proposal is the longest message that may come before the other end is known as a control node.
-MAX_FIRST_BYTES = MAX_PAYLOAD_BYTES + 4096
-SHOWN_CHARS = 60  # of a name that a log line quotes
+OPERATOR_TIMEOUT_S = 20.0  # the lifetime of a connection that is neither a control node's nor a proxy's
+# A proposal is the longest message that is accepted from any connection but a control node's.
+INITIAL_MAX_BODY_BYTES = MAX_PAYLOAD_BYTES + 4096
+MAX_QUOTED_CHARS = 60  # of a name, in a log line
 
 
 class ControlRequestHandler(Protocol):
-    """What handles the messages of the connections."""
+    """The handler of the messages that incoming connections receive."""
 
     def is_peer(self, hello: PeerHello) -> bool:
-        """Returns whether the hello is that of another control node of this log."""
+        """Returns whether the hello comes from another control node of this log."""
 
     def peer_message(self, peer: str, message: PeerMessage) -> None:
         """Handles a message of the control node `peer`."""
 
     def proxy_message(self, connection: int, message: ProxyMessage) -> None:
-        """Handles a message of the proxy at the connection of that number."""
+        """Handles a message of the proxy whose connection has that number."""
 
     def proxy_disconnected(self, connection: int) -> None:
         """Handles the end of a proxy's connection."""
 
     def proposal(self, connection: int, message: Propose) -> None:
-        """Handles a proposal, which is answered at the connection of that number."""
+        """Handles a proposal; the answer goes to the connection of that number."""
 
     def status(self) -> StatusAnswer:
-        """Returns the answer to an operator's request."""
+        """Returns the answer to an operator's request for the status."""
 
 
 class ControlPort(BoundedFactory):
     """The factory of incoming connections.
 
-    `connections` has them by number, `peers` those of control nodes by the node's name.
+    `connections` holds all connections by number, `peers` those of control nodes by the node's name.
     """
 
     def __init__(self, reactor: Reactor, handler: ControlRequestHandler, log: Log) -> None:
-        """Takes what handles the messages. The factory listens nowhere by itself."""
+        """Sets the handler of the messages. The factory doesn't open a port itself."""
         self.reactor = reactor
         self.handler = handler
         self.log = log
@@ -73,11 +73,11 @@
         return MAX_CONNECTIONS - len(self.connections)
 
     def accept_failed(self, reason: str) -> None:
-        """Logs that the machine could not accept a connection for a moment."""
-        self.log.warn("accept", f"failed for a moment: {reason}")
+        """Logs that an accept failed; the listening port tries again."""
+        self.log.warn("accept", f"cannot accept connections, will retry: {reason}")
 
     def buildProtocol(self, addr: IAddress | None) -> InboundConnection:
-        """Twisted: a connection has been accepted."""
+        """Returns the protocol of a connection that was accepted."""
         assert isinstance(addr, IPv4Address | IPv6Address)
         self._last_number += 1
         return InboundConnection(self, self._last_number, format_address((addr.host, addr.port)))
@@ -85,36 +85,36 @@
     # Called by the handler
 
     def connection(self, number: int) -> InboundConnection | None:
-        """Returns the connection of that number; None where it has ended."""
+        """Returns the connection of that number; None if it has ended."""
         return self.connections.get(number)
 
     def close_all(self) -> None:
-        """Ends all connections at once."""
+        """Aborts all connections."""
         for connection in list(self.connections.values()):
             connection.abort()
 
 
 class InboundConnection(FrameConnection):
-    """An incoming connection: an operator's, until a message shows it as a control node's or a proxy's."""
+    """An incoming connection: an operator's, until a message shows that it is a node's or a proxy's."""
 
     def __init__(self, port: ControlPort, number: int, address: str) -> None:
-        """Takes the number by which the handler knows the connection, and the other end's address."""
-        super().__init__(MAX_FIRST_BYTES)
+        """Sets the number by which the handler knows the connection, and the address of the other end."""
+        super().__init__(INITIAL_MAX_BODY_BYTES)
         self.number = number
         self._port = port
         self._address = address
-        self._peer = ""  # the name of the control node at the other end, "" for none
+        self._peer = ""  # the name of the control node at the other end, "" if it is not known to be one
         self._subscribed = False
         self._expiry_call: DelayedCall | None = None
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
+        """Registers the connection, and starts the time limit for operators' connections."""
         super().connectionMade()
         self._port.connections[self.number] = self
         self._expiry_call = self._port.reactor.callLater(OPERATOR_TIMEOUT_S, self._expire)
 
     def message_received(self, message: WireMessage) -> None:
-        """Hands a message to the handler; one that may not come from this other end ends the connection."""
+        """Passes a message to the handler; a message that this kind of sender may not send is refused."""
         handler = self._port.handler
         if self._peer:
             if isinstance(message, PeerMessage):
@@ -134,12 +134,12 @@
         else:
             self._refuse(message)
 
-    def fault(self, reason: str) -> None:
+    def report_fault(self, reason: str) -> None:
         """Logs why the connection ends, with the name or address of the other end."""
         self._port.log.warn("connection", f"{self._peer or self._address}: {reason}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection has ended."""
+        """Removes the connection, and tells the handler if it was a proxy's."""
         super().connectionLost(reason)
         self._cancel_expiry()
         self._port.connections.pop(self.number, None)
@@ -149,10 +149,10 @@
             self._port.handler.proxy_disconnected(self.number)
 
     def _identify_peer(self, hello: PeerHello) -> None:
-        """Makes this the connection of the control node that the hello names, if it is one of the log's."""
+        """Makes this the connection of the control node in the hello, if that is one of this log's nodes."""
         if not self._port.handler.is_peer(hello):
-            node, log = hello.node[:SHOWN_CHARS], hello.log[:SHOWN_CHARS]
-            self.fault(f"{node!r} of log {log!r} is no node of this log")
+            node, log = hello.node[:MAX_QUOTED_CHARS], hello.log[:MAX_QUOTED_CHARS]
+            self.report_fault(f"{node!r} of log {log!r} is not a control node of this log")
             self.abort()
             return
         self._cancel_expiry()
@@ -160,13 +160,13 @@
         self.set_max_body_bytes(MAX_MESSAGE_BYTES)
         earlier = self._port.peers.get(self._peer)
         self._port.peers[self._peer] = self
-        # A node that connects again has lost its earlier connection, even if this end doesn't know it yet.
+        # A node that connects again has lost its earlier connection, even if that has not ended here yet.
         if earlier is not None:
             earlier.abort()
 
     def _refuse(self, message: WireMessage) -> None:
-        """Ends the connection because of a message that may not come here."""
-        self.fault(f"sent a {type(message).__name__} where none is due")
+        """Aborts the connection because of a message that the other end may not send on it."""
+        self.report_fault(f"sent an unexpected message: {type(message).__name__}")
         self.abort()
 
     def _cancel_expiry(self) -> None:
--- a/cloverwell/control/server/program.py
+++ b/cloverwell/control/server/program.py
@@ -1,4 +1,4 @@
-"""The control node's process, from reading its file to its exit code."""
+"""The main function of a control node's process."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from cloverwell.timer_wheel import monotonic_ms
 
 EXIT_FAILED = 1
-SPARE_DESCRIPTORS = 64  # standard streams, the reactor's own, the storage and the links to other nodes
+SPARE_DESCRIPTORS = 64  # for standard streams, the reactor, the storage and the links to other nodes
 
 
 def serve(path: Path, refuse: Callable[[str], NoReturn]) -> int:
     """Serves the control node that the file at `path` describes, until SIGTERM or SIGINT.
 
-    `refuse` is called with one line where the input is bad, and ends the program. Returns the exit code.
+    `refuse` is called with one line if the input is invalid, and ends the program. Returns the exit code.
     """
     try:
         settings = read_node_file(path)
@@ -39,15 +39,16 @@
     except StorageError as error:
         refuse(f"data: {error}")
     log = Log(monotonic_ms)
-    # Any function of an event is an observer to Twisted; zope's interface can't say so to a type checker.
+    # Twisted accepts any function of one event as an observer, which a type checker can't see from the
+    # zope interface.
     globalLogBeginner.beginLoggingTo([cast(ILogObserver, log.fault)], redirectStandardIO=False)
     raise_descriptor_limit(MAX_CONNECTIONS + SPARE_DESCRIPTORS)
     if storage.dropped_bytes:
         log.warn("storage", f"a torn record of {storage.dropped_bytes} bytes was dropped")
     reactor = install_reactor()
     server = NodeServer(reactor, settings, storage, log, monotonic_ms, SystemRandom())
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(server.stop))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(server.stop))
     try:
         server.start()
     except CannotListenError as error:
--- a/cloverwell/control/server/records.py
+++ b/cloverwell/control/server/records.py
@@ -1,14 +1,14 @@
-"""The record format of the control node's file: records with checksums, one after the other. No I/O.
+"""The record format of the control node's storage file: a sequence of records with checksums. No I/O.
 
-    length           4 bytes, unsigned, big-endian: bytes of the body
+    length           4 bytes, unsigned, big-endian: the size of the body in bytes
     body checksum    4 bytes, CRC-32 of the body
-    header checksum  4 bytes, CRC-32 of the 8 bytes before
+    header checksum  4 bytes, CRC-32 of the 8 bytes before it
     body             any bytes
 
-Each record is made durable before the next one is appended, so a crash leaves at most the last record torn:
-cut short, or with sectors that were never written and read as zeros. No crash causes any other damage. The
-header has a checksum of its own because a damaged length would otherwise make all that follows look like one
-torn record.
+Each record is made durable before the next one is appended, so after a crash at most the last record is torn:
+it is cut short, or has sectors that were never written and read as zeros. A crash causes no other damage. The
+header has a checksum of its own, because with a damaged length all that follows would look like one torn
+record.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 HEADER = struct.Struct(">III")
 CHECKED_FIELDS = struct.Struct(">II")  # the length and the body checksum, which the header checksum covers
 CHECKSUM = struct.Struct(">I")
-SECTOR_BYTES = 512  # the unit that a disk writes whole or not at all
+SECTOR_BYTES = 512  # the unit that a disk writes completely or not at all
 
 
 class FileRecord(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 def read_records(content: bytes) -> Iterator[FileRecord]:
     """Yields the records of a file up to its end, or up to a torn record.
 
-    Raises `DamagedRecordError` at a record whose damage a crash can't explain.
+    Raises `DamagedRecordError` at a record with damage that a crash can't explain.
     """
     start = 0
     while (body := _read_body(content, start)) is not None:
@@ -54,7 +54,7 @@
 
 
 def _read_body(content: bytes, start: int) -> bytes | None:
-    """Returns the body of the record at `start`; None where the record is torn, or the file ends."""
+    """Returns the body of the record at `start`; None if the record is torn, or the file ends there."""
     if len(content) - start < HEADER.size:
         return None
     if not _is_header(content, start):
@@ -84,7 +84,7 @@
 def _was_never_written(content: bytes, start: int) -> bool:
     """Returns whether a power cut explains the invalid header at `start`.
 
-    It does where a sector under the header reads as zeros and no other record follows.
+    It does if one of the sectors that hold the header reads as zeros and no other record follows.
     """
     if not any(content[start:]):
         return True
--- a/cloverwell/control/server/settings.py
+++ b/cloverwell/control/server/settings.py
@@ -1,4 +1,4 @@
-"""A control node's file, in TOML: its name, the control nodes of its log, and where its state is kept."""
+"""The configuration file of a control node, in TOML, and the settings that are read from it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
 DEFAULT_LOG = "fleet"
-WHOLE_FILE = "FILE"  # what an error names where no single field is at fault
-SHOWN_CHARS = 60  # of a value that an error quotes
+WHOLE_FILE = "FILE"  # stands for the field in an error if no single field is at fault
+MAX_QUOTED_CHARS = 60  # of a value, in an error text
 REQUIRED_FIELDS = ("name", "log", "data")
 
 
 class NodeEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """One control node, as each other control node and each proxy reaches it."""
+    """The name, region and address of a control node, which others connect to."""
 
     name: str = ""
     address: str = ""
@@ -25,7 +25,7 @@
 
 
 class NodeFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The file as it is written."""
+    """The content of the file, before it is checked."""
 
     name: str = ""
     log: str = DEFAULT_LOG
@@ -37,8 +37,8 @@
 class NodeSettings(msgspec.Struct, frozen=True):
     """The settings of one control node.
 
-    `nodes` are the addresses and `regions` the regions of all control nodes by name, this one's too. `data`
-    is the folder of its storage.
+    `nodes` maps the names of all control nodes, including this one, to their addresses; `regions` maps them
+    to their regions. `data` is the folder of this node's storage.
     """
 
     name: str
@@ -50,15 +50,15 @@
 
     @property
     def others(self) -> dict[str, Address]:
-        """The addresses of all nodes but this one."""
+        """The addresses of all nodes except this one, by name."""
         return {name: address for name, address in self.nodes.items() if name != self.name}
 
 
 def read_node_file(path: Path) -> NodeSettings:
     """Reads a control node's file. Raises `NodeFileError`.
 
-    A relative `data` is taken from the file's own folder. Without `listen` the node listens at the address
-    that it has among the nodes.
+    A relative `data` path starts at the file's own folder. Without `listen`, the node listens on its own
+    address in `nodes`.
     """
     file = _decode(path)
     for field in REQUIRED_FIELDS:
@@ -66,7 +66,7 @@
             raise NodeFileError(field, "is missing")
     nodes = _read_nodes(file.nodes)
     if file.name not in nodes:
-        raise NodeFileError("name", f"{file.name[:SHOWN_CHARS]!r} is none of nodes")
+        raise NodeFileError("name", f"{file.name[:MAX_QUOTED_CHARS]!r} is not one of the nodes")
     listen = _read_address("listen", file.listen) if file.listen else nodes[file.name]
     regions = {entry.name: entry.region for entry in file.nodes}
     return NodeSettings(file.name, file.log, listen, path.parent / file.data, nodes, regions)
@@ -90,10 +90,10 @@
         if not entry.name:
             raise NodeFileError("nodes.name", "is missing")
         if entry.name in nodes:
-            raise NodeFileError("nodes.name", f"{entry.name[:SHOWN_CHARS]!r} stands there twice")
+            raise NodeFileError("nodes.name", f"{entry.name[:MAX_QUOTED_CHARS]!r} is used twice")
         address = _read_address("nodes.address", entry.address)
         if address in nodes.values():
-            raise NodeFileError("nodes.address", f"{entry.address[:SHOWN_CHARS]!r} stands there twice")
+            raise NodeFileError("nodes.address", f"{entry.address[:MAX_QUOTED_CHARS]!r} is used twice")
         nodes[entry.name] = address
     return nodes
 
--- a/tests/control_fleet_rig.py
+++ b/tests/control_fleet_rig.py
@@ -1,4 +1,4 @@
-"""Three control nodes and three proxies as processes, one of each in a region."""
+"""A fleet of processes for tests: three control nodes and three proxies, one of each in a region."""
 
 import json
 import subprocess
@@ -10,29 +10,30 @@
 from lab.proxy_testbed import SETTINGS
 
 REGIONS = ("north", "south", "west")
-OWN = SETTINGS | {"peers-total": 40}  # the settings in the proxies' own files
+OWN_SETTINGS = SETTINGS | {"peers-total": 40}  # the settings in each proxy's own file
 
 
 class Proxy:
-    """One proxy in a region, and the processes that have been it."""
+    """A proxy in a region. `process` is the process that was started last."""
 
     def __init__(self, folder, name, nodes, region):
         folder.mkdir()
         self.name = name
-        self.place = ProxyFixture(folder)
+        self.fixture = ProxyFixture(folder)
         self.nodes = nodes
-        self.write(control=nodes.section(region), name=name, settings=OWN)
+        self.write_config(control=nodes.section(region), name=name, settings=OWN_SETTINGS)
         self.process = None
 
-    def write(self, **more):
-        self.place.config.write_text(json.dumps(json.loads(self.place.config.read_text()) | more))
+    def write_config(self, **more):
+        """Changes these fields of the proxy's configuration file."""
+        self.fixture.config.write_text(json.dumps(json.loads(self.fixture.config.read_text()) | more))
 
     def start(self):
-        self.process = self.place.start()
+        self.process = self.fixture.start()
         return self
 
     def configuration(self):
-        """The fields of `GET /configuration`."""
+        """Returns the fields of `GET /configuration`."""
         connection = HTTPConnection(*self.process.operator, timeout=PATIENCE_S)
         try:
             connection.request("GET", "/configuration")
@@ -40,7 +41,8 @@
         finally:
             connection.close()
 
-    def comes_to(self, **fields):
+    def wait_for_fields(self, **fields):
+        """Waits until `GET /configuration` has these values, and returns all its fields."""
         last = [{}]
 
         def has_fields():
@@ -53,13 +55,16 @@
             raise AssertionError(f"{error}: {last[0]}\n{self.process.log.read_text()}") from None
         return last[0]
 
-    def serves(self):
-        clients = SteadyClients(self.place.listen, 2)
+    def check_serves(self):
+        """Checks that clients get answers from the proxy."""
+        clients = SteadyClients(self.fixture.listen, 2)
         clients.wait_for_answers(10)
         clients.stop()
 
 
 class Fleet:
+    """Three control nodes and three proxies; `start` starts them all."""
+
     def __init__(self, folder):
         self.folder = folder
         self.nodes = ControlNodes(folder, REGIONS)
@@ -74,19 +79,22 @@
         return self
 
     def propose(self, to, change, *options):
-        """Exit code and what was printed."""
+        """Runs `control propose` against a node, and returns the exit code and the output."""
         file = self.folder / "change.json"
         file.write_text(json.dumps(change))
-        done = subprocess.run(
+        completed = subprocess.run(
             [*COMMAND, "propose", str(file), "--to", to.at, *options],
             cwd=ROOT,
             capture_output=True,
             text=True,
         )
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def commit(self, to, change):
-        """The version that it became; asked again, with one id, while a held-up machine has no leader."""
+        """Commits a change and returns its version.
+
+        The proposal is repeated under the same id while there is no leader, as on a slow machine.
+        """
         proposal, outputs = uuid.uuid4().hex, []
 
         def committed():
@@ -100,24 +108,26 @@
     def close(self):
         self.nodes.close()
         for proxy in self.proxies:
-            proxy.place.close()
+            proxy.fixture.close()
 
 
-def discovery():
+def discovery_change():
+    """Returns a change of discovery's address to a new one."""
     return {"discovery": f"127.0.0.1:{free_port()}"}
 
 
-def peers(number):
-    return {"settings": OWN | {"peers-total": number}}
+def peers_total_change(peers_total):
+    """Returns a change of the number of proxies."""
+    return {"settings": OWN_SETTINGS | {"peers-total": peers_total}}
 
 
-def lines(proxy, text):
-    """Of the proxy's log, on versions."""
+def version_log_lines(proxy, text):
+    """Returns the lines of the proxy's log about versions that contain a text."""
     return [
         line for line in proxy.process.log.read_text().splitlines() if " version: " in line and text in line
     ]
 
 
-def in_order(proxy):
-    """The versions that the proxy has put in force."""
-    return [int(line.split("version: ")[1].split()[0]) for line in lines(proxy, "in force, digest")]
+def activated_versions(proxy):
+    """Returns the versions that the proxy has made active, in order."""
+    return [int(line.split("version: ")[1].split()[0]) for line in version_log_lines(proxy, "active, digest")]
--- a/tests/control_net_rig.py
+++ b/tests/control_net_rig.py
@@ -1,4 +1,4 @@
-"""A reactor with a clock of its own, and transports that keep what was written: no sockets."""
+"""Test doubles for the control log's transport: a reactor with its own clock, transports without sockets."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,9 @@
 from cloverwell.control.net.wire import decode_body, encode_body
 
 
-class Handle:
+class SocketHandle:
+    """The socket of a transport, which keeps the options that are set."""
+
     def __init__(self):
         self.options = {}
 
@@ -19,12 +21,12 @@
 
 
 class Transport:
-    """The near end of a connection, as a protocol has it."""
+    """The transport of a protocol. It keeps the bytes that the protocol writes."""
 
     def __init__(self, protocol=None):
         self.written = b""
         self.closed = self.aborted = False
-        self.handle = Handle()
+        self.handle = SocketHandle()
         self.producer = None
         self._decoder = FrameDecoder()
         if protocol is not None:
@@ -54,70 +56,75 @@
         self.closed = self.aborted = True
 
     def messages(self):
-        """What has been written since the last call."""
+        """Returns the messages written since the last call."""
         data, self.written = self.written, b""
         return [decode_body(body) for body in self._decoder.feed(data)]
 
 
 def frame(message):
+    """Returns the bytes of a message on the wire."""
     return encode_frame(encode_body(message))
 
 
-def end(protocol):
+def lose_connection(protocol):
+    """Tells a protocol that its connection has ended."""
     protocol.connectionLost(Failure(ConnectionDone()))
 
 
 @dataclass
-class Try:
-    """One call of `connectTCP`."""
+class ConnectionAttempt:
+    """A call of `connectTCP`, which the test lets succeed or fail."""
 
     address: tuple[str, int]
     factory: object
-    given_up: bool = False
+    disconnected: bool = False
     transport: Transport | None = None
     protocol: object = None
 
     def disconnect(self):
-        self.given_up = True
+        self.disconnected = True
         if self.transport is not None:
             self.transport.loseConnection()
 
     def succeed(self):
+        """Lets the attempt succeed, and returns the transport of its connection."""
         self.protocol = self.factory.buildProtocol(None)
         self.transport = Transport(self.protocol)
         return self.transport
 
     def fail(self):
+        """Lets the attempt fail: the connection is refused."""
         self.factory.clientConnectionFailed(self, Failure(ConnectionRefusedError()))
 
 
 class Reactor(Clock):
-    """Its clock moves by `advance`; `tries` are the connections that were asked for."""
+    """A reactor whose clock moves only by `advance`. `attempts` are the connection attempts so far."""
 
     def __init__(self):
         super().__init__()
-        self.tries: list[Try] = []
+        self.attempts: list[ConnectionAttempt] = []
         self.stopped = False
 
     def stop(self):
         self.stopped = True
 
     def now_ms(self):
+        """Returns the time in ms on the reactor's clock."""
         return self.seconds() * 1000.0
 
     def connectTCP(self, host, port, factory, timeout):
-        self.tries.append(Try((host, port), factory))
-        return self.tries[-1]
+        self.attempts.append(ConnectionAttempt((host, port), factory))
+        return self.attempts[-1]
 
 
 @dataclass
 class RecordingLog:
-    """A log that keeps its lines."""
+    """A log that keeps its lines in memory."""
 
     lines: list[str] = field(default_factory=list)
 
-    def info(self, kind, text):
-        self.lines.append(f"info {kind}: {text}")
+    def info(self, source, text):
+        self.lines.append(f"info {source}: {text}")
 
-    def warn(self, kind, text):
-        self.lines.append(f"warn {kind}: {text}")
+    def warn(self, source, text):
+        self.lines.append(f"warn {source}: {text}")
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -1,4 +1,4 @@
-"""What is typed for the control log: its files, the examples, and exit code 2 with the field named."""
+"""The commands of the control log: invalid files and addresses end with exit code 2 and name the field."""
 
 import json
 import socket
@@ -22,7 +22,7 @@
 
 
 def node_file(nodes=NODES, **fields):
-    """The text of a node's file; a field of None is left out."""
+    """Returns the text of a node's file; a field whose value is None is left out."""
     fields = {"name": "a", "data": "data"} | fields
     lines = [f"{name} = {json.dumps(value)}" for name, value in fields.items() if value is not None]
     for name, address, region in nodes:
@@ -40,7 +40,7 @@
     return CliRunner().invoke(control, list(map(str, arguments)))
 
 
-# A node's file --------------------------------------------------------------------------------------
+# The file of a control node -------------------------------------------------------------------------
 
 
 def test_a_node_listens_at_its_own_address_and_keeps_its_data_beside_its_file(tmp_path):
@@ -59,21 +59,21 @@
         (node_file(name=None), "name: is missing"),
         (node_file(data=None), "data: is missing"),
         (node_file(log=""), "log: is missing"),
-        (node_file(name="c"), "name: 'c' is none of nodes"),
+        (node_file(name="c"), "name: 'c' is not one of the nodes"),
         (node_file(listen="here"), "listen: not an address"),
         (node_file(nodes=[]), "nodes: is missing"),
         (node_file(nodes=[("a", "127.0.0.1", "north")]), "nodes.address: not an address"),
         (node_file(nodes=[("a", "", "north")]), "nodes.address: is missing"),
         (node_file(nodes=[("", "127.0.0.1:1", "north")]), "nodes.name: is missing"),
-        (node_file(nodes=[NODES[0], NODES[0]]), "nodes.name: 'a' stands there twice"),
-        (node_file(nodes=[NODES[0], ("b", "127.0.0.1:7401", "")]), "nodes.address: .* stands there twice"),
+        (node_file(nodes=[NODES[0], NODES[0]]), "nodes.name: 'a' is used twice"),
+        (node_file(nodes=[NODES[0], ("b", "127.0.0.1:7401", "")]), "nodes.address: .* is used twice"),
         (node_file(name=7), "name"),
         (node_file(colour="red"), "colour"),
         ("name = ", "FILE"),
     ],
     ids=str,
 )
-def test_a_malformed_file_is_named_by_its_field(tmp_path, text, field):
+def test_the_error_for_an_invalid_file_names_the_field(tmp_path, text, field):
     with pytest.raises(NodeFileError, match=field):
         read(tmp_path, text)
     done = run("serve", tmp_path / "node.toml")
@@ -81,13 +81,13 @@
     assert done.output.count("\n") == 1
 
 
-def test_a_file_that_is_not_there_or_no_text_is_an_error(tmp_path):
+def test_a_file_that_is_missing_or_not_text_is_an_error(tmp_path):
     assert run("serve", tmp_path / "none.toml").exit_code == 2
     (tmp_path / "node.toml").write_bytes(b"\xff\xfe")
     assert run("serve", tmp_path / "node.toml").exit_code == 2
 
 
-def test_data_that_cannot_be_trusted_and_a_taken_address_are_named(tmp_path):
+def test_the_error_for_damaged_data_or_an_address_in_use_names_the_field(tmp_path):
     (tmp_path / "data").mkdir()
     (tmp_path / "data" / "control.log").write_bytes(bytes(range(1, 60)))
     (tmp_path / "node.toml").write_text(node_file())
@@ -95,10 +95,10 @@
     assert done.exit_code == 2
     assert "data: " in done.output
     assert "damaged" in done.output
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        address = "{}:{}".format(*taken.getsockname())
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        address = "{}:{}".format(*listener.getsockname())
         (tmp_path / "node.toml").write_text(node_file(data="other", listen=address))
         done = subprocess.run([*COMMAND, "serve", tmp_path / "node.toml"], capture_output=True, text=True)
     assert done.returncode == 2
@@ -120,7 +120,7 @@
     ],
     ids=str,
 )
-def test_a_malformed_change_is_refused_before_it_is_proposed(tmp_path, text, field):
+def test_an_invalid_change_is_refused_before_it_is_proposed(tmp_path, text, field):
     (tmp_path / "change.json").write_text(text)
     done = run("propose", tmp_path / "change.json", "--to", "127.0.0.1:1")
     assert done.exit_code == 2
@@ -128,7 +128,7 @@
     assert done.output.count("\n") == 1
 
 
-def test_a_file_or_an_address_that_is_none_is_named(tmp_path):
+def test_the_error_for_a_missing_file_or_an_invalid_address_names_the_option(tmp_path):
     done = run("propose", tmp_path / "none.json", "--to", "127.0.0.1:1")
     assert done.exit_code == 2
     assert "FILE: " in done.output
@@ -139,7 +139,7 @@
     assert run("status", "--to", "here").exit_code == 2
 
 
-def test_where_nobody_answers_a_proposal_is_unknown_and_a_status_not_done(tmp_path):
+def test_without_an_answer_a_proposal_ends_with_exit_code_3_and_a_status_with_1(tmp_path):
     (tmp_path / "change.json").write_text("{}")
     at = f"127.0.0.1:{free_port()}"
     done = run("propose", tmp_path / "change.json", "--to", at, "--id", "mine")
@@ -151,7 +151,7 @@
 # The examples ---------------------------------------------------------------------------------------
 
 
-def test_the_examples_load_and_fit_each_other():
+def test_the_examples_are_valid_and_match_each_other():
     node = read_node_file(DEPLOY / "node.toml")
     proxy = read_config({"EDGE_CONFIG": str(DEPLOY / "proxy.json")})
     assert proxy.control.nodes == node.nodes
@@ -162,7 +162,7 @@
     assert read_change(proxy.document, change, {}).discovery != proxy.discovery
 
 
-def test_a_proxy_without_the_section_imports_nothing_of_the_control_log(tmp_path):
+def test_a_proxy_without_a_control_section_imports_nothing_of_the_control_log(tmp_path):
     program = (
         "import sys, json, cloverwell.__main__ as main\n"
         "from cloverwell.config import read_config\n"
@@ -178,6 +178,7 @@
     )
 
     def modules(file):
+        """Returns the names of the modules that a proxy with this configuration has imported."""
         done = subprocess.run(
             [sys.executable, "-c", program, str(file), f"127.0.0.1:{free_port()}"],
             cwd=ROOT,
@@ -190,7 +191,7 @@
     example = ROOT / "examples" / "config.json"
     without = modules(example)
     assert not [name for name in without if name.startswith("cloverwell.control")]
-    # The same program sees them where the section is there.
+    # With a control section, the same program lists them.
     node = {"name": "a", "address": f"127.0.0.1:{free_port()}"}
     (tmp_path / "config.json").write_text(
         json.dumps(json.loads(example.read_text()) | {"control": {"nodes": [node]}})
--- a/tests/test_control_deadline_timer.py
+++ b/tests/test_control_deadline_timer.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def called_ms():
-    """The times at which the timer has called."""
+    """Returns a list that gets the time of each call, in ms."""
     return []
 
 
@@ -23,25 +23,26 @@
 
 
 def pass_time(reactor, ms):
+    """Advances the clock in steps of 1 ms."""
     for _ in range(ms):
         reactor.advance(0.001)
 
 
-def test_it_calls_once_at_the_deadline(timer, reactor, called_ms):
+def test_the_timer_calls_once_at_the_deadline(timer, reactor, called_ms):
     timer.set(50.0)
     pass_time(reactor, 200)
     assert called_ms == [pytest.approx(50.0, abs=1.0)]
 
 
-@pytest.mark.parametrize("later_ms", [20.0, 90.0], ids=["earlier", "later"])
-def test_a_new_deadline_replaces_the_old_one(timer, reactor, called_ms, later_ms):
+@pytest.mark.parametrize("new_deadline_ms", [20.0, 90.0], ids=["earlier", "later"])
+def test_a_new_deadline_replaces_the_old_one(timer, reactor, called_ms, new_deadline_ms):
     timer.set(50.0)
-    timer.set(later_ms)
+    timer.set(new_deadline_ms)
     pass_time(reactor, 200)
-    assert called_ms == [pytest.approx(later_ms, abs=1.0)]
+    assert called_ms == [pytest.approx(new_deadline_ms, abs=1.0)]
 
 
-def test_a_deadline_that_has_passed_is_due_in_the_next_turn_and_not_at_once(timer, reactor, called_ms):
+def test_a_deadline_in_the_past_is_due_in_the_next_turn_and_not_at_once(timer, reactor, called_ms):
     pass_time(reactor, 10)
     timer.set(5.0)
     assert called_ms == []
@@ -49,7 +50,7 @@
     assert len(called_ms) == 1
 
 
-def test_it_may_be_set_again_from_within_its_call(reactor):
+def test_the_timer_may_be_set_again_from_within_its_call(reactor):
     called_ms = []
 
     def call():
@@ -62,7 +63,7 @@
     assert len(called_ms) == 3
 
 
-def test_a_cancelled_deadline_is_dropped_and_another_may_be_set(timer, reactor, called_ms):
+def test_a_cancelled_deadline_does_not_call_and_another_may_be_set(timer, reactor, called_ms):
     timer.set(50.0)
     timer.cancel()
     timer.cancel()
--- a/tests/test_control_file_storage.py
+++ b/tests/test_control_file_storage.py
@@ -1,4 +1,4 @@
-"""A control node's storage: what was acknowledged is there again, and what can't be trusted is refused."""
+"""A control node's storage: acknowledged writes are read back, and a damaged file is refused."""
 
 import os
 
@@ -23,6 +23,7 @@
 
 
 def reopened(folder):
+    """Opens the storage again, and returns the state that it loads."""
     storage = FileStorage(folder)
     state = storage.load()
     storage.close()
@@ -30,6 +31,7 @@
 
 
 def fill(folder, writes):
+    """Makes writes in a folder's storage, and closes it."""
     storage = FileStorage(folder)
     for write in writes:
         storage.write(write)
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(WRITES) + 1))
-def test_what_was_written_is_there_again(tmp_path, number):
+def test_the_state_is_the_same_after_reopening(tmp_path, number):
     expected = StoredState()
     for write in WRITES[:number]:
         expected = expected.after(write)
@@ -47,38 +49,38 @@
 
 @settings(deadline=None, max_examples=60)
 @given(st.data())
-def test_a_record_that_is_cut_off_anywhere_is_dropped_and_those_before_it_stay(tmp_path_factory, data):
+def test_a_last_record_cut_off_anywhere_is_dropped_and_those_before_it_stay(tmp_path_factory, data):
     folder = tmp_path_factory.mktemp("storage")
     kept, last = WRITES[:3], WRITES[3]
     fill(folder, kept)
-    sound = (folder / FILE_NAME).stat().st_size
+    valid_bytes = (folder / FILE_NAME).stat().st_size
     fill(folder, [last])
-    whole = (folder / FILE_NAME).stat().st_size
-    os.truncate(folder / FILE_NAME, data.draw(st.integers(sound, whole - 1)))
+    total_bytes = (folder / FILE_NAME).stat().st_size
+    os.truncate(folder / FILE_NAME, data.draw(st.integers(valid_bytes, total_bytes - 1)))
     storage = FileStorage(folder)
     expected = StoredState()
     for write in kept:
         expected = expected.after(write)
     assert storage.load() == expected
-    storage.write(last)  # and it goes on from there
+    storage.write(last)  # The storage accepts further writes.
     storage.close()
     assert reopened(folder) == expected.after(last)
 
 
-def test_a_last_record_whose_bytes_are_wrong_is_dropped(tmp_path):
+def test_a_last_record_with_a_wrong_body_checksum_is_dropped(tmp_path):
     fill(tmp_path, WRITES[:2])
-    sound = (tmp_path / FILE_NAME).stat().st_size
+    valid_bytes = (tmp_path / FILE_NAME).stat().st_size
     fill(tmp_path, WRITES[2:3])
     content = bytearray((tmp_path / FILE_NAME).read_bytes())
     content[-1] ^= 1
     (tmp_path / FILE_NAME).write_bytes(content)
     storage = FileStorage(tmp_path)
-    assert storage.dropped_bytes == len(content) - sound
+    assert storage.dropped_bytes == len(content) - valid_bytes
     assert storage.load() == StoredState().after(WRITES[0]).after(WRITES[1])
     storage.close()
 
 
-def test_a_tail_of_zeros_is_a_torn_record(tmp_path):
+def test_zeros_at_the_end_of_the_file_are_dropped_as_a_torn_record(tmp_path):
     fill(tmp_path, WRITES[:3])
     with (tmp_path / FILE_NAME).open("ab") as file:
         file.write(bytes(4096))
@@ -88,16 +90,16 @@
     storage.close()
 
 
-@pytest.mark.parametrize("place", [0, 3, 5, 9, HEADER.size])
-def test_a_damaged_record_before_others_is_refused(tmp_path, place):
-    # With a damaged length all that follows would look like one torn record, and be cut off.
+@pytest.mark.parametrize("offset", [0, 3, 5, 9, HEADER.size])
+def test_a_damaged_record_before_others_is_refused(tmp_path, offset):
+    # Without a header checksum, all that follows a damaged length would be dropped as one torn record.
     fill(tmp_path, WRITES[:3])
     content = bytearray((tmp_path / FILE_NAME).read_bytes())
-    content[place] ^= 1
+    content[offset] ^= 1
     (tmp_path / FILE_NAME).write_bytes(content)
     with pytest.raises(StorageError, match="byte 0 is damaged"):
         FileStorage(tmp_path)
-    assert (tmp_path / FILE_NAME).read_bytes() == content  # nothing of it was cut off
+    assert (tmp_path / FILE_NAME).read_bytes() == content  # The refused file stays as it was.
 
 
 def test_a_snapshot_shortens_the_file(tmp_path):
@@ -108,7 +110,7 @@
     assert reopened(tmp_path).entries == ()
 
 
-def test_a_crash_before_the_new_file_is_in_place_leaves_the_old_one(tmp_path, monkeypatch):
+def test_a_crash_before_the_rename_leaves_the_old_file(tmp_path, monkeypatch):
     fill(tmp_path, WRITES[:4])
     expected = reopened(tmp_path)
 
@@ -125,34 +127,34 @@
 
 
 def test_a_write_is_durable_before_it_returns(tmp_path, monkeypatch):
-    synced = []
-    real = os.fdatasync
+    synced_sizes = []
+    real_fdatasync = os.fdatasync
 
     def sync(file):
-        real(file)
-        synced.append(os.fstat(file).st_size)
+        real_fdatasync(file)
+        synced_sizes.append(os.fstat(file).st_size)
 
     monkeypatch.setattr(durable_files.os, "fdatasync", sync)
     storage = FileStorage(tmp_path)
     for write in WRITES[:4]:
         storage.write(write)
-        assert synced[-1] == (tmp_path / FILE_NAME).stat().st_size
+        assert synced_sizes[-1] == (tmp_path / FILE_NAME).stat().st_size
     storage.close()
-    assert len(synced) == 4
+    assert len(synced_sizes) == 4
 
 
-def test_a_disk_that_fails_is_an_error_and_not_a_silent_loss(tmp_path, monkeypatch):
-    def full(*_args):
+def test_a_write_on_a_full_disk_raises_an_error(tmp_path, monkeypatch):
+    def fail_for_space(*_args):
         raise OSError(28, "No space left on device")
 
     storage = FileStorage(tmp_path)
-    monkeypatch.setattr(durable_files.os, "fdatasync", full)
+    monkeypatch.setattr(durable_files.os, "fdatasync", fail_for_space)
     with pytest.raises(StorageError, match="No space left"):
         storage.write(WRITES[0])
     storage.close()
 
 
-def test_a_folder_is_one_processes_alone(tmp_path):
+def test_a_folder_can_be_open_in_one_storage_at_a_time(tmp_path):
     storage = FileStorage(tmp_path)
     with pytest.raises(StorageError, match="another process uses it"):
         FileStorage(tmp_path)
@@ -160,7 +162,7 @@
     FileStorage(tmp_path).close()
 
 
-def test_a_folder_that_cannot_be_made_is_an_error(tmp_path):
+def test_a_folder_that_cannot_be_made_raises_an_error(tmp_path):
     (tmp_path / "file").write_text("")
     with pytest.raises(StorageError):
         FileStorage(tmp_path / "file" / "data")
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,10 +1,10 @@
-"""A proxy's connection to the control log, against control nodes played by the test."""
+"""The follower of the control log, with control nodes that the test simulates."""
 
 from random import Random
 from types import SimpleNamespace
 
 import pytest
-from control_net_rig import Reactor, RecordingLog, end, frame
+from control_net_rig import Reactor, RecordingLog, frame, lose_connection
 
 from cloverwell.control.entry import START, Entry, LogState, Snapshot
 from cloverwell.control.messages import (
@@ -33,26 +33,26 @@
 
 
 def positions(entries):
-    """Before each entry, and after the last."""
-    made = [START]
+    """Returns the positions before each entry, and the one after the last."""
+    all_positions = [START]
     for one in entries:
-        made.append(made[-1].after(one))
-    return made
+        all_positions.append(all_positions[-1].after(one))
+    return all_positions
 
 
-class Played:
-    """A follower without a proxy, which applies all entries but those in `refused_indexes`."""
+class FollowerRig:
+    """A follower without a proxy, which applies all entries except those in `refused_indexes`."""
 
     def __init__(self):
-        self.reactor, self.lines = Reactor(), RecordingLog()
-        self.applied, self.refused_indexes, self.missed = [], set(), 0
+        self.reactor, self.log = Reactor(), RecordingLog()
+        self.applied, self.refused_indexes, self.purges_missed_count = [], set(), 0
         self.follower = Follower(
             self.reactor,
             (LOCAL_NODES, REMOTE_NODES),
             "fleet",
             "proxy-1",
-            self.in_force,
-            self.lines,
+            self.apply_entry,
+            self.log,
             self.purges_missed,
             now=self.reactor.now_ms,
             random=Random(1),
@@ -60,186 +60,188 @@
         )
         self.follower.start()
 
-    def in_force(self, entry):
+    def apply_entry(self, entry):
         if entry.index in self.refused_indexes:
             raise EntryRefusedError("field: no")
         self.applied.append(entry.index)
 
     def purges_missed(self):
-        self.missed += 1
+        self.purges_missed_count += 1
 
     @property
-    def last(self):
-        return self.reactor.tries[-1]
+    def last_attempt(self):
+        return self.reactor.attempts[-1]
 
     def connect(self):
-        """The try that is out comes up; its `Subscribe`."""
-        (message,) = self.last.succeed().messages()
+        """Lets the last connection attempt succeed, and returns the `Subscribe` that the follower sends."""
+        (message,) = self.last_attempt.succeed().messages()
         assert isinstance(message, Subscribe)
         return message
 
-    def tell(self, *messages):
-        self.last.protocol.dataReceived(b"".join(map(frame, messages)))
+    def receive(self, *messages):
+        """Makes the follower receive messages on its last connection."""
+        self.last_attempt.protocol.dataReceived(b"".join(map(frame, messages)))
 
-    def said(self):
-        return self.last.transport.messages()
+    def sent(self):
+        """Returns the messages that the follower has sent on its last connection since the last call."""
+        return self.last_attempt.transport.messages()
 
 
 @pytest.fixture
-def played():
-    return Played()
+def rig():
+    return FollowerRig()
 
 
-def test_the_own_region_comes_first_and_the_next_after_a_failure(played):
-    assert played.last.address == LOCAL_NODES["north-1"]
-    played.last.fail()
-    played.last.fail()
-    assert {t.address for t in played.reactor.tries[1:]} == set(REMOTE_NODES.values())
-    played.last.fail()
-    assert len(played.reactor.tries) == 3  # all have failed: not at once
-    played.reactor.advance(TIMING.backoff_max_ms / 1000)
-    assert len(played.reactor.tries) == 4
+def test_the_own_region_is_tried_first_and_the_others_after_a_failure(rig):
+    assert rig.last_attempt.address == LOCAL_NODES["north-1"]
+    rig.last_attempt.fail()
+    rig.last_attempt.fail()
+    assert {attempt.address for attempt in rig.reactor.attempts[1:]} == set(REMOTE_NODES.values())
+    rig.last_attempt.fail()
+    assert len(rig.reactor.attempts) == 3  # All nodes have failed, so the next attempt waits.
+    rig.reactor.advance(TIMING.backoff_max_ms / 1000)
+    assert len(rig.reactor.attempts) == 4
 
 
-def test_no_two_processes_are_one_run_whatever_their_clocks_and_seeds_say(monkeypatch):
+def test_two_processes_have_different_runs_even_with_the_same_clock_and_seed(monkeypatch):
     monkeypatch.setattr("time.time", lambda: 0.0)
-    runs = {Played().connect().run for _ in range(3)}
+    runs = {FollowerRig().connect().run for _ in range(3)}
     assert len(runs) == 3
     assert all(0 <= run < 2**53 for run in runs)
 
 
-def test_entries_are_put_in_force_in_order_and_acknowledged(played):
+def test_entries_are_applied_in_order_and_acknowledged(rig):
     entries = tuple(entry(index) for index in (1, 2, 3))
     at = positions(entries)
-    subscribe = played.connect()
+    subscribe = rig.connect()
     assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
-    played.tell(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
-    assert played.applied == [1, 2, 3]
-    acknowledged = [m.position for m in played.said() if isinstance(m, Acknowledge)]
-    assert acknowledged[-1] == at[3] == played.follower.status.position
+    rig.receive(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
+    assert rig.applied == [1, 2, 3]
+    acknowledged = [m.position for m in rig.sent() if isinstance(m, Acknowledge)]
+    assert acknowledged[-1] == at[3] == rig.follower.status.position
 
 
-def test_an_entry_that_is_refused_is_reported_and_the_next_one_replaces_it(played):
+def test_a_refused_entry_is_reported_until_a_later_one_replaces_it(rig):
     entries = tuple(entry(index) for index in (1, 2, 3))
     at = positions(entries)
-    played.refused_indexes = {2}
-    played.connect()
-    played.tell(Entries(START, entries[:2]))
-    last = played.said()[-1]
+    rig.refused_indexes = {2}
+    rig.connect()
+    rig.receive(Entries(START, entries[:2]))
+    last = rig.sent()[-1]
     assert (last.position, last.refused_index, last.refused_reason) == (at[2], 2, "field: no")
-    assert played.applied == [1]
-    assert played.follower.status.refused_index == 2
-    played.tell(Entries(at[2], entries[2:]))
-    assert played.applied == [1, 3]
-    assert played.said()[-1].refused_index == 0
+    assert rig.applied == [1]
+    assert rig.follower.status.refused_index == 2
+    rig.receive(Entries(at[2], entries[2:]))
+    assert rig.applied == [1, 3]
+    assert rig.sent()[-1].refused_index == 0
 
 
-def test_a_snapshot_brings_the_last_of_each_kind_and_the_purges_since(played):
+def test_a_snapshot_applies_the_latest_entry_of_each_kind_and_the_purges_not_applied_yet(rig):
     entries = [entry(1, "purge"), entry(2), entry(3), entry(4, "purge"), entry(5, "purge")]
     at, state = positions(entries), LogState()
     for one in entries:
         state = state.after(one)
-    played.connect()
-    played.tell(Entries(START, tuple(entries[:2])))
-    assert played.applied == [1, 2]
-    played.tell(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
-    assert played.applied == [1, 2, 3, 4, 5]
-    assert played.missed == 0
-    assert played.follower.status.position == at[5]
+    rig.connect()
+    rig.receive(Entries(START, tuple(entries[:2])))
+    assert rig.applied == [1, 2]
+    rig.receive(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
+    assert rig.applied == [1, 2, 3, 4, 5]
+    assert rig.purges_missed_count == 0
+    assert rig.follower.status.position == at[5]
 
 
-def test_purges_that_nobody_can_name_any_more_are_reported(played):
+def test_purges_that_a_snapshot_no_longer_lists_are_reported_as_missed(rig):
     position = START
     for index in range(1, 10):
         position = position.after(entry(index))
     state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
-    played.connect()
-    played.tell(SnapshotTransfer(Snapshot.of(position, 1, state)))
-    assert played.missed == 1
-    assert played.applied == [9]
+    rig.connect()
+    rig.receive(SnapshotTransfer(Snapshot.of(position, 1, state)))
+    assert rig.purges_missed_count == 1
+    assert rig.applied == [9]
 
 
-def test_a_node_that_falls_silent_is_left_for_the_next(played):
-    played.connect()
-    played.reactor.advance(TIMING.silence_timeout_ms / 1000 + 0.1)
-    assert len(played.reactor.tries) == 2
-    assert played.reactor.tries[0].transport.closed
-    assert "warn control: left north-1: silent" in played.lines.lines
+def test_a_silent_node_is_left_for_another(rig):
+    rig.connect()
+    rig.reactor.advance(TIMING.silence_timeout_ms / 1000 + 0.1)
+    assert len(rig.reactor.attempts) == 2
+    assert rig.reactor.attempts[0].transport.closed
+    assert "warn control: stopped following north-1: silent" in rig.log.lines
 
 
-def test_a_connection_that_comes_up_after_it_was_given_up_is_not_used(played):
-    first = played.last
-    played.reactor.advance(TIMING.connect_timeout_ms / 1000 + 0.1)
-    assert first.given_up
-    assert len(played.reactor.tries) == 2
+def test_a_connection_that_opens_after_its_attempt_was_abandoned_is_aborted(rig):
+    first = rig.last_attempt
+    rig.reactor.advance(TIMING.connect_timeout_ms / 1000 + 0.1)
+    assert first.disconnected
+    assert len(rig.reactor.attempts) == 2
     assert first.succeed().aborted
-    end(first.protocol)
-    assert len(played.reactor.tries) == 2
-
-
-def test_a_refusal_a_broken_connection_and_nonsense_all_lead_to_the_next(played):
-    played.connect()
-    played.tell(Refusal(RefusalReason.BEHIND))
-    assert len(played.reactor.tries) == 2
-    played.connect()
-    end(played.last.protocol)
-    assert len(played.reactor.tries) == 3
-    played.connect()
-    third = played.last
+    lose_connection(first.protocol)
+    assert len(rig.reactor.attempts) == 2
+
+
+def test_a_refusal_a_lost_connection_and_an_invalid_message_all_lead_to_the_next_node(rig):
+    rig.connect()
+    rig.receive(Refusal(RefusalReason.BEHIND))
+    assert len(rig.reactor.attempts) == 2
+    rig.connect()
+    lose_connection(rig.last_attempt.protocol)
+    assert len(rig.reactor.attempts) == 3
+    rig.connect()
+    third = rig.last_attempt
     third.protocol.dataReceived(frame(Goodbye()))
     assert third.transport.aborted
-    end(third.protocol)
-    played.reactor.advance(TIMING.backoff_max_ms / 1000)
-    assert len(played.reactor.tries) == 4
-
-
-def test_a_heartbeat_with_a_lease_makes_it_current_and_tells_how_many_live(played):
-    subscribe = played.connect()
-    assert not played.follower.ready
-    played.tell(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
-    assert played.follower.ready
-    assert played.follower.status.current
-    assert played.follower.divide_by(480) == 32
-    played.reactor.advance(20)  # nothing more is received: the lease ends
-    assert not played.follower.status.current
-    assert played.follower.divide_by(480) == 480
-
-
-def test_a_start_without_any_node_waits_for_a_bounded_time(played):
-    while played.reactor.now_ms() < TIMING.wait_ms:
-        assert not played.follower.ready
-        if played.last.factory is not None:
-            played.last.fail()
-        played.reactor.advance(0.25)
-    assert played.follower.ready
-    assert not played.follower.status.caught_up
-
-
-def test_a_stop_takes_leave_and_ends_all_timers(played):
-    played.connect()
-    transport = played.last.transport
-    played.follower.stop()
+    lose_connection(third.protocol)
+    rig.reactor.advance(TIMING.backoff_max_ms / 1000)
+    assert len(rig.reactor.attempts) == 4
+
+
+def test_a_heartbeat_with_a_lease_makes_the_proxy_current_and_gives_the_number_of_live_proxies(rig):
+    subscribe = rig.connect()
+    assert not rig.follower.ready
+    rig.receive(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
+    assert rig.follower.ready
+    assert rig.follower.status.current
+    assert rig.follower.divide_by(480) == 32
+    rig.reactor.advance(20)  # The lease expires, as no further heartbeat arrives.
+    assert not rig.follower.status.current
+    assert rig.follower.divide_by(480) == 480
+
+
+def test_a_start_without_any_reachable_node_waits_for_a_bounded_time(rig):
+    while rig.reactor.now_ms() < TIMING.wait_ms:
+        assert not rig.follower.ready
+        if rig.last_attempt.factory is not None:
+            rig.last_attempt.fail()
+        rig.reactor.advance(0.25)
+    assert rig.follower.ready
+    assert not rig.follower.status.caught_up
+
+
+def test_a_stop_says_goodbye_and_cancels_all_timers(rig):
+    rig.connect()
+    transport = rig.last_attempt.transport
+    rig.follower.stop()
     assert transport.messages() == [Goodbye()]
     assert transport.closed
-    end(played.last.protocol)
-    played.reactor.advance(60)
-    assert len(played.reactor.tries) == 1
-    assert not played.reactor.getDelayedCalls()
+    lose_connection(rig.last_attempt.protocol)
+    rig.reactor.advance(60)
+    assert len(rig.reactor.attempts) == 1
+    assert not rig.reactor.getDelayedCalls()
 
 
-def test_it_may_be_started_again(played):
+def test_a_stopped_follower_may_be_started_again(rig):
     entries = (entry(1), entry(2))
-    played.connect()
-    played.tell(Entries(START, entries[:1]))
-    played.follower.stop()
-    end(played.last.protocol)
-    played.follower.start()
-    assert played.connect().position == positions(entries)[1]
-    played.tell(Entries(positions(entries)[1], entries[1:]))
-    assert played.applied == [1, 2]
+    rig.connect()
+    rig.receive(Entries(START, entries[:1]))
+    rig.follower.stop()
+    lose_connection(rig.last_attempt.protocol)
+    rig.follower.start()
+    assert rig.connect().position == positions(entries)[1]
+    rig.receive(Entries(positions(entries)[1], entries[1:]))
+    assert rig.applied == [1, 2]
 
 
-def test_a_hollow_proxy_follows_without_a_service():
+def test_a_hollow_proxy_follows_the_log_without_a_service():
     reported = []
     context = SimpleNamespace(
         name="hollow-1", reactor=Reactor(), in_force=lambda *arguments: reported.append(arguments)
@@ -247,10 +249,10 @@
     regions = {"north": LOCAL_NODES, "south": REMOTE_NODES}
     follower = follower_factory(regions, lambda proxy: "south")(context)
     follower.start()
-    assert context.reactor.tries[0].address in REMOTE_NODES.values()
-    transport = context.reactor.tries[0].succeed()
+    assert context.reactor.attempts[0].address in REMOTE_NODES.values()
+    transport = context.reactor.attempts[0].succeed()
     assert transport.messages()[0].proxy == "hollow-1"
-    context.reactor.tries[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
+    context.reactor.attempts[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
     assert reported == [("control", 1, False, 1), ("control", 2, False, 1)]
     follower.stop()
     assert transport.messages()[-1] == Goodbye()
--- a/tests/test_control_framing.py
+++ b/tests/test_control_framing.py
@@ -1,4 +1,4 @@
-"""Frames of the control log's connections: any cut gives the same messages, and garbage a typed error."""
+"""Framing of the control log's messages, wherever the stream is split, and the errors for invalid input."""
 
 import itertools
 
@@ -31,20 +31,20 @@
     | st.builds(Entries, POSITIONS, st.lists(ENTRIES, max_size=3).map(tuple))
     | st.builds(Propose, st.text(max_size=9), st.text(max_size=9), st.binary(max_size=300))
 )
-CUTS = st.lists(st.integers(0, 4000))
+SPLITS = st.lists(st.integers(0, 4000))
 
 
-def pieces(stream, cuts):
-    """The stream, cut at these places."""
-    places = [0, *sorted(cut % (len(stream) + 1) for cut in cuts), len(stream)]
-    return [stream[start:end] for start, end in itertools.pairwise(places)]
+def pieces(stream, splits):
+    """Returns the stream, split at these offsets, each modulo the length."""
+    offsets = [0, *sorted(split % (len(stream) + 1) for split in splits), len(stream)]
+    return [stream[start:end] for start, end in itertools.pairwise(offsets)]
 
 
-def read(stream, cuts=(), max_body_bytes=1000):
-    """Messages, and the error that ended them (or None)."""
+def read(stream, splits=(), max_body_bytes=1000):
+    """Returns the messages of a stream, and the error that ended it or None."""
     decoder, messages = FrameDecoder(max_body_bytes), []
     try:
-        for piece in pieces(stream, cuts):
+        for piece in pieces(stream, splits):
             for body in decoder.feed(piece):
                 messages.append(decode_body(body))
     except (FramingError, MessageError) as error:
@@ -56,64 +56,64 @@
     return b"".join(encode_frame(encode_body(message)) for message in messages)
 
 
-@given(MESSAGES, CUTS)
-def test_any_cut_of_the_stream_gives_the_same_messages(messages, cuts):
-    assert read(stream_of(messages), cuts) == (messages, None)
+@given(MESSAGES, SPLITS)
+def test_the_messages_are_the_same_wherever_the_stream_is_split(messages, splits):
+    assert read(stream_of(messages), splits) == (messages, None)
 
 
-@given(MESSAGES, CUTS, CUTS, st.binary(max_size=60))
-def test_garbage_gives_the_same_messages_and_the_same_error_however_it_is_cut(messages, one, other, garbage):
-    stream = stream_of(messages) + garbage
+@given(MESSAGES, SPLITS, SPLITS, st.binary(max_size=60))
+def test_random_bytes_give_the_same_error_wherever_the_stream_is_split(messages, one, other, random_bytes):
+    stream = stream_of(messages) + random_bytes
     whole, error = read(stream)
     assert whole[: len(messages)] == messages
-    for cuts in (one, other):
-        same, its_error = read(stream, cuts)
-        assert same == whole
-        assert type(its_error) is type(error)
-        assert str(its_error) == str(error)
+    for splits in (one, other):
+        split_messages, split_error = read(stream, splits)
+        assert split_messages == whole
+        assert type(split_error) is type(error)
+        assert str(split_error) == str(error)
 
 
-@given(st.binary(min_size=1, max_size=200).filter(lambda body: body[0] != VERSION), CUTS)
-def test_a_body_of_another_version_is_refused(body, cuts):
-    messages, error = read(encode_frame(body), cuts)
+@given(st.binary(min_size=1, max_size=200).filter(lambda body: body[0] != VERSION), SPLITS)
+def test_a_body_of_another_version_is_refused(body, splits):
+    messages, error = read(encode_frame(body), splits)
     assert not messages
     assert isinstance(error, MessageError)
     assert "version" in str(error)
 
 
-@given(st.binary(max_size=200) | st.recursive(st.none(), st.lists).map(msgspec.msgpack.encode), CUTS)
-def test_a_body_that_is_no_message_is_malformed(content, cuts):
-    messages, error = read(encode_frame(bytes((VERSION,)) + content), cuts)
+@given(st.binary(max_size=200) | st.recursive(st.none(), st.lists).map(msgspec.msgpack.encode), SPLITS)
+def test_a_body_that_is_not_a_message_is_malformed(content, splits):
+    messages, error = read(encode_frame(bytes((VERSION,)) + content), splits)
     assert not messages
     assert isinstance(error, MessageError)
     assert "malformed" in str(error)
 
 
 @pytest.mark.parametrize("length", [1001, 2**31, 2**32 - 1])
-def test_a_length_over_the_bound_is_refused_before_its_body_comes(length):
+def test_a_length_over_the_limit_is_refused_before_the_body_is_received(length):
     with pytest.raises(FrameTooLongError):
         list(FrameDecoder(1000).feed(HEADER.pack(length)))
 
 
-def test_an_empty_frame_is_refused_both_ways():
+def test_an_empty_frame_is_neither_received_nor_sent():
     with pytest.raises(EmptyFrameError):
         list(FrameDecoder(1000).feed(HEADER.pack(0)))
     with pytest.raises(EmptyFrameError):
         encode_frame(b"")
 
 
-def test_a_body_over_the_bound_is_not_sent():
+def test_a_body_over_the_limit_is_not_sent():
     assert encode_frame(bytes(1000), 1000)
     with pytest.raises(FrameTooLongError):
         encode_frame(bytes(1001), 1000)
 
 
-def test_what_speaks_another_protocol_is_refused_at_its_first_bytes():
-    for words in (b"GET / HTTP/1.1\r\n", b"mg key v\r\n", b"\x16\x03\x01\x02\x00\x01"):
-        assert isinstance(read(words)[1], FramingError | MessageError)
+def test_other_protocols_are_refused_at_their_first_bytes():
+    for first_bytes in (b"GET / HTTP/1.1\r\n", b"mg key v\r\n", b"\x16\x03\x01\x02\x00\x01"):
+        assert isinstance(read(first_bytes)[1], FramingError | MessageError)
 
 
-def test_no_more_than_one_incomplete_frame_is_held():
+def test_the_decoder_buffers_only_an_incomplete_frame():
     frame, decoder = encode_frame(bytes(500)), FrameDecoder(1000)
     assert len(list(decoder.feed(frame * 3 + frame[:-1]))) == 3
     assert decoder.buffered_bytes == len(frame) - 1
@@ -122,7 +122,7 @@
 
 
 @given(MESSAGES)
-def test_messages_of_the_log_have_one_form(messages):
+def test_messages_of_the_log_have_the_same_encoding_in_both_modules(messages):
     for message in messages:
         assert encode_body(message) == encode(message)
         assert decode_body(encode_body(message)) == message
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -1,4 +1,4 @@
-"""A control node in service: the order of its effects, and its end where the disk fails."""
+"""The server of a control node: the order of its effects, and its end when the disk fails."""
 
 import errno
 from pathlib import Path, PurePosixPath
@@ -6,8 +6,7 @@
 
 import pytest
 from control_net_rig import Reactor, RecordingLog, Transport, frame
-from failing_files import Disk as FailingDisk
-from failing_files import Effect, Fault
+from failing_files import Disk, Effect, Fault
 from twisted.internet.address import IPv4Address
 
 from cloverwell.control.entry import START
@@ -34,8 +33,8 @@
 ADDRESSES = {name: ("127.0.0.1", 7400 + number) for number, name in enumerate("abc")}
 
 
-class Disk(MemoryStorage):
-    """Keeps what is written and in which order, and fails while `full` is set."""
+class RecordingStorage(MemoryStorage):
+    """Storage that appends each write to `order`, and fails while `full` is set."""
 
     def __init__(self, order):
         super().__init__()
@@ -51,21 +50,21 @@
         self.closed = True
 
 
-class Played:
-    """One of three nodes; `order` has its writes and what it sent to the others, as they came."""
+class NodeRig:
+    """Node a of a log. `order` holds its writes and the messages that it sent to other nodes, in order."""
 
     def __init__(self, nodes="abc", storage=None):
-        self.order, self.reactor, self.lines = [], Reactor(), RecordingLog()
-        self.disk = storage or Disk(self.order)
+        self.order, self.reactor, self.log = [], Reactor(), RecordingLog()
+        self.node_storage = storage or RecordingStorage(self.order)
         settings = NodeSettings(
             "a", "fleet", ADDRESSES["a"], Path("data"), {n: ADDRESSES[n] for n in nodes}, {}
         )
         self.server = NodeServer(
-            self.reactor, settings, self.disk, self.lines, self.reactor.now_ms, Random(1)
+            self.reactor, settings, self.node_storage, self.log, self.reactor.now_ms, Random(1)
         )
         for name, link in self.server._links.items():
             link.start()
-            transport = self.reactor.tries[-1].succeed()
+            transport = self.reactor.attempts[-1].succeed()
             transport.written = b""
             transport.write = self._sent(name)
         self.server._set_timer()
@@ -73,9 +72,10 @@
         for name in nodes:
             if name != "a":
                 self.inbound[name], _ = self.connect()
-                self.tell(name, PeerHello(name, "fleet"))
+                self.receive(name, PeerHello(name, "fleet"))
 
     def _sent(self, name):
+        """Returns a write function that appends the messages to node `name` to `order`."""
         decoder = Transport()
 
         def write(data):
@@ -88,7 +88,7 @@
         connection = self.server._port.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
         return connection, Transport(connection)
 
-    def tell(self, name, message):
+    def receive(self, name, message):
         self.inbound[name].dataReceived(frame(message))
 
     def pass_time(self, ms):
@@ -98,85 +98,85 @@
     def sent(self, kind):
         return [item for item in self.order if isinstance(item, tuple) and isinstance(item[1], kind)]
 
-    def lead(self):
-        """The others vote for it, and answer what it sends."""
+    def become_leader(self):
+        """Makes the node the leader: b votes for it and acknowledges its entries."""
         while not self.sent(RequestVote):
             self.pass_time(10)
         term = self.server.node.consensus.term
-        self.tell("b", VoteAnswer(term, "b", term + 1, True, pre_vote=True))
+        self.receive("b", VoteAnswer(term, "b", term + 1, True, pre_vote=True))
         term = self.server.node.consensus.term
-        self.tell("b", VoteAnswer(term, "b", term, True))
+        self.receive("b", VoteAnswer(term, "b", term, True))
         assert self.server.node.consensus.leader == "a"
-        self.answer()
+        self.acknowledge()
 
-    def answer(self):
-        """`b` holds all that it was sent last."""
+    def acknowledge(self):
+        """Makes b acknowledge all entries up to those that it was sent last."""
         append = [m for name, m in self.sent(AppendEntries) if name == "b"][-1]
-        held = append.previous_index + len(append.entries)
-        self.tell("b", AppendAnswer(append.term, "b", True, held, append.token, 1.0))
+        match_index = append.previous_index + len(append.entries)
+        self.receive("b", AppendAnswer(append.term, "b", True, match_index, append.token, 1.0))
 
 
 @pytest.fixture
-def played():
-    return Played()
+def rig():
+    return NodeRig()
 
 
-def test_term_and_vote_are_written_before_a_vote_is_asked_or_given(played):
-    played.lead()
-    first_vote = next(i for i, item in enumerate(played.order) if item in played.sent(RequestVote)[2:])
-    writes = [item for item in played.order[:first_vote] if not isinstance(item, tuple)]
+def test_term_and_vote_are_written_before_a_vote_is_requested_or_granted(rig):
+    rig.become_leader()
+    first_vote = next(i for i, item in enumerate(rig.order) if item in rig.sent(RequestVote)[2:])
+    writes = [item for item in rig.order[:first_vote] if not isinstance(item, tuple)]
     assert writes
     assert writes[-1].vote == "a"
     assert writes[-1].term == 1
-    played.tell("c", RequestVote(9, "c", 99, 9))
-    (answer,) = [message for name, message in played.sent(VoteAnswer) if name == "c"]
+    rig.receive("c", RequestVote(9, "c", 99, 9))
+    (answer,) = [message for name, message in rig.sent(VoteAnswer) if name == "c"]
     assert answer.granted
-    place = played.order.index(("c", answer))
-    assert any(getattr(w, "vote", "") == "c" and w.term == 9 for w in played.order[:place])
+    answer_place = rig.order.index(("c", answer))
+    assert any(getattr(w, "vote", "") == "c" and w.term == 9 for w in rig.order[:answer_place])
 
 
-def test_an_entry_is_written_before_it_leaves_and_committed_before_proxies_have_it(played):
-    played.lead()
-    proxy, to_proxy = played.connect()
+def test_an_entry_is_written_before_it_is_sent_and_committed_before_proxies_receive_it(rig):
+    rig.become_leader()
+    proxy, to_proxy = rig.connect()
     proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
-    operator, to_operator = played.connect()
+    operator, to_operator = rig.connect()
     to_proxy.messages()
-    del played.order[:]
+    del rig.order[:]
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")))
-    sent = [i for i, item in enumerate(played.order) if item in played.sent(AppendEntries)]
-    assert not isinstance(played.order[0], tuple)
-    assert played.order[0].entries
+    sent = [i for i, item in enumerate(rig.order) if item in rig.sent(AppendEntries)]
+    assert not isinstance(rig.order[0], tuple)
+    assert rig.order[0].entries
     assert sent[0] > 0
     assert not to_proxy.messages()
     assert not to_operator.messages()
-    played.answer()
+    rig.acknowledge()
     assert [type(message) for message in to_proxy.messages()] == [Entries]
     (answer,) = to_operator.messages()
     assert isinstance(answer, ProposalAnswer)
     assert answer.outcome is ProposalOutcome.COMMITTED
-    assert any("commit: entry 2: configuration id" in line for line in played.lines.lines)
+    assert any("commit: entry 2: configuration id" in line for line in rig.log.lines)
 
 
-def test_where_the_disk_fails_nothing_leaves_and_the_node_ends(played):
-    played.lead()
-    del played.order[:]
-    played.disk.full = True
-    operator, transport = played.connect()
+def test_when_the_disk_fails_nothing_is_sent_and_the_node_stops(rig):
+    rig.become_leader()
+    del rig.order[:]
+    rig.node_storage.full = True
+    operator, transport = rig.connect()
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")))
-    assert played.order == []
+    assert rig.order == []
     assert not transport.messages()
-    assert played.server.failed
-    assert played.reactor.stopped
-    assert played.disk.closed
-    assert any("this node stops: no space left" in line for line in played.lines.lines)
-    played.pass_time(5000)
-    assert played.order == []
-
-
-def test_a_leader_without_its_quorum_refuses(played):
-    played.lead()
-    played.pass_time(Timing().quorum_ms + 100)
-    operator, transport = played.connect()
+    assert rig.server.failed
+    assert rig.reactor.stopped
+    assert rig.node_storage.closed
+    assert any("storage failed, node stops: no space left" in line for line in rig.log.lines)
+    rig.pass_time(5000)
+    assert rig.order == []
+
+
+def test_a_leader_without_a_quorum_refuses_proposals(rig):
+    rig.become_leader()
+    rig.pass_time(Timing().quorum_ms + 100)
+    operator, transport = rig.connect()
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")) + frame(StatusRequest()))
     answer, status = transport.messages()
     assert answer.outcome is ProposalOutcome.NO_QUORUM
@@ -184,57 +184,57 @@
     assert not status.status.has_quorum
 
 
-def test_a_status_names_the_leaders_address(played):
-    operator, transport = played.connect()
+def test_a_status_names_the_leaders_address(rig):
+    operator, transport = rig.connect()
     operator.dataReceived(frame(StatusRequest()))
     assert transport.messages()[0].leader_address == ""
-    played.lead()
+    rig.become_leader()
     operator.dataReceived(frame(StatusRequest()))
     (status,) = transport.messages()
     assert status.leader_address == "127.0.0.1:7400"
     assert status.activation is not None
 
 
-def test_proxies_get_heartbeats_by_the_nodes_own_timer(played):
-    proxy, transport = played.connect()
+def test_the_nodes_timer_sends_heartbeats_to_proxies(rig):
+    proxy, transport = rig.connect()
     proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
     transport.messages()
-    played.pass_time(2500)
+    rig.pass_time(2500)
     assert [type(message) for message in transport.messages()] == [Heartbeat, Heartbeat]
 
 
-def test_a_lone_node_leads_by_itself():
-    played = Played("a")
-    played.pass_time(Timing().election_max_ms + 100)
-    assert played.server.node.consensus.leader == "a"
-    assert "info leader: a leads, term 1" in played.lines.lines
+def test_the_only_node_of_a_log_elects_itself():
+    rig = NodeRig("a")
+    rig.pass_time(Timing().election_max_ms + 100)
+    assert rig.server.node.consensus.leader == "a"
+    assert "info leader: a leads, term 1" in rig.log.lines
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("effect", Effect)
 @pytest.mark.parametrize("call", ["write", "fdatasync"])
-def test_a_node_whose_disk_fails_gives_no_vote_and_one_that_starts_again_knows_what_it_promised(
+def test_a_node_whose_disk_fails_grants_no_vote_and_remembers_its_earlier_vote_after_a_restart(
     monkeypatch, call, effect, number
 ):
-    disk, folder = FailingDisk(), PurePosixPath("/data")
+    disk, folder = Disk(), PurePosixPath("/data")
     monkeypatch.setattr(durable_files, "os", disk)
     monkeypatch.setattr(durable_files, "fcntl", disk)
-    played = Played(storage=FileStorage(folder))
-    played.tell("c", RequestVote(9, "c", 99, 9))
-    assert [message.granted for _, message in played.sent(VoteAnswer)] == [True]
+    rig = NodeRig(storage=FileStorage(folder))
+    rig.receive("c", RequestVote(9, "c", 99, 9))
+    assert [message.granted for _, message in rig.sent(VoteAnswer)] == [True]
     disk.fault = Fault(len(disk.calls) + (call == "fdatasync"), number, effect)
-    played.tell("b", RequestVote(10, "b", 99, 9))
+    rig.receive("b", RequestVote(10, "b", 99, 9))
     assert disk.calls[disk.fault.call] == call
-    assert len(played.sent(VoteAnswer)) == 1  # nothing about the term that it could not make durable
-    assert played.server.failed
-    assert played.reactor.stopped
-    (line,) = [line for line in played.lines.lines if line.startswith("warn storage")]
+    assert len(rig.sent(VoteAnswer)) == 1  # No answer about the term that it could not make durable.
+    assert rig.server.failed
+    assert rig.reactor.stopped
+    (line,) = [line for line in rig.log.lines if line.startswith("warn storage")]
     assert "/data/control.log" in line
-    assert "start it again once the disk is sound" in line
-    played.tell("b", RequestVote(11, "b", 99, 9))
-    assert len(played.sent(VoteAnswer)) == 1
+    assert "restart it once the disk works" in line
+    rig.receive("b", RequestVote(11, "b", 99, 9))
+    assert len(rig.sent(VoteAnswer)) == 1
     disk.restart()
-    again = Played(storage=FileStorage(folder))
-    assert again.server.node.consensus.term >= 9
-    again.tell("b", RequestVote(9, "b", 99, 9))
-    assert not any(message.granted for _, message in again.sent(VoteAnswer))
+    restarted = NodeRig(storage=FileStorage(folder))
+    assert restarted.server.node.consensus.term >= 9
+    restarted.receive("b", RequestVote(9, "b", 99, 9))
+    assert not any(message.granted for _, message in restarted.sent(VoteAnswer))
--- a/tests/test_golden_control_storage.py
+++ b/tests/test_golden_control_storage.py
@@ -1,4 +1,4 @@
-"""Files and frames written by revision 777463e: today's code reads them, and writes the same bytes."""
+"""Files and frames written by revision 777463e, which this code must read, and write with the same bytes."""
 
 import hashlib
 import json
@@ -18,13 +18,13 @@
 
 
 def state_digest(state):
-    """A digest over the encoded content, which names of Python classes and attributes are no part of."""
+    """Returns a digest of the encoded content, which doesn't depend on the names of Python classes."""
     content = msgspec.msgpack.Encoder(order="sorted").encode(state)
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def end_of(stored):
-    """The position after the last entry, and the log's state there."""
+def position_and_state_at_end(stored):
+    """Returns the position after the last entry, and the log's state there."""
     position, log_state = stored.snapshot.position, stored.snapshot.state
     for entry in stored.entries:
         position, log_state = position.after(entry), log_state.after(entry)
@@ -33,7 +33,7 @@
 
 @pytest.fixture(params=LOGS)
 def expected(request, tmp_path):
-    """What revision 777463e read from the file, which lies in `tmp_path` as a node's own."""
+    """Puts a file of revision 777463e into `tmp_path`, and returns what that revision read from it."""
     (tmp_path / FILE_NAME).write_bytes((DATA / request.param).read_bytes())
     return LOGS[request.param]
 
@@ -63,22 +63,22 @@
     assert [entry.kind for entry in stored.entries] == expected["entry_kinds"]
 
 
-def test_the_log_comes_to_the_same_position(expected, stored):
-    position, _ = end_of(stored)
+def test_the_log_ends_at_the_same_position(expected, stored):
+    position, _ = position_and_state_at_end(stored)
     assert position.index == expected["position_index"]
     assert position.digest.hex() == expected["position_digest"]
 
 
 def test_the_state_has_the_same_digest(expected, stored):
     assert state_digest(stored) == expected["stored_state_digest"]
-    assert state_digest(end_of(stored)[1]) == expected["log_state_digest"]
+    assert state_digest(position_and_state_at_end(stored)[1]) == expected["log_state_digest"]
 
 
-def test_a_torn_tail_is_dropped_to_the_byte(expected, storage):
+def test_exactly_the_torn_record_is_dropped(expected, storage):
     assert storage.dropped_bytes == expected["dropped_bytes"]
 
 
-def test_the_file_that_the_start_writes_anew_has_the_same_bytes(expected, storage, tmp_path):
+def test_the_file_that_the_start_rewrites_has_the_same_bytes(expected, storage, tmp_path):
     content = (tmp_path / FILE_NAME).read_bytes()
     assert len(content) == expected["rewritten_bytes"]
     assert hashlib.sha256(content).hexdigest() == expected["rewritten_sha256"]
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_frame_is_cut_to_the_same_body_and_made_of_it_again(name):
+def test_a_frame_is_decoded_to_the_same_body_and_encoded_to_the_same_bytes(name):
     body, frame = (bytes.fromhex(MESSAGES[name][part]) for part in ("body", "frame"))
     assert list(FrameDecoder().feed(frame)) == [body]
     assert encode_frame(body) == frame
