--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -37,9 +37,9 @@
 from cloverwell.timer_wheel import monotonic_ms
 
 CONNECT_TIMEOUT_S = 30.0  # the reactor's limit; the subscription abandons an attempt long before it
-RUN_BITS = 53  # the size of a run's number, which every JSON reader can represent exactly
-MAX_QUEUED_BYTES = 64 * 1024  # This is ample: a proxy sends a few bytes per second.
-NO_ATTEMPT = 0  # stands for the number of an attempt where there is none
+RUN_BITS = 53  # the bits of a run's number; every JSON reader represents integers of this size exactly
+MAX_QUEUED_BYTES = 64 * 1024  # ample, since a proxy sends only a few bytes per second
+NO_ATTEMPT = 0  # the attempt number while there is no attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,8 +101,8 @@
         self._connection: FollowerConnection | None = None
         self._timer = DeadlineTimer(reactor, now, self._tick)
         self._started = False
-        self._logged_node = ""  # the followed node according to the last log line, "" if none is followed
-        self._logged_failure = ""  # the failure in the last log line about one, "" before the first
+        self._logged_node = ""  # the followed node that was logged last, "" for none
+        self._logged_failure = ""  # the failure that was logged last, "" for none
 
     @property
     def status(self) -> SubscriptionStatus:
@@ -119,7 +119,7 @@
 
     @property
     def ready(self) -> bool:
-        """True if a starting proxy need not wait for the control log any longer."""
+        """True if a starting proxy need not wait any longer until it has caught up with the control log."""
         return self.subscription.ready(self._now())
 
     def start(self) -> None:
--- a/cloverwell/control/net/reactor_types.py
+++ b/cloverwell/control/net/reactor_types.py
@@ -30,7 +30,7 @@
 
 
 class Reactor(Protocol):
-    """The maker of outgoing connections and delayed calls; see `IReactorTCP` and `IReactorTime`."""
+    """A reactor that makes outgoing connections and delayed calls; see `IReactorTCP` and `IReactorTime`."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> Connector:
         """Begins a connection attempt, which fails if it takes longer than `timeout` seconds."""
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -28,7 +28,7 @@
 # for a change in the number of live proxies.
 START_CHECK_INTERVAL_MS = 50.0
 CHECK_INTERVAL_MS = 1000.0
-MAX_QUOTED_CHARS = 60  # of an entry's kind, in the reason of a refusal
+MAX_QUOTED_CHARS = 60  # the most characters of an entry's kind that a refusal's reason quotes
 
 
 class ConfigurationTarget(Protocol):
@@ -141,8 +141,8 @@
         self._activate(ActiveVersion(entry.index, entry_digest, change.peers_total), change)
 
     def _log_refusal(self, index: int, entry_digest: str, reason: str) -> None:
-        kept = f"version {self.version.index} stays active"
-        self._log.warn("version", f"{index} refused, digest {entry_digest}: {reason}; {kept}")
+        unchanged = f"version {self.version.index} stays active"
+        self._log.warn("version", f"{index} refused, digest {entry_digest}: {reason}; {unchanged}")
 
     def _activate(self, version: ActiveVersion, change: ConfigurationChange) -> None:
         """Makes a version active. No other code makes a version take effect."""
--- a/cloverwell/control/server/file_storage.py
+++ b/cloverwell/control/server/file_storage.py
@@ -2,7 +2,7 @@
 
 The file is a sequence of records (`records.py`); the body of each is a `Write` in MessagePack. A torn record
 at the end was never acknowledged, and is dropped at the next start. After any other damage the state can't
-be trusted, so the node must not vote on the strength of it.
+be trusted, so the node must not take part in votes.
 
 The file is rewritten at each write that has a snapshot, and at each start: a new file with the whole content
 replaces the old one once it is durable. A start rewrites the file because the content that it reads may never
--- a/cloverwell/control/server/node_server.py
+++ b/cloverwell/control/server/node_server.py
@@ -38,8 +38,8 @@
 from cloverwell.front.port import BoundedPort, listen
 from cloverwell.log import Log
 
-BACKLOG = 512  # connections that may wait to be accepted
-MAX_QUOTED_CHARS = 60  # of a proposal's id or kind, in a log line
+BACKLOG = 512  # the most connections that may wait to be accepted
+MAX_QUOTED_CHARS = 60  # the most characters of a proposal's id or kind that a log line quotes
 
 
 class ClosableStorage(Storage, Protocol):
--- a/cloverwell/control/server/peers.py
+++ b/cloverwell/control/server/peers.py
@@ -23,7 +23,7 @@
 FIRST_BACKOFF_S = 0.1  # the longest backoff after the first failure; each further failure doubles it
 MAX_BACKOFF_S = 2.0
 MAX_DOUBLINGS = 16  # keeps the power of 2 small; MAX_BACKOFF_S is reached after far fewer
-MAX_BODY_BYTES = 1024  # the other node sends nothing on this connection
+MAX_BODY_BYTES = 1024  # small, since the other node sends nothing on this connection
 
 
 class PeerLink:
@@ -99,7 +99,7 @@
 
 
 class PeerConnection(FrameConnection):
-    """The connection that this node has opened to another, which answers on the one that it opens itself."""
+    """A connection opened by this node to another, which answers on a connection that it opens itself."""
 
     def __init__(self, link: PeerLink) -> None:
         """Sets the link, to which the connection reports its events."""
--- a/cloverwell/control/server/port.py
+++ b/cloverwell/control/server/port.py
@@ -26,7 +26,7 @@
 OPERATOR_TIMEOUT_S = 20.0  # the lifetime of a connection that is neither a control node's nor a proxy's
 # A proposal is the longest message that is accepted from any connection but a control node's.
 INITIAL_MAX_BODY_BYTES = MAX_PAYLOAD_BYTES + 4096
-MAX_QUOTED_CHARS = 60  # of a name, in a log line
+MAX_QUOTED_CHARS = 60  # the most characters of a name that a log line quotes
 
 
 class ControlRequestHandler(Protocol):
--- a/cloverwell/control/server/settings.py
+++ b/cloverwell/control/server/settings.py
@@ -12,7 +12,7 @@
 
 DEFAULT_LOG = "fleet"
 WHOLE_FILE = "FILE"  # stands for the field in an error if no single field is at fault
-MAX_QUOTED_CHARS = 60  # of a value, in an error text
+MAX_QUOTED_CHARS = 60  # the most characters of a value that an error text quotes
 REQUIRED_FIELDS = ("name", "log", "data")
 
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -76,9 +76,9 @@
 def test_the_error_for_an_invalid_file_names_the_field(tmp_path, text, field):
     with pytest.raises(NodeFileError, match=field):
         read(tmp_path, text)
-    done = run("serve", tmp_path / "node.toml")
-    assert done.exit_code == 2
-    assert done.output.count("\n") == 1
+    result = run("serve", tmp_path / "node.toml")
+    assert result.exit_code == 2
+    assert result.output.count("\n") == 1
 
 
 def test_a_file_that_is_missing_or_not_text_is_an_error(tmp_path):
@@ -91,19 +91,19 @@
     (tmp_path / "data").mkdir()
     (tmp_path / "data" / "control.log").write_bytes(bytes(range(1, 60)))
     (tmp_path / "node.toml").write_text(node_file())
-    done = run("serve", tmp_path / "node.toml")
-    assert done.exit_code == 2
-    assert "data: " in done.output
-    assert "damaged" in done.output
+    result = run("serve", tmp_path / "node.toml")
+    assert result.exit_code == 2
+    assert "data: " in result.output
+    assert "damaged" in result.output
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         address = "{}:{}".format(*listener.getsockname())
         (tmp_path / "node.toml").write_text(node_file(data="other", listen=address))
-        done = subprocess.run([*COMMAND, "serve", tmp_path / "node.toml"], capture_output=True, text=True)
-    assert done.returncode == 2
-    assert "listen: " in done.stderr
-    assert done.stderr.count("\n") == 1
+        result = subprocess.run([*COMMAND, "serve", tmp_path / "node.toml"], capture_output=True, text=True)
+    assert result.returncode == 2
+    assert "listen: " in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 # Proposals ------------------------------------------------------------------------------------------
@@ -122,29 +122,29 @@
 )
 def test_an_invalid_change_is_refused_before_it_is_proposed(tmp_path, text, field):
     (tmp_path / "change.json").write_text(text)
-    done = run("propose", tmp_path / "change.json", "--to", "127.0.0.1:1")
-    assert done.exit_code == 2
-    assert field in done.output
-    assert done.output.count("\n") == 1
+    result = run("propose", tmp_path / "change.json", "--to", "127.0.0.1:1")
+    assert result.exit_code == 2
+    assert field in result.output
+    assert result.output.count("\n") == 1
 
 
 def test_the_error_for_a_missing_file_or_an_invalid_address_names_the_option(tmp_path):
-    done = run("propose", tmp_path / "none.json", "--to", "127.0.0.1:1")
-    assert done.exit_code == 2
-    assert "FILE: " in done.output
+    result = run("propose", tmp_path / "none.json", "--to", "127.0.0.1:1")
+    assert result.exit_code == 2
+    assert "FILE: " in result.output
     (tmp_path / "change.json").write_text("{}")
-    done = run("propose", tmp_path / "change.json", "--to", "here")
-    assert done.exit_code == 2
-    assert "--to: " in done.output
+    result = run("propose", tmp_path / "change.json", "--to", "here")
+    assert result.exit_code == 2
+    assert "--to: " in result.output
     assert run("status", "--to", "here").exit_code == 2
 
 
 def test_without_an_answer_a_proposal_ends_with_exit_code_3_and_a_status_with_1(tmp_path):
     (tmp_path / "change.json").write_text("{}")
     at = f"127.0.0.1:{free_port()}"
-    done = run("propose", tmp_path / "change.json", "--to", at, "--id", "mine")
-    assert done.exit_code == 3
-    assert "repeat it with --id mine" in done.output
+    result = run("propose", tmp_path / "change.json", "--to", at, "--id", "mine")
+    assert result.exit_code == 3
+    assert "repeat it with --id mine" in result.output
     assert run("status", "--to", at).exit_code == 1
 
 
@@ -179,14 +179,14 @@
 
     def modules(file):
         """Returns the names of the modules that a proxy with this configuration has imported."""
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", program, str(file), f"127.0.0.1:{free_port()}"],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=True,
         )
-        return json.loads(done.stdout)
+        return json.loads(result.stdout)
 
     example = ROOT / "examples" / "config.json"
     without = modules(example)
--- a/tests/test_control_file_storage.py
+++ b/tests/test_control_file_storage.py
@@ -51,15 +51,15 @@
 @given(st.data())
 def test_a_last_record_cut_off_anywhere_is_dropped_and_those_before_it_stay(tmp_path_factory, data):
     folder = tmp_path_factory.mktemp("storage")
-    kept, last = WRITES[:3], WRITES[3]
-    fill(folder, kept)
+    earlier, last = WRITES[:3], WRITES[3]
+    fill(folder, earlier)
     valid_bytes = (folder / FILE_NAME).stat().st_size
     fill(folder, [last])
     total_bytes = (folder / FILE_NAME).stat().st_size
     os.truncate(folder / FILE_NAME, data.draw(st.integers(valid_bytes, total_bytes - 1)))
     storage = FileStorage(folder)
     expected = StoredState()
-    for write in kept:
+    for write in earlier:
         expected = expected.after(write)
     assert storage.load() == expected
     storage.write(last)  # The storage accepts further writes.
--- a/tests/test_control_framing.py
+++ b/tests/test_control_framing.py
@@ -62,11 +62,13 @@
 
 
 @given(MESSAGES, SPLITS, SPLITS, st.binary(max_size=60))
-def test_random_bytes_give_the_same_error_wherever_the_stream_is_split(messages, one, other, random_bytes):
+def test_random_bytes_give_the_same_error_wherever_the_stream_is_split(
+    messages, first_splits, second_splits, random_bytes
+):
     stream = stream_of(messages) + random_bytes
     whole, error = read(stream)
     assert whole[: len(messages)] == messages
-    for splits in (one, other):
+    for splits in (first_splits, second_splits):
         split_messages, split_error = read(stream, splits)
         assert split_messages == whole
         assert type(split_error) is type(error)
--- a/tests/test_control_wall_clock.py
+++ b/tests/test_control_wall_clock.py
@@ -32,9 +32,9 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    made = SteppedFleet(tmp_path)
-    yield made
-    made.close()
+    new_fleet = SteppedFleet(tmp_path)
+    yield new_fleet
+    new_fleet.close()
 
 
 @pytest.mark.parametrize("by_s", [-HOUR_S, -5.0, 5.0, HOUR_S])
--- a/tests/test_durability.py
+++ b/tests/test_durability.py
@@ -108,11 +108,11 @@
         check_after(disk, fault, lambda: None)
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["unsynced lost", "unsynced kept"])
-def test_acknowledged_writes_survive_an_error_or_a_kill_at_any_call_and_a_power_cut(disk, kept):
+@pytest.mark.parametrize("keep_unsynced", [False, True], ids=["unsynced lost", "unsynced kept"])
+def test_acknowledged_writes_survive_an_error_or_a_kill_at_any_call_and_a_power_cut(disk, keep_unsynced):
     calls = healthy_calls(disk)
     for fault in each_fault(calls, [errno.EIO, None]):
-        check_after(disk, fault, lambda: disk.cut_power(lambda: kept))
+        check_after(disk, fault, lambda: disk.cut_power(lambda: keep_unsynced))
 
 
 def test_the_state_that_a_start_loads_survives_a_power_cut(disk):
