--- a/tests/control_fleet_rig.py
+++ b/tests/control_fleet_rig.py
@@ -24,9 +24,9 @@
         self.write_config(control=nodes.section(region), name=name, settings=OWN_SETTINGS)
         self.process = None
 
-    def write_config(self, **more):
+    def write_config(self, **fields):
         """Changes these fields of the proxy's configuration file."""
-        self.fixture.config.write_text(json.dumps(json.loads(self.fixture.config.read_text()) | more))
+        self.fixture.config.write_text(json.dumps(json.loads(self.fixture.config.read_text()) | fields))
 
     def start(self):
         self.process = self.fixture.start()
--- a/tests/control_net_rig.py
+++ b/tests/control_net_rig.py
@@ -32,8 +32,8 @@
         if protocol is not None:
             protocol.makeConnection(self)
 
-    def setTcpNoDelay(self, on):
-        self.no_delay = on
+    def setTcpNoDelay(self, enabled):
+        self.no_delay = enabled
 
     def getHandle(self):
         return self.handle
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -112,42 +112,42 @@
 
 def test_entries_are_applied_in_order_and_acknowledged(rig):
     entries = tuple(entry(index) for index in (1, 2, 3))
-    at = positions(entries)
+    position_after = positions(entries)
     subscribe = rig.connect()
     assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
-    rig.receive(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
+    rig.receive(Entries(START, entries[:2]), Entries(position_after[2], entries[2:]))
     assert rig.applied == [1, 2, 3]
     acknowledged = [m.position for m in rig.sent() if isinstance(m, Acknowledge)]
-    assert acknowledged[-1] == at[3] == rig.follower.status.position
+    assert acknowledged[-1] == position_after[3] == rig.follower.status.position
 
 
 def test_a_refused_entry_is_reported_until_a_later_one_replaces_it(rig):
     entries = tuple(entry(index) for index in (1, 2, 3))
-    at = positions(entries)
+    position_after = positions(entries)
     rig.refused_indexes = {2}
     rig.connect()
     rig.receive(Entries(START, entries[:2]))
     last = rig.sent()[-1]
-    assert (last.position, last.refused_index, last.refused_reason) == (at[2], 2, "field: no")
+    assert (last.position, last.refused_index, last.refused_reason) == (position_after[2], 2, "field: no")
     assert rig.applied == [1]
     assert rig.follower.status.refused_index == 2
-    rig.receive(Entries(at[2], entries[2:]))
+    rig.receive(Entries(position_after[2], entries[2:]))
     assert rig.applied == [1, 3]
     assert rig.sent()[-1].refused_index == 0
 
 
 def test_a_snapshot_applies_the_latest_entry_of_each_kind_and_the_purges_not_applied_yet(rig):
     entries = [entry(1, "purge"), entry(2), entry(3), entry(4, "purge"), entry(5, "purge")]
-    at, state = positions(entries), LogState()
+    position_after, state = positions(entries), LogState()
     for one in entries:
         state = state.after(one)
     rig.connect()
     rig.receive(Entries(START, tuple(entries[:2])))
     assert rig.applied == [1, 2]
-    rig.receive(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
+    rig.receive(SnapshotTransfer(Snapshot.of(position_after[5], 1, state)))
     assert rig.applied == [1, 2, 3, 4, 5]
     assert rig.purges_missed_count == 0
-    assert rig.follower.status.position == at[5]
+    assert rig.follower.status.position == position_after[5]
 
 
 def test_purges_that_a_snapshot_no_longer_lists_are_reported_as_missed(rig):
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -66,7 +66,7 @@
             link.start()
             transport = self.reactor.attempts[-1].succeed()
             transport.written = b""
-            transport.write = self._sent(name)
+            transport.write = self._recording_write(name)
         self.server._set_timer()
         self.inbound = {}
         for name in nodes:
@@ -74,7 +74,7 @@
                 self.inbound[name], _ = self.connect()
                 self.receive(name, PeerHello(name, "fleet"))
 
-    def _sent(self, name):
+    def _recording_write(self, name):
         """Returns a write function that appends the messages to node `name` to `order`."""
         decoder = Transport()
 
@@ -85,18 +85,21 @@
         return write
 
     def connect(self):
+        """Returns a new incoming connection of the node, and its transport."""
         connection = self.server._port.buildProtocol(IPv4Address("TCP", "127.0.0.1", 9))
         return connection, Transport(connection)
 
     def receive(self, name, message):
+        """Makes the node receive a message from another node."""
         self.inbound[name].dataReceived(frame(message))
 
     def pass_time(self, ms):
         for _ in range(int(ms / 10)):
             self.reactor.advance(0.01)
 
-    def sent(self, kind):
-        return [item for item in self.order if isinstance(item, tuple) and isinstance(item[1], kind)]
+    def sent(self, message_type):
+        """Returns the messages of a type that were sent, as pairs of node and message."""
+        return [item for item in self.order if isinstance(item, tuple) and isinstance(item[1], message_type)]
 
     def become_leader(self):
         """Makes the node the leader: b votes for it and acknowledges its entries."""
