--- a/tests/test_idle_clients.py
+++ b/tests/test_idle_clients.py
@@ -14,7 +14,8 @@
 
 DESCRIPTORS = 64  # the smallest limit of descriptors that the proxy may be given
 RESERVED = 12  # the descriptors for the watch, an operator's call, and ten for cache nodes and the origin
-FULL_LOG_TEXT = "no descriptor is left for more"  # in the log line that says that clients hold all descriptors that they may
+# The log line that says that clients hold all the descriptors that they may hold has this text.
+FULL_LOG_TEXT = "no descriptor is left for more"
 READ = b"mg k v O%d Pc=page,t=acme,d=2000\r\n"
 WRITE = b"ms k 5 O%d Pc=adjust,t=acme,d=2000,k=a\r\nhello\r\n"
 # The bytes that idle clients send before they are silent: none, a partial command, or a probe.
