--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -65,7 +65,7 @@
     \b
     Example: cloverwell control propose change.json --to 127.0.0.1:7401
     """
-    from cloverwell.control.configuration import digest
+    from cloverwell.control.configuration import document_digest
     from cloverwell.control.entry import EntryKind
     from cloverwell.control.messages import ANY_INDEX, ProposalOutcome, Propose
     from cloverwell.control.net.errors import NoAnswerError
@@ -81,7 +81,7 @@
         click.echo(f"unknown: {error}; repeat it with --id {proposal_id}", err=True)
         raise SystemExit(EXIT_UNKNOWN) from None
     committed = answer.outcome is ProposalOutcome.COMMITTED
-    click.echo(_describe_outcome(answer, digest(document)), err=not committed)
+    click.echo(_describe_outcome(answer, document_digest(document)), err=not committed)
     if answer.outcome is ProposalOutcome.UNKNOWN:
         raise SystemExit(EXIT_UNKNOWN)
     if not committed:
--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -39,7 +39,7 @@
     peers_total: int
 
 
-def digest(document: bytes) -> str:
+def document_digest(document: bytes) -> str:
     """Returns a short name of a document, the same on each machine."""
     return hashlib.sha256(document).hexdigest()[:DIGEST_DIGITS]
 
--- a/cloverwell/control/consensus.py
+++ b/cloverwell/control/consensus.py
@@ -37,7 +37,7 @@
 )
 from cloverwell.control.replicated_log import ReplicatedLog
 from cloverwell.control.storage import StoredState, Write
-from cloverwell.control.timing import Timing, lease_end
+from cloverwell.control.timing import ControlNodeTiming, lease_end
 
 NO_NODE = ""  # in place of a node's name: no leader is known, or no vote was cast in this term
 
@@ -72,7 +72,7 @@
         node: str,
         nodes: tuple[str, ...],
         stored: StoredState,
-        timing: Timing,
+        timing: ControlNodeTiming,
         random: Random,
         now: float,
     ) -> None:
@@ -85,7 +85,7 @@
             raise ValueError("nodes: must be distinct and name this node")
         self.node = node
         self.peers = tuple(name for name in nodes if name != node)
-        self.quorum = len(nodes) // 2 + 1
+        self.quorum_size = len(nodes) // 2 + 1
         self.log = ReplicatedLog(stored, timing.keep_entries, timing.keep_bytes)
         self.term = stored.term
         self.vote = stored.vote
@@ -171,7 +171,9 @@
     # Elections (section 5.2)
 
     def _reset_election_timer(self, now: float) -> None:
-        timeout = self._random.uniform(self._timing.election_min_ms, self._timing.election_max_ms)
+        timeout = self._random.uniform(
+            self._timing.min_election_timeout_ms, self._timing.max_election_timeout_ms
+        )
         self._election_deadline_ms = now + timeout
 
     def _observe_term(self, term: int, now: float) -> list[NodeEffect]:
@@ -220,7 +222,7 @@
     def _handle_pre_vote_request(self, message: RequestVote, now: float) -> list[NodeEffect]:
         """Answers without a change of state; a node that has a leader does not support another one."""
         since_contact_ms = now - self._last_leader_contact_ms
-        has_leader = self.role is Role.LEADER or since_contact_ms < self._timing.election_min_ms
+        has_leader = self.role is Role.LEADER or since_contact_ms < self._timing.min_election_timeout_ms
         granted = message.term > self.term and not has_leader and self._is_up_to_date(message)
         answer = VoteAnswer(self.term, self.node, message.term, granted, pre_vote=True)
         return [SendToPeer(message.candidate, answer)]
@@ -254,14 +256,14 @@
         return self._start_election(now) if message.pre_vote else self._become_leader(now)
 
     def _has_majority(self) -> bool:
-        return len(self._votes) >= self.quorum
+        return len(self._votes) >= self.quorum_size
 
     def _become_leader(self, now: float) -> list[NodeEffect]:
         """Begins the leadership with an entry of its own term, so that older ones can be committed (8)."""
         self.role = Role.LEADER
         self.leader = self.node
         self.leadership = Leadership(
-            self.node, self.term, self.peers, self.quorum, self.log.last_index, self._timing, now
+            self.node, self.term, self.peers, self.quorum_size, self.log.last_index, self._timing, now
         )
         return self.propose(EntryKind.NOOP, b"", "", now)
 
@@ -346,7 +348,7 @@
         if message.term < self.term:
             return [self._append_answer(message, False, 0, now)]
         effects = self._observe_leader(message, now)
-        if not message.snapshot.intact:
+        if not message.snapshot.is_intact:
             return effects  # The next heartbeat is rejected, which requests the snapshot again.
         index = message.snapshot.position.index
         if index > self.log.commit_index:
--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -36,7 +36,7 @@
 from cloverwell.control.proposals import Proposals
 from cloverwell.control.storage import StoredState
 from cloverwell.control.subscribers import SubscriberTable
-from cloverwell.control.timing import FanoutTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
@@ -69,13 +69,13 @@
         stored: StoredState,
         random: Random,
         now: float,
-        timing: Timing | None = None,
+        timing: ControlNodeTiming | None = None,
         fanout: FanoutTiming | None = None,
     ) -> None:
         """Starts the control node `node`, one of `nodes`, of the log `log_name` from what is stored."""
         self.node = node
         self.nodes = nodes
-        self._timing = timing or Timing()
+        self._timing = timing or ControlNodeTiming()
         self._fanout = fanout or FanoutTiming()
         self.consensus = self.consensus_type(node, nodes, stored, self._timing, random, now)
         self.subscribers = self.subscribers_type(log_name, self.consensus.log, self._fanout)
@@ -83,8 +83,8 @@
         self._fleet_view: FleetView | None = None  # of the term `_fleet_view_term`, while this node leads
         self._fleet_view_term = 0
         self._fleet = FleetCount()  # the leader's latest count
-        self._next_report_ms = now + self._timing.report_ms
-        self._next_heartbeat_ms = now + self._fanout.heartbeat_ms
+        self._next_report_ms = now + self._timing.report_interval_ms
+        self._next_heartbeat_ms = now + self._fanout.heartbeat_interval_ms
 
     # Queries
 
@@ -107,17 +107,17 @@
             consensus.has_quorum(now),
             consensus.log.committed,
             consensus.lease_ms(now),
-            self.subscribers.alive,
-            self.fleet(now),
+            self.subscribers.subscriber_count,
+            self.fleet_count(now),
         )
 
-    def fleet(self, now: float) -> FleetCount:
+    def fleet_count(self, now: float) -> FleetCount:
         """Returns the leader's latest count of proxies; it is incomplete where this node has no lease."""
         if self.consensus.lease_ms(now) == 0:
             return FleetCount(self._fleet.alive, self._fleet.hidden, complete=False)
         return self._fleet
 
-    def in_force(self, index: int, now: float) -> ActivationCount | None:
+    def activation_count(self, index: int, now: float) -> ActivationCount | None:
         """Returns where the entry at an index is active, or None on a node that does not lead."""
         if not self.consensus.is_leader or self._fleet_view is None:
             return None
@@ -129,12 +129,12 @@
         """Handles the timers; to be called at `next_deadline`, and allowed at any other time."""
         effects = self._settle(self.consensus.tick(now), now)
         if now >= self._next_report_ms:
-            self._next_report_ms = now + self._timing.report_ms
+            self._next_report_ms = now + self._timing.report_interval_ms
             effects += self._report(now)
         if now >= self._next_heartbeat_ms:
-            self._next_heartbeat_ms = now + self._fanout.heartbeat_ms
+            self._next_heartbeat_ms = now + self._fanout.heartbeat_interval_ms
             effects += self.subscribers.expire(now)
-            effects += self.subscribers.heartbeats(self.consensus.lease_ms(now), self.fleet(now), now)
+            effects += self.subscribers.heartbeats(self.consensus.lease_ms(now), self.fleet_count(now), now)
         return effects
 
     def receive_peer(self, sender: str, message: PeerMessage, now: float) -> list[NodeEffect]:
@@ -189,7 +189,7 @@
         if connection not in self.subscribers:
             return effects
         lease_ms = self.consensus.lease_ms(now)
-        effects += self.subscribers.heartbeat(connection, lease_ms, self.fleet(now), now)
+        effects += self.subscribers.heartbeat(connection, lease_ms, self.fleet_count(now), now)
         if message.last_node in self.consensus.peers:
             moved = SubscriberMoved(message.proxy, message.run, message.attempt)
             effects.append(SendToPeer(message.last_node, moved))
@@ -207,7 +207,7 @@
         if not self.consensus.is_leader:
             self._fleet_view = None
         elif self._fleet_view is None or self._fleet_view_term != self.consensus.term:
-            self._fleet_view = FleetView(self.nodes, self._fanout.forget_ms, now)
+            self._fleet_view = FleetView(self.nodes, self._fanout.forget_after_ms, now)
             self._fleet_view_term = self.consensus.term
             self._next_report_ms = now
 
--- a/cloverwell/control/delivery.py
+++ b/cloverwell/control/delivery.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cloverwell.control.effects import ApplyEntry, ApplySnapshot
-from cloverwell.control.entry import START, Entry, EntryKind, Position, Snapshot
+from cloverwell.control.entry import START_POSITION, Entry, EntryKind, Position, Snapshot
 from cloverwell.control.errors import ControlError
 from cloverwell.control.messages import MAX_REASON_CHARS
 
@@ -39,10 +39,10 @@
 
     def __init__(self) -> None:
         """Starts at the beginning of the log."""
-        self.position = START
-        self.received = START
+        self.position = START_POSITION
+        self.received = START_POSITION
         self._applying: ApplyEntry | ApplySnapshot | None = None
-        self._applying_to = START  # the position after what is being applied
+        self._applying_to = START_POSITION  # the position after what is being applied
         self._pending: deque[Entry | Snapshot] = deque()
         self._refused: dict[str, RefusedEntry] = {}  # by kind, until an entry of the kind is applied
 
@@ -72,7 +72,7 @@
         Raises DeliveryError for one that is damaged, and for one that is older than what is applied or being
         applied: a proxy never goes back.
         """
-        if not snapshot.intact:
+        if not snapshot.is_intact:
             raise DeliveryError("snapshot: checksum")
         self.drop_pending()
         if snapshot.position.index < self.received.index:
--- a/cloverwell/control/effects.py
+++ b/cloverwell/control/effects.py
@@ -37,23 +37,23 @@
 
 
 class AnswerProposal(msgspec.Struct, frozen=True):
-    """Send an answer to a proposer; `request` is the number that came with the proposal."""
+    """Send an answer to a proposer; `request_id` is the number that came with the proposal."""
 
-    request: int
+    request_id: int
     answer: ProposalAnswer
 
 
 class SendToSubscriber(msgspec.Struct, frozen=True):
     """Send a message to the proxy at a connection, after what was sent there before."""
 
-    connection: int
+    connection_id: int
     message: NodeMessage
 
 
 class CloseSubscriber(msgspec.Struct, frozen=True):
     """Close a subscriber's connection after what was sent to it; its end need not be reported."""
 
-    connection: int
+    connection_id: int
 
 
 # Effects of a proxy
--- a/cloverwell/control/entry.py
+++ b/cloverwell/control/entry.py
@@ -58,7 +58,7 @@
         return Position(entry.index, digest.digest())
 
 
-START = Position(0, bytes(DIGEST_BYTES))
+START_POSITION = Position(0, bytes(DIGEST_BYTES))
 
 
 class LogState(msgspec.Struct, frozen=True, array_like=True):
@@ -110,7 +110,7 @@
         return cls(position, term, state, _checksum(position, term, state))
 
     @property
-    def intact(self) -> bool:
+    def is_intact(self) -> bool:
         """Whether the checksum matches the content."""
         return self.checksum == _checksum(self.position, self.term, self.state)
 
@@ -120,4 +120,4 @@
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
-EMPTY_SNAPSHOT = Snapshot.of(START, 0, LogState())
+EMPTY_SNAPSHOT = Snapshot.of(START_POSITION, 0, LogState())
--- a/cloverwell/control/fleet.py
+++ b/cloverwell/control/fleet.py
@@ -15,7 +15,7 @@
 REPORT_TIMEOUT_MS = 2500.0  # without a report for so long, five intervals, a node's subscribers are hidden
 
 
-def divide_by(count: FleetCount, provisioned: int, current: bool) -> int:
+def bound_divisor(count: FleetCount, provisioned: int, current: bool) -> int:
     """Returns the number by which a fleet-wide bound is divided, for all proxies together to stay within it.
 
     `provisioned` is the largest number of proxies that may be alive (`peers-total`). `current` says whether
@@ -48,10 +48,10 @@
 class FleetView:
     """The latest reports of all control nodes, at a leader, from the beginning of its term on."""
 
-    def __init__(self, nodes: tuple[str, ...], forget_ms: float, now: float) -> None:
-        """Starts without reports; the subscribers of a node are forgotten `forget_ms` after its last one."""
+    def __init__(self, nodes: tuple[str, ...], forget_after_ms: float, now: float) -> None:
+        """Starts without reports; a node's subscribers are forgotten `forget_after_ms` after its last one."""
         self._nodes = nodes
-        self._forget_ms = forget_ms
+        self._forget_after_ms = forget_after_ms
         self._started_at_ms = now
         self._reports: dict[str, SubscriberReport] = {}
         self._reported_at_ms: dict[str, float] = {}
@@ -69,11 +69,11 @@
             if self._has_reported_lately(node, now):
                 alive += report.alive
                 hidden += report.lost
-            elif now - self._reported_at_ms[node] <= self._forget_ms:
+            elif now - self._reported_at_ms[node] <= self._forget_after_ms:
                 hidden += report.alive + report.lost
         all_reported = len(self._reports) == len(self._nodes)
         # A node that is gone for good must not keep the count incomplete for ever.
-        complete = all_reported or now - self._started_at_ms > self._forget_ms
+        complete = all_reported or now - self._started_at_ms > self._forget_after_ms
         return FleetCount(alive, hidden, complete)
 
     def activation_count(self, index: int, now: float) -> ActivationCount:
--- a/cloverwell/control/leadership.py
+++ b/cloverwell/control/leadership.py
@@ -9,7 +9,7 @@
 from cloverwell.control.effects import NodeEffect, SendToPeer
 from cloverwell.control.messages import NO_TOKEN, AppendAnswer, AppendEntries, InstallSnapshot
 from cloverwell.control.replicated_log import ReplicatedLog
-from cloverwell.control.timing import LEASE_MS, Timing, lease_end
+from cloverwell.control.timing import LEASE_MS, ControlNodeTiming, lease_end
 
 
 class FollowerProgress:
@@ -30,7 +30,7 @@
         "token_received_ms",
     )
 
-    def __init__(self, next_index: int, timing: Timing, now: float) -> None:
+    def __init__(self, next_index: int, timing: ControlNodeTiming, now: float) -> None:
         """Starts with nothing known of the follower's log; `next_index` is the first to be sent."""
         self._timing = timing
         self.next_index = next_index
@@ -42,7 +42,7 @@
 
     def snapshot_due(self, now: float) -> bool:
         """Returns whether a snapshot may be sent again."""
-        return now >= self.snapshot_sent_ms + self._timing.snapshot_retry_ms
+        return now >= self.snapshot_sent_ms + self._timing.snapshot_retry_interval_ms
 
     def record_match(self, index: int) -> None:
         """Records that the follower's log matches the leader's up to `index`."""
@@ -67,7 +67,7 @@
         peers: tuple[str, ...],
         quorum: int,
         last_index: int,
-        timing: Timing,
+        timing: ControlNodeTiming,
         now: float,
     ) -> None:
         """Starts at the election of `node`, whose own log ends at `last_index`."""
@@ -77,7 +77,7 @@
         self._quorum = quorum
         self._timing = timing
         self._elected_at_ms = now
-        self._next_heartbeat_ms = now + timing.heartbeat_ms
+        self._next_heartbeat_ms = now + timing.heartbeat_interval_ms
         # The latest time at which a quorum is known to have accepted this node as its leader.
         self.quorum_confirmed_ms = now if quorum == 1 else float("-inf")
 
@@ -93,11 +93,11 @@
 
     def has_quorum(self, now: float) -> bool:
         """Returns whether a quorum has confirmed this leader lately enough to accept proposals."""
-        return self._confirmed_within(self._timing.quorum_ms, now)
+        return self._confirmed_within(self._timing.quorum_timeout_ms, now)
 
     def must_step_down(self, now: float) -> bool:
         """Returns whether no quorum has confirmed this leader for too long (dissertation, 6.2)."""
-        return not self._confirmed_within(self._timing.step_down_ms, now)
+        return not self._confirmed_within(self._timing.step_down_timeout_ms, now)
 
     def quorum_match_index(self, last_index: int) -> int:
         """Returns the highest index that a quorum has stored; this node has stored `last_index`."""
@@ -132,7 +132,7 @@
 
     def heartbeat(self, log: ReplicatedLog, now: float) -> list[NodeEffect]:
         """Sends heartbeats, or entries where some are due, and schedules the next heartbeat."""
-        self._next_heartbeat_ms = now + self._timing.heartbeat_ms
+        self._next_heartbeat_ms = now + self._timing.heartbeat_interval_ms
         if self._quorum == 1:
             self.quorum_confirmed_ms = now
         return self.replicate(log, now)
@@ -152,7 +152,9 @@
         previous_term = log.term_at(previous_index)
         if previous_term is None:
             return self._send_snapshot(peer, progress, log, now)
-        entries = log.entries_after(previous_index, self._timing.append_entries, self._timing.append_bytes)
+        entries = log.entries_after(
+            previous_index, self._timing.max_append_entries, self._timing.max_append_bytes
+        )
         progress.next_index += len(entries)
         message = AppendEntries(
             self._term,
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -114,12 +114,12 @@
         `provisioned` is the largest number of proxies that may live, which counts while the real number is
         not known.
         """
-        return self.subscription.divide_by(provisioned, self._now())
+        return self.subscription.bound_divisor(provisioned, self._now())
 
     @property
     def ready(self) -> bool:
         """Whether a starting proxy need not wait for the control log any longer."""
-        return self.subscription.ready(self._now())
+        return self.subscription.is_ready(self._now())
 
     def start(self) -> None:
         """Connects. Entries that were saved are applied before this returns."""
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -8,7 +8,7 @@
 from cloverwell.control.effects import AnswerProposal, NodeEffect
 from cloverwell.control.entry import MAX_PAYLOAD_BYTES, Entry, EntryKind
 from cloverwell.control.messages import ANY_INDEX, ProposalAnswer, ProposalOutcome, Propose
-from cloverwell.control.timing import Timing
+from cloverwell.control.timing import ControlNodeTiming
 
 MAX_PROPOSAL_CHARS = 200
 PROPOSABLE_KINDS = frozenset(EntryKind) - {EntryKind.NOOP}
@@ -26,10 +26,10 @@
 class Proposals:
     """The proposals at one control node.
 
-    Each is answered exactly once, at the latest `Timing.proposal_ms` after it was made.
+    Each is answered exactly once, at the latest `ControlNodeTiming.proposal_timeout_ms` after it was made.
     """
 
-    def __init__(self, consensus: Consensus, timing: Timing) -> None:
+    def __init__(self, consensus: Consensus, timing: ControlNodeTiming) -> None:
         """Proposes to `consensus`, with the bounds of `timing`."""
         self._consensus = consensus
         self._timing = timing
@@ -56,7 +56,7 @@
         if index is None:
             effects = self._consensus.propose(message.kind, message.payload, message.proposal, now)
             index = self._consensus.log.last_index
-        deadline_ms = now + self._timing.proposal_ms
+        deadline_ms = now + self._timing.proposal_timeout_ms
         self._pending.append(PendingProposal(request, message.proposal, index, deadline_ms))
         self._pending_term = self._consensus.term
         return effects
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from cloverwell.config import Config, ConfigError
-from cloverwell.control.configuration import ConfigurationChange, digest, read_change
+from cloverwell.control.configuration import ConfigurationChange, document_digest, read_change
 from cloverwell.control.entry import Entry, EntryKind
 from cloverwell.control.net.address import Address, format_address
 from cloverwell.control.net.errors import EntryRefusedError
@@ -73,7 +73,7 @@
         self._environ = environ
         self._on_ready: Callable[[], None] | None = None  # until it has been called
         self._timer: Timer | None = None
-        self.version = ActiveVersion(0, digest(config.document), config.settings.peers_total)
+        self.version = ActiveVersion(0, document_digest(config.document), config.settings.peers_total)
         self._divided_by = config.settings.peers_total
         self.follower = Follower(
             reactor,
@@ -83,7 +83,7 @@
             self.apply_entry,
             log,
             now=timer_wheel.now,
-            timing=SubscriptionTiming(wait_ms=control.wait_ms),
+            timing=SubscriptionTiming(catch_up_timeout_ms=control.wait_ms),
         )
 
     def start(self, on_ready: Callable[[], None]) -> None:
@@ -128,7 +128,7 @@
         """
         if entry.kind != EntryKind.CONFIGURATION:
             raise EntryRefusedError(f"kind {entry.kind[:SHOWN_CHARS]!r}: not known to this proxy")
-        entry_digest = digest(entry.payload)
+        entry_digest = document_digest(entry.payload)
         try:
             change = read_change(self._own_document, entry.payload, self._environ)
         except ConfigError as error:
--- a/cloverwell/control/server/node_server.py
+++ b/cloverwell/control/server/node_server.py
@@ -34,7 +34,7 @@
 from cloverwell.control.server.port import ControlPort
 from cloverwell.control.server.settings import NodeSettings
 from cloverwell.control.storage import Storage, StorageError, Write
-from cloverwell.control.timing import FanoutTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming
 from cloverwell.front.port import BoundedPort, listen
 from cloverwell.log import Log
 
@@ -68,7 +68,7 @@
         log: Log,
         now: Callable[[], float],
         random: Random,
-        timing: Timing | None = None,
+        timing: ControlNodeTiming | None = None,
         fanout: FanoutTiming | None = None,
     ) -> None:
         """Connects to nothing yet.
@@ -162,7 +162,7 @@
             status=status,
             leader_address="" if leader_address is None else format_address(leader_address),
             own=self.node.subscribers.report(self._settings.name),
-            activation=self.node.in_force(status.committed.index, now),
+            activation=self.node.activation_count(status.committed.index, now),
         )
 
     # Events and effects
--- a/cloverwell/control/subscribers.py
+++ b/cloverwell/control/subscribers.py
@@ -166,7 +166,7 @@
         return connection in self._subscribers
 
     @property
-    def alive(self) -> int:
+    def subscriber_count(self) -> int:
         """The number of subscribers."""
         return len(self._subscribers)
 
@@ -195,7 +195,7 @@
             return RefusalReason.BEHIND
         previous_connection = self._connections.get(message.proxy)
         if previous_connection is None:
-            return RefusalReason.FULL if self.alive >= self._timing.max_subscribers else None
+            return RefusalReason.FULL if self.subscriber_count >= self._timing.max_subscribers else None
         previous = self._subscribers[previous_connection]
         return None if previous.yields_to(message) else RefusalReason.INVALID
 
@@ -213,11 +213,13 @@
         if subscriber.snapshot_index is not None:
             return []
         entries_behind = self._log.committed.index - subscriber.acknowledged
-        if entries_behind > self._timing.tail_entries or not self._may_tail(subscriber.sent):
+        if entries_behind > self._timing.max_entries_behind or not self._may_send_entries_after(
+            subscriber.sent
+        ):
             return self._send_snapshot(connection, subscriber)
         return self._send_tail(connection, subscriber)
 
-    def _may_tail(self, position: Position) -> bool:
+    def _may_send_entries_after(self, position: Position) -> bool:
         """Returns whether entries may follow a position: only if the log has the same ones up to it."""
         return self._log.contains(position)
 
@@ -249,7 +251,7 @@
     def _record_loss(self, connection: int, now: float) -> None:
         """Moves a subscriber to the lost ones, of which the oldest are forgotten over the bound."""
         subscriber = self._remove(connection)
-        forget_at_ms = now + self._timing.forget_ms
+        forget_at_ms = now + self._timing.forget_after_ms
         self._lost[subscriber.proxy] = LostSubscriber(subscriber.run_attempt, forget_at_ms)
         while len(self._lost) > self._timing.max_subscribers:
             del self._lost[next(iter(self._lost))]
--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -16,7 +16,7 @@
 from cloverwell.control.delivery import Delivery, DeliveryError, RefusedEntry
 from cloverwell.control.effects import ConnectToNode, DisconnectFromNode, ProxyEffect, SendToControlNode
 from cloverwell.control.entry import EntryKind, Position, Snapshot
-from cloverwell.control.fleet import divide_by
+from cloverwell.control.fleet import bound_divisor
 from cloverwell.control.messages import (
     Acknowledge,
     Entries,
@@ -102,7 +102,7 @@
         self._lease_end_ms = float("-inf")
         self._lease_deadline_ms = NEVER  # without a lease by then, another node is tried
         self._return_to_local_ms = NEVER  # then a node of the local region is tried again
-        self._ready_by_ms = now + self._timing.wait_ms
+        self._ready_by_ms = now + self._timing.catch_up_timeout_ms
         self._fleet = FleetCount()
         self.caught_up = False  # all that was committed at some time since the start is applied
 
@@ -122,26 +122,26 @@
             self._return_to_local_ms,
         )
 
-    def current(self, now: float) -> bool:
+    def is_current(self, now: float) -> bool:
         """Returns whether all that was committed LEASE_MS ago is applied or was refused here."""
         return now < self._lease_end_ms
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Returns whether a starting proxy may serve: it is caught up, or has waited for long enough."""
         return self.caught_up or now >= self._ready_by_ms
 
-    def divide_by(self, provisioned: int, now: float) -> int:
-        """Returns the number by which this proxy divides a fleet-wide bound: see `fleet.divide_by`."""
-        return divide_by(self._fleet, provisioned, self.current(now))
+    def bound_divisor(self, provisioned: int, now: float) -> int:
+        """Returns the number by which this proxy divides a fleet-wide bound: see `fleet.bound_divisor`."""
+        return bound_divisor(self._fleet, provisioned, self.is_current(now))
 
     def status(self, now: float) -> SubscriptionStatus:
         """Returns the status for operators."""
         refused = self._delivery.refused or NO_REFUSAL
         return SubscriptionStatus(
             self.position,
-            self.current(now),
+            self.is_current(now),
             self.caught_up,
-            not self.caught_up and self.ready(now),
+            not self.caught_up and self.is_ready(now),
             self._selector.selected() if self._connected else "",
             refused.index,
             refused.reason,
@@ -153,7 +153,7 @@
 
     def start(self, now: float) -> list[ProxyEffect]:
         """Begins the subscription; what was saved is given out to be applied, if it is intact."""
-        if self._saved is not None and self._saved.intact:
+        if self._saved is not None and self._saved.is_intact:
             self._delivery.receive_snapshot(self._saved)
         self._saved = None
         return [*self._apply_next(), *self._connect(now)]
@@ -175,7 +175,7 @@
         self._connected = True
         self._contact_deadline_ms = now + self._timing.silence_timeout_ms
         self._lease_deadline_ms = now + self._timing.lease_timeout_ms
-        self._acknowledge_at_ms = now + self._timing.acknowledge_ms
+        self._acknowledge_at_ms = now + self._timing.acknowledge_interval_ms
         self._return_to_local_ms = now + self._selector.stay_ms()
         effects: list[ProxyEffect] = [SendToControlNode(attempt, self._subscribe_message(now))]
         if self._delivery.refused is not None:
@@ -301,7 +301,7 @@
             effects.append(self._acknowledge(now))
         while self._offers and self._has_applied(self._offers[0].committed):
             self._lease_end_ms = max(self._lease_end_ms, self._offers.popleft().end_ms)
-        if self.current(now):
+        if self.is_current(now):
             self.caught_up = True
         return effects
 
@@ -314,7 +314,7 @@
         return [effect] if effect is not None else []
 
     def _acknowledge(self, now: float) -> ProxyEffect:
-        self._acknowledge_at_ms = now + self._timing.acknowledge_ms
+        self._acknowledge_at_ms = now + self._timing.acknowledge_interval_ms
         self._acknowledged_index = self.position.index
         refused = self._delivery.refused or NO_REFUSAL
         message = Acknowledge(self.position, now, refused.index, refused.reason)
--- a/cloverwell/control/timing.py
+++ b/cloverwell/control/timing.py
@@ -16,35 +16,35 @@
     return token + lease_ms * (1.0 - 2.0 * CLOCK_DRIFT)
 
 
-class Timing(msgspec.Struct, frozen=True):
+class ControlNodeTiming(msgspec.Struct, frozen=True):
     """Timeouts and bounds of a control node, for nodes up to 200 ms apart (round trip)."""
 
-    heartbeat_ms: float = 250.0  # interval from the leader to the other control nodes
-    election_min_ms: float = 1500.0  # the election timeout is drawn between these two
-    election_max_ms: float = 3000.0
-    quorum_ms: float = 1500.0  # a leader that no quorum has answered for so long refuses proposals
-    step_down_ms: float = 3000.0  # and after so long it steps down
-    snapshot_retry_ms: float = 2000.0  # between two attempts to send a follower a snapshot
-    append_entries: int = 256  # entries in one message, and bytes of payload
-    append_bytes: int = 1024 * 1024
-    proposal_ms: float = 5000.0  # after so long a proposal is answered `unknown`
+    heartbeat_interval_ms: float = 250.0  # interval from the leader to the other control nodes
+    min_election_timeout_ms: float = 1500.0  # the election timeout is drawn between these two
+    max_election_timeout_ms: float = 3000.0
+    quorum_timeout_ms: float = 1500.0  # a leader that no quorum has answered for so long refuses proposals
+    step_down_timeout_ms: float = 3000.0  # and after so long it steps down
+    snapshot_retry_interval_ms: float = 2000.0  # between two attempts to send a follower a snapshot
+    max_append_entries: int = 256  # entries in one message, and bytes of payload
+    max_append_bytes: int = 1024 * 1024
+    proposal_timeout_ms: float = 5000.0  # after so long a proposal is answered `unknown`
     max_pending_proposals: int = 256
     # Compaction keeps this much and starts at twice of it: 20 minutes at 3.4 purges a second.
     keep_entries: int = 4096
     keep_bytes: int = 32 * 1024 * 1024
-    report_ms: float = 500.0  # interval of the reports to the leader, and of its summaries
+    report_interval_ms: float = 500.0  # interval of the reports to the leader, and of its summaries
 
 
 class FanoutTiming(msgspec.Struct, frozen=True):
     """Timeouts and bounds of a control node towards its subscribers."""
 
-    heartbeat_ms: float = 1000.0  # interval to each subscriber
+    heartbeat_interval_ms: float = 1000.0  # interval to each subscriber
     silence_timeout_ms: float = 5000.0  # a subscriber without contact for so long is lost
     # A subscriber lost without a goodbye counts as hidden for so long, the longest partition to be expected.
-    forget_ms: float = 1_800_000.0
+    forget_after_ms: float = 1_800_000.0
     window_entries: int = 64  # entries sent and not acknowledged, and bytes of their payload
     window_bytes: int = 256 * 1024
-    tail_entries: int = 256  # a subscriber that is further behind gets a snapshot
+    max_entries_behind: int = 256  # a subscriber that is further behind gets a snapshot
     max_subscribers: int = 2048
 
 
@@ -55,9 +55,9 @@
     silence_timeout_ms: float = 3000.0  # likewise without a message
     lease_timeout_ms: float = 3000.0  # likewise without a lease
     # The first backoff after all nodes have failed; it doubles with each round, up to the maximum.
-    backoff_ms: float = 200.0
-    backoff_max_ms: float = 5000.0
-    acknowledge_ms: float = 1000.0  # interval of acknowledgements
+    initial_backoff_ms: float = 200.0
+    max_backoff_ms: float = 5000.0
+    acknowledge_interval_ms: float = 1000.0  # interval of acknowledgements
     # After half to all of this at a node of another region, the local region's nodes are tried again.
     remote_stay_ms: float = 600_000.0
-    wait_ms: float = 5000.0  # a starting proxy waits at most so long to be caught up
+    catch_up_timeout_ms: float = 5000.0  # a starting proxy waits at most so long to be caught up
--- a/cloverwell/gossip/composer.py
+++ b/cloverwell/gossip/composer.py
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingDatagram:
-    """A datagram to be sent to the proxy with the number `to`."""
+    """A datagram to be sent to the proxy with the number `receiver`."""
 
-    to: int
+    receiver: int
     datagram: Datagram
 
 
--- a/cloverwell/gossip/membership_view.py
+++ b/cloverwell/gossip/membership_view.py
@@ -87,7 +87,7 @@
         """The number of pings sent on behalf of other members that have not been acknowledged."""
         return len(self._indirect_probes)
 
-    def alive(self) -> set[int]:
+    def alive_proxies(self) -> set[int]:
         """Return this proxy and the members that are not known to be dead: a suspect counts as alive."""
         return {self.number} | self._table.reachable
 
--- a/lab/control_invariants.py
+++ b/lab/control_invariants.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 
 from cloverwell.control.effects import ApplyEntry, ApplySnapshot
-from cloverwell.control.entry import START, Entry, EntryKind, LogState, Position, Snapshot
+from cloverwell.control.entry import START_POSITION, Entry, EntryKind, LogState, Position, Snapshot
 from cloverwell.control.timing import LEASE_MS
 
 
@@ -23,7 +23,7 @@
         """Starts with nothing observed."""
         self.leaders: dict[int, str] = {}  # by term
         self.log: list[Entry] = []  # the committed log, as the first node to commit an entry has reported it
-        self.positions: list[Position] = [START]
+        self.positions: list[Position] = [START_POSITION]
         self.committed_at_ms: list[float] = []
         self.applied_index: dict[str, int] = {}  # by proxy: the index that it was given last in this run
         self.unapplied_saved: dict[str, Snapshot] = {}  # by proxy: what it started with, until it is applied
@@ -61,7 +61,7 @@
 
     def observe_proxy_start(self, proxy: str, saved: Snapshot | None = None) -> None:
         """Records that a proxy's run begins, with `saved` from an earlier run, which may be anything."""
-        position = START if saved is None else saved.position
+        position = START_POSITION if saved is None else saved.position
         self.applied_index[proxy] = position.index
         self.diverged.discard(proxy)
         self.unapplied_saved.pop(proxy, None)
--- a/lab/control_model_processes.py
+++ b/lab/control_model_processes.py
@@ -18,41 +18,41 @@
 
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import ApplyEntry, ApplySnapshot, NodeEffect, ProxyEffect
-from cloverwell.control.entry import START, EntryKind, LogState, Position, Snapshot
+from cloverwell.control.entry import START_POSITION, EntryKind, LogState, Position, Snapshot
 from cloverwell.control.messages import NodeMessage, PeerMessage, Propose, ProxyMessage, VoteAnswer
 from cloverwell.control.storage import StoredState, Write
 from cloverwell.control.subscription import Subscription
-from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming, SubscriptionTiming
 
 NOW = 0.0
 ENDLESS = 1e12
 LOG_NAME = "main"
 STATUS_ATTRIBUTES = {"_last_failure"}  # shown to operators, and without influence on any decision
-TIMING = Timing(
-    heartbeat_ms=0.0,
-    election_min_ms=0.0,
-    election_max_ms=0.0,
-    quorum_ms=ENDLESS,
-    step_down_ms=ENDLESS,
-    snapshot_retry_ms=0.0,
-    append_entries=1,
-    proposal_ms=ENDLESS,
+TIMING = ControlNodeTiming(
+    heartbeat_interval_ms=0.0,
+    min_election_timeout_ms=0.0,
+    max_election_timeout_ms=0.0,
+    quorum_timeout_ms=ENDLESS,
+    step_down_timeout_ms=ENDLESS,
+    snapshot_retry_interval_ms=0.0,
+    max_append_entries=1,
+    proposal_timeout_ms=ENDLESS,
     keep_entries=2,
-    report_ms=ENDLESS,
+    report_interval_ms=ENDLESS,
 )
 FANOUT = FanoutTiming(
-    heartbeat_ms=ENDLESS,
+    heartbeat_interval_ms=ENDLESS,
     silence_timeout_ms=ENDLESS,
-    forget_ms=ENDLESS,
+    forget_after_ms=ENDLESS,
     window_entries=1,
-    tail_entries=2,
+    max_entries_behind=2,
 )
 SUBSCRIPTION = SubscriptionTiming(
     connect_timeout_ms=ENDLESS,
     silence_timeout_ms=ENDLESS,
     lease_timeout_ms=ENDLESS,
-    backoff_ms=0.0,
-    backoff_max_ms=0.0,
+    initial_backoff_ms=0.0,
+    max_backoff_ms=0.0,
 )
 
 Value = TypeVar("Value")
@@ -93,7 +93,7 @@
         return tuple(sorted(freeze(item) for item in value))  # type: ignore[type-var]
     if isinstance(value, type):
         return value.__name__
-    if isinstance(value, (Random, Timing, FanoutTiming, SubscriptionTiming)):
+    if isinstance(value, (Random, ControlNodeTiming, FanoutTiming, SubscriptionTiming)):
         return ""
     return (type(value).__name__, *(freeze(getattr(value, name)) for name in _attribute_names(value)))
 
@@ -155,7 +155,7 @@
         self.node.tick(NOW)
         consensus = self.node.consensus
         effects: list[NodeEffect] = []
-        for peer in consensus.peers[: consensus.quorum - 1]:
+        for peer in consensus.peers[: consensus.quorum_size - 1]:
             answer = VoteAnswer(consensus.term, peer, consensus.term + 1, True, pre_vote=True)
             effects += self.node.receive_peer(peer, answer, NOW)
         return self._store(effects)
@@ -190,7 +190,7 @@
 class AppliedLog:
     """What a proxy has applied, as a process after it may find it saved."""
 
-    position: Position = START
+    position: Position = START_POSITION
     state: LogState = LogState()  # noqa: RUF009 -- frozen
     term: int = 0
 
@@ -233,7 +233,7 @@
         self.subscription = Subscription(
             self.name, self.run, LOG_NAME, groups, ConstantRandom(), NOW, snapshot, SUBSCRIPTION
         )
-        intact = snapshot if snapshot is not None and snapshot.intact else None
+        intact = snapshot if snapshot is not None and snapshot.is_intact else None
         return [ProxyStarted(intact), *self._apply_all(self.subscription.start(NOW))]
 
     def connected(self, attempt: int) -> list[ProxyEffect]:
--- a/lab/control_model_steps.py
+++ b/lab/control_model_steps.py
@@ -183,9 +183,9 @@
             case SendToPeer() if not isinstance(effect.message, COUNTING_MESSAGES):
                 return SentToPeer(self._node_numbers[effect.node], self._message_number(effect.message))
             case SendToSubscriber():
-                return SentToProxy(effect.connection, self._message_number(effect.message))
+                return SentToProxy(effect.connection_id, self._message_number(effect.message))
             case CloseSubscriber():
-                return SentToProxy(effect.connection, END_OF_CONNECTION)
+                return SentToProxy(effect.connection_id, END_OF_CONNECTION)
             case SendToControlNode():
                 return SentToNode(effect.attempt, self._message_number(effect.message))
             case ConnectToNode():
--- a/lab/control_world.py
+++ b/lab/control_world.py
@@ -30,7 +30,7 @@
 from cloverwell.control.messages import NodeMessage, PeerMessage, Propose, ProxyMessage, decode, encode
 from cloverwell.control.storage import Write
 from cloverwell.control.subscription import Subscription
-from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming, SubscriptionTiming
 from lab.control_event_loop import EventLoop
 from lab.control_invariants import ControlInvariants
 from lab.control_network import ControlNetwork
@@ -51,7 +51,7 @@
         proxies: dict[str, str],
         seed: int = 1,
         drift: float = 0.0,
-        timing: Timing | None = None,
+        timing: ControlNodeTiming | None = None,
         fanout: FanoutTiming | None = None,
         subscription: SubscriptionTiming | None = None,
     ) -> None:
@@ -65,7 +65,7 @@
         self.rules = ControlInvariants()
         self.network = ControlNetwork(self.random)
         self._drift = drift
-        self._timing = timing or Timing()
+        self._timing = timing or ControlNodeTiming()
         self._fanout = fanout or FanoutTiming()
         self._subscription_timing = subscription or SubscriptionTiming()
         self._connection_numbers = count(1)
@@ -119,7 +119,7 @@
         process.up = True
         process.loads = []
         process.serving = {}
-        self.rules.observe_proxy_start(name, saved if saved is not None and saved.intact else None)
+        self.rules.observe_proxy_start(name, saved if saved is not None and saved.is_intact else None)
         process.subscription = Subscription(
             name,
             process.run,
@@ -185,7 +185,7 @@
         """Checks that each proxy that says that it is current is so."""
         for process in self.proxies.values():
             if process.subscription is not None:
-                current = process.subscription.current(process.clock.at(self.now))
+                current = process.subscription.is_current(process.clock.at(self.now))
                 self.rules.observe_lease(process.name, current, process.subscription.position, self.now)
 
     # Steps
@@ -235,12 +235,12 @@
                 case SnapshotInstalled():
                     self.rules.observe_snapshot(effect.snapshot)
                 case AnswerProposal():
-                    assert effect.request not in process.answers, "answered twice"
-                    process.answers[effect.request] = effect.answer
+                    assert effect.request_id not in process.answers, "answered twice"
+                    process.answers[effect.request_id] = effect.answer
                 case SendToSubscriber():
-                    self._send_over(effect.connection, process, encode(effect.message))
+                    self._send_over(effect.connection_id, process, encode(effect.message))
                 case CloseSubscriber():
-                    self._close_subscriber(process, effect.connection)
+                    self._close_subscriber(process, effect.connection_id)
         self._schedule_tick(process)
 
     def _close_subscriber(self, process: NodeProcess, number: int) -> None:
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -148,7 +148,7 @@
         changes = self.processes[sender].view.take_changes()
         self.changes += [ObservedChange(self.now_s, sender, change) for change in changes]
         for outgoing in datagrams:
-            self._send(sender, outgoing.to, encode(outgoing.datagram))
+            self._send(sender, outgoing.receiver, encode(outgoing.datagram))
 
     def _send(self, sender: int, receiver: int, data: bytes) -> None:
         self.sent[sender] += 1
@@ -180,4 +180,4 @@
 
     def agree(self, alive: set[int]) -> bool:
         """Whether each of these proxies holds exactly these for alive."""
-        return all(self.processes[number].view.alive() == alive for number in alive)
+        return all(self.processes[number].view.alive_proxies() == alive for number in alive)
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -1,7 +1,7 @@
 """A small simulated fleet for the control log's tests, in virtual time."""
 
 from cloverwell.control.effects import ApplyEntry
-from cloverwell.control.entry import START, Entry, EntryKind, LogState, Snapshot
+from cloverwell.control.entry import START_POSITION, Entry, EntryKind, LogState, Snapshot
 from lab.control_world import ControlWorld
 
 REGIONS = ("north", "south", "west")
@@ -40,7 +40,7 @@
 
 def current(played, process):
     """Returns whether a proxy says that it is current."""
-    return process.subscription.current(process.clock.at(played.now))
+    return process.subscription.is_current(process.clock.at(played.now))
 
 
 def times_applied(process, proposal):
@@ -64,7 +64,7 @@
 
 def snapshot(*entries):
     """Returns a snapshot of the state that the entries amount to."""
-    position, state = START, LogState()
+    position, state = START_POSITION, LogState()
     for one in entries:
         position, state = position.after(one), state.after(one)
     return Snapshot.of(position, entries[-1].term, state)
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cloverwell.config import ConfigError, parse_config, read_config
-from cloverwell.control.configuration import ConfigurationChange, check_document, digest, read_change
+from cloverwell.control.configuration import ConfigurationChange, check_document, document_digest, read_change
 from lab.proxy_testbed import SETTINGS
 
 NODES = [
@@ -156,8 +156,8 @@
 
 
 def test_digests_tell_documents_apart():
-    assert digest(b"{}") == digest(b"{}") != digest(b"{ }")
-    assert len(digest(b"")) == 16
+    assert document_digest(b"{}") == document_digest(b"{}") != document_digest(b"{ }")
+    assert len(document_digest(b"")) == 16
 
 
 def test_a_file_with_the_section_keeps_its_text(tmp_path):
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -7,7 +7,7 @@
 from control_net_rig import Lines, Reactor, Transport, end, frame
 from twisted.internet.address import IPv4Address
 
-from cloverwell.control.entry import START, Entry
+from cloverwell.control.entry import START_POSITION, Entry
 from cloverwell.control.messages import (
     Acknowledge,
     AppendAnswer,
@@ -23,7 +23,7 @@
 from cloverwell.control.server.port import MAX_CONNECTIONS, OPERATOR_TIMEOUT_S, ControlPort
 
 ANSWER = AppendAnswer(1, "b", True, 1, 0.0, 0.0)
-SUBSCRIBE = Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)
+SUBSCRIBE = Subscribe("proxy-1", 1, 1, "fleet", START_POSITION, 0, 0.0)
 
 
 def entries(number_of_bytes):
@@ -158,14 +158,14 @@
     peer, _ = port.connect()
     peer.dataReceived(frame(PeerHello("b", "fleet")) + frame(ANSWER))
     proxy, _ = port.connect()
-    proxy.dataReceived(frame(SUBSCRIBE) + frame(Acknowledge(START, 1.0)))
+    proxy.dataReceived(frame(SUBSCRIBE) + frame(Acknowledge(START_POSITION, 1.0)))
     operator, transport = port.connect()
     propose = Propose("id", "configuration", b"{}")
     operator.dataReceived(frame(propose) + frame(StatusRequest()))
     assert port.handler.received == [
         ("b", ANSWER),
         (proxy.number, SUBSCRIBE),
-        (proxy.number, Acknowledge(START, 1.0)),
+        (proxy.number, Acknowledge(START_POSITION, 1.0)),
         (operator.number, propose),
     ]
     assert transport.messages() == [ANSWER]
@@ -177,7 +177,7 @@
         [PeerHello("c", "fleet")],
         [PeerHello("b", "other")],
         [ANSWER],
-        [Entries(START, ())],
+        [Entries(START_POSITION, ())],
         [PeerHello("b", "fleet"), SUBSCRIBE],
         [SUBSCRIBE, ANSWER],
     ],
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -6,7 +6,7 @@
 
 from cloverwell.control.consensus import Consensus, NotLeaderError, Role
 from cloverwell.control.effects import EntriesCommitted, SendToPeer, SnapshotInstalled
-from cloverwell.control.entry import EMPTY_SNAPSHOT, START, Entry, EntryKind, LogState, Snapshot
+from cloverwell.control.entry import EMPTY_SNAPSHOT, START_POSITION, Entry, EntryKind, LogState, Snapshot
 from cloverwell.control.messages import (
     NO_TOKEN,
     AppendAnswer,
@@ -17,10 +17,10 @@
 )
 from cloverwell.control.replicated_log import CommittedEntryError, ReplicatedLog
 from cloverwell.control.storage import MemoryStorage, StoredState, Write
-from cloverwell.control.timing import LEASE_MS, Timing, lease_end
+from cloverwell.control.timing import LEASE_MS, ControlNodeTiming, lease_end
 
 NODES = ("a", "b", "c")
-TIMING = Timing()
+TIMING = ControlNodeTiming()
 
 
 def entries(*terms, first=1):
@@ -97,18 +97,18 @@
     node = consensus()
     node.receive(append(1, (0, 0), ()), 100.0)
     request = RequestVote(2, "c", 0, 0, pre_vote=True)
-    assert not sent(node.receive(request, 100.0 + TIMING.election_min_ms - 1), VoteAnswer)[0].granted
-    assert sent(node.receive(request, 100.0 + TIMING.election_min_ms), VoteAnswer)[0].granted
+    assert not sent(node.receive(request, 100.0 + TIMING.min_election_timeout_ms - 1), VoteAnswer)[0].granted
+    assert sent(node.receive(request, 100.0 + TIMING.min_election_timeout_ms), VoteAnswer)[0].granted
     assert node.term == 1
 
 
 def test_a_leader_without_a_quorum_refuses_and_then_steps_down():
     node = leader()
-    assert node.has_quorum(10_000.0 + TIMING.quorum_ms)
-    assert not node.has_quorum(10_001.0 + TIMING.quorum_ms)
-    node.tick(10_000.0 + TIMING.step_down_ms)
+    assert node.has_quorum(10_000.0 + TIMING.quorum_timeout_ms)
+    assert not node.has_quorum(10_001.0 + TIMING.quorum_timeout_ms)
+    node.tick(10_000.0 + TIMING.step_down_timeout_ms)
     assert node.role is Role.LEADER
-    node.tick(10_001.0 + TIMING.step_down_ms)
+    node.tick(10_001.0 + TIMING.step_down_timeout_ms)
     assert node.role is Role.FOLLOWER
     with pytest.raises(NotLeaderError, match="not the leader"):
         node.propose("configuration", b"", "x", 20_000.0)
@@ -165,7 +165,7 @@
 
 
 def test_a_snapshot_is_stored_with_what_follows_it_and_a_corrupt_or_older_one_is_not_taken():
-    state, position = LogState(), START
+    state, position = LogState(), START_POSITION
     for entry in entries(1, 1):
         state, position = state.after(entry), position.after(entry)
     snapshot = Snapshot.of(position, 1, state)
@@ -185,13 +185,15 @@
 
 
 def test_a_follower_too_far_behind_is_sent_a_snapshot_and_not_again_at_once():
-    stored = StoredState(1, "", Snapshot.of(START.after(entries(1)[0]), 1, LogState().after(entries(1)[0])))
+    stored = StoredState(
+        1, "", Snapshot.of(START_POSITION.after(entries(1)[0]), 1, LogState().after(entries(1)[0]))
+    )
     node = leader(stored)
     effects = node.receive(AppendAnswer(2, "c", False, 0, 10_000.0, 5.0), 10_010.0)
     assert sent(effects, InstallSnapshot)[0].snapshot == stored.snapshot
     assert not sent(node.tick(10_300.0), InstallSnapshot)
     node.receive(AppendAnswer(2, "b", True, 2, 10_300.0, 5.0), 10_310.0)
-    assert sent(node.tick(10_010.0 + TIMING.snapshot_retry_ms), InstallSnapshot)
+    assert sent(node.tick(10_010.0 + TIMING.snapshot_retry_interval_ms), InstallSnapshot)
 
 
 @pytest.mark.parametrize(("payload", "kept"), [(b"x", 4), (bytes(400), 2)])
@@ -203,7 +205,7 @@
     assert log.compact() is None  # nothing is committed yet
     log.commit(9)
     base = log.compact()
-    assert base.intact
+    assert base.is_intact
     assert (len(log.entries), log.base_index, log.committed) == (kept, 9 - kept, position)
     assert base.state.latest["configuration"].index == 9 - kept
     again = ReplicatedLog(StoredState(1, "", base, tuple(log.entries)), 4, 1_000)
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -9,8 +9,8 @@
 
 from cloverwell.control.control_node import ControlNode
 from cloverwell.control.effects import AnswerProposal, CloseSubscriber, SendToPeer, SendToSubscriber
-from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START, EntryKind, Position
-from cloverwell.control.fleet import REPORT_TIMEOUT_MS, FleetView, divide_by
+from cloverwell.control.entry import MAX_PAYLOAD_BYTES, START_POSITION, EntryKind, Position
+from cloverwell.control.fleet import REPORT_TIMEOUT_MS, FleetView, bound_divisor
 from cloverwell.control.messages import (
     MAX_REPORT_POSITIONS,
     Acknowledge,
@@ -34,7 +34,7 @@
 from cloverwell.control.storage import StoredState
 from cloverwell.control.subscriber import MAX_DISPLACED_RUNS
 from cloverwell.control.subscribers import merge_positions
-from cloverwell.control.timing import FanoutTiming, SubscriptionTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming, SubscriptionTiming
 
 NODES = ("a", "b", "c")
 
@@ -48,14 +48,14 @@
         StoredState(),
         Random(1),
         0.0,
-        Timing(max_pending_proposals=1),
+        ControlNodeTiming(max_pending_proposals=1),
         FanoutTiming(**fanout),
     )
     alone.tick(10_000.0)
     return alone
 
 
-def subscribe(name="p", run=1, attempt=1, log="main", position=START, last_node=""):
+def subscribe(name="p", run=1, attempt=1, log="main", position=START_POSITION, last_node=""):
     return Subscribe(name, run, attempt, log, position, position.index, 1.0, last_node)
 
 
@@ -78,14 +78,14 @@
     full.receive_proxy(2, subscribe("second"), 10_000.0)
     effects = full.receive_proxy(3, message, 10_000.0)
     assert effects == [SendToSubscriber(3, Refusal(reason)), CloseSubscriber(3)]
-    assert full.subscribers.alive == 2
+    assert full.subscribers.subscriber_count == 2
 
 
 def test_a_subscriber_is_answered_by_the_tail_then_a_heartbeat_and_by_a_snapshot_for_another_digest():
     alone = node()
     messages = to_proxy(alone.receive_proxy(1, subscribe(), 10_000.0))
     assert [type(message) for message in messages] == [Entries, Heartbeat]
-    assert messages[1].committed == START.after(messages[0].entries[0])
+    assert messages[1].committed == START_POSITION.after(messages[0].entries[0])
     messages = to_proxy(alone.receive_proxy(2, subscribe("q", position=Position(1, b"other")), 10_000.0))
     assert [type(message) for message in messages] == [SnapshotTransfer, Heartbeat]
     assert messages[0].snapshot.position == alone.consensus.log.committed
@@ -142,7 +142,7 @@
     one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
     one.receive_proxy(1, subscribe(run=7), 1.0)
     assert one.receive_peer("b", SubscriberMoved("p", run, 9), 2.0) == []
-    assert one.subscribers.alive == 1
+    assert one.subscribers.subscriber_count == 1
     one.proxy_disconnected(1, 3.0)
     one.receive_peer("b", SubscriberMoved("p", run, 9), 4.0)
     assert one.subscribers.report("a").lost == 1
@@ -159,7 +159,7 @@
 
 
 def test_who_says_goodbye_is_gone_and_who_falls_silent_or_ends_is_lost_until_it_is_forgotten():
-    alone = node(silence_timeout_ms=5_000.0, forget_ms=60_000.0)
+    alone = node(silence_timeout_ms=5_000.0, forget_after_ms=60_000.0)
     for number, name in enumerate(["good", "ended", "silent"]):
         alone.receive_proxy(number, subscribe(name), 10_000.0)
     assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseSubscriber(0)]
@@ -184,7 +184,7 @@
     assert nodes["a"].subscribers.report("a").lost == 0
     nodes["a"].receive_proxy(2, subscribe(attempt=3, last_node="b"), 5.0)
     assert nodes["a"].receive_peer("b", moved.message, 6.0) == []
-    assert nodes["a"].subscribers.alive == 1
+    assert nodes["a"].subscribers.subscriber_count == 1
     assert nodes["a"].receive_peer("c", SubscriberMoved("p", 1, 4), 7.0) == [CloseSubscriber(2)]
 
 
@@ -210,12 +210,18 @@
 def test_a_proposal_that_can_not_be_made_is_refused_at_once(message):
     (effect,) = node().propose(7, message, 10_000.0)
     assert isinstance(effect, AnswerProposal)
-    assert (effect.request, effect.answer.outcome) == (7, ProposalOutcome.INVALID)
+    assert (effect.request_id, effect.answer.outcome) == (7, ProposalOutcome.INVALID)
 
 
 def test_more_proposals_than_may_wait_are_refused_and_one_that_waits_too_long_is_unknown():
     three = ControlNode(
-        "a", NODES, "main", StoredState(), Random(1), 0.0, Timing(max_pending_proposals=1, quorum_ms=1e9)
+        "a",
+        NODES,
+        "main",
+        StoredState(),
+        Random(1),
+        0.0,
+        ControlNodeTiming(max_pending_proposals=1, quorum_timeout_ms=1e9),
     )
     three.tick(10_000.0)
     three.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), 10_000.0)
@@ -226,8 +232,10 @@
 
     assert answers(three.propose(1, Propose("one", "configuration", b""), 10_000.0)) == []
     assert answers(three.propose(2, Propose("two", "configuration", b""), 10_000.0)) == [ProposalOutcome.BUSY]
-    assert three.next_deadline() <= 10_000.0 + Timing().proposal_ms
-    assert answers(three.tick(10_000.0 + Timing().proposal_ms)) == [ProposalOutcome.UNKNOWN]
+    assert three.next_deadline() <= 10_000.0 + ControlNodeTiming().proposal_timeout_ms
+    assert answers(three.tick(10_000.0 + ControlNodeTiming().proposal_timeout_ms)) == [
+        ProposalOutcome.UNKNOWN
+    ]
 
 
 @given(st.dictionaries(st.integers(0, 1000), st.integers(1, 50), max_size=60))
@@ -286,7 +294,7 @@
 def test_shares_together_never_go_over_the_bound(alive, hidden, complete, provisioned, current, truly):
     """Whatever a part of the fleet can't see: if no more live than are counted or provisioned, all
     shares fit."""
-    share = 1 / divide_by(FleetCount(alive, hidden, complete), provisioned, current)
+    share = 1 / bound_divisor(FleetCount(alive, hidden, complete), provisioned, current)
     living = (
         min(truly, alive + hidden, max(provisioned, alive))
         if current and complete
@@ -298,14 +306,14 @@
 
 def test_the_number_to_divide_by():
     counted = FleetCount(400, 30, complete=True)
-    assert divide_by(counted, 480, current=True) == 430
-    assert divide_by(counted, 480, current=False) == 480
-    assert divide_by(FleetCount(400, 30, complete=False), 480, current=True) == 480
+    assert bound_divisor(counted, 480, current=True) == 430
+    assert bound_divisor(counted, 480, current=False) == 480
+    assert bound_divisor(FleetCount(400, 30, complete=False), 480, current=True) == 480
     # moved ones are counted twice
-    assert divide_by(FleetCount(400, 300, complete=True), 480, current=True) == 480
+    assert bound_divisor(FleetCount(400, 300, complete=True), 480, current=True) == 480
     # more live than were foreseen
-    assert divide_by(FleetCount(500, 0, complete=True), 480, current=True) == 500
-    assert divide_by(FleetCount(), 0, current=False) == 1
+    assert bound_divisor(FleetCount(500, 0, complete=True), 480, current=True) == 500
+    assert bound_divisor(FleetCount(), 0, current=False) == 1
 
 
 # Which node is tried
@@ -313,7 +321,7 @@
 
 def test_the_own_region_is_tried_first_each_once_a_round_and_rounds_grow_apart():
     selector = ControlNodeSelector(
-        (("a", "b"), ("c", "d")), SubscriptionTiming(backoff_ms=100, backoff_max_ms=300), Random(3)
+        (("a", "b"), ("c", "d")), SubscriptionTiming(initial_backoff_ms=100, max_backoff_ms=300), Random(3)
     )
     rounds = []
     for _ in range(4):
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -6,7 +6,7 @@
 import pytest
 from control_net_rig import Lines, Reactor, end, frame
 
-from cloverwell.control.entry import START, Entry, LogState, Snapshot
+from cloverwell.control.entry import START_POSITION, Entry, LogState, Snapshot
 from cloverwell.control.messages import (
     Acknowledge,
     Entries,
@@ -34,7 +34,7 @@
 
 def positions(entries):
     """Before each entry, and after the last."""
-    made = [START]
+    made = [START_POSITION]
     for one in entries:
         made.append(made[-1].after(one))
     return made
@@ -97,7 +97,7 @@
     assert {t.address for t in played.reactor.tries[1:]} == set(REMOTE_NODES.values())
     played.last.fail()
     assert len(played.reactor.tries) == 3  # all have failed: not at once
-    played.reactor.advance(TIMING.backoff_max_ms / 1000)
+    played.reactor.advance(TIMING.max_backoff_ms / 1000)
     assert len(played.reactor.tries) == 4
 
 
@@ -112,8 +112,8 @@
     entries = tuple(entry(index) for index in (1, 2, 3))
     at = positions(entries)
     subscribe = played.connect()
-    assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
-    played.tell(Entries(START, entries[:2]), Entries(at[2], entries[2:]))
+    assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START_POSITION)
+    played.tell(Entries(START_POSITION, entries[:2]), Entries(at[2], entries[2:]))
     assert played.applied == [1, 2, 3]
     acknowledged = [m.position for m in played.said() if isinstance(m, Acknowledge)]
     assert acknowledged[-1] == at[3] == played.follower.status.position
@@ -124,7 +124,7 @@
     at = positions(entries)
     played.refused_indexes = {2}
     played.connect()
-    played.tell(Entries(START, entries[:2]))
+    played.tell(Entries(START_POSITION, entries[:2]))
     last = played.said()[-1]
     assert (last.position, last.refused_index, last.refused_reason) == (at[2], 2, "field: no")
     assert played.applied == [1]
@@ -140,7 +140,7 @@
     for one in entries:
         state = state.after(one)
     played.connect()
-    played.tell(Entries(START, tuple(entries[:2])))
+    played.tell(Entries(START_POSITION, tuple(entries[:2])))
     assert played.applied == [1, 2]
     played.tell(SnapshotTransfer(Snapshot.of(at[5], 1, state)))
     assert played.applied == [1, 2, 3, 4, 5]
@@ -149,7 +149,7 @@
 
 
 def test_purges_that_nobody_can_name_any_more_are_reported(played):
-    position = START
+    position = START_POSITION
     for index in range(1, 10):
         position = position.after(entry(index))
     state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
@@ -189,14 +189,14 @@
     third.protocol.dataReceived(frame(Goodbye()))
     assert third.transport.aborted
     end(third.protocol)
-    played.reactor.advance(TIMING.backoff_max_ms / 1000)
+    played.reactor.advance(TIMING.max_backoff_ms / 1000)
     assert len(played.reactor.tries) == 4
 
 
 def test_a_heartbeat_with_a_lease_makes_it_current_and_tells_how_many_live(played):
     subscribe = played.connect()
     assert not played.follower.ready
-    played.tell(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
+    played.tell(Heartbeat(START_POSITION, subscribe.token, 5000.0, FleetCount(30, 2, True)))
     assert played.follower.ready
     assert played.follower.status.current
     assert played.follower.divide_by(480) == 32
@@ -206,7 +206,7 @@
 
 
 def test_a_start_without_any_node_waits_for_a_bounded_time(played):
-    while played.reactor.now_ms() < TIMING.wait_ms:
+    while played.reactor.now_ms() < TIMING.catch_up_timeout_ms:
         assert not played.follower.ready
         if played.last.factory is not None:
             played.last.fail()
@@ -230,7 +230,7 @@
 def test_it_may_be_started_again(played):
     entries = (entry(1), entry(2))
     played.connect()
-    played.tell(Entries(START, entries[:1]))
+    played.tell(Entries(START_POSITION, entries[:1]))
     played.follower.stop()
     end(played.last.protocol)
     played.follower.start()
@@ -250,7 +250,7 @@
     assert context.reactor.tries[0].address in REMOTE_NODES.values()
     transport = context.reactor.tries[0].succeed()
     assert transport.messages()[0].proxy == "hollow-1"
-    context.reactor.tries[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
+    context.reactor.tries[0].protocol.dataReceived(frame(Entries(START_POSITION, (entry(1), entry(2)))))
     assert reported == [("control", 1, False, 1), ("control", 2, False, 1)]
     follower.stop()
     assert transport.messages()[-1] == Goodbye()
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -16,7 +16,7 @@
     EMPTY_SNAPSHOT,
     SNAPSHOT_PURGE_BYTES,
     SNAPSHOT_PURGES,
-    START,
+    START_POSITION,
     Entry,
     EntryKind,
     LogState,
@@ -41,14 +41,14 @@
 )
 
 ENTRY = Entry(1, 1, EntryKind.CONFIGURATION, b"\x00limits\xff", "change-7")
-SNAPSHOT = Snapshot.of(START.after(ENTRY), 1, LogState().after(ENTRY))
+SNAPSHOT = Snapshot.of(START_POSITION.after(ENTRY), 1, LogState().after(ENTRY))
 MESSAGES = [
     AppendEntries(3, "a", 0, 0, (ENTRY,), 0, 12.5),
-    Subscribe("proxy", 17, 1, "main", START, 0, 5.0, "b"),
+    Subscribe("proxy", 17, 1, "main", START_POSITION, 0, 5.0, "b"),
     SnapshotTransfer(SNAPSHOT),
-    Entries(START, (ENTRY,)),
-    Heartbeat(START, 4.5, 7000.0, FleetCount(480, 2, True)),
-    Acknowledge(START, 5.5, 3, "limits: unknown name"),
+    Entries(START_POSITION, (ENTRY,)),
+    Heartbeat(START_POSITION, 4.5, 7000.0, FleetCount(480, 2, True)),
+    Acknowledge(START_POSITION, 5.5, 3, "limits: unknown name"),
     Propose("change-7", EntryKind.CONFIGURATION, b"{}"),
     SubscriberReport("a", 69, 0),
 ]
@@ -91,7 +91,7 @@
     last = Entry(2, 1, EntryKind.PURGE, b"key")
     changed = [{"term": 2}, {"kind": EntryKind.PURGE}, {"payload": b"other"}, {"proposal": "change-8"}]
     logs = [ENTRY, *(msgspec.structs.replace(ENTRY, **change) for change in changed)]
-    assert len({START.after(first).after(last).digest for first in logs}) == len(logs)
+    assert len({START_POSITION.after(first).after(last).digest for first in logs}) == len(logs)
 
 
 def test_only_the_next_entry_follows_a_position():
@@ -118,11 +118,11 @@
 
 
 def test_a_snapshot_that_was_changed_is_not_intact():
-    assert SNAPSHOT.intact
-    assert EMPTY_SNAPSHOT.intact
-    assert decode(encode(SnapshotTransfer(SNAPSHOT))).snapshot.intact
-    for change in ({"term": 2}, {"state": LogState()}, {"position": START}, {"checksum": bytes(16)}):
-        assert not msgspec.structs.replace(SNAPSHOT, **change).intact
+    assert SNAPSHOT.is_intact
+    assert EMPTY_SNAPSHOT.is_intact
+    assert decode(encode(SnapshotTransfer(SNAPSHOT))).snapshot.is_intact
+    for change in ({"term": 2}, {"state": LogState()}, {"position": START_POSITION}, {"checksum": bytes(16)}):
+        assert not msgspec.structs.replace(SNAPSHOT, **change).is_intact
 
 
 PURE = [
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -78,7 +78,7 @@
 class TailsWithoutDigest(SubscriberTable):
     """Sends the tail from any position that the log reaches, whatever its digest."""
 
-    def _may_tail(self, position):
+    def _may_send_entries_after(self, position):
         return self._log.base_index <= position.index <= self._log.committed.index
 
 
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -10,7 +10,7 @@
 from failing_files import Effect, Fault
 from twisted.internet.address import IPv4Address
 
-from cloverwell.control.entry import START
+from cloverwell.control.entry import START_POSITION
 from cloverwell.control.messages import (
     AppendAnswer,
     AppendEntries,
@@ -29,7 +29,7 @@
 from cloverwell.control.server.node_server import NodeServer
 from cloverwell.control.server.settings import NodeSettings
 from cloverwell.control.storage import MemoryStorage, StorageError
-from cloverwell.control.timing import Timing
+from cloverwell.control.timing import ControlNodeTiming
 
 ADDRESSES = {name: ("127.0.0.1", 7400 + number) for number, name in enumerate("abc")}
 
@@ -138,7 +138,7 @@
 def test_an_entry_is_written_before_it_leaves_and_committed_before_proxies_have_it(played):
     played.lead()
     proxy, to_proxy = played.connect()
-    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
+    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START_POSITION, 0, 0.0)))
     operator, to_operator = played.connect()
     to_proxy.messages()
     del played.order[:]
@@ -175,7 +175,7 @@
 
 def test_a_leader_without_its_quorum_refuses(played):
     played.lead()
-    played.pass_time(Timing().quorum_ms + 100)
+    played.pass_time(ControlNodeTiming().quorum_timeout_ms + 100)
     operator, transport = played.connect()
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")) + frame(StatusRequest()))
     answer, status = transport.messages()
@@ -197,7 +197,7 @@
 
 def test_proxies_get_heartbeats_by_the_nodes_own_timer(played):
     proxy, transport = played.connect()
-    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
+    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START_POSITION, 0, 0.0)))
     transport.messages()
     played.pass_time(2500)
     assert [type(message) for message in transport.messages()] == [Heartbeat, Heartbeat]
@@ -205,7 +205,7 @@
 
 def test_a_lone_node_leads_by_itself():
     played = Played("a")
-    played.pass_time(Timing().election_max_ms + 100)
+    played.pass_time(ControlNodeTiming().max_election_timeout_ms + 100)
     assert played.server.node.consensus.leader == "a"
     assert "info leader: a leads, term 1" in played.lines.lines
 
--- a/tests/test_control_proxies.py
+++ b/tests/test_control_proxies.py
@@ -93,7 +93,7 @@
     played.run(3_000)
     change(played, "change-1", bytes(50_000))
     played.run(3_000)
-    count = played.leader().node.fleet(played.leader().clock.at(played.now))
+    count = played.leader().node.fleet_count(played.leader().clock.at(played.now))
     assert (count.alive, count.hidden, count.complete) == (480, 0, True)
     names = list(proxies)[:85]
     for name in names:
@@ -104,7 +104,7 @@
     played.run_until(lambda: all(process.subscription.caught_up for process in restarted), 2_000)
     assert all_serve(played, "change-1")()
     played.run(3_000)
-    count = played.leader().node.fleet(played.leader().clock.at(played.now))
+    count = played.leader().node.fleet_count(played.leader().clock.at(played.now))
     assert (count.alive, count.complete) == (480, True)
     assert count.hidden <= 85  # those that came back at another node than they had left unannounced
 
@@ -116,11 +116,11 @@
         played.cut("p0", node)
     played.start_proxy("p0")
     process = played.proxies["p0"]
-    bound = SubscriptionTiming().wait_ms
+    bound = SubscriptionTiming().catch_up_timeout_ms
     played.run(bound - 10)
-    assert not process.subscription.ready(process.clock.at(played.now))
+    assert not process.subscription.is_ready(process.clock.at(played.now))
     played.run(20)
-    assert process.subscription.ready(process.clock.at(played.now))
+    assert process.subscription.is_ready(process.clock.at(played.now))
     assert process.subscription.status(process.clock.at(played.now)).catch_up_abandoned
     assert bound < 10_000  # nine in ten are ready in 10 s
     played.mend()
@@ -140,20 +140,20 @@
     played.run(3_000)
     leader = played.leader()
     index = len(played.rules.log)
-    report = leader.node.in_force(index, leader.clock.at(played.now))
+    report = leader.node.activation_count(index, leader.clock.at(played.now))
     assert (report.applied, report.refused, report.alive, report.oldest_index) == (11, 1, 12, index)
     assert [(each.index, each.reason) for each in report.refusals] == [(index, "limits: unknown name")]
     assert serving(process) == "good"
     assert all_serve(played, "bad here", [each for each in played.proxies.values() if each is not process])()
     change(played, "mended")
     played.run(3_000)
-    report = leader.node.in_force(index + 1, leader.clock.at(played.now))
+    report = leader.node.activation_count(index + 1, leader.clock.at(played.now))
     assert (report.applied, report.refused, report.refusals) == (12, 0, ())
     assert all_serve(played, "mended")()
 
 
 def test_a_slow_proxy_among_fast_ones_gets_a_snapshot_and_holds_nobody_up():
-    fanout = FanoutTiming(window_entries=4, tail_entries=16)
+    fanout = FanoutTiming(window_entries=4, max_entries_behind=16)
     played = world(fanout=fanout)
     slow = played.proxies["p1"]
     slow.load_ms = 400.0
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -6,8 +6,8 @@
 from control_net_rig import Lines, Reactor, frame
 
 from cloverwell.config import parse_config
-from cloverwell.control.configuration import digest
-from cloverwell.control.entry import START, Entry
+from cloverwell.control.configuration import document_digest
+from cloverwell.control.entry import START_POSITION, Entry
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
 from cloverwell.control.proxy.proxy_control import CHECK_INTERVAL_MS, ProxyControl
 from cloverwell.front.operators import OperatorHttpFactory
@@ -38,7 +38,7 @@
         self.control.start(self.on_ready)
         self.node = self.reactor.tries[0].succeed()
         (self.subscribe,) = self.node.messages()
-        self.position = START
+        self.position = START_POSITION
 
     def on_ready(self):
         self.ready += 1
@@ -82,9 +82,11 @@
     played.commit(CHANGE)
     assert played.done == [(("127.0.0.1", 9), 50)]
     assert played.acknowledged().refused_index == 0
-    line = f"info version: 1 in force, digest {digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
+    line = (
+        f"info version: 1 in force, digest {document_digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
+    )
     assert line in played.lines.lines
-    assert f"version=1 digest={digest(CHANGE)} position=1" in played.control.describe()
+    assert f"version=1 digest={document_digest(CHANGE)} position=1" in played.control.describe()
 
 
 def test_of_a_version_that_cannot_be_loaded_nothing_takes_effect(played):
@@ -97,7 +99,7 @@
     refusals = [line for line in played.lines.lines if "2 refused" in line]
     assert len(refusals) == 1
     assert "version 1 stays in force" in refusals[0]
-    assert digest(BAD) in refusals[0]
+    assert document_digest(BAD) in refusals[0]
     assert "version=1" in played.control.describe()
     assert "refused=2" in played.control.describe()
     played.commit(CHANGE)
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -10,13 +10,13 @@
 
 from cloverwell.control.entry import EntryKind, LogState, Position, Snapshot
 from cloverwell.control.messages import ProposalOutcome, Propose
-from cloverwell.control.timing import FanoutTiming, Timing
+from cloverwell.control.timing import ControlNodeTiming, FanoutTiming
 from lab.control_world import ControlWorld
 
 NODES = {"n1": "north", "s1": "south", "w1": "west"}
 PROXIES = {"p1": "north", "p2": "south", "p3": "west"}
-SMALL_LOG = Timing(keep_entries=4, append_entries=3)
-SMALL_WINDOW = FanoutTiming(window_entries=2, tail_entries=6)
+SMALL_LOG = ControlNodeTiming(keep_entries=4, max_append_entries=3)
+SMALL_WINDOW = FanoutTiming(window_entries=2, max_entries_behind=6)
 
 
 class ControlLog(RuleBasedStateMachine):
@@ -147,7 +147,7 @@
         position = self.world.rules.positions[-1]
         for process in self.world.proxies.values():
             assert process.subscription.position == position, process.name
-            assert process.subscription.current(process.clock.at(self.world.now))
+            assert process.subscription.is_current(process.clock.at(self.world.now))
             assert process.serving[EntryKind.CONFIGURATION].proposal == "the last"
         for process in self.world.nodes.values():
             assert process.node.consensus.log.committed == position
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -70,8 +70,8 @@
         now_ms += 50.0
         outs = view.tick(now_ms) if ticks else view.receive(now_ms, datagram)
         assert all(len(encode(out.datagram)) <= MAX_DATAGRAM_BYTES for out in outs)
-        assert 0 in view.alive()
-        assert view.alive() <= set(range(4))
+        assert 0 in view.alive_proxies()
+        assert view.alive_proxies() <= set(range(4))
         assert set(view.members) <= {1, 2, 3}
         assert view.pending_indirect_probes <= 4
         assert view.pending_updates <= 4
--- a/tests/test_gossip_large.py
+++ b/tests/test_gossip_large.py
@@ -33,7 +33,7 @@
     )
     datagram = Datagram(DatagramKind.PING_REQ, 1023, 1, 2**16 - 1, 1022, updates)
     assert decode(encode(datagram)) == datagram
-    assert MembershipView(1023, 1024, 1, 1).alive() == {1023}
+    assert MembershipView(1023, 1024, 1, 1).alive_proxies() == {1023}
     with pytest.raises(ValueError, match="number: must be under total"):
         MembershipView(0, MAX_PROXIES + 1, 1, 1)
 
@@ -53,7 +53,7 @@
 
 
 def pinged(view, now):
-    return [out.to for out in view.tick(now)]
+    return [out.receiver for out in view.tick(now)]
 
 
 def test_unreachable_members_are_pinged_in_turn_and_few_at_a_time():
@@ -75,8 +75,8 @@
     view.receive(0.0, Datagram(DatagramKind.ACK, 1, 5, 1, updates=updates))
     received = {}
     for second in range(1, 5):
-        outs = [out for out in view.tick(1000.0 * second) if out.to not in (1, 3, 4)]
-        received |= {out.to: out.datagram.updates for out in outs}
+        outs = [out for out in view.tick(1000.0 * second) if out.receiver not in (1, 3, 4)]
+        received |= {out.receiver: out.datagram.updates for out in outs}
     assert len(received) == 36
     assert received.pop(2) == (updates[0],)
     assert set(received.values()) == {()}
--- a/tests/test_gossip_parts.py
+++ b/tests/test_gossip_parts.py
@@ -136,35 +136,37 @@
 
 def test_a_member_that_answers_within_the_ping_timeout_is_not_probed_indirectly():
     table, detector, ping = detector_with_one_probe()
-    detector.acknowledge(ack_of(ping, ping.to))
+    detector.acknowledge(ack_of(ping, ping.receiver))
     assert detector.tick(100.0) == []
     (next_ping,) = detector.tick(200.0)
-    assert next_ping.to != ping.to
+    assert next_ping.receiver != ping.receiver
     assert not table.suspects
 
 
 def test_a_member_that_answers_nobody_is_probed_by_others_once_and_then_suspected():
     table, detector, ping = detector_with_one_probe()
     requests = detector.tick(80.0)
-    assert len({request.to for request in requests} - {0, ping.to}) == GossipTiming().indirect_probes
+    assert (
+        len({request.receiver for request in requests} - {0, ping.receiver}) == GossipTiming().indirect_probes
+    )
     assert {request.datagram.kind for request in requests} == {DatagramKind.PING_REQ}
-    assert {request.datagram.subject for request in requests} == {ping.to}
+    assert {request.datagram.subject for request in requests} == {ping.receiver}
     assert {request.datagram.sequence for request in requests} == {ping.datagram.sequence}
     assert detector.tick(160.0) == []
     detector.tick(200.0)
-    assert table.suspects == {ping.to}
+    assert table.suspects == {ping.receiver}
 
 
 @pytest.mark.parametrize("wrong", ["subject", "sequence"])
 def test_an_ack_of_another_probe_does_not_count(wrong):
     table, detector, ping = detector_with_one_probe()
-    other = ack_of(ping, ping.to % (TOTAL - 1) + 1)
+    other = ack_of(ping, ping.receiver % (TOTAL - 1) + 1)
     if wrong == "sequence":
-        other = Datagram(DatagramKind.ACK, ping.to, 1, ping.datagram.sequence + 1, ping.to)
+        other = Datagram(DatagramKind.ACK, ping.receiver, 1, ping.datagram.sequence + 1, ping.receiver)
     detector.acknowledge(other)
     detector.tick(80.0)
     detector.tick(200.0)
-    assert table.suspects == {ping.to}
+    assert table.suspects == {ping.receiver}
 
 
 # Indirect probes on behalf of others ------------------------------------------------------------------
@@ -181,9 +183,9 @@
 
 def test_an_ack_is_relayed_once_under_the_requesters_sequence_number(indirect_probes):
     (ping,) = indirect_probes.start(0.0, ping_request(1, 900, 2))
-    assert (ping.to, ping.datagram.kind, ping.datagram.subject) == (2, DatagramKind.PING, NO_PROXY)
+    assert (ping.receiver, ping.datagram.kind, ping.datagram.subject) == (2, DatagramKind.PING, NO_PROXY)
     relayed = indirect_probes.relay(ack_of(ping, 2))
-    assert (relayed.to, relayed.datagram.kind) == (1, DatagramKind.ACK)
+    assert (relayed.receiver, relayed.datagram.kind) == (1, DatagramKind.ACK)
     assert (relayed.datagram.sequence, relayed.datagram.subject) == (900, 2)
     assert indirect_probes.relay(ack_of(ping, 2)) is None
 
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -243,7 +243,7 @@
     for number in (1, 2):
         view.receive(0.0, Datagram(DatagramKind.PING, number, 1000, 1, NO_PROXY, ()))
     assert view.tick(0.0)
-    assert view.alive() == {0, 1, 2}
+    assert view.alive_proxies() == {0, 1, 2}
     return view
 
 
