--- a/tests/test_golden_control_storage.py
+++ b/tests/test_golden_control_storage.py
@@ -56,7 +56,7 @@
 
 def test_the_snapshot_is_read_intact(expected, stored):
     assert stored.snapshot.position.index == expected["snapshot_index"]
-    assert stored.snapshot.intact is expected["snapshot_intact"] is True
+    assert stored.snapshot.is_intact is expected["snapshot_intact"] is True
 
 
 def test_entries_of_each_kind_are_read(expected, stored):
