--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -1,10 +1,10 @@
-"""How a configuration committed to the control log changes a running proxy. No I/O.
+"""Finds what a configuration committed to the control log changes in a running proxy. No I/O.
 
 The payload of an entry is a configuration file for the whole fleet. What it does not name, such as a proxy's
 own `listen`, is taken from that proxy's file, and the merged document is read like any other. It may differ
-from the active configuration in discovery's address and in the number of proxies alone. Any other difference
-refuses the whole document, since it would count from the next start on, and half a version is worse than the
-one before.
+from the active configuration only in discovery's address and in the number of proxies. For any other
+difference the proxy refuses the whole document: that difference would take effect only at the next start, and
+a document applied in part is worse than the one before it.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 from cloverwell.config import Config, ConfigError, ConfigFile, parse_config
 from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
-DIGEST_DIGITS = 16
-# Fields of `Config` that may differ; of the settings only FLEET_SIZE may, which is checked apart.
+DIGEST_HEX_DIGITS = 16
+# The fields of `Config` that a document may change. Of the settings it may change only FLEET_SIZE_PATH, which
+# `read_change` checks by itself.
 CHANGEABLE_FIELDS = frozenset({"discovery", "settings", "document"})
-FLEET_SIZE = ("peers-total",)
+FLEET_SIZE_PATH = ("peers-total",)
 
 SettingPath = tuple[str, ...]
 
@@ -40,12 +41,12 @@
 
 
 def document_digest(document: bytes) -> str:
-    """Returns a short name of a document, the same on each machine."""
-    return hashlib.sha256(document).hexdigest()[:DIGEST_DIGITS]
+    """Returns a short hexadecimal digest of a document."""
+    return hashlib.sha256(document).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def check_document(document: bytes) -> None:
-    """Checks what can be known of a payload without a proxy's own file. Raises ConfigError."""
+    """Checks a payload as far as that is possible without a proxy's own file. Raises ConfigError."""
     fields = _read_object(document)
     try:
         file = msgspec.convert(fields, ConfigFile)
@@ -74,31 +75,31 @@
         raise ConfigError("settings", str(error)) from None
 
 
-def read_change(own: bytes, document: bytes, environ: Mapping[str, str]) -> ConfigurationChange:
+def read_change(own_document: bytes, document: bytes, environ: Mapping[str, str]) -> ConfigurationChange:
     """Returns what a committed document changes at a proxy.
 
-    `own` is the file with which the proxy has started, `environ` its environment. Raises ConfigError, which
-    names the first field that can't be read or can't be changed at run time.
+    `own_document` is the file with which the proxy has started, `environ` its environment. Raises
+    ConfigError, which names the first field that can't be read or can't be changed at run time.
     """
-    started = parse_config(own, environ, reloading=True)
-    merged = _merge(own, document)
-    config = parse_config(merged, environ, reloading=True)
+    started_config = parse_config(own_document, environ, reloading=True)
+    merged_document = _merge_documents(own_document, document)
+    merged_config = parse_config(merged_document, environ, reloading=True)
     for field in Config.__struct_fields__:
-        if field not in CHANGEABLE_FIELDS and getattr(config, field) != getattr(started, field):
+        if field not in CHANGEABLE_FIELDS and getattr(merged_config, field) != getattr(started_config, field):
             raise _unchangeable(field)
-    with_started_size = replace(config.settings, peers_total=started.settings.peers_total)
-    if with_started_size != started.settings:
-        raise _unchangeable(_first_changed_setting(started, merged))
-    return ConfigurationChange(config.discovery, config.settings.peers_total)
+    with_started_size = replace(merged_config.settings, peers_total=started_config.settings.peers_total)
+    if with_started_size != started_config.settings:
+        raise _unchangeable(_first_changed_setting(started_config, merged_document))
+    return ConfigurationChange(merged_config.discovery, merged_config.settings.peers_total)
 
 
 def _unchangeable(field: str) -> ConfigError:
     return ConfigError(field, "can't be changed at run time")
 
 
-def _merge(own: bytes, document: bytes) -> bytes:
+def _merge_documents(own_document: bytes, document: bytes) -> bytes:
     """Returns the proxy's own file with the fields that the document names replaced."""
-    return msgspec.json.encode(msgspec.json.decode(own) | _read_object(document))
+    return msgspec.json.encode(msgspec.json.decode(own_document) | _read_object(document))
 
 
 def _read_object(document: bytes) -> dict[str, Any]:
@@ -111,32 +112,34 @@
     return fields
 
 
-def _first_changed_setting(started: Config, merged: bytes) -> str:
-    """Returns the first setting, as the file names it, whose change alone makes another configuration."""
-    before = msgspec.json.decode(started.document)["settings"]
-    after = msgspec.json.decode(merged)["settings"]
-    for path, value in _differences(before, after):
-        if path != FLEET_SIZE and _changes_settings(started, before, path, value):
+def _first_changed_setting(started_config: Config, merged_document: bytes) -> str:
+    """Returns the dotted name of the first setting whose change alone makes the settings differ."""
+    before = msgspec.json.decode(started_config.document)["settings"]
+    after = msgspec.json.decode(merged_document)["settings"]
+    for path, value in _changed_values(before, after):
+        if path != FLEET_SIZE_PATH and _changes_settings(started_config, before, path, value):
             return ".".join(("settings", *path))
     return "settings"
 
 
-def _changes_settings(started: Config, before: dict[str, Any], path: SettingPath, value: object) -> bool:
-    """Returns whether one value alone makes other settings; one that can't be read alone does."""
+def _changes_settings(
+    started_config: Config, before: dict[str, Any], path: SettingPath, value: object
+) -> bool:
+    """Returns whether changing one value makes the settings differ; an unreadable one does."""
     try:
-        return read_settings(_with_value(before, path, value)) != started.settings
+        return read_settings(_with_value(before, path, value)) != started_config.settings
     except SettingsError:
         return True
 
 
-def _differences(
+def _changed_values(
     before: dict[str, Any], after: dict[str, Any], path: SettingPath = ()
 ) -> Iterator[tuple[SettingPath, Any]]:
-    """Yields the paths whose values differ, in the order of their names, with the value after."""
+    """Yields the paths whose values differ, in the order of their names, each with the value in `after`."""
     for name in sorted(before.keys() | after.keys()):
         old, new = before.get(name), after.get(name)
         if isinstance(old, dict) and isinstance(new, dict):
-            yield from _differences(old, new, (*path, name))
+            yield from _changed_values(old, new, (*path, name))
         elif old != new:
             yield (*path, name), new
 
--- a/cloverwell/control/delivery.py
+++ b/cloverwell/control/delivery.py
@@ -1,4 +1,4 @@
-"""What a proxy has received of the log, what it is applying, and how far it has applied it."""
+"""Tracks what a proxy has received of the log, what it is applying, and what it has applied."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from cloverwell.control.errors import ControlError
 from cloverwell.control.messages import MAX_REASON_CHARS
 
-MAX_PENDING_ENTRIES = 1024  # larger than any window: a control node that sends more is faulty
+MAX_PENDING_ENTRIES = 1024  # more than any window; a control node that sends more is faulty
 
 
 class DeliveryError(ControlError):
     """A message does not follow what was received before, so its connection has to be closed."""
 
     def __init__(self, reason: str) -> None:
-        """Makes the message of the reason alone."""
+        """Uses the reason as the message."""
         super().__init__(reason)
         self.reason = reason
 
@@ -31,7 +31,7 @@
 
 
 class Delivery:
-    """The way of entries from their receipt to their application, in order and one at a time.
+    """The entries that a proxy has received; they are applied in order and one at a time.
 
     Everything up to `position` is applied, or refused and skipped. `received` is the position after the last
     entry that is applied, being applied or pending.
@@ -42,9 +42,9 @@
         self.position = START_POSITION
         self.received = START_POSITION
         self._applying: ApplyEntry | ApplySnapshot | None = None
-        self._applying_to = START_POSITION  # the position after what is being applied
+        self._position_when_applied = START_POSITION  # the position once that is applied
         self._pending: deque[Entry | Snapshot] = deque()
-        self._refused: dict[str, RefusedEntry] = {}  # by kind, until an entry of the kind is applied
+        self._refused: dict[str, RefusedEntry] = {}  # by kind; removed when an entry of the kind is applied
 
     @property
     def refused(self) -> RefusedEntry | None:
@@ -54,9 +54,9 @@
     def receive_entries(self, previous: Position, entries: tuple[Entry, ...]) -> None:
         """Adds entries. Raises DeliveryError if they don't follow what was received."""
         if previous != self.received:
-            raise DeliveryError(f"entries after {previous.index} at {self.received.index}")
+            raise DeliveryError(f"entries that follow index {previous.index}, not {self.received.index}")
         if len(self._pending) + len(entries) > MAX_PENDING_ENTRIES:
-            raise DeliveryError("more entries than any window")
+            raise DeliveryError("more pending entries than any window")
         received = previous
         try:
             for entry in entries:
@@ -73,10 +73,12 @@
         applied: a proxy never goes back.
         """
         if not snapshot.is_intact:
-            raise DeliveryError("snapshot: checksum")
+            raise DeliveryError("snapshot with a wrong checksum")
         self.drop_pending()
         if snapshot.position.index < self.received.index:
-            raise DeliveryError(f"snapshot of {snapshot.position.index} at {self.received.index}")
+            raise DeliveryError(
+                f"snapshot at index {snapshot.position.index}, older than index {self.received.index}"
+            )
         if snapshot.position != self.received:
             self._pending.append(snapshot)
             self.received = snapshot.position
@@ -90,7 +92,7 @@
         return None
 
     def record_applied(self, index: int) -> bool:
-        """Records that what was given out is applied; returns False if `index` is not that of it."""
+        """Records that the entry or snapshot given out is applied; returns False if `index` isn't its own."""
         if not self._is_applying(index):
             return False
         if isinstance(self._applying, ApplyEntry):
@@ -101,10 +103,10 @@
         return True
 
     def record_refused(self, index: int, reason: str, kind: str) -> bool:
-        """Records that what was given out could not be applied, so that what was applied before stays.
+        """Records that the entry or snapshot given out could not be applied; what was applied before stays.
 
-        `kind` is, for a snapshot, that of the entry in it that could not be applied. Returns False if `index`
-        is not that of what was given out.
+        `kind` is, for a snapshot, that of the entry in it that could not be applied. Returns False if
+        `index` is not that of the entry or snapshot given out.
         """
         if not self._is_applying(index):
             return False
@@ -117,24 +119,24 @@
         return True
 
     def drop_pending(self) -> None:
-        """Drops what is pending, as after the end of a connection; what is being applied stays."""
+        """Drops what is pending, for example when a connection ends; what is being applied stays."""
         self._pending.clear()
-        self.received = self.position if self._applying is None else self._applying_to
+        self.received = self.position if self._applying is None else self._position_when_applied
 
     def _begin(self, item: Entry | Snapshot) -> None:
         """Begins to apply an item, or skips a no-op."""
         if isinstance(item, Snapshot):
             self._applying = ApplySnapshot(item, self.position)
-            self._applying_to = item.position
+            self._position_when_applied = item.position
         elif item.kind == EntryKind.NOOP:
             self.position = self.position.after(item)
         else:
             self._applying = ApplyEntry(item)
-            self._applying_to = self.position.after(item)
+            self._position_when_applied = self.position.after(item)
 
     def _is_applying(self, index: int) -> bool:
-        return self._applying is not None and self._applying_to.index == index
+        return self._applying is not None and self._position_when_applied.index == index
 
     def _finish(self) -> None:
-        self.position = self._applying_to
+        self.position = self._position_when_applied
         self._applying = None
--- a/cloverwell/control/effects.py
+++ b/cloverwell/control/effects.py
@@ -22,7 +22,7 @@
 
 
 class EntriesCommitted(msgspec.Struct, frozen=True):
-    """Entries that are committed from now on, in order, each reported once between two restarts."""
+    """Entries that have just been committed, in order. Each is reported once between two restarts."""
 
     entries: tuple[Entry, ...]
 
@@ -44,14 +44,14 @@
 
 
 class SendToSubscriber(msgspec.Struct, frozen=True):
-    """Send a message to the proxy at a connection, after what was sent there before."""
+    """Send a message to the proxy at a connection, after all earlier messages to it."""
 
     connection_id: int
     message: NodeMessage
 
 
 class CloseSubscriber(msgspec.Struct, frozen=True):
-    """Close a subscriber's connection after what was sent to it; its end need not be reported."""
+    """Close a subscriber's connection once all messages to it are sent; the end need not be reported."""
 
     connection_id: int
 
@@ -67,7 +67,7 @@
 
 
 class DisconnectFromNode(msgspec.Struct, frozen=True):
-    """Close the connection of `attempt` after what was sent over it, or cancel the attempt to connect.
+    """Close the connection of `attempt` once all messages on it are sent, or cancel the attempt to connect.
 
     The end of the connection need not be reported.
     """
@@ -89,7 +89,7 @@
 
 
 class ApplySnapshot(msgspec.Struct, frozen=True):
-    """Apply a snapshot's state in place of all before, then call `applied` or `refused` with its index.
+    """Apply a snapshot's state in place of the earlier one, then call `applied` or `refused` with its index.
 
     `previous` is the position that the snapshot replaces. Where that is older than
     `state.purges_complete_from`, purges were missed that the snapshot does not list: everything that was
--- a/cloverwell/control/entry.py
+++ b/cloverwell/control/entry.py
@@ -1,4 +1,4 @@
-"""Entries of the control log, positions in it, the state they amount to, and snapshots of that state.
+"""Entries of the control log, positions in it, the state that results from them, and snapshots of that state.
 
 A position is an index and a digest that chains over all entries up to it (BLAKE2b, 16 bytes): two logs that
 have a position in common hold the same entries up to it. Index 0 is the empty log. Payloads are opaque here.
@@ -13,9 +13,9 @@
 
 DIGEST_BYTES = 16
 MAX_PAYLOAD_BYTES = 1024 * 1024
-# A snapshot lists so many purges, and so many bytes of them: five minutes at 3.4 purges a second.
-SNAPSHOT_PURGES = 1024
-SNAPSHOT_PURGE_BYTES = 256 * 1024
+# The most purges in a snapshot, enough for five minutes at 3.4 purges a second, and their payload in bytes.
+MAX_SNAPSHOT_PURGES = 1024
+MAX_SNAPSHOT_PURGE_BYTES = 256 * 1024
 
 
 class EntryKind(StrEnum):
@@ -62,11 +62,11 @@
 
 
 class LogState(msgspec.Struct, frozen=True, array_like=True):
-    """What the log amounts to at a position: the latest entry of each kind, and the latest purges.
+    """The state that the entries up to a position result in: the latest of each kind, and the latest purges.
 
-    Purges add up instead of replacing each other. Only the latest `SNAPSHOT_PURGES` are listed. A proxy whose
-    position is before `purges_complete_from` has missed purges that are not listed, and must drop everything
-    it has cached.
+    Purges add up instead of replacing each other. Only the latest `MAX_SNAPSHOT_PURGES` are listed. A proxy
+    whose position is before `purges_complete_from` has missed purges that are not listed, and must drop
+    everything it has cached.
     """
 
     latest: dict[str, Entry] = {}
@@ -82,11 +82,11 @@
         return msgspec.structs.replace(self, latest={**self.latest, entry.kind: entry})
 
     def _after_purge(self, entry: Entry) -> LogState:
-        """Returns the state with one more purge, less the oldest ones that go over the bounds."""
+        """Returns the state with one more purge, and without the oldest ones that exceed the bounds."""
         purges = (*self.purges, entry)
-        surplus = max(0, len(purges) - SNAPSHOT_PURGES)
+        surplus = max(0, len(purges) - MAX_SNAPSHOT_PURGES)
         size_bytes = sum(len(purge.payload) for purge in purges[surplus:])
-        while size_bytes > SNAPSHOT_PURGE_BYTES:
+        while size_bytes > MAX_SNAPSHOT_PURGE_BYTES:
             size_bytes -= len(purges[surplus].payload)
             surplus += 1
         complete_from = purges[surplus - 1].index if surplus else self.purges_complete_from
@@ -111,7 +111,7 @@
 
     @property
     def is_intact(self) -> bool:
-        """Whether the checksum matches the content."""
+        """True if the checksum matches the content."""
         return self.checksum == _checksum(self.position, self.term, self.state)
 
 
--- a/cloverwell/control/messages.py
+++ b/cloverwell/control/messages.py
@@ -6,8 +6,8 @@
 
 Leases work without synchronised clocks. A holder puts `token`, the time of sending by its own clock, into a
 message; the answer returns it as `echo` together with `lease_ms`. The lease runs for `lease_ms` from that
-sending, so neither the delay on the way nor the difference between two clocks can make it longer than was
-meant. Without an echo the field is NO_TOKEN.
+sending, so neither the network's delay nor the difference between two clocks can make it longer than
+intended. Without an echo the field is NO_TOKEN.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 VERSION = 1
 MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # a snapshot is the largest message
-NO_TOKEN = -1.0
-ANY_INDEX = -1
+NO_TOKEN = -1.0  # no token has been received
+ANY_INDEX = -1  # as `expected_index` of a proposal: skips the check
 MAX_REPORT_POSITIONS = 16
 MAX_REASON_CHARS = 200
 
@@ -31,18 +31,18 @@
     """Bytes that are not a message of this version; `reason` says why in a few words."""
 
     def __init__(self, reason: str) -> None:
-        """Makes the message of the reason alone."""
+        """Uses the reason as the message."""
         super().__init__(reason)
         self.reason = reason
 
 
 class RefusalReason(StrEnum):
-    """Why a control node refuses a subscription."""
+    """The reason for which a control node refuses a subscription."""
 
     BEHIND = "behind"  # the proxy's log reaches further than this node's: it has to try another node
     FULL = "full"  # this node has as many subscribers as it accepts
     OTHER_LOG = "other log"  # the proxy is configured for another control log
-    INVALID = "invalid"  # the message makes no sense at this point
+    INVALID = "invalid"  # the message is not allowed at this point, or the subscription is an outdated one
 
 
 class ProposalOutcome(StrEnum):
@@ -121,7 +121,7 @@
 class AppendEntries(msgspec.Struct, frozen=True, tag=True):
     """Entries for a follower, or none as a heartbeat (Raft, section 5.3).
 
-    `token` is the leader's, `echo` the follower's latest one.
+    `token` is the leader's, `echo` the follower's latest token.
     """
 
     term: int
@@ -188,7 +188,7 @@
 class SubscriberMoved(msgspec.Struct, frozen=True, tag=True):
     """Tells a control node that a proxy, subscribed to it before, is now subscribed to the sender.
 
-    So the proxy does not count as lost there.
+    The receiver then does not count the proxy as lost.
     """
 
     proxy: str
@@ -200,7 +200,7 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, tag=True):
-    """A proxy's first message: which log it follows and how far it is.
+    """A proxy's first message: the log that it follows and the position that it has reached.
 
     `proxy` is its name in the fleet, the same after a restart. `run` is a random number of this process, and
     `attempt` a number that grows within a run; `subscribers` says which of two subscriptions of one name
@@ -235,7 +235,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag=True):
-    """The commit position that this node knows, with a lease on its being current."""
+    """The commit position that a control node knows, and a lease for as long as that counts as current."""
 
     committed: Position
     echo: float
@@ -244,10 +244,10 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, tag=True):
-    """How far the proxy has applied the log.
+    """The position up to which the proxy has applied the log.
 
     `refused_index` is that of an entry up to there which could not be applied, and which no later entry of
-    its kind has replaced; 0 if there is none. `refused_reason` says why.
+    its kind has replaced; 0 if there is none. `refused_reason` says why it was refused.
     """
 
     position: Position
@@ -273,8 +273,8 @@
     """A proposal to append an entry.
 
     `proposal` is an identifier that the proposer chooses. A proposal repeated with the same identifier is
-    made once, as long as the leader's log or state still shows it. `expected_index` is that of the latest
-    entry of the kind that the proposer knows, 0 for none, ANY_INDEX to skip the check.
+    appended only once, as long as the leader's log or state still shows it. `expected_index` is that of the
+    latest entry of the kind that the proposer knows, 0 for none, ANY_INDEX to skip the check.
     """
 
     proposal: str
--- a/cloverwell/control/node_selection.py
+++ b/cloverwell/control/node_selection.py
@@ -1,4 +1,4 @@
-"""Which control node a proxy connects to: the local region's first, with backoff between rounds."""
+"""Selects the control node that a proxy connects to: first the local region's, then others, with backoff."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """The order in which one proxy tries the control nodes.
 
     In a round each node is tried at most once. After a round in which all have failed there is a backoff,
-    which doubles until a node has served.
+    which doubles with each such round until a node has served.
     """
 
     def __init__(
@@ -29,21 +29,21 @@
         self._timing = timing
         self._random = random
         self._local_nodes = frozenset(groups[0])
-        self._remaining = list(self._order)  # to be tried in this round, the selected node first
-        self._failed_rounds = 0  # since a node has served
+        self._remaining = list(self._order)  # the nodes to be tried in this round, the selected node first
+        self._failed_rounds = 0  # rounds in which all nodes have failed since one has served
         self._has_served = False
 
-    def selected(self) -> str:
+    def selected_node(self) -> str:
         """Returns the node to connect to, or to stay connected to."""
         return self._remaining[0]
 
     def record_served(self) -> None:
-        """Records that the selected node does its work."""
+        """Records that the selected node has served this proxy, which resets the backoff."""
         self._has_served = True
         self._failed_rounds = 0
 
     def record_failure(self) -> float:
-        """Selects the next node; returns for how many ms to wait before connecting to it."""
+        """Selects the next node; returns the time in ms to wait before connecting to it."""
         failed = self._remaining.pop(0)
         if self._has_served:
             self._has_served = False
@@ -55,8 +55,8 @@
         return self._next_backoff_ms()
 
     def stay_ms(self) -> float:
-        """Returns for how long to stay at the selected node: without limit at one of the local region."""
-        if self.selected() in self._local_nodes:
+        """Returns the time in ms to stay at the selected node, without limit at one of the local region."""
+        if self.selected_node() in self._local_nodes:
             return float("inf")
         return self._random.uniform(self._timing.remote_stay_ms / 2, self._timing.remote_stay_ms)
 
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals at a control node: which are accepted, which await their commit, and how each is answered."""
+"""Accepts proposals at a control node, tracks those that await their commit, and answers each."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PendingProposal(msgspec.Struct, frozen=True):
-    """A proposal whose entry is in the leader's log and was not seen to be committed yet."""
+    """A proposal whose entry is in the leader's log and is not known to be committed yet."""
 
     request: int
     proposal: str
@@ -37,12 +37,12 @@
         self._pending_term = 0  # the term in which the pending proposals were accepted
 
     def next_deadline(self) -> float:
-        """Returns when `settle` is to be called at the latest."""
+        """Returns the time in ms at which `answer_due` must be called at the latest."""
         return min((pending.deadline_ms for pending in self._pending), default=float("inf"))
 
-    def propose(self, request: int, message: Propose, now: float) -> list[NodeEffect]:
+    def propose(self, request: int, message: Propose, now_ms: float) -> list[NodeEffect]:
         """Accepts or rejects a proposal; `request` is the caller's number for its answer."""
-        rejection = self._find_rejection(message, now)
+        rejection = self._find_rejection(message, now_ms)
         if rejection is not None:
             return [self._answer(request, message.proposal, rejection)]
         index = self._find_index(message.proposal)
@@ -54,21 +54,21 @@
             return [self._answer(request, message.proposal, ProposalOutcome.CONFLICT)]
         effects: list[NodeEffect] = []
         if index is None:
-            effects = self._consensus.propose(message.kind, message.payload, message.proposal, now)
+            effects = self._consensus.propose(message.kind, message.payload, message.proposal, now_ms)
             index = self._consensus.log.last_index
-        deadline_ms = now + self._timing.proposal_timeout_ms
+        deadline_ms = now_ms + self._timing.proposal_timeout_ms
         self._pending.append(PendingProposal(request, message.proposal, index, deadline_ms))
         self._pending_term = self._consensus.term
         return effects
 
-    def settle(self, now: float) -> list[NodeEffect]:
-        """Returns the answers that are due; to be called after each event."""
+    def answer_due(self, now_ms: float) -> list[NodeEffect]:
+        """Returns the answers that are due; must be called after each event."""
         if not self._pending:
             return []
         answers: list[NodeEffect] = []
         still_pending: list[PendingProposal] = []
         for pending in self._pending:
-            outcome = self._outcome_of(pending, now)
+            outcome = self._decided_outcome(pending, now_ms)
             if outcome is None:
                 still_pending.append(pending)
                 continue
@@ -77,20 +77,20 @@
         self._pending = still_pending
         return answers
 
-    def _outcome_of(self, pending: PendingProposal, now: float) -> ProposalOutcome | None:
-        """Returns what became of a pending proposal, or None while that is open.
+    def _decided_outcome(self, pending: PendingProposal, now_ms: float) -> ProposalOutcome | None:
+        """Returns the outcome of a pending proposal, or None while it is undecided.
 
-        A leader that has lost its term can't tell any more whether the entry will be committed.
+        A node that no longer leads in that term can't tell whether the entry will be committed.
         """
         consensus = self._consensus
-        leads_as_before = consensus.is_leader and consensus.term == self._pending_term
-        if leads_as_before and pending.index <= consensus.log.commit_index:
+        still_leads = consensus.is_leader and consensus.term == self._pending_term
+        if still_leads and pending.index <= consensus.log.commit_index:
             return ProposalOutcome.COMMITTED
-        if not leads_as_before or now >= pending.deadline_ms:
+        if not still_leads or now_ms >= pending.deadline_ms:
             return ProposalOutcome.UNKNOWN
         return None
 
-    def _find_rejection(self, message: Propose, now: float) -> ProposalOutcome | None:
+    def _find_rejection(self, message: Propose, now_ms: float) -> ProposalOutcome | None:
         """Returns why a proposal is rejected whatever the log holds, or None."""
         if not 0 < len(message.proposal) <= MAX_PROPOSAL_CHARS or message.kind not in PROPOSABLE_KINDS:
             return ProposalOutcome.INVALID
@@ -98,7 +98,7 @@
             return ProposalOutcome.INVALID
         if not self._consensus.is_leader:
             return ProposalOutcome.NOT_LEADER if self._consensus.leader else ProposalOutcome.NO_QUORUM
-        return None if self._consensus.has_quorum(now) else ProposalOutcome.NO_QUORUM
+        return None if self._consensus.has_quorum(now_ms) else ProposalOutcome.NO_QUORUM
 
     def _visible_entries(self) -> list[Entry]:
         """Returns the entries that the log and its base state still show, oldest first."""
--- a/cloverwell/control/replicated_log.py
+++ b/cloverwell/control/replicated_log.py
@@ -14,10 +14,10 @@
 
 
 class CommittedEntryError(ControlError):
-    """An entry that is committed would have been dropped from the log."""
+    """A committed entry would have been dropped from the log."""
 
     def __init__(self, index: int) -> None:
-        """Names the first entry that would have been dropped."""
+        """Makes the message from the index of the first entry that would have been dropped."""
         super().__init__(f"entry {index} is committed")
         self.index = index
 
@@ -55,8 +55,8 @@
     def __init__(self, stored: StoredState, keep_entries: int, keep_bytes: int) -> None:
         """Starts from what is stored.
 
-        Compaction keeps `keep_entries` entries and `keep_bytes` bytes of payload, and takes place when there
-        is twice as much of either.
+        Compaction keeps `keep_entries` entries and `keep_bytes` bytes of payload. It takes place once the log
+        holds twice as much of either.
         """
         self._keep_entries = keep_entries
         self._keep_bytes = keep_bytes
@@ -137,8 +137,8 @@
     def find_mismatch(self, previous_index: int, previous_term: int) -> int | None:
         """Returns None if the log has the entry that precedes new ones, else an index to try next.
 
-        Up to the returned index the two logs may match. It goes back over a whole term at once, so that a
-        follower needs one rejection a term and not one an entry.
+        Up to the returned index the two logs may match. The search skips a whole term at once, so that a
+        follower rejects at most once in each term and not once for each entry.
         """
         if previous_index < self.base_index:
             return None  # The base is committed, so the leader has all of it as well.
@@ -153,7 +153,7 @@
         return index
 
     def select_new(self, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-        """Returns those of a leader's entries that the log does not have, or has with another term."""
+        """Returns those of a leader's entries that the log lacks, or has with another term."""
         return tuple(
             entry
             for entry in entries
@@ -172,10 +172,10 @@
         """Drops the entries from an index on. Raises CommittedEntryError if one of them is committed."""
         if index <= self.commit_index:
             raise CommittedEntryError(index)
-        keep = index - self.base_index - 1
-        self._payload_bytes -= sum(len(entry.payload) for entry in self.entries[keep:])
-        del self.entries[keep:]
-        del self._positions[keep + 1 :]
+        retained_count = index - self.base_index - 1
+        self._payload_bytes -= sum(len(entry.payload) for entry in self.entries[retained_count:])
+        del self.entries[retained_count:]
+        del self._positions[retained_count + 1 :]
 
     def commit(self, index: int) -> tuple[Entry, ...]:
         """Commits up to an index that the log contains; returns the entries that this has committed."""
@@ -194,8 +194,8 @@
         Entries after the snapshot are retained if the log has the snapshot's last entry (section 7).
         """
         index = snapshot.position.index
-        retains = index > self.base_index and self.term_at(index) == snapshot.term
-        retained = self.entries[index - self.base_index :] if retains else []
+        has_last_entry = index > self.base_index and self.term_at(index) == snapshot.term
+        retained = self.entries[index - self.base_index :] if has_last_entry else []
         self.base = snapshot
         self.entries = []
         self._positions = [snapshot.position]
@@ -206,7 +206,7 @@
             self.append(entry)
 
     def compact(self) -> Snapshot | None:
-        """Folds the oldest committed entries into the base; returns the new base, None if nothing was due."""
+        """Folds the oldest committed entries into the base, if due; returns the new base, else None."""
         if len(self.entries) < 2 * self._keep_entries and self._payload_bytes < 2 * self._keep_bytes:
             return None
         surplus = self._count_surplus()
@@ -222,7 +222,7 @@
         return self.base
 
     def _count_surplus(self) -> int:
-        """Returns how many of the oldest committed entries have to go for the rest to be within bounds."""
+        """Returns how many of the oldest committed entries exceed the bounds of what is kept."""
         surplus = 0
         size_bytes = self._payload_bytes
         for entry in self.entries[: self.commit_index - self.base_index]:
--- a/cloverwell/control/storage.py
+++ b/cloverwell/control/storage.py
@@ -1,9 +1,9 @@
-"""The persistent state of a control node, and the protocol of what stores it.
+"""The persistent state of a control node, and the protocol of its storage.
 
 Raft is safe only if a node's term, vote and log are durable before another node is told of them (figure 2 of
-the paper). So a node lists a `Write` among its effects ahead of each message that depends on it. Whoever
-carries effects out returns from `Storage.write` only when the content would survive a crash, and sends the
-messages after that.
+the paper). So a node lists a `Write` among its effects ahead of each message that depends on it.
+`Storage.write` returns only when the content would survive a crash, and the caller sends the messages after
+that.
 """
 
 from __future__ import annotations
--- a/cloverwell/control/subscriber.py
+++ b/cloverwell/control/subscriber.py
@@ -1,4 +1,4 @@
-"""What a control node keeps of one subscribed proxy: how far it is, and what is on its way to it."""
+"""A control node's record of one subscribed proxy: its progress, and the entries in flight to it."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from cloverwell.control.entry import Position
 from cloverwell.control.messages import MAX_REASON_CHARS, Acknowledge, Subscribe
 
-MAX_DISPLACED_RUNS = 8  # of one proxy, remembered while it is subscribed
+MAX_DISPLACED_RUNS = 8  # remembered of one proxy while it is subscribed
 
 
 class RunAttempt(NamedTuple):
-    """One subscription of a process: the process's run, and the number of its attempt to connect."""
+    """One subscription of a process: the random number of its run, and that of its attempt to connect."""
 
     run: int
     attempt: int
 
     def precedes(self, other: RunAttempt) -> bool:
-        """Returns whether both are of one process, and the other is the later one."""
+        """Returns whether both subscriptions are of one process, and `other` is the later one."""
         return self.run == other.run and self.attempt < other.attempt
 
 
@@ -33,7 +33,7 @@
     """One proxy that follows the log over one connection.
 
     `acknowledged` is the index up to which the proxy has applied the log, `sent` the position after what was
-    sent to it. `snapshot_index` is that of a snapshot on its way, None without one. `displaced_runs` are the
+    sent to it. `snapshot_index` is that of a snapshot in flight, None without one. `displaced_runs` are the
     earlier runs of this proxy's name that it has displaced here, the latest last.
     """
 
@@ -52,7 +52,7 @@
         "token",
     )
 
-    def __init__(self, message: Subscribe, now: float, displaced_runs: tuple[int, ...] = ()) -> None:
+    def __init__(self, message: Subscribe, now_ms: float, displaced_runs: tuple[int, ...] = ()) -> None:
         """Starts from a proxy's first message."""
         self.proxy = message.proxy
         self.run_attempt = RunAttempt(message.run, message.attempt)
@@ -62,7 +62,7 @@
         self.in_flight: deque[InFlightEntry] = deque()
         self.in_flight_bytes = 0
         self.snapshot_index: int | None = None
-        self.last_contact_ms = now
+        self.last_contact_ms = now_ms
         self.token = message.token
         self.refused_index = 0
         self.refused_reason = ""
@@ -73,7 +73,7 @@
         return (*self.displaced_runs, *displaced)[-MAX_DISPLACED_RUNS:]
 
     def yields_to(self, message: Subscribe) -> bool:
-        """Returns whether `message` is of a later subscription, which takes this one's place."""
+        """Returns whether `message` begins a later subscription, which takes the place of this one."""
         if message.run == self.run_attempt.run:
             return self.run_attempt.attempt < message.attempt
         return message.run not in self.displaced_runs
@@ -91,9 +91,9 @@
         self.in_flight.clear()
         self.in_flight_bytes = 0
 
-    def record_acknowledgement(self, message: Acknowledge, now: float) -> None:
-        """Records how far the proxy is, and removes from the window what that covers."""
-        self.last_contact_ms = now
+    def record_acknowledgement(self, message: Acknowledge, now_ms: float) -> None:
+        """Records the proxy's position, and removes the entries up to it from those in flight."""
+        self.last_contact_ms = now_ms
         self.token = message.token
         self.acknowledged = message.position.index
         self.refused_index = message.refused_index
--- a/cloverwell/control/subscribers.py
+++ b/cloverwell/control/subscribers.py
@@ -1,13 +1,13 @@
-"""Fan-out at one control node: which proxies follow the log here, and what each is sent next.
+"""Fan-out at one control node: tracks the proxies that follow the log here, and what each is sent next.
 
-There is no queue for a subscriber: the log is the queue, and a subscriber is a position in it. At most a
-window of entries, or one snapshot, is in flight to it. A subscriber that falls further behind than the tail
-of the log that is sent gets a snapshot, so a slow one costs no more than a fast one.
+A subscriber has no queue of its own, only a position in the log. At most a window of entries, or one
+snapshot, is in flight to it. A subscriber that is more than `max_entries_behind` entries behind gets a
+snapshot, so a slow one costs no more than a fast one.
 
 A proxy's process is identified by its run, a random number: two runs are the same or different, never older
 or newer. Of two runs of one name the one that subscribed later takes precedence, and the run that it has
-displaced is refused while it is subscribed. So a restart is recognised whatever the wall clocks say, and two
-processes of one name that run at the same time don't displace each other in turn.
+displaced is refused while it is subscribed. So a restart is recognised without comparing wall clocks, and
+two processes of one name that run at the same time don't keep displacing each other.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class LostSubscriber(NamedTuple):
-    """A subscriber that has left without a goodbye, and when to forget it."""
+    """A subscriber that has left without a goodbye, and the time at which it is forgotten."""
 
     run_attempt: RunAttempt
     forget_at_ms: float
@@ -55,14 +55,14 @@
         self._subscribers: dict[int, Subscriber] = {}  # by connection
         self._connections: dict[str, int] = {}  # by proxy
         self._lost: dict[str, LostSubscriber] = {}  # by proxy, the first to be forgotten first
-        self._snapshot: Snapshot | None = None  # the latest one, reused while the commit index stays
+        self._snapshot: Snapshot | None = None  # the latest one, reused until the commit index advances
 
     # Events
 
-    def subscribe(self, connection: int, message: Subscribe, now: float) -> list[NodeEffect]:
+    def subscribe(self, connection: int, message: Subscribe, now_ms: float) -> list[NodeEffect]:
         """Handles a proxy's first message. The caller sends a heartbeat after these effects."""
         if connection in self._subscribers:
-            self._record_loss(connection, now)
+            self._record_loss(connection, now_ms)
             return self._refuse(connection, RefusalReason.INVALID)
         reason = self._refusal_reason(message)
         if reason is not None:
@@ -74,23 +74,23 @@
             displaced_runs = self._remove(previous_connection).displaced_runs_after(message)
             effects.append(CloseSubscriber(previous_connection))
         self._lost.pop(message.proxy, None)
-        subscriber = Subscriber(message, now, displaced_runs)
+        subscriber = Subscriber(message, now_ms, displaced_runs)
         self._subscribers[connection] = subscriber
         self._connections[message.proxy] = connection
-        return effects + self._feed(connection, subscriber)
+        return effects + self._send_due(connection, subscriber)
 
-    def acknowledge(self, connection: int, message: Acknowledge, now: float) -> list[NodeEffect]:
-        """Handles an acknowledgement; one of an unknown connection was sent before that was released."""
+    def acknowledge(self, connection: int, message: Acknowledge, now_ms: float) -> list[NodeEffect]:
+        """Handles an acknowledgement; it is ignored if it was sent before its connection was closed here."""
         subscriber = self._subscribers.get(connection)
         if subscriber is None:
             return []
         if message.position.index > subscriber.sent.index:
-            self._record_loss(connection, now)
+            self._record_loss(connection, now_ms)
             return self._refuse(connection, RefusalReason.INVALID)
-        subscriber.record_acknowledgement(message, now)
+        subscriber.record_acknowledgement(message, now_ms)
         if self._has_diverged(subscriber, message.position):
             return self._send_snapshot(connection, subscriber)
-        return self._feed(connection, subscriber)
+        return self._send_due(connection, subscriber)
 
     def goodbye(self, connection: int) -> list[NodeEffect]:
         """Handles the graceful shutdown of a proxy, which counts as neither alive nor lost after that."""
@@ -99,54 +99,58 @@
         self._remove(connection)
         return [CloseSubscriber(connection)]
 
-    def disconnected(self, connection: int, now: float) -> None:
+    def disconnected(self, connection: int, now_ms: float) -> None:
         """Handles the end of a connection without a goodbye; the proxy may still be alive."""
         if connection in self._subscribers:
-            self._record_loss(connection, now)
+            self._record_loss(connection, now_ms)
 
-    def moved(self, message: SubscriberMoved) -> list[NodeEffect]:
-        """Handles the news that a proxy is subscribed to another node.
+    def handle_move(self, message: SubscriberMoved) -> list[NodeEffect]:
+        """Handles a message that a proxy is now subscribed to another node.
 
-        It is outdated if that proxy, or another process of its name, has subscribed here since.
+        The message is outdated if that proxy, or another process of its name, has subscribed here since.
         """
-        elsewhere = RunAttempt(message.run, message.attempt)
+        subscription_elsewhere = RunAttempt(message.run, message.attempt)
         lost = self._lost.get(message.proxy)
-        if lost is not None and lost.run_attempt.precedes(elsewhere):
+        if lost is not None and lost.run_attempt.precedes(subscription_elsewhere):
             del self._lost[message.proxy]
         connection = self._connections.get(message.proxy)
-        if connection is None or not self._subscribers[connection].run_attempt.precedes(elsewhere):
+        if connection is None or not self._subscribers[connection].run_attempt.precedes(
+            subscription_elsewhere
+        ):
             return []
         self._remove(connection)
         return [CloseSubscriber(connection)]
 
-    def feed(self) -> list[NodeEffect]:
-        """Sends each subscriber what it is due; to be called when entries have been committed."""
+    def send_due(self) -> list[NodeEffect]:
+        """Sends each subscriber the entries or snapshot that it is due; to be called after a commit."""
         effects: list[NodeEffect] = []
         for connection, subscriber in self._subscribers.items():
-            effects += self._feed(connection, subscriber)
+            effects += self._send_due(connection, subscriber)
         return effects
 
-    def expire(self, now: float) -> list[NodeEffect]:
+    def expire(self, now_ms: float) -> list[NodeEffect]:
         """Closes the subscribers that have been silent for too long, and forgets those lost long ago."""
-        oldest_contact_ms = now - self._timing.silence_timeout_ms
+        oldest_contact_ms = now_ms - self._timing.silence_timeout_ms
         expired = [
             connection
             for connection, subscriber in self._subscribers.items()
             if subscriber.last_contact_ms < oldest_contact_ms
         ]
         for connection in expired:
-            self._record_loss(connection, now)
-        self._lost = {proxy: lost for proxy, lost in self._lost.items() if lost.forget_at_ms > now}
+            self._record_loss(connection, now_ms)
+        self._lost = {proxy: lost for proxy, lost in self._lost.items() if lost.forget_at_ms > now_ms}
         return [CloseSubscriber(connection) for connection in expired]
 
-    def heartbeats(self, lease_ms: float, fleet: FleetCount, now: float) -> list[NodeEffect]:
-        """Sends a heartbeat to each subscriber; arguments as for `heartbeat`."""
+    def heartbeats(self, lease_ms: float, fleet: FleetCount, now_ms: float) -> list[NodeEffect]:
+        """Sends a heartbeat to each subscriber; the arguments are those of `heartbeat`."""
         effects: list[NodeEffect] = []
         for connection in self._subscribers:
-            effects += self.heartbeat(connection, lease_ms, fleet, now)
+            effects += self.heartbeat(connection, lease_ms, fleet, now_ms)
         return effects
 
-    def heartbeat(self, connection: int, lease_ms: float, fleet: FleetCount, now: float) -> list[NodeEffect]:
+    def heartbeat(
+        self, connection: int, lease_ms: float, fleet: FleetCount, now_ms: float
+    ) -> list[NodeEffect]:
         """Sends a heartbeat to one subscriber, if it still is one.
 
         `lease_ms` is what is left of this node's own lease, 0 without one.
@@ -155,7 +159,7 @@
         if subscriber is None:
             return []
         # The subscriber counts its lease from when it sent its token, which arrived at the last contact.
-        subscriber_lease_ms = lease_ms + now - subscriber.last_contact_ms if lease_ms else 0.0
+        subscriber_lease_ms = lease_ms + now_ms - subscriber.last_contact_ms if lease_ms else 0.0
         message = Heartbeat(self._log.committed, subscriber.token, subscriber_lease_ms, fleet)
         return [SendToSubscriber(connection, message)]
 
@@ -171,14 +175,14 @@
         return len(self._subscribers)
 
     def report(self, node: str) -> SubscriberReport:
-        """Returns the report of this node, whose name is `node`, to the leader."""
+        """Returns this node's report to the leader; `node` is this node's name."""
         positions = Counter(subscriber.acknowledged for subscriber in self._subscribers.values())
         return SubscriberReport(
             node, len(self._subscribers), len(self._lost), merge_positions(positions), self._refusal_counts()
         )
 
     def _refusal_counts(self) -> tuple[RefusalCount, ...]:
-        """Returns the refusals of the latest entries that were refused, oldest first."""
+        """Returns the counts of refusals for the latest entries that were refused, oldest first."""
         refusing = [subscriber for subscriber in self._subscribers.values() if subscriber.refused_index]
         proxies = Counter(subscriber.refused_index for subscriber in refusing)
         reasons = {subscriber.refused_index: subscriber.refused_reason for subscriber in refusing}
@@ -203,13 +207,13 @@
         return [SendToSubscriber(connection, Refusal(reason)), CloseSubscriber(connection)]
 
     def _has_diverged(self, subscriber: Subscriber, position: Position) -> bool:
-        """Returns whether the subscriber is at a position that the log, which reaches back so far, lacks."""
+        """Returns whether the log reaches back to the subscriber's position but differs from what it has."""
         if subscriber.snapshot_index is not None or position.index < self._log.base_index:
             return False
         return not self._log.contains(position)
 
-    def _feed(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
-        """Sends a subscriber entries, a snapshot, or nothing while a snapshot is on its way."""
+    def _send_due(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
+        """Sends a subscriber entries, a snapshot, or nothing while a snapshot is in flight."""
         if subscriber.snapshot_index is not None:
             return []
         entries_behind = self._log.committed.index - subscriber.acknowledged
@@ -217,13 +221,13 @@
             subscriber.sent
         ):
             return self._send_snapshot(connection, subscriber)
-        return self._send_tail(connection, subscriber)
+        return self._send_entries(connection, subscriber)
 
     def _may_send_entries_after(self, position: Position) -> bool:
         """Returns whether entries may follow a position: only if the log has the same ones up to it."""
         return self._log.contains(position)
 
-    def _send_tail(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
+    def _send_entries(self, connection: int, subscriber: Subscriber) -> list[NodeEffect]:
         """Sends the next entries, as far as the window allows."""
         window_entries = self._timing.window_entries - len(subscriber.in_flight)
         window_bytes = self._timing.window_bytes - subscriber.in_flight_bytes
@@ -248,10 +252,10 @@
         del self._connections[subscriber.proxy]
         return subscriber
 
-    def _record_loss(self, connection: int, now: float) -> None:
-        """Moves a subscriber to the lost ones, of which the oldest are forgotten over the bound."""
+    def _record_loss(self, connection: int, now_ms: float) -> None:
+        """Moves a subscriber to the lost ones, of which at most `max_subscribers` are remembered."""
         subscriber = self._remove(connection)
-        forget_at_ms = now + self._timing.forget_after_ms
+        forget_at_ms = now_ms + self._timing.forget_after_ms
         self._lost[subscriber.proxy] = LostSubscriber(subscriber.run_attempt, forget_at_ms)
         while len(self._lost) > self._timing.max_subscribers:
             del self._lost[next(iter(self._lost))]
@@ -260,7 +264,7 @@
 def merge_positions(positions: Counter[int]) -> tuple[PositionCount, ...]:
     """Returns at most MAX_REPORT_POSITIONS counts, oldest first.
 
-    The latest positions are kept apart; all older ones are merged at the oldest.
+    The latest positions keep counts of their own; all older ones are merged at the oldest.
     """
     if not positions:
         return ()
--- a/cloverwell/control/subscription.py
+++ b/cloverwell/control/subscription.py
@@ -1,7 +1,7 @@
 """A proxy's side of the control log: it follows one control node at a time, and holds a lease.
 
-A proxy without a control node goes on serving by what it has applied; only its position stops counting as
-current, when the lease ends. Entries are applied by the caller: one entry or snapshot at a time is given out,
+A proxy without a control node keeps serving with what it has applied; only its position stops counting as
+current when the lease ends. Entries are applied by the caller: one entry or snapshot at a time is given out,
 and reported back as applied or refused. A refused entry is skipped, and reported to the control node until an
 entry of its kind is applied.
 """
@@ -29,9 +29,9 @@
     Subscribe,
 )
 from cloverwell.control.node_selection import ControlNodeSelector
-from cloverwell.control.timing import SubscriptionTiming, lease_end
+from cloverwell.control.timing import SubscriptionTiming, lease_end_ms
 
-MAX_LEASE_OFFERS = 8
+MAX_LEASE_OFFERS = 8  # the latest ones, kept until their entries are applied
 NEVER = float("inf")
 NO_REFUSAL = RefusedEntry(0, "")
 
@@ -47,8 +47,8 @@
     """The status of a subscription for operators.
 
     `catch_up_abandoned` says that the proxy is ready without being caught up. `refused_index` is that of the
-    latest entry that could not be applied and was not replaced, 0 for none. `last_failure` says why a control
-    node was left last, "" if none was.
+    latest entry that could not be applied and was not replaced, 0 for none. `last_failure` says why the
+    proxy last left a control node, "" if it has left none.
     """
 
     position: Position
@@ -72,15 +72,15 @@
         log_name: str,
         nodes: tuple[tuple[str, ...], ...],
         random: Random,
-        now: float,
+        now_ms: float,
         saved: Snapshot | None = None,
         timing: SubscriptionTiming | None = None,
     ) -> None:
         """Prepares a subscription of `proxy` to the log `log_name`; `start` begins it.
 
         `proxy` and `run` are as in `Subscribe`. `nodes` are groups of control nodes, the local region's
-        first, each in an order that `random` draws. `saved` is what an earlier process has left: it is
-        applied at once and followed from there, or dropped if it isn't intact.
+        first, each in an order that `random` draws. `saved` is a snapshot that an earlier process has
+        stored: it is applied at once and the log followed from there, or it is dropped if it isn't intact.
         """
         self._proxy = proxy
         self._run = run
@@ -90,21 +90,21 @@
         self._delivery = Delivery()
         self._saved = saved
         self._attempt = 0  # the number of the latest connection or attempt to connect
-        self._attempt_started_ms = now
-        self._has_attempt = False  # connected or connecting
+        self._attempt_started_ms = now_ms
+        self._has_attempt = False  # True while connected or connecting
         self._connected = False
         self._last_node = ""
         self._last_failure = ""
-        self._contact_deadline_ms = now  # for the selected node to answer; without one, of the next attempt
+        self._contact_deadline_ms = now_ms  # for the node's answer, or for the next attempt
         self._acknowledge_at_ms = NEVER
         self._acknowledged_index = 0
-        self._offers: deque[LeaseOffer] = deque(maxlen=MAX_LEASE_OFFERS)
+        self._lease_offers: deque[LeaseOffer] = deque(maxlen=MAX_LEASE_OFFERS)
         self._lease_end_ms = float("-inf")
-        self._lease_deadline_ms = NEVER  # without a lease by then, another node is tried
-        self._return_to_local_ms = NEVER  # then a node of the local region is tried again
-        self._ready_by_ms = now + self._timing.catch_up_timeout_ms
-        self._fleet = FleetCount()
-        self.caught_up = False  # all that was committed at some time since the start is applied
+        self._lease_deadline_ms = NEVER  # without a lease by this time, another node is tried
+        self._return_to_local_ms = NEVER  # the time at which a node of the local region is tried again
+        self._ready_by_ms = now_ms + self._timing.catch_up_timeout_ms
+        self._fleet_count = FleetCount()
+        self.caught_up = False  # True once all that was committed at some time since the start is applied
 
     # Queries
 
@@ -114,7 +114,7 @@
         return self._delivery.position
 
     def next_deadline(self) -> float:
-        """Returns the time at which `tick` is to be called at the latest."""
+        """Returns the time in ms at which `tick` must be called at the latest."""
         return min(
             self._contact_deadline_ms,
             self._acknowledge_at_ms,
@@ -122,80 +122,80 @@
             self._return_to_local_ms,
         )
 
-    def is_current(self, now: float) -> bool:
+    def is_current(self, now_ms: float) -> bool:
         """Returns whether all that was committed LEASE_MS ago is applied or was refused here."""
-        return now < self._lease_end_ms
+        return now_ms < self._lease_end_ms
 
-    def is_ready(self, now: float) -> bool:
+    def is_ready(self, now_ms: float) -> bool:
         """Returns whether a starting proxy may serve: it is caught up, or has waited for long enough."""
-        return self.caught_up or now >= self._ready_by_ms
+        return self.caught_up or now_ms >= self._ready_by_ms
 
-    def bound_divisor(self, provisioned: int, now: float) -> int:
+    def bound_divisor(self, provisioned: int, now_ms: float) -> int:
         """Returns the number by which this proxy divides a fleet-wide bound: see `fleet.bound_divisor`."""
-        return bound_divisor(self._fleet, provisioned, self.is_current(now))
+        return bound_divisor(self._fleet_count, provisioned, self.is_current(now_ms))
 
-    def status(self, now: float) -> SubscriptionStatus:
+    def status(self, now_ms: float) -> SubscriptionStatus:
         """Returns the status for operators."""
         refused = self._delivery.refused or NO_REFUSAL
         return SubscriptionStatus(
             self.position,
-            self.is_current(now),
+            self.is_current(now_ms),
             self.caught_up,
-            not self.caught_up and self.is_ready(now),
-            self._selector.selected() if self._connected else "",
+            not self.caught_up and self.is_ready(now_ms),
+            self._selector.selected_node() if self._connected else "",
             refused.index,
             refused.reason,
             self._last_failure,
-            self._fleet,
+            self._fleet_count,
         )
 
     # Events
 
-    def start(self, now: float) -> list[ProxyEffect]:
-        """Begins the subscription; what was saved is given out to be applied, if it is intact."""
+    def start(self, now_ms: float) -> list[ProxyEffect]:
+        """Begins the subscription; the saved snapshot is given out to be applied if it is intact."""
         if self._saved is not None and self._saved.is_intact:
             self._delivery.receive_snapshot(self._saved)
         self._saved = None
-        return [*self._apply_next(), *self._connect(now)]
+        return [*self._apply_next(), *self._connect(now_ms)]
 
-    def tick(self, now: float) -> list[ProxyEffect]:
+    def tick(self, now_ms: float) -> list[ProxyEffect]:
         """Handles the timers; to be called at `next_deadline`, and allowed at any other time."""
-        if now >= self._contact_deadline_ms:
-            return self._fail_over("silent", now) if self._has_attempt else self._connect(now)
-        if now >= self._lease_deadline_ms:
-            return self._fail_over("gives no lease", now)
-        if now >= self._return_to_local_ms:
-            return self._return_to_local(now)
-        return [self._acknowledge(now)] if now >= self._acknowledge_at_ms else []
-
-    def connected(self, attempt: int, now: float) -> list[ProxyEffect]:
+        if now_ms >= self._contact_deadline_ms:
+            return self._fail_over("silent", now_ms) if self._has_attempt else self._connect(now_ms)
+        if now_ms >= self._lease_deadline_ms:
+            return self._fail_over("gives no lease", now_ms)
+        if now_ms >= self._return_to_local_ms:
+            return self._return_to_local(now_ms)
+        return [self._acknowledge(now_ms)] if now_ms >= self._acknowledge_at_ms else []
+
+    def connected(self, attempt: int, now_ms: float) -> list[ProxyEffect]:
         """Handles a new connection: the proxy subscribes."""
         if attempt != self._attempt or not self._has_attempt or self._connected:
             return []
         self._connected = True
-        self._contact_deadline_ms = now + self._timing.silence_timeout_ms
-        self._lease_deadline_ms = now + self._timing.lease_timeout_ms
-        self._acknowledge_at_ms = now + self._timing.acknowledge_interval_ms
-        self._return_to_local_ms = now + self._selector.stay_ms()
-        effects: list[ProxyEffect] = [SendToControlNode(attempt, self._subscribe_message(now))]
+        self._contact_deadline_ms = now_ms + self._timing.silence_timeout_ms
+        self._lease_deadline_ms = now_ms + self._timing.lease_timeout_ms
+        self._acknowledge_at_ms = now_ms + self._timing.acknowledge_interval_ms
+        self._return_to_local_ms = now_ms + self._selector.stay_ms()
+        effects: list[ProxyEffect] = [SendToControlNode(attempt, self._subscribe_message(now_ms))]
         if self._delivery.refused is not None:
-            effects.append(self._acknowledge(now))
+            effects.append(self._acknowledge(now_ms))
         return effects
 
-    def disconnected(self, attempt: int, now: float) -> list[ProxyEffect]:
+    def disconnected(self, attempt: int, now_ms: float) -> list[ProxyEffect]:
         """Handles the end of a connection, or of an attempt that has failed."""
         if attempt != self._attempt or not self._has_attempt:
             return []
-        return self._fail_over("disconnected", now, ended=True)
+        return self._fail_over("disconnected", now_ms, is_disconnected=True)
 
-    def receive(self, attempt: int, message: NodeMessage, now: float) -> list[ProxyEffect]:
+    def receive(self, attempt: int, message: NodeMessage, now_ms: float) -> list[ProxyEffect]:
         """Handles a message of the control node."""
         if attempt != self._attempt or not self._connected:
             return []
         if isinstance(message, Refusal):
-            return self._fail_over(f"refuses: {message.reason}", now)
-        self._contact_deadline_ms = now + self._timing.silence_timeout_ms
-        self._last_node = self._selector.selected()
+            return self._fail_over(f"refuses: {message.reason}", now_ms)
+        self._contact_deadline_ms = now_ms + self._timing.silence_timeout_ms
+        self._last_node = self._selector.selected_node()
         try:
             match message:
                 case SnapshotTransfer():
@@ -203,23 +203,23 @@
                 case Entries():
                     self._delivery.receive_entries(message.previous, message.entries)
                 case Heartbeat():
-                    self._receive_heartbeat(message, now)
+                    self._receive_heartbeat(message, now_ms)
         except DeliveryError as error:
-            return self._fail_over(error.reason, now)
-        return self._advance(now)
+            return self._fail_over(error.reason, now_ms)
+        return self._advance(now_ms)
 
-    def applied(self, index: int, now: float) -> list[ProxyEffect]:
-        """Handles the report that what was given out up to `index` is applied."""
-        return self._advance(now) if self._delivery.record_applied(index) else []
+    def applied(self, index: int, now_ms: float) -> list[ProxyEffect]:
+        """Handles the caller's report that the entry or snapshot of `index` is applied."""
+        return self._advance(now_ms) if self._delivery.record_applied(index) else []
 
     def refused(
-        self, index: int, reason: str, now: float, kind: str = EntryKind.CONFIGURATION
+        self, index: int, reason: str, now_ms: float, kind: str = EntryKind.CONFIGURATION
     ) -> list[ProxyEffect]:
-        """Handles the report that what was given out could not be applied.
+        """Handles the caller's report that the entry or snapshot of `index` could not be applied.
 
         What was applied before stays active. `kind` is as in `Delivery.record_refused`.
         """
-        return self._advance(now) if self._delivery.record_refused(index, reason, kind) else []
+        return self._advance(now_ms) if self._delivery.record_refused(index, reason, kind) else []
 
     def stop(self) -> list[ProxyEffect]:
         """Handles a graceful shutdown, after which the proxy does not count as hidden."""
@@ -233,15 +233,15 @@
 
     # Connections
 
-    def _connect(self, now: float) -> list[ProxyEffect]:
+    def _connect(self, now_ms: float) -> list[ProxyEffect]:
         self._attempt += 1
-        self._attempt_started_ms = now
+        self._attempt_started_ms = now_ms
         self._has_attempt = True
-        self._contact_deadline_ms = now + self._timing.connect_timeout_ms
-        return [ConnectToNode(self._selector.selected(), self._attempt)]
+        self._contact_deadline_ms = now_ms + self._timing.connect_timeout_ms
+        return [ConnectToNode(self._selector.selected_node(), self._attempt)]
 
-    def _subscribe_message(self, now: float) -> Subscribe:
-        last_node = self._last_node if self._last_node != self._selector.selected() else ""
+    def _subscribe_message(self, now_ms: float) -> Subscribe:
+        last_node = self._last_node if self._last_node != self._selector.selected_node() else ""
         return Subscribe(
             self._proxy,
             self._run,
@@ -249,73 +249,75 @@
             self._log_name,
             self._delivery.received,
             self.position.index,
-            now,
+            now_ms,
             last_node,
         )
 
-    def _fail_over(self, reason: str, now: float, ended: bool = False) -> list[ProxyEffect]:
+    def _fail_over(self, reason: str, now_ms: float, is_disconnected: bool = False) -> list[ProxyEffect]:
         """Leaves the control node for the next one, at once or after a backoff.
 
-        `ended` says that there is no connection left to close.
+        `is_disconnected` says that there is no connection left to close.
         """
-        self._last_failure = f"{self._selector.selected()}: {reason}"
-        effects: list[ProxyEffect] = [] if ended else [DisconnectFromNode(self._attempt)]
+        self._last_failure = f"{self._selector.selected_node()}: {reason}"
+        effects: list[ProxyEffect] = [] if is_disconnected else [DisconnectFromNode(self._attempt)]
         backoff_ms = self._selector.record_failure()
-        self._release_node(now + backoff_ms)
-        return effects + (self._connect(now) if not backoff_ms else [])
+        self._release_node(now_ms + backoff_ms)
+        return effects + (self._connect(now_ms) if not backoff_ms else [])
 
-    def _return_to_local(self, now: float) -> list[ProxyEffect]:
+    def _return_to_local(self, now_ms: float) -> list[ProxyEffect]:
         """Leaves a control node of another region for one of the local region."""
         effects: list[ProxyEffect] = [DisconnectFromNode(self._attempt)]
         self._selector.return_to_local()
-        self._release_node(now)
-        return effects + self._connect(now)
+        self._release_node(now_ms)
+        return effects + self._connect(now_ms)
 
     def _release_node(self, next_attempt_ms: float) -> None:
-        """Resets what belongs to the connection."""
+        """Resets the state of the connection; the next attempt is due at `next_attempt_ms`."""
         self._has_attempt = False
         self._connected = False
         self._contact_deadline_ms = next_attempt_ms
         self._acknowledge_at_ms = NEVER
         self._lease_deadline_ms = NEVER
         self._return_to_local_ms = NEVER
-        self._offers.clear()
+        self._lease_offers.clear()
         self._delivery.drop_pending()
 
     # Progress
 
-    def _receive_heartbeat(self, message: Heartbeat, now: float) -> None:
+    def _receive_heartbeat(self, message: Heartbeat, now_ms: float) -> None:
         received = self._delivery.received
         if message.committed.index == received.index and message.committed != received:
-            raise DeliveryError("digest: this is not what the log holds")
-        self._fleet = message.fleet
-        if message.lease_ms > 0 and self._attempt_started_ms <= message.echo <= now:
-            self._lease_deadline_ms = now + self._timing.lease_timeout_ms
+            raise DeliveryError("the digest at the commit index differs from the control node's")
+        self._fleet_count = message.fleet
+        if message.lease_ms > 0 and self._attempt_started_ms <= message.echo <= now_ms:
+            self._lease_deadline_ms = now_ms + self._timing.lease_timeout_ms
             self._selector.record_served()
-            self._offers.append(LeaseOffer(message.committed, lease_end(message.echo, message.lease_ms)))
+            self._lease_offers.append(
+                LeaseOffer(message.committed, lease_end_ms(message.echo, message.lease_ms))
+            )
 
-    def _advance(self, now: float) -> list[ProxyEffect]:
-        """Applies, acknowledges and accepts leases as far as a message or a report has made possible."""
+    def _advance(self, now_ms: float) -> list[ProxyEffect]:
+        """Applies, acknowledges and accepts leases as far as the latest message or report allows."""
         effects = self._apply_next()
         if self._connected and self.position.index > self._acknowledged_index:
-            effects.append(self._acknowledge(now))
-        while self._offers and self._has_applied(self._offers[0].committed):
-            self._lease_end_ms = max(self._lease_end_ms, self._offers.popleft().end_ms)
-        if self.is_current(now):
+            effects.append(self._acknowledge(now_ms))
+        while self._lease_offers and self._has_applied(self._lease_offers[0].committed):
+            self._lease_end_ms = max(self._lease_end_ms, self._lease_offers.popleft().end_ms)
+        if self.is_current(now_ms):
             self.caught_up = True
         return effects
 
     def _has_applied(self, committed: Position) -> bool:
-        """Returns whether all up to a position is applied; at its own index the digest must match too."""
+        """Returns whether all entries up to a position are applied; at its index the digest must match."""
         return self.position == committed or self.position.index > committed.index
 
     def _apply_next(self) -> list[ProxyEffect]:
         effect = self._delivery.next_to_apply()
         return [effect] if effect is not None else []
 
-    def _acknowledge(self, now: float) -> ProxyEffect:
-        self._acknowledge_at_ms = now + self._timing.acknowledge_interval_ms
+    def _acknowledge(self, now_ms: float) -> ProxyEffect:
+        self._acknowledge_at_ms = now_ms + self._timing.acknowledge_interval_ms
         self._acknowledged_index = self.position.index
         refused = self._delivery.refused or NO_REFUSAL
-        message = Acknowledge(self.position, now, refused.index, refused.reason)
+        message = Acknowledge(self.position, now_ms, refused.index, refused.reason)
         return SendToControlNode(self._attempt, message)
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -17,7 +17,7 @@
 )
 from cloverwell.control.replicated_log import CommittedEntryError, ReplicatedLog
 from cloverwell.control.storage import MemoryStorage, StoredState, Write
-from cloverwell.control.timing import LEASE_MS, ControlNodeTiming, lease_end
+from cloverwell.control.timing import LEASE_MS, ControlNodeTiming, lease_end_ms
 
 NODES = ("a", "b", "c")
 TIMING = ControlNodeTiming()
@@ -121,7 +121,7 @@
     assert node.lease_ms(10_050.0) == 0.0
     effects = node.receive(AppendAnswer(2, "c", True, 2, 10_050.0, 6.0), 10_100.0)
     assert effects[0] == EntriesCommitted((*entries(1), Entry(2, 2, EntryKind.NOOP)))
-    left = lease_end(10_050.0, LEASE_MS) - 10_100.0
+    left = lease_end_ms(10_050.0, LEASE_MS) - 10_100.0
     assert node.lease_ms(10_100.0) == left < LEASE_MS - 50.0
     heartbeat = sent(effects, AppendEntries)[1]
     assert (heartbeat.echo, heartbeat.lease_ms) == (6.0, left)
@@ -218,7 +218,7 @@
     effects = node.tick(10_000.0)
     assert EntriesCommitted((Entry(1, 1, EntryKind.NOOP),)) in effects
     assert node.has_quorum(10_000.0)
-    assert node.lease_ms(10_000.0) == lease_end(10_000.0, LEASE_MS) - 10_000.0
+    assert node.lease_ms(10_000.0) == lease_end_ms(10_000.0, LEASE_MS) - 10_000.0
 
 
 @pytest.mark.parametrize("nodes", [("b", "c"), ("a", "a", "b")])
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -244,8 +244,8 @@
     assert len(counts) <= MAX_REPORT_POSITIONS
     assert sum(count.proxies for count in counts) == sum(positions.values())
     for index in positions:
-        reached = sum(proxies for at, proxies in positions.items() if at >= index)
-        assert sum(count.proxies for count in counts if count.index >= index) <= reached
+        reached_count = sum(proxies for at, proxies in positions.items() if at >= index)
+        assert sum(count.proxies for count in counts if count.index >= index) <= reached_count
     assert not positions or counts[0].index == min(positions)
 
 
@@ -255,22 +255,24 @@
 def test_a_node_that_is_not_heard_of_hides_its_proxies_until_they_are_forgotten():
     view = FleetView(NODES, 60_000.0, 0.0)
     view.record_report(SubscriberReport("a", 60, 2), 100.0)
-    assert view.count(100.0) == FleetCount(60, 2, complete=False)
+    assert view.fleet_count(100.0) == FleetCount(60, 2, complete=False)
     view.record_report(SubscriberReport("b", 70, 0), 100.0)
     view.record_report(SubscriberReport("c", 50, 0), 100.0)
     view.record_report(SubscriberReport("stranger", 999, 0), 100.0)
-    assert view.count(100.0) == FleetCount(180, 2, complete=True)
+    assert view.fleet_count(100.0) == FleetCount(180, 2, complete=True)
     view.record_report(SubscriberReport("a", 60, 0), 100.0 + REPORT_TIMEOUT_MS)
     view.record_report(SubscriberReport("b", 70, 0), 100.0 + REPORT_TIMEOUT_MS)
-    assert view.count(101.0 + REPORT_TIMEOUT_MS) == FleetCount(130, 50, complete=True)
-    assert view.count(60_101.0).hidden == 60 + 70  # those two, long silent as well; the third is forgotten
+    assert view.fleet_count(101.0 + REPORT_TIMEOUT_MS) == FleetCount(130, 50, complete=True)
+    assert (
+        view.fleet_count(60_101.0).hidden == 60 + 70
+    )  # those two, long silent as well; the third is forgotten
 
 
 def test_a_new_leader_does_not_call_its_count_complete_before_all_have_told_it_theirs():
     view = FleetView(NODES, 60_000.0, 0.0)
     view.record_report(SubscriberReport("a", 60, 0), 100.0)
-    assert not view.count(60_000.0).complete
-    assert view.count(60_001.0).complete  # a node that is gone for good must not hold it up for ever
+    assert not view.fleet_count(60_000.0).complete
+    assert view.fleet_count(60_001.0).complete  # a node that is gone for good must not hold it up for ever
 
 
 def test_in_force_counts_who_has_it_and_who_refused_it():
@@ -306,14 +308,14 @@
 
 def test_the_number_to_divide_by():
     counted = FleetCount(400, 30, complete=True)
-    assert bound_divisor(counted, 480, current=True) == 430
-    assert bound_divisor(counted, 480, current=False) == 480
-    assert bound_divisor(FleetCount(400, 30, complete=False), 480, current=True) == 480
+    assert bound_divisor(counted, 480, has_lease=True) == 430
+    assert bound_divisor(counted, 480, has_lease=False) == 480
+    assert bound_divisor(FleetCount(400, 30, complete=False), 480, has_lease=True) == 480
     # moved ones are counted twice
-    assert bound_divisor(FleetCount(400, 300, complete=True), 480, current=True) == 480
+    assert bound_divisor(FleetCount(400, 300, complete=True), 480, has_lease=True) == 480
     # more live than were foreseen
-    assert bound_divisor(FleetCount(500, 0, complete=True), 480, current=True) == 500
-    assert bound_divisor(FleetCount(), 0, current=False) == 1
+    assert bound_divisor(FleetCount(500, 0, complete=True), 480, has_lease=True) == 500
+    assert bound_divisor(FleetCount(), 0, has_lease=False) == 1
 
 
 # Which node is tried
@@ -327,7 +329,7 @@
     for _ in range(4):
         tried, waits = [], []
         for _ in range(4):
-            tried.append(selector.selected())
+            tried.append(selector.selected_node())
             waits.append(selector.record_failure())
         assert set(tried[:2]) == {"a", "b"}
         assert set(tried[2:]) == {"c", "d"}
@@ -344,9 +346,9 @@
     assert selector.record_failure() == 0.0
     others = []
     for _ in range(2):
-        others.append(selector.selected())
+        others.append(selector.selected_node())
         selector.record_failure()
-    assert (sorted(others), selector.selected()) == (["b", "c"], "a")
+    assert (sorted(others), selector.selected_node()) == (["b", "c"], "a")
 
 
 def test_a_proxy_at_another_regions_node_goes_home_after_a_while():
@@ -355,4 +357,4 @@
     selector.record_failure()
     assert 500.0 <= selector.stay_ms() <= 1000.0
     selector.return_to_local()
-    assert selector.selected() == "a"
+    assert selector.selected_node() == "a"
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -14,8 +14,8 @@
 import cloverwell.control
 from cloverwell.control.entry import (
     EMPTY_SNAPSHOT,
-    SNAPSHOT_PURGE_BYTES,
-    SNAPSHOT_PURGES,
+    MAX_SNAPSHOT_PURGE_BYTES,
+    MAX_SNAPSHOT_PURGES,
     START_POSITION,
     Entry,
     EntryKind,
@@ -101,9 +101,13 @@
 
 def test_a_state_has_the_latest_of_each_kind_and_the_last_purges():
     state = LogState()
-    for index in range(1, SNAPSHOT_PURGES + 3):
+    for index in range(1, MAX_SNAPSHOT_PURGES + 3):
         state = state.after(Entry(index, 1, EntryKind.PURGE, b"key"))
-    assert [state.purges[0].index, len(state.purges), state.purges_complete_from] == [3, SNAPSHOT_PURGES, 2]
+    assert [state.purges[0].index, len(state.purges), state.purges_complete_from] == [
+        3,
+        MAX_SNAPSHOT_PURGES,
+        2,
+    ]
     state = state.after(Entry(2000, 1, EntryKind.CONFIGURATION, b"old")).after(Entry(2001, 1, EntryKind.NOOP))
     state = state.after(Entry(2002, 1, EntryKind.CONFIGURATION, b"new"))
     assert {kind: entry.payload for kind, entry in state.latest.items()} == {"configuration": b"new"}
@@ -112,7 +116,7 @@
 def test_a_state_keeps_no_more_bytes_of_purges_than_a_snapshot_may_hold():
     state = LogState()
     for index in range(1, 8):
-        state = state.after(Entry(index, 1, EntryKind.PURGE, bytes(SNAPSHOT_PURGE_BYTES // 3)))
+        state = state.after(Entry(index, 1, EntryKind.PURGE, bytes(MAX_SNAPSHOT_PURGE_BYTES // 3)))
     assert [purge.index for purge in state.purges] == [5, 6, 7]
     assert state.purges_complete_from == 4
 
