--- a/cloverwell/gossip/composer.py
+++ b/cloverwell/gossip/composer.py
@@ -19,10 +19,10 @@
 
 
 class DatagramComposer:
-    """Knows this proxy's number and incarnation, which every datagram carries in its header."""
+    """Composes this proxy's datagrams, which carry its number and incarnation in their header."""
 
     def __init__(self, number: int, incarnation: int, table: MemberTable) -> None:
-        """Send as the proxy `number`; the updates to piggyback are taken from `table`."""
+        """Compose datagrams of the proxy `number`; the updates to piggyback are taken from `table`."""
         self.number = number
         self.incarnation = incarnation
         self._table = table
@@ -33,44 +33,46 @@
         self._sequence = (self._sequence + 1) % SEQUENCE_NUMBERS
         return self._sequence
 
-    def ping(self, to: int) -> OutgoingDatagram:
+    def ping(self, receiver: int) -> OutgoingDatagram:
         """Return a ping under a new sequence number, with piggybacked updates."""
-        return self._compose(to, DatagramKind.PING, self.next_sequence(), NO_PROXY)
+        return self._compose(receiver, DatagramKind.PING, self.next_sequence(), NO_PROXY)
 
-    def ping_request(self, to: int, sequence: int, subject: int) -> OutgoingDatagram:
+    def ping_request(self, receiver: int, sequence: int, subject: int) -> OutgoingDatagram:
         """Return a ping-req for `subject`; the relayed ack will carry `sequence`."""
-        return self._compose(to, DatagramKind.PING_REQ, sequence, subject)
+        return self._compose(receiver, DatagramKind.PING_REQ, sequence, subject)
 
-    def ack(self, to: int, sequence: int, subject: int) -> OutgoingDatagram:
-        """Return the ack that reports `subject`, this proxy or one it has pinged for another, as alive."""
-        return self._compose(to, DatagramKind.ACK, sequence, subject)
+    def ack(self, receiver: int, sequence: int, subject: int) -> OutgoingDatagram:
+        """Return the ack which reports that `subject` is alive: this proxy or one pinged for another."""
+        return self._compose(receiver, DatagramKind.ACK, sequence, subject)
 
-    def reconnect_ping(self, to: int) -> OutgoingDatagram:
+    def reconnect_ping(self, receiver: int) -> OutgoingDatagram:
         """Return a ping to a member that is dead or was never heard of.
 
         It takes no update from the queue, since that transmission would probably be lost. A member that is
-        held for dead is told so, in order that it can refute it.
+        considered dead is told so, so that it can refute that.
         """
-        return self._with_updates(to, DatagramKind.PING, self.next_sequence(), NO_PROXY, self._suspicion(to))
+        return self._with_updates(
+            receiver, DatagramKind.PING, self.next_sequence(), NO_PROXY, self._suspicion(receiver)
+        )
 
-    def _compose(self, to: int, kind: DatagramKind, sequence: int, subject: int) -> OutgoingDatagram:
-        return self._with_updates(to, kind, sequence, subject, self._piggyback(to))
+    def _compose(self, receiver: int, kind: DatagramKind, sequence: int, subject: int) -> OutgoingDatagram:
+        return self._with_updates(receiver, kind, sequence, subject, self._piggyback(receiver))
 
     def _with_updates(
-        self, to: int, kind: DatagramKind, sequence: int, subject: int, updates: list[MembershipUpdate]
+        self, receiver: int, kind: DatagramKind, sequence: int, subject: int, updates: list[MembershipUpdate]
     ) -> OutgoingDatagram:
         return OutgoingDatagram(
-            to, Datagram(kind, self.number, self.incarnation, sequence, subject, tuple(updates))
+            receiver, Datagram(kind, self.number, self.incarnation, sequence, subject, tuple(updates))
         )
 
-    def _piggyback(self, to: int) -> list[MembershipUpdate]:
+    def _piggyback(self, receiver: int) -> list[MembershipUpdate]:
         """Return queued updates; a receiver that is suspect or dead always gets its own status first."""
-        updates = self._suspicion(to)
+        updates = self._suspicion(receiver)
         for member in self._table.pending_updates.take(MAX_UPDATES - len(updates)):
-            if member != to:
+            if member != receiver:
                 updates.append(self._table.update_of(member))
         return updates
 
-    def _suspicion(self, to: int) -> list[MembershipUpdate]:
-        update = self._table.suspicion_of(to)
+    def _suspicion(self, receiver: int) -> list[MembershipUpdate]:
+        update = self._table.suspicion_of(receiver)
         return [] if update is None else [update]
--- a/cloverwell/gossip/dissemination.py
+++ b/cloverwell/gossip/dissemination.py
@@ -5,20 +5,20 @@
 import heapq
 import math
 
-# Each update is piggybacked this many times log2 of the tier's size (the lambda of section 4.1), which leaves
-# hardly any chance that a member misses it.
+# Each update is piggybacked this factor times log2 of the tier's size (the lambda of section 4.1), so that a
+# member is very unlikely to miss it.
 TRANSMISSIONS_FACTOR = 3
 
 
 class UpdateQueue:
     """The members whose status is still to be disseminated, each with the transmissions that are left.
 
-    Only the member's number is queued: what is sent is its status at that moment, so a newer status replaces
-    an older one by itself. The queue holds at most one entry a member.
+    Only the member's number is queued. The status is looked up when it is sent, so that a newer one replaces
+    an older one. The queue holds at most one entry for each member.
     """
 
     def __init__(self, total: int) -> None:
-        """`total` is the number of proxies in the tier."""
+        """Create an empty queue for a tier of `total` proxies."""
         self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(total + 1))
         self._remaining: dict[int, int] = {}
 
@@ -27,7 +27,7 @@
         return len(self._remaining)
 
     def enqueue(self, member: int) -> None:
-        """Disseminate the member's status anew, with the full number of transmissions."""
+        """Queue the member's status for the full number of transmissions, even if it is queued already."""
         self._remaining[member] = self._transmissions
 
     def take(self, limit: int) -> list[int]:
--- a/cloverwell/gossip/indirect_probes.py
+++ b/cloverwell/gossip/indirect_probes.py
@@ -13,6 +13,8 @@
 
 @dataclass(slots=True, frozen=True)
 class _RelayedProbe:
+    """A ping sent for the proxy `requester`, which used `requester_sequence` in its ping-req."""
+
     requester: int
     requester_sequence: int
     started_ms: float
@@ -22,7 +24,7 @@
     """The unacknowledged pings that were sent for other members, by their sequence number."""
 
     def __init__(self, composer: DatagramComposer, max_age_ms: float, max_probes: int) -> None:
-        """A probe older than `max_age_ms` is dropped; a ping-req beyond `max_probes` is ignored."""
+        """Start without probes; one older than `max_age_ms` is dropped, and at most `max_probes` are kept."""
         self._composer = composer
         self._max_age_ms = max_age_ms
         self._max_probes = max_probes
@@ -33,7 +35,7 @@
         return len(self._probes)
 
     def start(self, now_ms: float, request: Datagram) -> list[OutgoingDatagram]:
-        """Return the ping that a ping-req asks for, if there is room for it."""
+        """Return the ping that a ping-req asks for, or nothing if too many are unacknowledged."""
         self._drop_expired(now_ms)
         if len(self._probes) >= self._max_probes:
             return []
--- a/cloverwell/gossip/member_table.py
+++ b/cloverwell/gossip/member_table.py
@@ -1,4 +1,4 @@
-"""The status of every other member of the tier, and which membership updates override it."""
+"""The known status of every other member of the tier, and the rule by which updates override it."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class MemberState:
     """The last known state of one other proxy. `since_ms` is when the status was set.
 
-    `last_ping_ms` is this proxy's last ping to the member while it is suspected. `suspected_here` says that
-    the suspicion is this proxy's own: the member did not answer its probe.
+    `last_ping_ms` is when this proxy last pinged the member while it was suspected. `suspected_here` says
+    that the suspicion is this proxy's own, since the member did not answer its probe.
     """
 
     incarnation: int
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, number: int, total: int) -> None:
-        """`number` is this proxy's own among the `total` proxies of the tier; it is not in the table."""
+        """Start without members; this proxy, `number` of the `total` in the tier, is not in the table."""
         self.members: dict[int, MemberState] = {}
         self.changes: list[MemberChange] = []
         self.pending_updates = UpdateQueue(total)
@@ -55,12 +55,12 @@
         return changes
 
     def is_stale(self, proxy: int, incarnation: int) -> bool:
-        """Whether a later incarnation of the proxy is known."""
+        """Return whether a later incarnation of the proxy is known."""
         state = self.members.get(proxy)
         return state is not None and incarnation < state.incarnation
 
     def apply(self, now_ms: float, update: MembershipUpdate) -> None:
-        """Set the member's status, unless what is known overrides the update.
+        """Set the member's status, unless the known status overrides the update.
 
         A higher incarnation overrides a lower one; at the same incarnation suspect overrides alive, and dead
         overrides both (SWIM, section 4.2).
@@ -77,7 +77,7 @@
         self._set_state(update, MemberState(incarnation, update.status, now_ms, suspected_here=True))
 
     def declare_dead(self, now_ms: float, member: int) -> None:
-        """End a suspicion that has lasted for the suspicion timeout."""
+        """Set the status of a member to dead, since its suspicion has lasted for the suspicion timeout."""
         self.apply(now_ms, MembershipUpdate(member, self.members[member].incarnation, MemberStatus.DEAD))
 
     def update_of(self, member: int) -> MembershipUpdate:
@@ -86,14 +86,14 @@
         return MembershipUpdate(member, state.incarnation, state.status)
 
     def suspicion_of(self, member: int) -> MembershipUpdate | None:
-        """Return the update that the member has to refute; None if it is not held for suspect or dead."""
+        """Return the update that the member has to refute; None if it is alive or unknown."""
         state = self.members.get(member)
         if state is None or state.status is MemberStatus.ALIVE:
             return None
         return self.update_of(member)
 
     def exclude_stall(self, stall_ms: float) -> None:
-        """Leave a time in which this process did not run out of the age of every suspicion."""
+        """Exclude a stall of this process, `stall_ms` long, from the age of every suspicion."""
         for member in self.suspects:
             self.members[member].since_ms += stall_ms
 
@@ -107,8 +107,8 @@
         self.pending_updates.enqueue(member)
 
 
-def _set_membership(numbers: set[int], number: int, belongs: bool) -> None:
-    if belongs:
+def _set_membership(numbers: set[int], number: int, is_member: bool) -> None:
+    if is_member:
         numbers.add(number)
     else:
         numbers.discard(number)
--- a/cloverwell/gossip/membership_view.py
+++ b/cloverwell/gossip/membership_view.py
@@ -1,24 +1,24 @@
-"""Which proxies of the tier are alive, by SWIM (Das, Gupta and Motivala, 2002).
+"""One proxy's view of which proxies of the tier are alive, by SWIM (Das, Gupta and Motivala, 2002).
 
-The view takes datagrams and the time, and returns the datagrams to be sent.
+The view is passed received datagrams and the time, and returns the datagrams to be sent.
 
 In each protocol period one other member is pinged. A member that does not answer is pinged through others, so
-that a cut link between two proxies is not taken for a death (section 3.1). A member that answers nobody is
-suspected, and declared dead only after the suspicion timeout: until then it can refute the suspicion by a
-higher incarnation (section 4.2). Updates are piggybacked on pings and acks a bounded number of times (section
-4.1).
+that a cut link between two proxies is not taken for a death (section 3.1). A member that does not answer
+those pings either is suspected, and declared dead only after the suspicion timeout: until then it can refute
+the suspicion by a higher incarnation (section 4.2). Updates are piggybacked on pings and acks a bounded
+number of times (section 4.1).
 
-Beyond the paper, what one proxy sends in a second does not grow with the tier: it pings few of the members
-that are unreachable, and only few members ping a suspect that others have reported.
+In addition to the paper, what one proxy sends in a second does not grow with the tier: it pings a few of the
+unreachable members at a time, and only a few members ping a suspect that others have reported.
 
 Proxies are known by their number in the tier and not by address, since one proxy may be reached at different
 addresses from different proxies.
 
 An incarnation is the Unix time of the process's start in milliseconds, plus one for each refutation.
-Refutations are rarer than that, so a restarted process has a higher incarnation than the one before it,
-unless the clock was stepped back between the two starts. Its datagrams are then dropped as stale until its
-silence makes it a suspect; the ping that tells it so carries the incarnation that is known, and it refutes
-with a higher one. All other times are milliseconds of one monotonic clock.
+Refutations are rarer than one in a millisecond, so a restarted process has a higher incarnation than the one
+before it, unless the clock was stepped back between the two starts. Its datagrams, also its acks, are then dropped as
+stale until it is suspected. The ping that tells it so carries the incarnation that is known, and it refutes
+the suspicion with a higher one. All other times are milliseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     def __init__(
         self, number: int, total: int, incarnation: int, seed: int, timing: GossipTiming | None = None
     ) -> None:
-        """`number` is this proxy's among the `total` proxies of the tier, counted from 0.
+        """Set up the view of the proxy `number`, counted from 0, in a tier of `total` proxies.
 
         Raises `ValueError` if `number` is not below `total`, or `total` does not fit the datagrams.
         """
@@ -56,14 +56,14 @@
             raise ValueError(f"number: must be under total, and total at most {MAX_PROXIES}")
         self.number = number
         self.total = total
-        self.stale_datagrams = 0  # Datagrams of an incarnation that a later one has replaced.
+        self.stale_datagrams = 0  # Dropped, since a later incarnation of their sender is known.
         self._timing = timing or GossipTiming()
         self._table = MemberTable(number, total)
         self._composer = DatagramComposer(number, incarnation, self._table)
         self._indirect_probes = IndirectProbes(self._composer, self._timing.protocol_period_ms, total)
         rng = Random(seed)
         self._failure_detector = FailureDetector(self._table, self._composer, self._timing, total, rng)
-        self._reconnect_round = ShuffledRoundRobin(rng)
+        self._reconnect_order = ShuffledRoundRobin(rng)
         self._last_reconnect_ms = -math.inf
         self._last_tick_ms = math.inf  # Before the first tick there is no stall.
 
@@ -88,7 +88,7 @@
         return len(self._indirect_probes)
 
     def alive_proxies(self) -> set[int]:
-        """Return this proxy and the members that are not known to be dead: a suspect counts as alive."""
+        """Return the numbers of this proxy and of the members that are alive or suspect."""
         return {self.number} | self._table.reachable
 
     def take_changes(self) -> list[MemberChange]:
@@ -96,10 +96,10 @@
         return self._table.take_changes()
 
     def receive(self, now_ms: float, datagram: Datagram) -> list[OutgoingDatagram]:
-        """Process a datagram and return the answers.
+        """Apply the updates of a datagram and return the answers to it.
 
-        A datagram that names a proxy outside the tier is dropped, and so is one from an incarnation of its
-        sender that a later one has replaced.
+        A datagram that names a proxy outside the tier is dropped, and so is one from an older incarnation of
+        its sender than the one that is known.
         """
         if not self._is_from_tier(datagram):
             return []
@@ -113,10 +113,10 @@
         return self._answer(now_ms, datagram)
 
     def tick(self, now_ms: float) -> list[OutgoingDatagram]:
-        """Return the datagrams that are due; to be called at least a few times in each protocol period."""
+        """Return the datagrams that are due; must be called at least a few times in each protocol period."""
         self._exclude_stall(now_ms)
         datagrams = self._failure_detector.tick(now_ms)
-        if self._reconnect_is_due(now_ms):
+        if self._is_reconnect_due(now_ms):
             self._last_reconnect_ms = now_ms
             datagrams += self._reconnect()
         return datagrams
@@ -133,7 +133,7 @@
             self._table.apply(now_ms, update)
 
     def _refute(self, update: MembershipUpdate) -> None:
-        """Raise this proxy's incarnation above that of an update which holds it for suspect or dead.
+        """Raise this proxy's incarnation above that of an update which reports it as suspect or dead.
 
         The update may be about this process, or about one before it whose clock was ahead. The header of
         every later datagram carries the refutation.
@@ -159,9 +159,10 @@
         return []
 
     def _exclude_stall(self, now_ms: float) -> None:
-        """Leave a stall of this process out of the age of probes and suspicions.
+        """Exclude a stall of this process from the age of probes and suspicions.
 
-        What the other members sent meanwhile has not been read yet, so the time must not count against them.
+        What the other members sent during the stall has not been read yet, so the time must not count against
+        them.
         """
         elapsed_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
@@ -169,18 +170,18 @@
             self._table.exclude_stall(elapsed_ms)
             self._failure_detector.exclude_stall(elapsed_ms)
 
-    def _reconnect_is_due(self, now_ms: float) -> bool:
+    def _is_reconnect_due(self, now_ms: float) -> bool:
         if not self._table.unreachable:
             return False
         return now_ms - self._last_reconnect_ms >= self._timing.reconnect_interval_ms
 
     def _reconnect(self) -> list[OutgoingDatagram]:
-        """Ping some unreachable members, so that one that starts or comes back and this proxy meet again."""
+        """Ping some unreachable members, so that this proxy finds those that have started or come back."""
         unreachable = self._table.unreachable
         count = min(self._timing.reconnect_pings, len(unreachable))
         chosen: set[int] = set()
         while len(chosen) < count:
-            member = self._reconnect_round.next(unreachable)
+            member = self._reconnect_order.next(unreachable)
             if member is not None:
                 chosen.add(member)
         return [self._composer.reconnect_ping(member) for member in sorted(chosen)]
--- a/cloverwell/gossip/probing.py
+++ b/cloverwell/gossip/probing.py
@@ -15,11 +15,11 @@
 class ShuffledRoundRobin:
     """Picks each eligible member once in a random order before any a second time (SWIM, section 4.3).
 
-    A dead member is therefore probed within one round, which bounds the time until it is detected.
+    Each member is therefore probed once in a round, which bounds the time until its death is detected.
     """
 
     def __init__(self, rng: Random) -> None:
-        """Draw the order of each round from `rng`."""
+        """Start without a round; the order of each is drawn from `rng`."""
         self._rng = rng
         self._remaining: list[int] = []
 
@@ -40,7 +40,7 @@
     member: int
     sequence: int
     started_ms: float
-    indirect: bool = False  # The ping timeout has passed, and ping-reqs were sent.
+    indirect: bool = False  # True once the ping timeout has passed and ping-reqs were sent.
     acknowledged: bool = False
 
 
@@ -50,13 +50,13 @@
     def __init__(
         self, table: MemberTable, composer: DatagramComposer, timing: GossipTiming, total: int, rng: Random
     ) -> None:
-        """`total` is the number of proxies in the tier."""
+        """Set up the detector of one proxy in a tier of `total` proxies."""
         self._table = table
         self._composer = composer
         self._timing = timing
         self._total = total
         self._rng = rng
-        self._round = ShuffledRoundRobin(rng)
+        self._probe_order = ShuffledRoundRobin(rng)
         self._probe: PendingProbe | None = None
 
     def tick(self, now_ms: float) -> list[OutgoingDatagram]:
@@ -64,20 +64,21 @@
         return self._check_suspects(now_ms) + self._advance_probe(now_ms)
 
     def acknowledge(self, ack: Datagram) -> None:
-        """Note an ack of the pending probe, from the member itself or relayed by another."""
+        """Record an ack of the pending probe, from the member itself or relayed by another."""
         probe = self._probe
         if probe is not None and (probe.sequence, probe.member) == (ack.sequence, ack.subject):
             probe.acknowledged = True
 
     def exclude_stall(self, stall_ms: float) -> None:
-        """Leave a time in which this process did not run out of the age of the pending probe."""
+        """Exclude a stall of this process, `stall_ms` long, from the age of the pending probe."""
         if self._probe is not None:
             self._probe.started_ms += stall_ms
 
     def _check_suspects(self, now_ms: float) -> list[OutgoingDatagram]:
-        """Declare suspects dead after the suspicion timeout, and ping the others again and again until then.
+        """Declare suspects dead after the suspicion timeout, and ping them repeatedly until then.
 
-        The pings tell a suspect of the suspicion; one lost datagram must not keep it from refuting.
+        The pings tell a suspect of the suspicion. They are repeated, so that a lost datagram does not keep it
+        from refuting.
         """
         datagrams = []
         for member in sorted(self._table.suspects):
@@ -86,12 +87,12 @@
                 self._table.declare_dead(now_ms, member)
             elif now_ms - state.last_ping_ms >= self._timing.ping_timeout_ms:
                 state.last_ping_ms = now_ms
-                if state.suspected_here or self._drawn_to_ping_suspect():
+                if state.suspected_here or self._should_ping_suspect():
                     datagrams.append(self._composer.ping(member))
         return datagrams
 
-    def _drawn_to_ping_suspect(self) -> bool:
-        """Draw whether this proxy is one of the few that ping the suspect: a whole tier would overload it."""
+    def _should_ping_suspect(self) -> bool:
+        """Decide at random whether to ping the suspect; pings from the whole tier would overload it."""
         return self._rng.random() * self._total < self._timing.suspect_pings
 
     def _advance_probe(self, now_ms: float) -> list[OutgoingDatagram]:
@@ -109,7 +110,7 @@
 
     def _start_probe(self, now_ms: float) -> list[OutgoingDatagram]:
         self._probe = None
-        member = self._round.next(self._table.reachable)
+        member = self._probe_order.next(self._table.reachable)
         if member is None:
             return []
         ping = self._composer.ping(member)
@@ -120,5 +121,5 @@
         """Ask other members to ping the one that does not answer: the link to it may be cut."""
         probe.indirect = True
         others = sorted(self._table.reachable - {probe.member})
-        helpers = self._rng.sample(others, min(self._timing.indirect_probes, len(others)))
-        return [self._composer.ping_request(helper, probe.sequence, probe.member) for helper in helpers]
+        relays = self._rng.sample(others, min(self._timing.indirect_probes, len(others)))
+        return [self._composer.ping_request(relay, probe.sequence, probe.member) for relay in relays]
--- a/cloverwell/gossip/timing.py
+++ b/cloverwell/gossip/timing.py
@@ -13,8 +13,7 @@
     `ping_timeout_ms`: a ping without an ack for this long is followed by indirect probes.
     `indirect_probes`: how many other members get a ping-req (the `k` of section 3.1).
     `suspicion_timeout_ms`: a suspect that has not refuted for this long is declared dead (section 4.2).
-    `reconnect_interval_ms`: time between two rounds of pings to members that are dead or were never heard
-    from.
+    `reconnect_interval_ms`: time between two rounds of pings to dead or unknown members.
     `reconnect_pings`: how many of these members are pinged in one round.
     `suspect_pings`: how many pings a suspect gets from the whole tier, on average, in each `ping_timeout_ms`.
     """
--- a/cloverwell/gossip/wire.py
+++ b/cloverwell/gossip/wire.py
@@ -1,4 +1,4 @@
-"""The binary form of the datagrams between proxies, encoded and decoded without I/O.
+"""Encodes and decodes the datagrams between proxies. No I/O.
 
 A header of 15 bytes is followed by membership updates of 9 bytes each. All numbers are big-endian; the
 figures are lengths in bytes.
@@ -30,7 +30,7 @@
 
 
 class DatagramFault(Enum):
-    """Why a datagram is rejected. The values are the labels under which such datagrams are counted."""
+    """The reason for which a datagram is rejected. Each value is the label of its counter."""
 
     TOO_LONG = "long"
     TRUNCATED = "short"
@@ -44,7 +44,7 @@
     """The received bytes are not a datagram of this protocol; `fault` says why."""
 
     def __init__(self, fault: DatagramFault) -> None:
-        """The error's text is the value of `fault`."""
+        """Use the value of `fault` as the message."""
         super().__init__(fault.value)
         self.fault = fault
 
@@ -58,7 +58,7 @@
 
 
 class MemberStatus(IntEnum):
-    """The state of a member. Of two updates with the same incarnation the one with the higher status wins."""
+    """The state of a member. At the same incarnation a higher status overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -91,7 +91,7 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """Return the datagram's bytes, with as many of its membership updates as there is room for."""
+    """Return the datagram's bytes, with as many of its membership updates as fit."""
     updates = datagram.updates[:MAX_UPDATES]
     header = _HEADER.pack(
         VERSION,
