--- a/cloverwell/gossip/membership_view.py
+++ b/cloverwell/gossip/membership_view.py
@@ -16,9 +16,9 @@
 
 An incarnation is the Unix time of the process's start in milliseconds, plus one for each refutation.
 Refutations are rarer than one in a millisecond, so a restarted process has a higher incarnation than the one
-before it, unless the clock was stepped back between the two starts. Its datagrams, also its acks, are then dropped as
-stale until it is suspected. The ping that tells it so carries the incarnation that is known, and it refutes
-the suspicion with a higher one. All other times are milliseconds of one monotonic clock.
+before it, unless the clock was stepped back between the two starts. Its datagrams, also its acks, are then
+dropped as stale until it is suspected. The ping that tells it so carries the incarnation that is known, and
+it refutes the suspicion with a higher one. All other times are milliseconds of one monotonic clock.
 """
 
 from __future__ import annotations
--- a/tests/test_golden_gossip.py
+++ b/tests/test_golden_gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between proxies stay the same to the byte: proxies of two releases share one tier.
+"""The bytes of datagrams between proxies stay the same, since proxies of two releases may share one tier.
 
 The bytes in `data/gossip_datagrams.json` were written by release 777463e.
 """
@@ -15,7 +15,7 @@
 STATUSES = {"alive": MemberStatus.ALIVE, "suspect": MemberStatus.SUSPECT, "dead": MemberStatus.DEAD}
 
 
-def expected(row):
+def expected_datagram(row):
     updates = tuple(
         MembershipUpdate(update["proxy"], update["incarnation"], STATUSES[update["state"]])
         for update in row["updates"]
@@ -36,9 +36,9 @@
 
 @pytest.mark.parametrize("row", GOLDEN, ids=lambda row: row["name"])
 def test_a_recorded_datagram_is_decoded_to_the_same_value(row):
-    assert decode(bytes.fromhex(row["hex"])) == expected(row)
+    assert decode(bytes.fromhex(row["hex"])) == expected_datagram(row)
 
 
 @pytest.mark.parametrize("row", GOLDEN, ids=lambda row: row["name"])
 def test_a_value_is_encoded_to_the_recorded_datagram(row):
-    assert encode(expected(row)).hex() == row["hex"]
+    assert encode(expected_datagram(row)).hex() == row["hex"]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership by gossip in virtual time: deaths, cut links, stopped processes and restarts."""
+"""Membership by SWIM in virtual time: deaths, cut links, stopped processes and restarts."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
 )
 from lab.datagrams import DatagramNetwork, ProxyProcess
 
-KNOWN_S = 2.0  # By then all survivors of a tier of up to four proxies have detected a death.
+DETECTION_S = 2.0  # The time in which all survivors of a tier of up to four proxies detect a death.
 SEEDS = range(1, 21)
 
 NUMBER, INCARNATION = st.integers(0, 2**16 - 1), st.integers(0, 2**48 - 1)
@@ -37,7 +37,7 @@
 
 
 @given(DATAGRAMS)
-def test_a_datagram_is_decoded_to_what_was_encoded_with_the_updates_that_fit(datagram):
+def test_a_decoded_datagram_equals_the_encoded_one_with_the_updates_that_fit(datagram):
     data = encode(datagram)
     decoded = decode(data)
     assert len(data) <= MAX_DATAGRAM_BYTES
@@ -64,12 +64,14 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), DATAGRAMS), max_size=30))
-def test_no_datagram_makes_a_view_hold_more_than_its_tier(steps):
+def test_no_datagram_makes_a_view_hold_more_members_than_its_tier_has(steps):
     view, now_ms = MembershipView(0, 4, 1000, 1), 0.0
     for ticks, datagram in steps:
         now_ms += 50.0
-        outs = view.tick(now_ms) if ticks else view.receive(now_ms, datagram)
-        assert all(len(encode(out.datagram)) <= MAX_DATAGRAM_BYTES for out in outs)
+        outgoing = view.tick(now_ms) if ticks else view.receive(now_ms, datagram)
+        assert all(
+            len(encode(outgoing_datagram.datagram)) <= MAX_DATAGRAM_BYTES for outgoing_datagram in outgoing
+        )
         assert 0 in view.alive_proxies()
         assert view.alive_proxies() <= set(range(4))
         assert set(view.members) <= {1, 2, 3}
@@ -77,144 +79,144 @@
         assert view.pending_updates <= 4
 
 
-def met(total, seed, **more):
-    net = DatagramNetwork(total, seed, **more)
-    net.run(2.5)
-    assert net.agree(set(range(total)))
-    return net
+def converged_network(total, seed, **options):
+    network = DatagramNetwork(total, seed, **options)
+    network.run(2.5)
+    assert network.agree(set(range(total)))
+    return network
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_death_is_known_to_all_and_nobody_else_is_taken_for_dead(seed):
-    net = met(3 + seed % 6, seed, loss=0.05)
-    net.crash(1)
-    net.run(KNOWN_S + 1.0)
-    assert net.agree(set(range(len(net.processes))) - {1})
-    assert {death.dead for death in net.deaths()} == {1}
+def test_all_members_detect_a_death_and_consider_no_other_member_dead(seed):
+    network = converged_network(3 + seed % 6, seed, loss=0.05)
+    network.crash(1)
+    network.run(DETECTION_S + 1.0)
+    assert network.agree(set(range(len(network.processes))) - {1})
+    assert {death.dead for death in network.deaths()} == {1}
 
 
-@pytest.mark.parametrize("both", [True, False])
+@pytest.mark.parametrize("both_directions", [True, False])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_cut_link_between_two_is_no_death(seed, both):
-    net = met(3, seed)
-    net.cut_link(0, 1, both)
-    net.run(20.0)
-    assert net.agree({0, 1, 2})
-    assert not net.deaths()
+def test_a_cut_link_between_two_proxies_causes_no_death(seed, both_directions):
+    network = converged_network(3, seed)
+    network.cut_link(0, 1, both_directions)
+    network.run(20.0)
+    assert network.agree({0, 1, 2})
+    assert not network.deaths()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_both_sides_of_a_cut_tier_hold_their_own_and_meet_again(seed):
-    net = met(4, seed)
-    for here in (0, 1):
-        for there in (2, 3):
-            net.cut_link(here, there)
-    net.run(4.0)
-    assert net.agree({0, 1})
-    assert net.agree({2, 3})
-    net.cut_links.clear()
-    net.run(4.0)
-    assert net.agree({0, 1, 2, 3})
+def test_both_sides_of_a_partition_keep_their_own_members_and_converge_when_it_heals(seed):
+    network = converged_network(4, seed)
+    for sender in (0, 1):
+        for receiver in (2, 3):
+            network.cut_link(sender, receiver)
+    network.run(4.0)
+    assert network.agree({0, 1})
+    assert network.agree({2, 3})
+    network.cut_links.clear()
+    network.run(4.0)
+    assert network.agree({0, 1, 2, 3})
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_was_stopped_refutes_its_death_by_a_higher_incarnation(seed):
-    net = met(3, seed)
-    first = net.processes[2].view.incarnation
-    net.stop(2)
-    net.run(3.0)
-    assert net.agree({0, 1})
-    net.resume(2)
-    net.run(3.0)
-    assert net.agree({0, 1, 2})
-    assert net.processes[2].view.incarnation > first
-    assert all(net.processes[n].view.members[2].incarnation > first for n in (0, 1))
+def test_a_process_that_was_stopped_refutes_its_death_by_a_higher_incarnation(seed):
+    network = converged_network(3, seed)
+    first_incarnation = network.processes[2].view.incarnation
+    network.stop(2)
+    network.run(3.0)
+    assert network.agree({0, 1})
+    network.resume(2)
+    network.run(3.0)
+    assert network.agree({0, 1, 2})
+    assert network.processes[2].view.incarnation > first_incarnation
+    assert all(network.processes[number].view.members[2].incarnation > first_incarnation for number in (0, 1))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_restart_within_a_second_is_another_incarnation_and_the_old_one_is_stale(seed):
-    net = met(3, seed)
-    old = Datagram(DatagramKind.PING, 2, net.processes[2].view.incarnation, 7)
-    net.crash(2)
-    net.run(0.4)
-    net.restart(2)
-    net.run(3.0)
-    assert net.agree({0, 1, 2})
-    view = net.processes[0].view
-    assert view.members[2].incarnation > old.incarnation
-    before = view.stale_datagrams
-    assert view.receive(1000.0 * net.now_s, old) == []
-    assert view.stale_datagrams == before + 1
+def test_a_restart_within_a_second_has_a_higher_incarnation_and_the_old_one_is_stale(seed):
+    network = converged_network(3, seed)
+    old_datagram = Datagram(DatagramKind.PING, 2, network.processes[2].view.incarnation, 7)
+    network.crash(2)
+    network.run(0.4)
+    network.restart(2)
+    network.run(3.0)
+    assert network.agree({0, 1, 2})
+    view = network.processes[0].view
+    assert view.members[2].incarnation > old_datagram.incarnation
+    stale_count_before = view.stale_datagrams
+    assert view.receive(1000.0 * network.now_s, old_datagram) == []
+    assert view.stale_datagrams == stale_count_before + 1
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, -1000, 3_600_000])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_restart_after_a_step_of_the_clock_is_alive_and_not_taken_for_dead(seed, step_ms):
-    net = met(3, seed)
-    before, since_s = net.processes[2].view.incarnation, net.now_s
-    net.crash(2)
-    net.run(0.1)
-    net.processes[2] = ProxyProcess(MembershipView(2, 3, before + 100 + step_ms, seed))
-    net.run(KNOWN_S)
-    again = net.processes[2].view.incarnation
-    assert net.agree({0, 1, 2})
-    assert not net.deaths(since_s)
-    assert again > before
-    assert all(net.processes[n].view.members[2].incarnation == again for n in (0, 1))
+def test_a_process_restarted_after_a_step_of_the_clock_is_not_considered_dead(seed, step_ms):
+    network = converged_network(3, seed)
+    incarnation_before, since_s = network.processes[2].view.incarnation, network.now_s
+    network.crash(2)
+    network.run(0.1)
+    network.processes[2] = ProxyProcess(MembershipView(2, 3, incarnation_before + 100 + step_ms, seed))
+    network.run(DETECTION_S)
+    new_incarnation = network.processes[2].view.incarnation
+    assert network.agree({0, 1, 2})
+    assert not network.deaths(since_s)
+    assert new_incarnation > incarnation_before
+    assert all(network.processes[number].view.members[2].incarnation == new_incarnation for number in (0, 1))
 
 
 def test_a_member_refutes_a_suspicion_of_a_higher_incarnation_than_its_own():
-    """Its clock was stepped back, so others drop its datagrams until they suspect it and tell it so."""
+    """If its clock was stepped back, others drop its datagrams until they suspect it and tell it so."""
     view = MembershipView(0, 3, 1000, 1)
-    outs = view.receive(
+    outgoing = view.receive(
         0.0,
         Datagram(DatagramKind.PING, 1, 1000, 1, updates=(MembershipUpdate(0, 5000, MemberStatus.SUSPECT),)),
     )
     assert view.incarnation == 5001
-    assert outs[0].datagram.incarnation == 5001
+    assert outgoing[0].datagram.incarnation == 5001
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_three_of_four_die_at_once(seed):
-    net = met(4, seed)
+def test_the_last_of_four_detects_that_the_others_have_died_at_once(seed):
+    network = converged_network(4, seed)
     for number in (0, 1, 3):
-        net.crash(number)
-    net.run(KNOWN_S)
-    assert net.agree({2})
+        network.crash(number)
+    network.run(DETECTION_S)
+    assert network.agree({2})
 
 
 def false_deaths(seed, timing=None):
     """Count the deaths observed in a minute in which one datagram in ten is lost and nobody dies."""
-    net = DatagramNetwork(4, seed, loss=0.1, timing=timing)
-    net.run(60.0)
-    return len(net.deaths())
+    network = DatagramNetwork(4, seed, loss=0.1, timing=timing)
+    network.run(60.0)
+    return len(network.deaths())
 
 
-def test_lost_datagrams_are_no_deaths():
+def test_lost_datagrams_cause_no_deaths():
     assert not any(false_deaths(seed) for seed in range(1, 9))
 
 
-def test_without_suspicion_they_would_be():
+def test_without_suspicion_lost_datagrams_would_cause_deaths():
     assert sum(false_deaths(seed, GossipTiming(suspicion_timeout_ms=0.0)) for seed in range(1, 5)) > 4
 
 
 def deaths_behind_a_cut(seed, indirect_probes):
-    net = met(3, seed, timing=GossipTiming(indirect_probes=indirect_probes))
-    net.cut_link(0, 1)
-    net.run(5.0)
-    return net.deaths()
+    network = converged_network(3, seed, timing=GossipTiming(indirect_probes=indirect_probes))
+    network.cut_link(0, 1)
+    network.run(5.0)
+    return network.deaths()
 
 
-def test_without_indirect_probes_a_cut_link_would_be_a_death():
+def test_without_indirect_probes_a_cut_link_would_cause_a_death():
     assert any(deaths_behind_a_cut(seed, indirect_probes=0) for seed in SEEDS)
     assert not any(deaths_behind_a_cut(seed, indirect_probes=3) for seed in SEEDS)
 
 
-def test_without_incarnations_one_that_comes_back_would_stay_dead(monkeypatch):
+def test_without_incarnations_a_resumed_process_would_stay_dead(monkeypatch):
     monkeypatch.setattr(membership_view, "MAX_INCARNATION", 0)
-    net = met(3, 1)
-    net.stop(2)
-    net.run(3.0)
-    net.resume(2)
-    net.run(5.0)
-    assert not net.agree({0, 1, 2})
+    network = converged_network(3, 1)
+    network.stop(2)
+    network.run(3.0)
+    network.resume(2)
+    network.run(5.0)
+    assert not network.agree({0, 1, 2})
--- a/tests/test_gossip_parts.py
+++ b/tests/test_gossip_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the membership view, each by itself: table, dissemination, order of probes, probes."""
+"""The parts of the membership view, each by itself: member table, dissemination, and probes."""
 
 from itertools import product
 from random import Random
@@ -110,7 +110,7 @@
     assert rounds[0] != rounds[1] != rounds[2]
 
 
-def test_a_member_that_is_no_longer_eligible_is_passed_over():
+def test_a_member_that_is_no_longer_eligible_is_skipped():
     order = ShuffledRoundRobin(Random(1))
     first = order.next({1, 2, 3})
     _, still_eligible = {1, 2, 3} - {first}
@@ -122,7 +122,7 @@
 
 
 def detector_with_one_probe():
-    """A detector that has sent its first ping at 0 ms, and that ping."""
+    """Returns a table, its failure detector, which has sent its first ping at 0 ms, and that ping."""
     table = table_with(*((number, 1, ALIVE) for number in range(1, TOTAL)))
     composer = DatagramComposer(0, 1, table)
     detector = FailureDetector(table, composer, GossipTiming(), TOTAL, Random(1))
