--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -1,4 +1,7 @@
-"""A committed configuration against the one that a proxy started with: taken whole, or refused by field."""
+"""The control section of a proxy's file, and what a committed configuration may change at a proxy.
+
+A committed document is accepted as a whole, or refused with the field that can't be changed.
+"""
 
 import copy
 import json
@@ -14,7 +17,7 @@
     {"name": "south-1", "address": "127.0.0.1:7402", "region": "south"},
     {"name": "north-2", "address": "127.0.0.1:7403", "region": "north"},
 ]
-OWN = {
+OWN_FILE = {
     "name": "proxy-1",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -24,23 +27,25 @@
 }
 
 
-def parse(document, environ=None):
+def parse_document(document, environ=None):
     return parse_config(json.dumps(document).encode(), environ or {})
 
 
-def change(document, own=None, environ=None):
-    return read_change(json.dumps(own or OWN).encode(), json.dumps(document).encode(), environ or {})
+def read_document(document, own_file=None, environ=None):
+    return read_change(
+        json.dumps(own_file or OWN_FILE).encode(), json.dumps(document).encode(), environ or {}
+    )
 
 
 def with_settings(**more):
     return {"settings": copy.deepcopy(SETTINGS) | more}
 
 
-# The section of the file -----------------------------------------------------------------------------
+# The control section of a configuration file --------------------------------------------------------
 
 
-def test_the_nodes_of_the_own_region_stand_apart():
-    control = parse(OWN).control
+def test_the_nodes_of_the_own_region_are_listed_apart():
+    control = parse_document(OWN_FILE).control
     assert control.home == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
     assert control.elsewhere == {"south-1": ("127.0.0.1", 7402)}
     assert control.region == "north"
@@ -48,8 +53,8 @@
     assert control.log == "fleet"
 
 
-def test_without_the_section_there_is_no_control():
-    config = parse({name: value for name, value in OWN.items() if name != "control"})
+def test_without_a_control_section_no_log_is_followed():
+    config = parse_document({name: value for name, value in OWN_FILE.items() if name != "control"})
     assert config.control is None
     assert config.document == b""
 
@@ -72,15 +77,15 @@
     ],
     ids=str,
 )
-def test_a_malformed_section_is_named(section, field):
+def test_an_error_names_the_malformed_field_of_the_section(section, field):
     with pytest.raises(ConfigError, match=field):
-        parse(OWN | {"control": section})
+        parse_document(OWN_FILE | {"control": section})
 
 
-def test_a_proxy_that_follows_the_log_has_a_name():
+def test_a_proxy_that_follows_the_log_needs_a_name():
     with pytest.raises(ConfigError, match="name: is missing"):
-        parse(OWN | {"name": ""})
-    assert parse(OWN | {"name": ""}, {"EDGE_NAME": "proxy-9"}).name == "proxy-9"
+        parse_document(OWN_FILE | {"name": ""})
+    assert parse_document(OWN_FILE | {"name": ""}, {"EDGE_NAME": "proxy-9"}).name == "proxy-9"
 
 
 # A committed entry -----------------------------------------------------------------------------------
@@ -88,23 +93,23 @@
 
 def test_discovery_and_the_number_of_proxies_may_change():
     document = with_settings(**{"peers-total": 480}) | {"discovery": "127.0.0.1:9"}
-    assert change(document) == ConfigurationChange(("127.0.0.1", 9), 480)
+    assert read_document(document) == ConfigurationChange(("127.0.0.1", 9), 480)
 
 
-def test_what_an_entry_does_not_name_is_the_proxys_own():
-    assert change({}) == ConfigurationChange(("127.0.0.1", 2), SETTINGS["peers-total"])
-    assert change({"discovery": "127.0.0.1:9"}).peers_total == SETTINGS["peers-total"]
+def test_a_field_that_an_entry_does_not_name_keeps_the_proxys_own_value():
+    assert read_document({}) == ConfigurationChange(("127.0.0.1", 2), SETTINGS["peers-total"])
+    assert read_document({"discovery": "127.0.0.1:9"}).peers_total == SETTINGS["peers-total"]
 
 
-def test_the_variable_of_discovery_is_older_than_an_entry():
+def test_an_entry_overrides_the_environment_variable_of_discovery():
     environ = {"EDGE_DISCOVERY": "127.0.0.1:77", "EDGE_LISTEN": "127.0.0.1:78"}
-    assert change({"discovery": "127.0.0.1:9"}, environ=environ).discovery == ("127.0.0.1", 9)
+    assert read_document({"discovery": "127.0.0.1:9"}, environ=environ).discovery == ("127.0.0.1", 9)
 
 
-def test_another_wording_of_the_same_settings_is_no_change():
-    worded = {"zone": 0, "not-known-here": 5} | SETTINGS
-    worded |= {"granularity": float(SETTINGS["granularity"]), "over-share-worth": 1, "peers-total": 3}
-    assert change({"settings": worded}).peers_total == 3
+def test_the_same_settings_written_differently_are_no_change():
+    rewritten = {"zone": 0, "not-known-here": 5} | SETTINGS
+    rewritten |= {"granularity": float(SETTINGS["granularity"]), "over-share-worth": 1, "peers-total": 3}
+    assert read_document({"settings": rewritten}).peers_total == 3
 
 
 @pytest.mark.parametrize(
@@ -121,9 +126,9 @@
     ],
     ids=str,
 )
-def test_what_cannot_change_at_run_time_is_refused_by_its_name(document, field):
+def test_a_change_that_is_impossible_at_run_time_is_refused_with_its_field(document, field):
     with pytest.raises(ConfigError, match=f"^{field}: can't be changed at run time"):
-        change(document | {"discovery": "127.0.0.1:9"})
+        read_document(document | {"discovery": "127.0.0.1:9"})
 
 
 @pytest.mark.parametrize(
@@ -137,30 +142,30 @@
     ],
     ids=str,
 )
-def test_what_the_reader_of_files_refuses_is_refused_in_its_words(document, field):
+def test_an_invalid_document_is_refused_with_the_error_of_a_configuration_file(document, field):
     with pytest.raises(ConfigError, match=field):
-        change(document)
-    # As far as it can be checked without a proxy's own file, a proposal is refused in the same words.
+        read_document(document)
+    # A proposal is refused with the same error, as far as that can be checked without a proxy's own file.
     with pytest.raises(ConfigError, match=field):
         check_document(json.dumps(document).encode())
 
 
-def test_what_a_proxy_takes_may_be_proposed():
+def test_a_document_that_a_proxy_accepts_may_be_proposed():
     check_document(b"{}")
     check_document(json.dumps(with_settings(**{"peers-total": 9}) | {"discovery": "127.0.0.1:9"}).encode())
 
 
-def test_a_document_that_is_no_json_is_refused():
+def test_a_document_that_is_not_json_is_refused():
     with pytest.raises(ConfigError, match="configuration"):
-        read_change(json.dumps(OWN).encode(), b"{", {})
+        read_change(json.dumps(OWN_FILE).encode(), b"{", {})
 
 
-def test_digests_tell_documents_apart():
+def test_different_documents_have_different_digests():
     assert document_digest(b"{}") == document_digest(b"{}") != document_digest(b"{ }")
     assert len(document_digest(b"")) == 16
 
 
-def test_a_file_with_the_section_keeps_its_text(tmp_path):
+def test_a_configuration_with_a_control_section_keeps_the_text_of_its_file(tmp_path):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(OWN))
+    path.write_text(json.dumps(OWN_FILE))
     assert read_config({"EDGE_CONFIG": str(path)}).document == path.read_bytes()
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -1,4 +1,4 @@
-"""One control node of the quorum: what is stored before what is said, votes, quorum, snapshots, leases."""
+"""One control node of a quorum: writes before messages, votes, replication, snapshots and leases."""
 
 from random import Random
 
@@ -34,7 +34,7 @@
 
 
 def leader(stored=None):
-    """A node that has just been elected, at 10,000 ms."""
+    """Returns a node that was elected at 10,000 ms."""
     node = consensus(stored)
     node.tick(10_000.0)
     node.receive(VoteAnswer(node.term, "b", node.term + 1, True, pre_vote=True), 10_000.0)
@@ -52,11 +52,11 @@
 
 
 def append(term, previous, new, commit=0, **fields):
-    """A message of the leader b; `previous`: index and term."""
+    """Returns entries from the leader b; `previous` is the index and term of the entry before them."""
     return AppendEntries(term, "b", *previous, new, commit, fields.pop("token", 1.0), **fields)
 
 
-def test_a_vote_is_stored_before_it_is_told():
+def test_a_vote_is_stored_before_it_is_sent():
     node = consensus()
     effects = node.receive(RequestVote(1, "b", 0, 0), 1.0)
     writes = [effect for effect in effects if isinstance(effect, Write)]
@@ -74,17 +74,17 @@
     assert isinstance(effects[0], Write)
 
 
-def test_a_candidate_writes_its_vote_for_itself_before_it_asks():
+def test_a_candidate_stores_its_vote_for_itself_before_it_requests_votes():
     node = consensus()
-    asked = sent(node.tick(10_000.0), RequestVote)
-    assert [message.pre_vote for message in asked] == [True, True]
+    requests = sent(node.tick(10_000.0), RequestVote)
+    assert [message.pre_vote for message in requests] == [True, True]
     assert (node.term, node.vote) == (0, "")
     effects = node.receive(VoteAnswer(0, "c", 1, True, pre_vote=True), 10_000.0)
     assert isinstance(effects[0], Write)
     assert (effects[0].term, effects[0].vote) == (1, "a")
 
 
-def test_one_vote_a_term_and_none_for_an_older_log():
+def test_a_node_votes_once_in_a_term_and_never_for_an_older_log():
     node = consensus(StoredState(2, "", EMPTY_SNAPSHOT, entries(1, 2)))
     assert not sent(node.receive(RequestVote(3, "b", 5, 1), 1.0), VoteAnswer)[0].granted
     assert not sent(node.receive(RequestVote(3, "b", 1, 2), 1.0), VoteAnswer)[0].granted
@@ -93,7 +93,7 @@
     assert not sent(node.receive(RequestVote(3, "b", 9, 2), 1.0), VoteAnswer)[0].granted
 
 
-def test_nobody_is_encouraged_to_stand_against_a_leader_that_was_heard_lately():
+def test_no_pre_vote_is_granted_while_the_leader_was_heard_lately():
     node = consensus()
     node.receive(append(1, (0, 0), ()), 100.0)
     request = RequestVote(2, "c", 0, 0, pre_vote=True)
@@ -102,7 +102,7 @@
     assert node.term == 1
 
 
-def test_a_leader_without_a_quorum_refuses_and_then_steps_down():
+def test_a_leader_without_a_quorum_refuses_proposals_and_then_steps_down():
     node = leader()
     assert node.has_quorum(10_000.0 + TIMING.quorum_timeout_ms)
     assert not node.has_quorum(10_001.0 + TIMING.quorum_timeout_ms)
@@ -116,40 +116,41 @@
 
 def test_a_leader_gives_no_lease_before_an_entry_of_its_own_term_is_committed():
     node = leader(StoredState(1, "", EMPTY_SNAPSHOT, entries(1)))
-    node.receive(AppendAnswer(2, "c", False, 0, 10_000.0, 5.0), 10_050.0)  # a quorum has it for its leader
+    node.receive(AppendAnswer(2, "c", False, 0, 10_000.0, 5.0), 10_050.0)  # a quorum confirms the leader
     assert node.leadership.quorum_confirmed_ms == 10_000.0
     assert node.lease_ms(10_050.0) == 0.0
     effects = node.receive(AppendAnswer(2, "c", True, 2, 10_050.0, 6.0), 10_100.0)
     assert effects[0] == EntriesCommitted((*entries(1), Entry(2, 2, EntryKind.NOOP)))
-    left = lease_end_ms(10_050.0, LEASE_MS) - 10_100.0
-    assert node.lease_ms(10_100.0) == left < LEASE_MS - 50.0
+    remaining_ms = lease_end_ms(10_050.0, LEASE_MS) - 10_100.0
+    assert node.lease_ms(10_100.0) == remaining_ms < LEASE_MS - 50.0
     heartbeat = sent(effects, AppendEntries)[1]
-    assert (heartbeat.echo, heartbeat.lease_ms) == (6.0, left)
+    assert (heartbeat.echo, heartbeat.lease_ms) == (6.0, remaining_ms)
 
 
-def test_a_follower_counts_its_lease_from_its_own_token_and_takes_none_from_outside_its_run():
+def test_a_follower_counts_its_lease_from_its_own_token_and_ignores_tokens_of_other_runs():
     node = consensus(now=1_000.0)
-    for echo, now, most in [(500.0, 1_100.0, 0.0), (1_200.0, 1_100.0, 0.0), (NO_TOKEN, 1_100.0, 0.0)]:
+    for echo, now, expected_ms in [(500.0, 1_100.0, 0.0), (1_200.0, 1_100.0, 0.0), (NO_TOKEN, 1_100.0, 0.0)]:
         node.receive(append(1, (0, 0), (), echo=echo, lease_ms=LEASE_MS), now)
-        assert node.lease_ms(now) == most
+        assert node.lease_ms(now) == expected_ms
     node.receive(append(1, (0, 0), (), 1, echo=1_050.0, lease_ms=LEASE_MS), 1_100.0)
-    assert node.lease_ms(1_100.0) == 0.0  # what is committed is not all here
+    assert node.lease_ms(1_100.0) == 0.0  # The follower lacks a committed entry.
     node.receive(append(1, (0, 0), entries(1), 1, echo=1_050.0, lease_ms=LEASE_MS), 1_100.0)
     assert LEASE_MS - 100.0 < node.lease_ms(1_100.0) <= LEASE_MS - 50.0
 
 
-def test_what_stands_against_the_leader_goes_and_what_agrees_stays():
+def test_entries_that_conflict_with_the_leaders_are_dropped_and_equal_ones_stay():
     node = consensus(StoredState(2, "", EMPTY_SNAPSHOT, entries(1, 1, 2)))
     effects = node.receive(append(3, (1, 1), entries(1, 3, first=2)), 1.0)
     write = next(effect for effect in effects if isinstance(effect, Write) and effect.entries)
     assert (write.truncate_from, write.entries) == (3, entries(3, first=3))
     assert [entry.term for entry in node.log.entries] == [1, 1, 3]
-    again = node.receive(append(3, (1, 1), entries(1, first=2)), 2.0)  # late, and shorter
+    # A delayed message with fewer entries drops none.
+    late_effects = node.receive(append(3, (1, 1), entries(1, first=2)), 2.0)
     assert [entry.term for entry in node.log.entries] == [1, 1, 3]
-    assert sent(again, AppendAnswer)[0].match_index == 2
+    assert sent(late_effects, AppendAnswer)[0].match_index == 2
 
 
-def test_a_refusal_goes_back_over_a_whole_term_at_once():
+def test_a_rejection_goes_back_over_a_whole_term_at_once():
     node = consensus(StoredState(3, "", EMPTY_SNAPSHOT, entries(1, 2, 2, 2)))
     answer = sent(node.receive(append(4, (4, 3), ()), 1.0), AppendAnswer)[0]
     assert (answer.success, answer.match_index) == (False, 1)
@@ -157,14 +158,14 @@
     assert (answer.success, answer.match_index) == (False, 4)
 
 
-def test_an_entry_that_is_committed_can_not_be_dropped():
+def test_a_committed_entry_cannot_be_dropped():
     node = consensus()
     node.receive(append(1, (0, 0), entries(1), 1), 1.0)
     with pytest.raises(CommittedEntryError, match="committed"):
         node.receive(append(2, (0, 0), entries(2)), 2.0)
 
 
-def test_a_snapshot_is_stored_with_what_follows_it_and_a_corrupt_or_older_one_is_not_taken():
+def test_a_snapshot_is_stored_with_the_entries_after_it_and_a_corrupt_or_older_one_is_ignored():
     state, position = LogState(), START_POSITION
     for entry in entries(1, 1):
         state, position = state.after(entry), position.after(entry)
@@ -184,7 +185,7 @@
     assert [type(effect) for effect in effects] == [SendToPeer]
 
 
-def test_a_follower_too_far_behind_is_sent_a_snapshot_and_not_again_at_once():
+def test_a_follower_too_far_behind_is_sent_a_snapshot_again_only_after_the_retry_interval():
     stored = StoredState(
         1, "", Snapshot.of(START_POSITION.after(entries(1)[0]), 1, LogState().after(entries(1)[0]))
     )
@@ -196,24 +197,24 @@
     assert sent(node.tick(10_010.0 + TIMING.snapshot_retry_interval_ms), InstallSnapshot)
 
 
-@pytest.mark.parametrize(("payload", "kept"), [(b"x", 4), (bytes(400), 2)])
-def test_the_log_is_folded_into_its_base_by_entries_or_by_bytes(payload, kept):
+@pytest.mark.parametrize(("payload", "kept_count"), [(b"x", 4), (bytes(400), 2)])
+def test_the_log_is_compacted_when_it_holds_too_many_entries_or_bytes(payload, kept_count):
     log = ReplicatedLog(StoredState(), keep_entries=4, keep_bytes=1_000)
     for index in range(1, 10):
         log.append(Entry(index, 1, EntryKind.CONFIGURATION, payload))
     position = log.position_at(9)
-    assert log.compact() is None  # nothing is committed yet
+    assert log.compact() is None  # Nothing is committed yet.
     log.commit(9)
     base = log.compact()
     assert base.is_intact
-    assert (len(log.entries), log.base_index, log.committed) == (kept, 9 - kept, position)
-    assert base.state.latest["configuration"].index == 9 - kept
-    again = ReplicatedLog(StoredState(1, "", base, tuple(log.entries)), 4, 1_000)
-    again.commit(9)
-    assert again.committed_snapshot() == log.committed_snapshot()
+    assert (len(log.entries), log.base_index, log.committed) == (kept_count, 9 - kept_count, position)
+    assert base.state.latest["configuration"].index == 9 - kept_count
+    restored_log = ReplicatedLog(StoredState(1, "", base, tuple(log.entries)), 4, 1_000)
+    restored_log.commit(9)
+    assert restored_log.committed_snapshot() == log.committed_snapshot()
 
 
-def test_a_node_alone_leads_and_commits_at_once():
+def test_the_only_node_of_a_log_leads_and_commits_at_once():
     node = consensus(nodes=("a",))
     effects = node.tick(10_000.0)
     assert EntriesCommitted((Entry(1, 1, EntryKind.NOOP),)) in effects
--- a/tests/test_control_fanout.py
+++ b/tests/test_control_fanout.py
@@ -1,4 +1,4 @@
-"""Fan-out at one control node, what it refuses, proposals that it refuses, and the counts of the fleet."""
+"""Fan-out at one control node, refusals of subscriptions and proposals, fleet counts, and node selection."""
 
 from collections import Counter
 from random import Random
@@ -39,9 +39,9 @@
 NODES = ("a", "b", "c")
 
 
-def node(**fanout):
-    """A control node that leads alone, at 10,000 ms."""
-    alone = ControlNode(
+def lone_leader(**fanout):
+    """Returns the only control node of a log, which has led since 10,000 ms."""
+    node = ControlNode(
         "a",
         ("a",),
         "main",
@@ -51,8 +51,8 @@
         ControlNodeTiming(max_pending_proposals=1),
         FanoutTiming(**fanout),
     )
-    alone.tick(10_000.0)
-    return alone
+    node.tick(10_000.0)
+    return node
 
 
 def subscribe(name="p", run=1, attempt=1, log="main", position=START_POSITION, last_node=""):
@@ -72,8 +72,8 @@
         (subscribe("first", attempt=0), RefusalReason.INVALID),
     ],
 )
-def test_a_subscription_that_is_not_taken_is_refused_with_its_reason(message, reason):
-    full = node(max_subscribers=2)
+def test_a_subscription_that_cannot_be_accepted_is_refused_with_a_reason(message, reason):
+    full = lone_leader(max_subscribers=2)
     full.receive_proxy(1, subscribe("first"), 10_000.0)
     full.receive_proxy(2, subscribe("second"), 10_000.0)
     effects = full.receive_proxy(3, message, 10_000.0)
@@ -81,99 +81,102 @@
     assert full.subscribers.subscriber_count == 2
 
 
-def test_a_subscriber_is_answered_by_the_tail_then_a_heartbeat_and_by_a_snapshot_for_another_digest():
-    alone = node()
-    messages = to_proxy(alone.receive_proxy(1, subscribe(), 10_000.0))
+def test_a_subscriber_gets_entries_and_a_heartbeat_or_a_snapshot_if_its_digest_differs():
+    node = lone_leader()
+    messages = to_proxy(node.receive_proxy(1, subscribe(), 10_000.0))
     assert [type(message) for message in messages] == [Entries, Heartbeat]
     assert messages[1].committed == START_POSITION.after(messages[0].entries[0])
-    messages = to_proxy(alone.receive_proxy(2, subscribe("q", position=Position(1, b"other")), 10_000.0))
+    messages = to_proxy(node.receive_proxy(2, subscribe("q", position=Position(1, b"other")), 10_000.0))
     assert [type(message) for message in messages] == [SnapshotTransfer, Heartbeat]
-    assert messages[0].snapshot.position == alone.consensus.log.committed
+    assert messages[0].snapshot.position == node.consensus.log.committed
 
 
-def test_a_position_that_was_not_sent_ends_the_subscription_and_a_wrong_digest_brings_a_snapshot():
-    alone = node()
-    alone.receive_proxy(1, subscribe(), 10_000.0)
-    assert to_proxy(alone.receive_proxy(1, Acknowledge(Position(1, b"odd"), 2.0), 10_001.0))
-    effects = alone.receive_proxy(1, Acknowledge(Position(7, b""), 3.0), 10_002.0)
+def test_an_acknowledged_wrong_digest_causes_a_snapshot_and_an_unsent_position_the_end():
+    node = lone_leader()
+    node.receive_proxy(1, subscribe(), 10_000.0)
+    assert to_proxy(node.receive_proxy(1, Acknowledge(Position(1, b"odd"), 2.0), 10_001.0))
+    effects = node.receive_proxy(1, Acknowledge(Position(7, b""), 3.0), 10_002.0)
     assert effects == [SendToSubscriber(1, Refusal(RefusalReason.INVALID)), CloseSubscriber(1)]
-    assert alone.receive_proxy(1, Acknowledge(Position(1, b""), 3.0), 10_003.0) == []
+    assert node.receive_proxy(1, Acknowledge(Position(1, b""), 3.0), 10_003.0) == []
 
 
 def test_a_newer_subscription_of_a_proxy_takes_the_place_of_the_older_one():
-    alone = node()
-    alone.receive_proxy(1, subscribe(), 10_000.0)
-    effects = alone.receive_proxy(2, subscribe(attempt=2), 10_000.0)
+    node = lone_leader()
+    node.receive_proxy(1, subscribe(), 10_000.0)
+    effects = node.receive_proxy(2, subscribe(attempt=2), 10_000.0)
     assert effects[0] == CloseSubscriber(1)
-    alone.proxy_disconnected(1, 10_001.0)
-    report = alone.subscribers.report("a")
+    node.proxy_disconnected(1, 10_001.0)
+    report = node.subscribers.report("a")
     assert (report.alive, report.lost) == (1, 0)
 
 
 @pytest.mark.parametrize("run", [6, 8])
-def test_a_restart_takes_the_place_of_the_run_before_whatever_its_number(run):
-    """Seen with runs that were start times: stepped back, a restart was refused as older for 5 s or more."""
-    alone = node()
-    alone.receive_proxy(1, subscribe(run=7, attempt=3), 10_000.0)
-    effects = alone.receive_proxy(2, subscribe(run=run), 10_000.0)
+def test_a_restart_takes_the_place_of_the_previous_run_whatever_its_number(run):
+    """Guards against an order of runs.
+
+    With start times as runs, a restart after the clock was stepped back was refused as older for 5 s or more.
+    """
+    node = lone_leader()
+    node.receive_proxy(1, subscribe(run=7, attempt=3), 10_000.0)
+    effects = node.receive_proxy(2, subscribe(run=run), 10_000.0)
     assert effects[0] == CloseSubscriber(1)
-    assert 2 in alone.subscribers
-    report = alone.subscribers.report("a")
+    assert 2 in node.subscribers
+    report = node.subscribers.report("a")
     assert (report.alive, report.lost) == (1, 0)
 
 
 @pytest.mark.parametrize("run", [6, 8])
-def test_a_process_that_was_displaced_does_not_come_back_in_turn_while_its_successor_is_here(run):
-    alone = node()
-    alone.receive_proxy(1, subscribe(run=7), 10_000.0)
-    alone.receive_proxy(2, subscribe(run=run), 10_000.0)
+def test_a_displaced_process_is_refused_while_its_successor_is_subscribed(run):
+    node = lone_leader()
+    node.receive_proxy(1, subscribe(run=7), 10_000.0)
+    node.receive_proxy(2, subscribe(run=run), 10_000.0)
     refused = [SendToSubscriber(3, Refusal(RefusalReason.INVALID)), CloseSubscriber(3)]
-    assert alone.receive_proxy(3, subscribe(run=7, attempt=2), 10_001.0) == refused
-    assert alone.receive_proxy(4, subscribe(run=run, attempt=2), 10_002.0)[0] == CloseSubscriber(2)
-    assert alone.receive_proxy(3, subscribe(run=7, attempt=3), 10_003.0) == refused
-    # The successor has died: its predecessor is welcome again.
-    alone.proxy_disconnected(4, 10_004.0)
-    assert alone.receive_proxy(5, subscribe(run=7, attempt=4), 10_005.0)[0] != refused[0]
-    assert (alone.subscribers.report("a").alive, alone.subscribers.report("a").lost) == (1, 0)
+    assert node.receive_proxy(3, subscribe(run=7, attempt=2), 10_001.0) == refused
+    assert node.receive_proxy(4, subscribe(run=run, attempt=2), 10_002.0)[0] == CloseSubscriber(2)
+    assert node.receive_proxy(3, subscribe(run=7, attempt=3), 10_003.0) == refused
+    # Once the successor is lost, its predecessor may subscribe again.
+    node.proxy_disconnected(4, 10_004.0)
+    assert node.receive_proxy(5, subscribe(run=7, attempt=4), 10_005.0)[0] != refused[0]
+    assert (node.subscribers.report("a").alive, node.subscribers.report("a").lost) == (1, 0)
 
 
 @pytest.mark.parametrize("run", [6, 8])
-def test_a_message_that_another_process_of_the_name_has_moved_changes_nothing(run):
-    one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
-    one.receive_proxy(1, subscribe(run=7), 1.0)
-    assert one.receive_peer("b", SubscriberMoved("p", run, 9), 2.0) == []
-    assert one.subscribers.subscriber_count == 1
-    one.proxy_disconnected(1, 3.0)
-    one.receive_peer("b", SubscriberMoved("p", run, 9), 4.0)
-    assert one.subscribers.report("a").lost == 1
-    one.receive_peer("b", SubscriberMoved("p", 7, 2), 5.0)
-    assert one.subscribers.report("a").lost == 0
-
-
-def test_what_is_remembered_of_displaced_runs_is_bounded():
-    alone = node()
+def test_a_move_of_another_process_of_the_same_name_changes_nothing(run):
+    follower = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
+    follower.receive_proxy(1, subscribe(run=7), 1.0)
+    assert follower.receive_peer("b", SubscriberMoved("p", run, 9), 2.0) == []
+    assert follower.subscribers.subscriber_count == 1
+    follower.proxy_disconnected(1, 3.0)
+    follower.receive_peer("b", SubscriberMoved("p", run, 9), 4.0)
+    assert follower.subscribers.report("a").lost == 1
+    follower.receive_peer("b", SubscriberMoved("p", 7, 2), 5.0)
+    assert follower.subscribers.report("a").lost == 0
+
+
+def test_the_number_of_remembered_displaced_runs_is_bounded():
+    node = lone_leader()
     for run in range(10 * MAX_DISPLACED_RUNS):
-        alone.receive_proxy(run, subscribe(run=run), 10_000.0)
-    (subscriber,) = alone.subscribers._subscribers.values()
+        node.receive_proxy(run, subscribe(run=run), 10_000.0)
+    (subscriber,) = node.subscribers._subscribers.values()
     assert subscriber.displaced_runs == tuple(range(run - MAX_DISPLACED_RUNS, run))
 
 
-def test_who_says_goodbye_is_gone_and_who_falls_silent_or_ends_is_lost_until_it_is_forgotten():
-    alone = node(silence_timeout_ms=5_000.0, forget_after_ms=60_000.0)
+def test_a_proxy_that_leaves_without_a_goodbye_is_lost_until_it_is_forgotten():
+    node = lone_leader(silence_timeout_ms=5_000.0, forget_after_ms=60_000.0)
     for number, name in enumerate(["good", "ended", "silent"]):
-        alone.receive_proxy(number, subscribe(name), 10_000.0)
-    assert alone.receive_proxy(0, Goodbye(), 10_001.0) == [CloseSubscriber(0)]
-    alone.proxy_disconnected(1, 10_002.0)
-    assert CloseSubscriber(2) in alone.tick(15_001.0)
-    assert (alone.subscribers.report("a").alive, alone.subscribers.report("a").lost) == (0, 2)
-    alone.tick(70_002.0)
-    assert alone.subscribers.report("a").lost == 1
-    alone.tick(75_002.0)
-    assert alone.subscribers.report("a").lost == 0
+        node.receive_proxy(number, subscribe(name), 10_000.0)
+    assert node.receive_proxy(0, Goodbye(), 10_001.0) == [CloseSubscriber(0)]
+    node.proxy_disconnected(1, 10_002.0)
+    assert CloseSubscriber(2) in node.tick(15_001.0)
+    assert (node.subscribers.report("a").alive, node.subscribers.report("a").lost) == (0, 2)
+    node.tick(70_002.0)
+    assert node.subscribers.report("a").lost == 1
+    node.tick(75_002.0)
+    assert node.subscribers.report("a").lost == 0
 
 
 def test_a_proxy_that_moves_is_not_counted_twice():
-    """The node that it comes to tells the one that it left; the news of an older move changes nothing."""
+    """The new node tells the previous one of the move; a message of an older move changes nothing."""
     nodes = {name: ControlNode(name, NODES, "main", StoredState(), Random(1), 0.0) for name in NODES}
     nodes["a"].receive_proxy(1, subscribe(), 1.0)
     nodes["a"].proxy_disconnected(1, 2.0)
@@ -188,13 +191,13 @@
     assert nodes["a"].receive_peer("c", SubscriberMoved("p", 1, 4), 7.0) == [CloseSubscriber(2)]
 
 
-def test_messages_of_strangers_and_in_the_name_of_another_node_are_passed_over():
-    one = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
+def test_messages_of_unknown_senders_or_in_the_name_of_another_node_are_ignored():
+    follower = ControlNode("a", NODES, "main", StoredState(), Random(1), 0.0)
     other = ControlNode("b", NODES, "main", StoredState(), Random(2), 0.0)
-    asked = next(effect.message for effect in other.tick(10_000.0) if isinstance(effect, SendToPeer))
-    assert one.receive_peer("stranger", asked, 10_000.0) == []
-    assert one.receive_peer("c", asked, 10_000.0) == []
-    assert one.receive_peer("b", asked, 10_000.0) != []
+    request = next(effect.message for effect in other.tick(10_000.0) if isinstance(effect, SendToPeer))
+    assert follower.receive_peer("stranger", request, 10_000.0) == []
+    assert follower.receive_peer("c", request, 10_000.0) == []
+    assert follower.receive_peer("b", request, 10_000.0) != []
 
 
 @pytest.mark.parametrize(
@@ -207,14 +210,14 @@
         Propose("x", EntryKind.CONFIGURATION, bytes(MAX_PAYLOAD_BYTES + 1)),
     ],
 )
-def test_a_proposal_that_can_not_be_made_is_refused_at_once(message):
-    (effect,) = node().propose(7, message, 10_000.0)
+def test_an_invalid_proposal_is_refused_at_once(message):
+    (effect,) = lone_leader().propose(7, message, 10_000.0)
     assert isinstance(effect, AnswerProposal)
     assert (effect.request_id, effect.answer.outcome) == (7, ProposalOutcome.INVALID)
 
 
-def test_more_proposals_than_may_wait_are_refused_and_one_that_waits_too_long_is_unknown():
-    three = ControlNode(
+def test_proposals_beyond_the_bound_are_refused_and_an_uncommitted_one_becomes_unknown():
+    leader = ControlNode(
         "a",
         NODES,
         "main",
@@ -223,36 +226,38 @@
         0.0,
         ControlNodeTiming(max_pending_proposals=1, quorum_timeout_ms=1e9),
     )
-    three.tick(10_000.0)
-    three.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), 10_000.0)
-    three.receive_peer("b", VoteAnswer(1, "b", 1, True), 10_000.0)
+    leader.tick(10_000.0)
+    leader.receive_peer("b", VoteAnswer(0, "b", 1, True, pre_vote=True), 10_000.0)
+    leader.receive_peer("b", VoteAnswer(1, "b", 1, True), 10_000.0)
 
     def answers(effects):
         return [effect.answer.outcome for effect in effects if isinstance(effect, AnswerProposal)]
 
-    assert answers(three.propose(1, Propose("one", "configuration", b""), 10_000.0)) == []
-    assert answers(three.propose(2, Propose("two", "configuration", b""), 10_000.0)) == [ProposalOutcome.BUSY]
-    assert three.next_deadline() <= 10_000.0 + ControlNodeTiming().proposal_timeout_ms
-    assert answers(three.tick(10_000.0 + ControlNodeTiming().proposal_timeout_ms)) == [
+    assert answers(leader.propose(1, Propose("one", "configuration", b""), 10_000.0)) == []
+    assert answers(leader.propose(2, Propose("two", "configuration", b""), 10_000.0)) == [
+        ProposalOutcome.BUSY
+    ]
+    assert leader.next_deadline() <= 10_000.0 + ControlNodeTiming().proposal_timeout_ms
+    assert answers(leader.tick(10_000.0 + ControlNodeTiming().proposal_timeout_ms)) == [
         ProposalOutcome.UNKNOWN
     ]
 
 
 @given(st.dictionaries(st.integers(0, 1000), st.integers(1, 50), max_size=60))
-def test_positions_are_summed_up_without_losing_a_proxy_or_telling_one_further_than_it_is(positions):
+def test_merged_positions_count_each_proxy_and_none_further_than_it_is(positions):
     counts = merge_positions(Counter(positions))
     assert len(counts) <= MAX_REPORT_POSITIONS
     assert sum(count.proxies for count in counts) == sum(positions.values())
     for index in positions:
-        reached_count = sum(proxies for at, proxies in positions.items() if at >= index)
+        reached_count = sum(proxies for reached_index, proxies in positions.items() if reached_index >= index)
         assert sum(count.proxies for count in counts if count.index >= index) <= reached_count
     assert not positions or counts[0].index == min(positions)
 
 
-# The fleet
+# The counts of the fleet
 
 
-def test_a_node_that_is_not_heard_of_hides_its_proxies_until_they_are_forgotten():
+def test_the_proxies_of_a_node_without_reports_are_hidden_until_they_are_forgotten():
     view = FleetView(NODES, 60_000.0, 0.0)
     view.record_report(SubscriberReport("a", 60, 2), 100.0)
     assert view.fleet_count(100.0) == FleetCount(60, 2, complete=False)
@@ -263,19 +268,19 @@
     view.record_report(SubscriberReport("a", 60, 0), 100.0 + REPORT_TIMEOUT_MS)
     view.record_report(SubscriberReport("b", 70, 0), 100.0 + REPORT_TIMEOUT_MS)
     assert view.fleet_count(101.0 + REPORT_TIMEOUT_MS) == FleetCount(130, 50, complete=True)
-    assert (
-        view.fleet_count(60_101.0).hidden == 60 + 70
-    )  # those two, long silent as well; the third is forgotten
+    # By now no node has reported for long; the proxies of a and b are hidden, those of c forgotten.
+    assert view.fleet_count(60_101.0).hidden == 60 + 70
 
 
-def test_a_new_leader_does_not_call_its_count_complete_before_all_have_told_it_theirs():
+def test_a_new_leaders_count_is_incomplete_until_all_nodes_have_reported():
     view = FleetView(NODES, 60_000.0, 0.0)
     view.record_report(SubscriberReport("a", 60, 0), 100.0)
     assert not view.fleet_count(60_000.0).complete
-    assert view.fleet_count(60_001.0).complete  # a node that is gone for good must not hold it up for ever
+    # A node that never reports does not keep the count incomplete for ever.
+    assert view.fleet_count(60_001.0).complete
 
 
-def test_in_force_counts_who_has_it_and_who_refused_it():
+def test_an_activation_count_separates_proxies_that_applied_an_entry_from_those_that_refused_it():
     view = FleetView(("a", "b"), 60_000.0, 0.0)
     view.record_report(SubscriberReport("a", 5, 0, (PositionCount(3, 1), PositionCount(7, 4))), 0.0)
     refusals = (RefusalCount(7, "limits", 2),)
@@ -293,54 +298,55 @@
     st.booleans(),
     st.integers(0, 600),
 )
-def test_shares_together_never_go_over_the_bound(alive, hidden, complete, provisioned, current, truly):
-    """Whatever a part of the fleet can't see: if no more live than are counted or provisioned, all
-    shares fit."""
+def test_the_shares_of_all_proxies_never_exceed_the_bound(
+    alive, hidden, complete, provisioned, current, live_proxies
+):
+    """The shares fit if no more proxies are alive than are counted or, without a lease, provisioned."""
     share = 1 / bound_divisor(FleetCount(alive, hidden, complete), provisioned, current)
-    living = (
-        min(truly, alive + hidden, max(provisioned, alive))
+    live_count = (
+        min(live_proxies, alive + hidden, max(provisioned, alive))
         if current and complete
-        else min(truly, provisioned)
+        else min(live_proxies, provisioned)
     )
-    assert living * share <= 1.0 + 1e-9
+    assert live_count * share <= 1.0 + 1e-9
     assert share <= 1.0
 
 
-def test_the_number_to_divide_by():
+def test_the_divisor_of_a_fleet_wide_bound():
     counted = FleetCount(400, 30, complete=True)
     assert bound_divisor(counted, 480, has_lease=True) == 430
     assert bound_divisor(counted, 480, has_lease=False) == 480
     assert bound_divisor(FleetCount(400, 30, complete=False), 480, has_lease=True) == 480
-    # moved ones are counted twice
+    # Proxies that have moved may be counted twice.
     assert bound_divisor(FleetCount(400, 300, complete=True), 480, has_lease=True) == 480
-    # more live than were foreseen
+    # More proxies are alive than are provisioned.
     assert bound_divisor(FleetCount(500, 0, complete=True), 480, has_lease=True) == 500
     assert bound_divisor(FleetCount(), 0, has_lease=False) == 1
 
 
-# Which node is tried
+# Selection of a control node
 
 
-def test_the_own_region_is_tried_first_each_once_a_round_and_rounds_grow_apart():
+def test_the_own_region_is_tried_first_and_the_backoff_grows_with_each_round():
     selector = ControlNodeSelector(
         (("a", "b"), ("c", "d")), SubscriptionTiming(initial_backoff_ms=100, max_backoff_ms=300), Random(3)
     )
-    rounds = []
+    backoffs_ms = []
     for _ in range(4):
-        tried, waits = [], []
+        tried, waits_ms = [], []
         for _ in range(4):
             tried.append(selector.selected_node())
-            waits.append(selector.record_failure())
+            waits_ms.append(selector.record_failure())
         assert set(tried[:2]) == {"a", "b"}
         assert set(tried[2:]) == {"c", "d"}
-        assert waits[:3] == [0.0] * 3
-        rounds.append(waits[3])
-    assert 50 <= rounds[0] <= 100 <= rounds[1] <= 200
-    assert 150 <= rounds[2] <= 300
-    assert 150 <= rounds[3] <= 300
+        assert waits_ms[:3] == [0.0] * 3
+        backoffs_ms.append(waits_ms[3])
+    assert 50 <= backoffs_ms[0] <= 100 <= backoffs_ms[1] <= 200
+    assert 150 <= backoffs_ms[2] <= 300
+    assert 150 <= backoffs_ms[3] <= 300
 
 
-def test_after_a_node_that_served_the_others_come_first_and_it_comes_last():
+def test_after_a_node_that_served_fails_it_is_tried_last():
     selector = ControlNodeSelector((("a",), ("b", "c")), SubscriptionTiming(), Random(3))
     selector.record_served()
     assert selector.record_failure() == 0.0
@@ -351,7 +357,7 @@
     assert (sorted(others), selector.selected_node()) == (["b", "c"], "a")
 
 
-def test_a_proxy_at_another_regions_node_goes_home_after_a_while():
+def test_a_proxy_at_another_regions_node_returns_to_its_own_region():
     selector = ControlNodeSelector((("a",), ("b",)), SubscriptionTiming(remote_stay_ms=1000.0), Random(3))
     assert selector.stay_ms() == float("inf")
     selector.record_failure()
--- a/tests/test_control_messages.py
+++ b/tests/test_control_messages.py
@@ -1,4 +1,4 @@
-"""The control log's messages and entries: bytes and back, digests, states, and what is bounded."""
+"""The control log's messages and entries: encoding, digests, states and bounds, and the modules' imports."""
 
 import ast
 import contextlib
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_a_message_comes_back_from_its_bytes(message):
+def test_a_decoded_message_equals_the_encoded_one(message):
     assert decode(encode(message)) == message
 
 
@@ -70,7 +70,7 @@
         (bytes((VERSION,)) * (MAX_MESSAGE_BYTES + 1), "too long"),
     ],
 )
-def test_bytes_that_are_no_message_are_refused_with_a_reason(data, reason):
+def test_bytes_that_are_no_message_are_rejected_with_a_reason(data, reason):
     with pytest.raises(MessageError, match=reason):
         decode(data)
 
@@ -81,13 +81,13 @@
         decode(data)
 
 
-def test_a_field_that_a_newer_version_adds_is_passed_over():
+def test_a_field_that_a_newer_version_adds_is_ignored():
     fields = msgspec.msgpack.decode(encode(MESSAGES[-1])[1:])
     data = bytes((VERSION,)) + msgspec.msgpack.encode({**fields, "colour": "green"})
     assert decode(data) == MESSAGES[-1]
 
 
-def test_a_position_tells_logs_apart_that_differ_in_any_field_of_an_early_entry():
+def test_positions_differ_for_logs_that_differ_in_any_field_of_an_early_entry():
     last = Entry(2, 1, EntryKind.PURGE, b"key")
     changed = [{"term": 2}, {"kind": EntryKind.PURGE}, {"payload": b"other"}, {"proposal": "change-8"}]
     logs = [ENTRY, *(msgspec.structs.replace(ENTRY, **change) for change in changed)]
@@ -99,7 +99,7 @@
         Position(1, b"").after(Entry(3, 1, EntryKind.NOOP))
 
 
-def test_a_state_has_the_latest_of_each_kind_and_the_last_purges():
+def test_a_state_has_the_latest_entry_of_each_kind_and_the_latest_purges():
     state = LogState()
     for index in range(1, MAX_SNAPSHOT_PURGES + 3):
         state = state.after(Entry(index, 1, EntryKind.PURGE, b"key"))
@@ -129,7 +129,7 @@
         assert not msgspec.structs.replace(SNAPSHOT, **change).is_intact
 
 
-PURE = [
+MODULES_WITHOUT_IO = [
     "consensus",
     "control_node",
     "delivery",
@@ -148,21 +148,23 @@
     "subscription",
     "timing",
 ]
-HARMLESS = {"__future__", "collections", "enum", "hashlib", "msgspec", "random", "typing"}
+ALLOWED_IMPORTS = {"__future__", "collections", "enum", "hashlib", "msgspec", "random", "typing"}
 
 
-@pytest.mark.parametrize("name", PURE)
-def test_a_decision_module_imports_nothing_that_could_do_io_or_read_a_clock(name):
+@pytest.mark.parametrize("name", MODULES_WITHOUT_IO)
+def test_a_module_of_the_control_log_imports_nothing_that_does_io_or_reads_a_clock(name):
     source = Path(cloverwell.control.__file__).with_name(f"{name}.py").read_text()
     for node in ast.walk(ast.parse(source)):
         modules = [node.module] if isinstance(node, ast.ImportFrom) else []
         modules += [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
         for module in modules:
-            own = module.startswith("cloverwell.control.") and module.rpartition(".")[2] in PURE
-            assert own or module.partition(".")[0] in HARMLESS, f"{name} imports {module}"
+            is_own_module = (
+                module.startswith("cloverwell.control.") and module.rpartition(".")[2] in MODULES_WITHOUT_IO
+            )
+            assert is_own_module or module.partition(".")[0] in ALLOWED_IMPORTS, f"{name} imports {module}"
 
 
-def test_the_service_does_not_import_the_control_log():
+def test_importing_the_proxy_does_not_import_the_control_log():
     program = (
         "import sys, cloverwell.proxy; sys.exit(any('cloverwell.control' in name for name in sys.modules))"
     )
--- a/tests/test_control_stateful.py
+++ b/tests/test_control_stateful.py
@@ -1,7 +1,7 @@
-"""The control log under any mixture of delays, losses, cuts, crashes and restarts, in virtual time.
+"""The control log under any mixture of delays, losses, partitions, crashes and restarts, in virtual time.
 
-`ControlInvariants` are checked at every event, leases at every step. At the end all partitions are
-healed, and all processes must agree.
+`ControlInvariants` are checked at every event, leases at every step. At the end all partitions are healed,
+all processes run, and all must agree.
 """
 
 from hypothesis import HealthCheck, settings
@@ -23,9 +23,9 @@
     @initialize(seed=st.integers(0, 2**16), drift=st.sampled_from([0.0, 0.002]))
     def begin(self, seed, drift):
         self.world = ControlWorld(NODES, PROXIES, seed, drift, SMALL_LOG, SMALL_WINDOW)
-        self.kept = {name: None for name in PROXIES}
+        self.saved_snapshots = {name: None for name in PROXIES}
         self.proposed = 0
-        self.requests = []  # node, its run, request, proposal
+        self.requests = []  # (node, its run, request, proposal) of each
 
     # Time and the network
 
@@ -52,7 +52,7 @@
         self.world.mend()
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.5]))
-    def lose(self, loss):
+    def set_peer_loss(self, loss):
         self.world.network.peer_loss = loss
 
     # Processes
@@ -67,27 +67,29 @@
         if not self.world.nodes[name].up:
             self.world.start_node(name)
 
-    @rule(name=st.sampled_from([*PROXIES]), good=st.booleans())
-    def end_proxy(self, name, good):
+    @rule(name=st.sampled_from([*PROXIES]), graceful=st.booleans())
+    def end_proxy(self, name, graceful):
         process = self.world.proxies[name]
         if process.up:
             state = LogState()
             for entry in process.serving.values():
                 state = state.after(entry)
-            self.kept[name] = Snapshot.of(process.subscription.position, 1, state)
-            (self.world.stop_proxy if good else self.world.kill_proxy)(name)
+            self.saved_snapshots[name] = Snapshot.of(process.subscription.position, 1, state)
+            (self.world.stop_proxy if graceful else self.world.kill_proxy)(name)
 
     @rule(name=st.sampled_from([*PROXIES]), saved=st.sampled_from(["nothing", "own", "damaged", "foreign"]))
     def start_proxy(self, name, saved):
         if self.world.proxies[name].up:
             return
-        kept = self.kept[name]
-        if kept is None or saved == "nothing":
+        saved_snapshot = self.saved_snapshots[name]
+        if saved_snapshot is None or saved == "nothing":
             self.world.start_proxy(name)
         elif saved == "own":
-            self.world.start_proxy(name, kept)
+            self.world.start_proxy(name, saved_snapshot)
         elif saved == "damaged":
-            self.world.start_proxy(name, Snapshot(kept.position, 2, kept.state, kept.checksum))
+            self.world.start_proxy(
+                name, Snapshot(saved_snapshot.position, 2, saved_snapshot.state, saved_snapshot.checksum)
+            )
         else:
             self.world.start_proxy(name, Snapshot.of(Position(1, b"another log"), 1, LogState()))
 
@@ -98,12 +100,14 @@
     # Changes
 
     @rule(
-        name=st.sampled_from([*NODES]), kind=st.sampled_from(["configuration", "purge"]), again=st.booleans()
+        name=st.sampled_from([*NODES]),
+        kind=st.sampled_from(["configuration", "purge"]),
+        repeated=st.booleans(),
     )
-    def propose(self, name, kind, again):
+    def propose(self, name, kind, repeated):
         process = self.world.nodes[name]
         if process.up:
-            self.proposed += not again or not self.proposed
+            self.proposed += not repeated or not self.proposed
             proposal = f"change-{self.proposed}"
             request = self.world.propose(name, Propose(proposal, kind, proposal.encode()))
             self.requests.append((name, process.run, request, proposal))
@@ -117,12 +121,12 @@
 
     @precondition(lambda self: hasattr(self, "world"))
     @invariant()
-    def leases_are_true(self):
+    def leases_hold(self):
         self.world.check_leases()
 
     @precondition(lambda self: hasattr(self, "world"))
     @invariant()
-    def what_is_answered_is_so(self):
+    def committed_answers_match_the_log(self):
         for name, _, request, proposal in self.requests:
             answer = self.world.nodes[name].answers.get(request)
             if answer is not None and answer.outcome is ProposalOutcome.COMMITTED:
@@ -139,11 +143,11 @@
             process.load_ms, process.load = 0.0, lambda entry: None
             self.start_proxy(name, "own")
         self.world.run_until(lambda: self.world.leader() is not None, 60_000)
-        last = self.world.change(self.world.leader().name, "the last")
+        last_request = self.world.change(self.world.leader().name, "the last")
         leader = self.world.leader()
-        self.world.run_until(lambda: last in leader.answers, 10_000)
+        self.world.run_until(lambda: last_request in leader.answers, 10_000)
         self.world.run(30_000)
-        assert leader.answers[last].outcome is ProposalOutcome.COMMITTED
+        assert leader.answers[last_request].outcome is ProposalOutcome.COMMITTED
         position = self.world.rules.positions[-1]
         for process in self.world.proxies.values():
             assert process.subscription.position == position, process.name
@@ -151,11 +155,13 @@
             assert process.serving[EntryKind.CONFIGURATION].proposal == "the last"
         for process in self.world.nodes.values():
             assert process.node.consensus.log.committed == position
-        answered = {request for name, run, request, _ in self.requests if self.world.nodes[name].run == run}
+        answerable_requests = {
+            request for name, run, request, _ in self.requests if self.world.nodes[name].run == run
+        }
         assert all(
             request in self.world.nodes[name].answers
             for name, _, request, _ in self.requests
-            if request in answered
+            if request in answerable_requests
         )
 
 
@@ -168,7 +174,7 @@
 )
 
 
-def test_a_world_with_nothing_up_has_nothing_to_play():
+def test_a_world_without_running_processes_has_no_events_to_handle():
     world = ControlWorld(NODES, PROXIES)
     for name in NODES:
         world.kill_node(name)
--- a/tests/test_golden_control_messages.py
+++ b/tests/test_golden_control_messages.py
@@ -1,7 +1,7 @@
-"""The bytes of each message of the control log, as version 1 of the wire form has them.
+"""The bytes of each message of the control log in version 1 of the wire format.
 
-The examples in `data/control_messages.json` were encoded before the types were renamed. A change of a name in
-the code must not change them: control nodes and proxies of both versions run beside each other.
+The examples in `data/control_messages.json` were encoded before the types were renamed. A renamed type or
+field must not change them, since control nodes and proxies of both releases run beside each other.
 """
 
 import json
@@ -82,7 +82,7 @@
     assert tags == set(EXAMPLES)
 
 
-def test_the_examples_and_the_stored_bytes_are_of_the_same_messages():
+def test_each_example_has_stored_bytes():
     assert set(GOLDEN) == set(EXAMPLES)
 
 
