--- a/cloverwell/control/configuration.py
+++ b/cloverwell/control/configuration.py
@@ -146,8 +146,8 @@
 
 def _with_value(settings: dict[str, Any], path: SettingPath, value: object) -> dict[str, Any]:
     """Returns a copy of the settings with the value at a path replaced."""
-    name, *rest = path
-    if not rest:
+    name, *remaining_path = path
+    if not remaining_path:
         return settings | {name: value}
     nested = settings.get(name) or {}
-    return settings | {name: _with_value(nested, tuple(rest), value)}
+    return settings | {name: _with_value(nested, tuple(remaining_path), value)}
--- a/cloverwell/control/consensus.py
+++ b/cloverwell/control/consensus.py
@@ -171,10 +171,10 @@
     # Elections (section 5.2)
 
     def _reset_election_timer(self, now_ms: float) -> None:
-        timeout = self._random.uniform(
+        timeout_ms = self._random.uniform(
             self._timing.min_election_timeout_ms, self._timing.max_election_timeout_ms
         )
-        self._election_deadline_ms = now_ms + timeout
+        self._election_deadline_ms = now_ms + timeout_ms
 
     def _observe_term(self, term: int, now_ms: float) -> list[NodeEffect]:
         """Becomes a follower if another node is in a newer term (section 5.1)."""
@@ -306,8 +306,8 @@
         if not entries:
             return []
         effects: list[NodeEffect] = [EntriesCommitted(entries)]
-        if (base := self.log.compact()) is not None:
-            effects.append(self._write(snapshot=base))
+        if (new_base := self.log.compact()) is not None:
+            effects.append(self._write(snapshot=new_base))
         return effects
 
     # Replication at a follower (sections 5.3 and 7)
@@ -316,9 +316,9 @@
         if message.term < self.term:
             return [self._append_answer(message, False, 0, now_ms)]
         effects = self._observe_leader(message, now_ms)
-        mismatch = self.log.find_mismatch(message.previous_index, message.previous_term)
-        if mismatch is not None:
-            return [*effects, self._append_answer(message, False, mismatch, now_ms)]
+        retry_index = self.log.find_mismatch(message.previous_index, message.previous_term)
+        if retry_index is not None:
+            return [*effects, self._append_answer(message, False, retry_index, now_ms)]
         effects += self._store_entries(message.entries)
         match_index = message.previous_index + len(message.entries)
         effects += self._commit(min(message.commit_index, match_index))
@@ -333,16 +333,16 @@
 
     def _store_entries(self, entries: tuple[Entry, ...]) -> list[NodeEffect]:
         """Appends the entries that the log lacks, and drops those that conflict with them."""
-        new = self.log.select_new(entries)
-        if not new:
+        new_entries = self.log.select_new(entries)
+        if not new_entries:
             return []
         truncate_from = None
-        if new[0].index <= self.log.last_index:
-            truncate_from = new[0].index
+        if new_entries[0].index <= self.log.last_index:
+            truncate_from = new_entries[0].index
             self.log.truncate_from(truncate_from)
-        for entry in new:
+        for entry in new_entries:
             self.log.append(entry)
-        return [self._write(truncate_from=truncate_from, entries=new)]
+        return [self._write(truncate_from=truncate_from, entries=new_entries)]
 
     def _handle_install_snapshot(self, message: InstallSnapshot, now_ms: float) -> list[NodeEffect]:
         if message.term < self.term:
@@ -353,8 +353,8 @@
         index = message.snapshot.position.index
         if index > self.log.commit_index:
             self.log.install(message.snapshot)
-            retained = tuple(self.log.entries)
-            effects.append(self._write(index + 1, retained, message.snapshot))
+            retained_entries = tuple(self.log.entries)
+            effects.append(self._write(index + 1, retained_entries, message.snapshot))
             effects.append(SnapshotInstalled(message.snapshot))
         return [*effects, self._append_answer(message, True, index, now_ms)]
 
--- a/cloverwell/control/control_node.py
+++ b/cloverwell/control/control_node.py
@@ -161,37 +161,37 @@
             return []
         return self._with_follow_up_effects(self.consensus.receive(message, now_ms), now_ms)
 
-    def receive_proxy(self, connection: int, message: ProxyMessage, now_ms: float) -> list[NodeEffect]:
-        """Handles a proxy's message; the transport gives each connection a number of its own."""
+    def receive_proxy(self, connection_id: int, message: ProxyMessage, now_ms: float) -> list[NodeEffect]:
+        """Handles a proxy's message; the transport gives each connection an id of its own."""
         match message:
             case Subscribe():
-                return self._subscribe(connection, message, now_ms)
+                return self._subscribe(connection_id, message, now_ms)
             case Acknowledge():
-                return self.subscribers.acknowledge(connection, message, now_ms)
+                return self.subscribers.acknowledge(connection_id, message, now_ms)
             case Goodbye():
-                return self.subscribers.goodbye(connection)
+                return self.subscribers.goodbye(connection_id)
 
-    def proxy_disconnected(self, connection: int, now_ms: float) -> list[NodeEffect]:
+    def proxy_disconnected(self, connection_id: int, now_ms: float) -> list[NodeEffect]:
         """Handles the end of a proxy's connection, whatever the reason."""
-        self.subscribers.disconnected(connection, now_ms)
+        self.subscribers.disconnected(connection_id, now_ms)
         return []
 
-    def propose(self, request: int, message: Propose, now_ms: float) -> list[NodeEffect]:
-        """Handles a proposal; one AnswerProposal with the number `request` is returned now or later."""
-        return self._with_follow_up_effects(self._proposals.propose(request, message, now_ms), now_ms)
+    def propose(self, request_id: int, message: Propose, now_ms: float) -> list[NodeEffect]:
+        """Handles a proposal; one AnswerProposal with `request_id` is returned now or later."""
+        return self._with_follow_up_effects(self._proposals.propose(request_id, message, now_ms), now_ms)
 
     # Steps
 
-    def _subscribe(self, connection: int, message: Subscribe, now_ms: float) -> list[NodeEffect]:
+    def _subscribe(self, connection_id: int, message: Subscribe, now_ms: float) -> list[NodeEffect]:
         """Accepts or refuses a subscription.
 
         Once it is accepted, the proxy is sent a heartbeat, and its previous node is told of the move.
         """
-        effects = self.subscribers.subscribe(connection, message, now_ms)
-        if connection not in self.subscribers:
+        effects = self.subscribers.subscribe(connection_id, message, now_ms)
+        if connection_id not in self.subscribers:
             return effects
         lease_ms = self.consensus.lease_ms(now_ms)
-        effects += self.subscribers.heartbeat(connection, lease_ms, self.fleet_count(now_ms), now_ms)
+        effects += self.subscribers.heartbeat(connection_id, lease_ms, self.fleet_count(now_ms), now_ms)
         if message.last_node in self.consensus.peers:
             moved = SubscriberMoved(message.proxy, message.run, message.attempt)
             effects.append(SendToPeer(message.last_node, moved))
--- a/cloverwell/control/effects.py
+++ b/cloverwell/control/effects.py
@@ -37,7 +37,7 @@
 
 
 class AnswerProposal(msgspec.Struct, frozen=True):
-    """Send an answer to a proposer; `request_id` is the number that came with the proposal."""
+    """Send an answer to a proposer; `request_id` is the one that came with the proposal."""
 
     request_id: int
     answer: ProposalAnswer
--- a/cloverwell/control/entry.py
+++ b/cloverwell/control/entry.py
@@ -84,13 +84,15 @@
     def _after_purge(self, entry: Entry) -> LogState:
         """Returns the state with one more purge, and without the oldest ones that exceed the bounds."""
         purges = (*self.purges, entry)
-        surplus = max(0, len(purges) - MAX_SNAPSHOT_PURGES)
-        size_bytes = sum(len(purge.payload) for purge in purges[surplus:])
+        surplus_count = max(0, len(purges) - MAX_SNAPSHOT_PURGES)
+        size_bytes = sum(len(purge.payload) for purge in purges[surplus_count:])
         while size_bytes > MAX_SNAPSHOT_PURGE_BYTES:
-            size_bytes -= len(purges[surplus].payload)
-            surplus += 1
-        complete_from = purges[surplus - 1].index if surplus else self.purges_complete_from
-        return msgspec.structs.replace(self, purges=purges[surplus:], purges_complete_from=complete_from)
+            size_bytes -= len(purges[surplus_count].payload)
+            surplus_count += 1
+        complete_from = purges[surplus_count - 1].index if surplus_count else self.purges_complete_from
+        return msgspec.structs.replace(
+            self, purges=purges[surplus_count:], purges_complete_from=complete_from
+        )
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
--- a/cloverwell/control/leadership.py
+++ b/cloverwell/control/leadership.py
@@ -65,7 +65,7 @@
         node: str,
         term: int,
         peers: tuple[str, ...],
-        quorum: int,
+        quorum_size: int,
         last_index: int,
         timing: ControlNodeTiming,
         now_ms: float,
@@ -74,12 +74,12 @@
         self.progress = {peer: FollowerProgress(last_index + 1, timing, now_ms) for peer in peers}
         self._node = node
         self._term = term
-        self._quorum = quorum
+        self._quorum_size = quorum_size
         self._timing = timing
         self._elected_at_ms = now_ms
         self._next_heartbeat_ms = now_ms + timing.heartbeat_interval_ms
         # The latest time at which a quorum is known to have accepted this node as its leader.
-        self.quorum_confirmed_ms = now_ms if quorum == 1 else float("-inf")
+        self.quorum_confirmed_ms = now_ms if quorum_size == 1 else float("-inf")
 
     # Queries
 
@@ -103,7 +103,7 @@
         """Returns the highest index that a quorum has stored; this node has stored `last_index`."""
         match_indexes = [last_index, *(progress.match_index for progress in self.progress.values())]
         match_indexes.sort(reverse=True)
-        return match_indexes[self._quorum - 1]
+        return match_indexes[self._quorum_size - 1]
 
     def is_behind(self, peer: str, log: ReplicatedLog) -> bool:
         """Returns whether there are entries that were not sent to a follower yet."""
@@ -133,7 +133,7 @@
     def heartbeat(self, log: ReplicatedLog, now_ms: float) -> list[NodeEffect]:
         """Sends heartbeats, or entries where some are due, and schedules the next heartbeat."""
         self._next_heartbeat_ms = now_ms + self._timing.heartbeat_interval_ms
-        if self._quorum == 1:
+        if self._quorum_size == 1:
             self.quorum_confirmed_ms = now_ms
         return self.replicate(log, now_ms)
 
@@ -187,9 +187,9 @@
         return remaining_ms + now_ms - progress.token_received_ms
 
     def _update_quorum_confirmed(self) -> None:
-        echoes = sorted((progress.last_echo_ms for progress in self.progress.values()), reverse=True)
-        followers_needed = self._quorum - 1  # the leader itself completes the quorum
-        self.quorum_confirmed_ms = max(self.quorum_confirmed_ms, echoes[followers_needed - 1])
+        echo_times_ms = sorted((progress.last_echo_ms for progress in self.progress.values()), reverse=True)
+        followers_needed = self._quorum_size - 1  # the leader itself completes the quorum
+        self.quorum_confirmed_ms = max(self.quorum_confirmed_ms, echo_times_ms[followers_needed - 1])
 
     def _confirmed_within(self, limit_ms: float, now_ms: float) -> bool:
         """Returns whether a quorum confirmed this leader, or elected it, within the last `limit_ms`."""
--- a/cloverwell/control/node_selection.py
+++ b/cloverwell/control/node_selection.py
@@ -67,6 +67,8 @@
 
     def _next_backoff_ms(self) -> float:
         doublings = min(self._failed_rounds, MAX_BACKOFF_DOUBLINGS)
-        longest_ms = min(self._timing.max_backoff_ms, self._timing.initial_backoff_ms * 2.0**doublings)
+        longest_backoff_ms = min(
+            self._timing.max_backoff_ms, self._timing.initial_backoff_ms * 2.0**doublings
+        )
         self._failed_rounds += 1
-        return self._random.uniform(longest_ms / 2, longest_ms)
+        return self._random.uniform(longest_backoff_ms / 2, longest_backoff_ms)
--- a/cloverwell/control/proposals.py
+++ b/cloverwell/control/proposals.py
@@ -17,7 +17,7 @@
 class PendingProposal(msgspec.Struct, frozen=True):
     """A proposal whose entry is in the leader's log and is not known to be committed yet."""
 
-    request: int
+    request_id: int
     proposal: str
     index: int
     deadline_ms: float
@@ -40,24 +40,24 @@
         """Returns the time in ms at which `answer_due` must be called at the latest."""
         return min((pending.deadline_ms for pending in self._pending), default=float("inf"))
 
-    def propose(self, request: int, message: Propose, now_ms: float) -> list[NodeEffect]:
-        """Accepts or rejects a proposal; `request` is the caller's number for its answer."""
+    def propose(self, request_id: int, message: Propose, now_ms: float) -> list[NodeEffect]:
+        """Accepts or rejects a proposal; `request_id` is the caller's id for the answer."""
         rejection = self._find_rejection(message, now_ms)
         if rejection is not None:
-            return [self._answer(request, message.proposal, rejection)]
+            return [self._answer(request_id, message.proposal, rejection)]
         index = self._find_index(message.proposal)
         if index is not None and index <= self._consensus.log.commit_index:
-            return [self._answer(request, message.proposal, ProposalOutcome.COMMITTED, index)]
+            return [self._answer(request_id, message.proposal, ProposalOutcome.COMMITTED, index)]
         if len(self._pending) >= self._timing.max_pending_proposals:
-            return [self._answer(request, message.proposal, ProposalOutcome.BUSY)]
+            return [self._answer(request_id, message.proposal, ProposalOutcome.BUSY)]
         if index is None and not self._expectation_holds(message):
-            return [self._answer(request, message.proposal, ProposalOutcome.CONFLICT)]
+            return [self._answer(request_id, message.proposal, ProposalOutcome.CONFLICT)]
         effects: list[NodeEffect] = []
         if index is None:
             effects = self._consensus.propose(message.kind, message.payload, message.proposal, now_ms)
             index = self._consensus.log.last_index
         deadline_ms = now_ms + self._timing.proposal_timeout_ms
-        self._pending.append(PendingProposal(request, message.proposal, index, deadline_ms))
+        self._pending.append(PendingProposal(request_id, message.proposal, index, deadline_ms))
         self._pending_term = self._consensus.term
         return effects
 
@@ -73,7 +73,7 @@
                 still_pending.append(pending)
                 continue
             index = pending.index if outcome is ProposalOutcome.COMMITTED else 0
-            answers.append(self._answer(pending.request, pending.proposal, outcome, index))
+            answers.append(self._answer(pending.request_id, pending.proposal, outcome, index))
         self._pending = still_pending
         return answers
 
@@ -120,6 +120,6 @@
         return max(indexes, default=0) == message.expected_index
 
     def _answer(
-        self, request: int, proposal: str, outcome: ProposalOutcome, index: int = 0
+        self, request_id: int, proposal: str, outcome: ProposalOutcome, index: int = 0
     ) -> AnswerProposal:
-        return AnswerProposal(request, ProposalAnswer(proposal, outcome, index, self._consensus.leader))
+        return AnswerProposal(request_id, ProposalAnswer(proposal, outcome, index, self._consensus.leader))
--- a/cloverwell/control/replicated_log.py
+++ b/cloverwell/control/replicated_log.py
@@ -111,10 +111,10 @@
 
     def entries_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
         """Returns entries after an index, committed or not; at least one if there is one."""
-        first = index - self.base_index
+        start = index - self.base_index
         selected: list[Entry] = []
         size_bytes = 0
-        for entry in self.entries[first : first + max_entries]:
+        for entry in self.entries[start : start + max_entries]:
             size_bytes += len(entry.payload)
             if selected and size_bytes > max_bytes:
                 break
@@ -123,8 +123,8 @@
 
     def committed_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
         """Returns committed entries after an index; at least one if there is one."""
-        committed_entries = max(0, self.commit_index - index)
-        return self.entries_after(index, min(max_entries, committed_entries), max_bytes)
+        committed_count = max(0, self.commit_index - index)
+        return self.entries_after(index, min(max_entries, committed_count), max_bytes)
 
     def committed_snapshot(self) -> Snapshot:
         """Returns a snapshot of the state at the commit index."""
@@ -181,8 +181,8 @@
         """Commits up to an index that the log contains; returns the entries that this has committed."""
         if index <= self.commit_index:
             return ()
-        first = self.commit_index - self.base_index
-        entries = tuple(self.entries[first : index - self.base_index])
+        start = self.commit_index - self.base_index
+        entries = tuple(self.entries[start : index - self.base_index])
         for entry in entries:
             self._committed_state = self._committed_state.after(entry)
         self.commit_index = index
@@ -195,39 +195,39 @@
         """
         index = snapshot.position.index
         has_last_entry = index > self.base_index and self.term_at(index) == snapshot.term
-        retained = self.entries[index - self.base_index :] if has_last_entry else []
+        retained_entries = self.entries[index - self.base_index :] if has_last_entry else []
         self.base = snapshot
         self.entries = []
         self._positions = [snapshot.position]
         self._payload_bytes = 0
         self.commit_index = index
         self._committed_state = snapshot.state
-        for entry in retained:
+        for entry in retained_entries:
             self.append(entry)
 
     def compact(self) -> Snapshot | None:
         """Folds the oldest committed entries into the base, if due; returns the new base, else None."""
         if len(self.entries) < 2 * self._keep_entries and self._payload_bytes < 2 * self._keep_bytes:
             return None
-        surplus = self._count_surplus()
-        if not surplus:
+        surplus_count = self._count_surplus()
+        if not surplus_count:
             return None
         state = self.base.state
-        for entry in self.entries[:surplus]:
+        for entry in self.entries[:surplus_count]:
             state = state.after(entry)
             self._payload_bytes -= len(entry.payload)
-        self.base = Snapshot.of(self._positions[surplus], self.entries[surplus - 1].term, state)
-        del self.entries[:surplus]
-        del self._positions[:surplus]
+        self.base = Snapshot.of(self._positions[surplus_count], self.entries[surplus_count - 1].term, state)
+        del self.entries[:surplus_count]
+        del self._positions[:surplus_count]
         return self.base
 
     def _count_surplus(self) -> int:
         """Returns how many of the oldest committed entries exceed the bounds of what is kept."""
-        surplus = 0
+        surplus_count = 0
         size_bytes = self._payload_bytes
         for entry in self.entries[: self.commit_index - self.base_index]:
-            if len(self.entries) - surplus <= self._keep_entries and size_bytes <= self._keep_bytes:
+            if len(self.entries) - surplus_count <= self._keep_entries and size_bytes <= self._keep_bytes:
                 break
-            surplus += 1
+            surplus_count += 1
             size_bytes -= len(entry.payload)
-        return surplus
+        return surplus_count
--- a/cloverwell/gossip/dissemination.py
+++ b/cloverwell/gossip/dissemination.py
@@ -30,10 +30,10 @@
         """Queue the member's status for the full number of transmissions, even if it is queued already."""
         self._remaining[member] = self._transmissions
 
-    def take(self, limit: int) -> list[int]:
-        """Return up to `limit` members, the least often sent first, and count one transmission for each."""
+    def take(self, max_members: int) -> list[int]:
+        """Return up to `max_members` members, the least often sent first; count one transmission for each."""
         remaining = self._remaining
-        members = heapq.nsmallest(limit, remaining, key=lambda member: (-remaining[member], member))
+        members = heapq.nsmallest(max_members, remaining, key=lambda member: (-remaining[member], member))
         for member in members:
             remaining[member] -= 1
             if remaining[member] == 0:
--- a/tests/control_rig.py
+++ b/tests/control_rig.py
@@ -16,7 +16,7 @@
     world.run_until(lambda: world.leader() is not None, 10_000)
     for name in names:
         world.start_proxy(name)
-    world.run_until(lambda: all(p.subscription.caught_up for p in world.proxies.values()), 5_000)
+    world.run_until(lambda: all(process.subscription.caught_up for process in world.proxies.values()), 5_000)
     world.run(2_000)
     return world
 
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -29,8 +29,8 @@
     )
 
 
-def consensus(stored=None, now=0.0, timing=TIMING, nodes=NODES):
-    return Consensus("a", nodes, stored or StoredState(), timing, Random(1), now)
+def consensus(stored=None, now_ms=0.0, timing=TIMING, nodes=NODES):
+    return Consensus("a", nodes, stored or StoredState(), timing, Random(1), now_ms)
 
 
 def leader(stored=None):
@@ -128,10 +128,14 @@
 
 
 def test_a_follower_counts_its_lease_from_its_own_token_and_ignores_tokens_of_other_runs():
-    node = consensus(now=1_000.0)
-    for echo, now, expected_ms in [(500.0, 1_100.0, 0.0), (1_200.0, 1_100.0, 0.0), (NO_TOKEN, 1_100.0, 0.0)]:
-        node.receive(append(1, (0, 0), (), echo=echo, lease_ms=LEASE_MS), now)
-        assert node.lease_ms(now) == expected_ms
+    node = consensus(now_ms=1_000.0)
+    for echo, now_ms, expected_ms in [
+        (500.0, 1_100.0, 0.0),
+        (1_200.0, 1_100.0, 0.0),
+        (NO_TOKEN, 1_100.0, 0.0),
+    ]:
+        node.receive(append(1, (0, 0), (), echo=echo, lease_ms=LEASE_MS), now_ms)
+        assert node.lease_ms(now_ms) == expected_ms
     node.receive(append(1, (0, 0), (), 1, echo=1_050.0, lease_ms=LEASE_MS), 1_100.0)
     assert node.lease_ms(1_100.0) == 0.0  # The follower lacks a committed entry.
     node.receive(append(1, (0, 0), entries(1), 1, echo=1_050.0, lease_ms=LEASE_MS), 1_100.0)
