--- a/cloverwell/gossip/dissemination.py
+++ b/cloverwell/gossip/dissemination.py
@@ -17,9 +17,9 @@
     an older one. The queue holds at most one entry for each member.
     """
 
-    def __init__(self, total: int) -> None:
-        """Create an empty queue for a tier of `total` proxies."""
-        self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(total + 1))
+    def __init__(self, tier_size: int) -> None:
+        """Create an empty queue for a tier of `tier_size` proxies."""
+        self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(tier_size + 1))
         self._remaining: dict[int, int] = {}
 
     def __len__(self) -> int:
--- a/cloverwell/gossip/member_table.py
+++ b/cloverwell/gossip/member_table.py
@@ -39,14 +39,14 @@
     Each change of status is queued for dissemination and kept in `changes` until it is taken.
     """
 
-    def __init__(self, number: int, total: int) -> None:
-        """Start without members; this proxy, `number` of the `total` in the tier, is not in the table."""
+    def __init__(self, number: int, tier_size: int) -> None:
+        """Start an empty table for the proxy `number`, which is not in it, of a tier of `tier_size` proxies."""
         self.members: dict[int, MemberState] = {}
         self.changes: list[MemberChange] = []
-        self.pending_updates = UpdateQueue(total)
+        self.pending_updates = UpdateQueue(tier_size)
         self.suspects: set[int] = set()
         self.reachable: set[int] = set()  # Members that are alive or suspect.
-        self.unreachable = set(range(total)) - {number}  # Members that are dead or were never heard of.
+        self.unreachable = set(range(tier_size)) - {number}  # Members that are dead or were never heard of.
 
     def take_changes(self) -> list[MemberChange]:
         """Return the changes of status since the last call, in their order."""
--- a/cloverwell/gossip/membership_view.py
+++ b/cloverwell/gossip/membership_view.py
@@ -46,23 +46,23 @@
     """One proxy's view of its tier; a state machine without I/O, deterministic by its seed."""
 
     def __init__(
-        self, number: int, total: int, incarnation: int, seed: int, timing: GossipTiming | None = None
+        self, number: int, tier_size: int, incarnation: int, seed: int, timing: GossipTiming | None = None
     ) -> None:
-        """Set up the view of the proxy `number`, counted from 0, in a tier of `total` proxies.
+        """Set up the view of the proxy `number`, counted from 0, in a tier of `tier_size` proxies.
 
-        Raises `ValueError` if `number` is not below `total`, or `total` does not fit the datagrams.
+        Raises `ValueError` if `number` is not below `tier_size`, or `tier_size` is over MAX_PROXIES.
         """
-        if not 0 <= number < total <= MAX_PROXIES:
-            raise ValueError(f"number: must be under total, and total at most {MAX_PROXIES}")
+        if not 0 <= number < tier_size <= MAX_PROXIES:
+            raise ValueError(f"number: must be below the tier size, and that at most {MAX_PROXIES}")
         self.number = number
-        self.total = total
+        self.tier_size = tier_size
         self.stale_datagrams = 0  # Dropped, since a later incarnation of their sender is known.
         self._timing = timing or GossipTiming()
-        self._table = MemberTable(number, total)
+        self._table = MemberTable(number, tier_size)
         self._composer = DatagramComposer(number, incarnation, self._table)
-        self._indirect_probes = IndirectProbes(self._composer, self._timing.protocol_period_ms, total)
+        self._indirect_probes = IndirectProbes(self._composer, self._timing.protocol_period_ms, tier_size)
         rng = Random(seed)
-        self._failure_detector = FailureDetector(self._table, self._composer, self._timing, total, rng)
+        self._failure_detector = FailureDetector(self._table, self._composer, self._timing, tier_size, rng)
         self._reconnect_order = ShuffledRoundRobin(rng)
         self._last_reconnect_ms = -math.inf
         self._last_tick_ms = math.inf  # Before the first tick there is no stall.
@@ -122,9 +122,9 @@
         return datagrams
 
     def _is_from_tier(self, datagram: Datagram) -> bool:
-        if datagram.sender == self.number or datagram.sender >= self.total:
+        if datagram.sender == self.number or datagram.sender >= self.tier_size:
             return False
-        return all(update.proxy < self.total for update in datagram.updates)
+        return all(update.proxy < self.tier_size for update in datagram.updates)
 
     def _apply_update(self, now_ms: float, update: MembershipUpdate) -> None:
         if update.proxy == self.number:
@@ -145,7 +145,9 @@
         match datagram.kind:
             case DatagramKind.PING:
                 return [self._composer.ack(datagram.sender, datagram.sequence, self.number)]
-            case DatagramKind.PING_REQ if datagram.subject < self.total and datagram.subject != self.number:
+            case DatagramKind.PING_REQ if (
+                datagram.subject < self.tier_size and datagram.subject != self.number
+            ):
                 return self._indirect_probes.start(now_ms, datagram)
             case DatagramKind.ACK:
                 return self._take_ack(datagram)
--- a/cloverwell/gossip/probing.py
+++ b/cloverwell/gossip/probing.py
@@ -48,13 +48,18 @@
     """Probes one member in each protocol period, and turns missing acks into suspicions and deaths."""
 
     def __init__(
-        self, table: MemberTable, composer: DatagramComposer, timing: GossipTiming, total: int, rng: Random
+        self,
+        table: MemberTable,
+        composer: DatagramComposer,
+        timing: GossipTiming,
+        tier_size: int,
+        rng: Random,
     ) -> None:
-        """Set up the detector of one proxy in a tier of `total` proxies."""
+        """Set up the detector of one proxy in a tier of `tier_size` proxies."""
         self._table = table
         self._composer = composer
         self._timing = timing
-        self._total = total
+        self._tier_size = tier_size
         self._rng = rng
         self._probe_order = ShuffledRoundRobin(rng)
         self._probe: PendingProbe | None = None
@@ -93,7 +98,7 @@
 
     def _should_ping_suspect(self) -> bool:
         """Decide at random whether to ping the suspect; pings from the whole tier would overload it."""
-        return self._rng.random() * self._total < self._timing.suspect_pings
+        return self._rng.random() * self._tier_size < self._timing.suspect_pings
 
     def _advance_probe(self, now_ms: float) -> list[OutgoingDatagram]:
         probe = self._probe
--- a/tests/test_gossip_large.py
+++ b/tests/test_gossip_large.py
@@ -34,7 +34,7 @@
     datagram = Datagram(DatagramKind.PING_REQ, 1023, 1, 2**16 - 1, 1022, updates)
     assert decode(encode(datagram)) == datagram
     assert MembershipView(1023, 1024, 1, 1).alive_proxies() == {1023}
-    with pytest.raises(ValueError, match="number: must be under total"):
+    with pytest.raises(ValueError, match="number: must be below the tier size"):
         MembershipView(0, MAX_PROXIES + 1, 1, 1)
 
 
