--- a/cloverwell/gossip/member_table.py
+++ b/cloverwell/gossip/member_table.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, number: int, tier_size: int) -> None:
-        """Start an empty table for the proxy `number`, which is not in it, of a tier of `tier_size` proxies."""
+        """Start an empty table of the other members than the proxy `number`, in a tier of `tier_size`."""
         self.members: dict[int, MemberState] = {}
         self.changes: list[MemberChange] = []
         self.pending_updates = UpdateQueue(tier_size)
