--- a/cloverwell/control/entry.py
+++ b/cloverwell/control/entry.py
@@ -1,4 +1,4 @@
-"""Entries of the control log, positions in it, the state they amount to, and snapshots of that state.
+"""Entries of the control log, positions in it, the state that results from them, and snapshots of that state.
 
 A position is an index and a digest that chains over all entries up to it (BLAKE2b, 16 bytes): two logs that
 have a position in common hold the same entries up to it. Index 0 is the empty log. Payloads are opaque here.
@@ -13,9 +13,9 @@
 
 DIGEST_BYTES = 16
 MAX_PAYLOAD_BYTES = 1024 * 1024
-# A snapshot lists so many purges, and so many bytes of them: five minutes at 3.4 purges a second.
-SNAPSHOT_PURGES = 1024
-SNAPSHOT_PURGE_BYTES = 256 * 1024
+# The most purges in a snapshot, enough for five minutes at 3.4 purges a second, and their payload in bytes.
+MAX_SNAPSHOT_PURGES = 1024
+MAX_SNAPSHOT_PURGE_BYTES = 256 * 1024
 
 
 class EntryKind(StrEnum):
@@ -58,15 +58,15 @@
         return Position(entry.index, digest.digest())
 
 
-START = Position(0, bytes(DIGEST_BYTES))
+START_POSITION = Position(0, bytes(DIGEST_BYTES))
 
 
 class LogState(msgspec.Struct, frozen=True, array_like=True):
-    """What the log amounts to at a position: the latest entry of each kind, and the latest purges.
+    """The state that the entries up to a position result in: the latest of each kind, and the latest purges.
 
-    Purges add up instead of replacing each other. Only the latest `SNAPSHOT_PURGES` are listed. A proxy whose
-    position is before `purges_complete_from` has missed purges that are not listed, and must drop everything
-    it has cached.
+    Purges add up instead of replacing each other. Only the latest `MAX_SNAPSHOT_PURGES` are listed. A proxy
+    whose position is before `purges_complete_from` has missed purges that are not listed, and must drop
+    everything it has cached.
     """
 
     latest: dict[str, Entry] = {}
@@ -82,15 +82,17 @@
         return msgspec.structs.replace(self, latest={**self.latest, entry.kind: entry})
 
     def _after_purge(self, entry: Entry) -> LogState:
-        """Returns the state with one more purge, less the oldest ones that go over the bounds."""
+        """Returns the state with one more purge, and without the oldest ones that exceed the bounds."""
         purges = (*self.purges, entry)
-        surplus = max(0, len(purges) - SNAPSHOT_PURGES)
-        size_bytes = sum(len(purge.payload) for purge in purges[surplus:])
-        while size_bytes > SNAPSHOT_PURGE_BYTES:
-            size_bytes -= len(purges[surplus].payload)
-            surplus += 1
-        complete_from = purges[surplus - 1].index if surplus else self.purges_complete_from
-        return msgspec.structs.replace(self, purges=purges[surplus:], purges_complete_from=complete_from)
+        surplus_count = max(0, len(purges) - MAX_SNAPSHOT_PURGES)
+        size_bytes = sum(len(purge.payload) for purge in purges[surplus_count:])
+        while size_bytes > MAX_SNAPSHOT_PURGE_BYTES:
+            size_bytes -= len(purges[surplus_count].payload)
+            surplus_count += 1
+        complete_from = purges[surplus_count - 1].index if surplus_count else self.purges_complete_from
+        return msgspec.structs.replace(
+            self, purges=purges[surplus_count:], purges_complete_from=complete_from
+        )
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -110,8 +112,8 @@
         return cls(position, term, state, _checksum(position, term, state))
 
     @property
-    def intact(self) -> bool:
-        """Whether the checksum matches the content."""
+    def is_intact(self) -> bool:
+        """True if the checksum matches the content."""
         return self.checksum == _checksum(self.position, self.term, self.state)
 
 
@@ -120,4 +122,4 @@
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
-EMPTY_SNAPSHOT = Snapshot.of(START, 0, LogState())
+EMPTY_SNAPSHOT = Snapshot.of(START_POSITION, 0, LogState())
--- a/cloverwell/control/net/follower.py
+++ b/cloverwell/control/net/follower.py
@@ -115,12 +115,12 @@
         `provisioned` is the largest number of proxies that may be alive. It is the divisor while the real
         number is not known.
         """
-        return self.subscription.divide_by(provisioned, self._now())
+        return self.subscription.bound_divisor(provisioned, self._now())
 
     @property
     def ready(self) -> bool:
         """True if a starting proxy need not wait any longer until it has caught up with the control log."""
-        return self.subscription.ready(self._now())
+        return self.subscription.is_ready(self._now())
 
     def start(self) -> None:
         """Starts the subscription and connects. Saved entries are applied before this method returns."""
--- a/cloverwell/gossip/dissemination.py
+++ b/cloverwell/gossip/dissemination.py
@@ -5,21 +5,21 @@
 import heapq
 import math
 
-# Each update is piggybacked this many times log2 of the tier's size (the lambda of section 4.1), which leaves
-# hardly any chance that a member misses it.
+# Each update is piggybacked this factor times log2 of the tier's size (the lambda of section 4.1), so that a
+# member is very unlikely to miss it.
 TRANSMISSIONS_FACTOR = 3
 
 
 class UpdateQueue:
     """The members whose status is still to be disseminated, each with the transmissions that are left.
 
-    Only the member's number is queued: what is sent is its status at that moment, so a newer status replaces
-    an older one by itself. The queue holds at most one entry a member.
+    Only the member's number is queued. The status is looked up when it is sent, so that a newer one replaces
+    an older one. The queue holds at most one entry for each member.
     """
 
-    def __init__(self, total: int) -> None:
-        """`total` is the number of proxies in the tier."""
-        self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(total + 1))
+    def __init__(self, tier_size: int) -> None:
+        """Create an empty queue for a tier of `tier_size` proxies."""
+        self._transmissions = TRANSMISSIONS_FACTOR * math.ceil(math.log2(tier_size + 1))
         self._remaining: dict[int, int] = {}
 
     def __len__(self) -> int:
@@ -27,13 +27,13 @@
         return len(self._remaining)
 
     def enqueue(self, member: int) -> None:
-        """Disseminate the member's status anew, with the full number of transmissions."""
+        """Queue the member's status for the full number of transmissions, even if it is queued already."""
         self._remaining[member] = self._transmissions
 
-    def take(self, limit: int) -> list[int]:
-        """Return up to `limit` members, the least often sent first, and count one transmission for each."""
+    def take(self, max_members: int) -> list[int]:
+        """Return up to `max_members` members, the least often sent first; count one transmission for each."""
         remaining = self._remaining
-        members = heapq.nsmallest(limit, remaining, key=lambda member: (-remaining[member], member))
+        members = heapq.nsmallest(max_members, remaining, key=lambda member: (-remaining[member], member))
         for member in members:
             remaining[member] -= 1
             if remaining[member] == 0:
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -6,7 +6,7 @@
 import pytest
 from control_net_rig import Reactor, RecordingLog, frame, lose_connection
 
-from cloverwell.control.entry import START, Entry, LogState, Snapshot
+from cloverwell.control.entry import START_POSITION, Entry, LogState, Snapshot
 from cloverwell.control.messages import (
     Acknowledge,
     Entries,
@@ -34,7 +34,7 @@
 
 def positions(entries):
     """Returns the positions before each entry, and the one after the last."""
-    all_positions = [START]
+    all_positions = [START_POSITION]
     for one in entries:
         all_positions.append(all_positions[-1].after(one))
     return all_positions
@@ -99,7 +99,7 @@
     assert {attempt.address for attempt in rig.reactor.attempts[1:]} == set(REMOTE_NODES.values())
     rig.last_attempt.fail()
     assert len(rig.reactor.attempts) == 3  # All nodes have failed, so the next attempt waits.
-    rig.reactor.advance(TIMING.backoff_max_ms / 1000)
+    rig.reactor.advance(TIMING.max_backoff_ms / 1000)
     assert len(rig.reactor.attempts) == 4
 
 
@@ -114,8 +114,8 @@
     entries = tuple(entry(index) for index in (1, 2, 3))
     position_after = positions(entries)
     subscribe = rig.connect()
-    assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START)
-    rig.receive(Entries(START, entries[:2]), Entries(position_after[2], entries[2:]))
+    assert (subscribe.proxy, subscribe.log, subscribe.position) == ("proxy-1", "fleet", START_POSITION)
+    rig.receive(Entries(START_POSITION, entries[:2]), Entries(position_after[2], entries[2:]))
     assert rig.applied == [1, 2, 3]
     acknowledged = [m.position for m in rig.sent() if isinstance(m, Acknowledge)]
     assert acknowledged[-1] == position_after[3] == rig.follower.status.position
@@ -126,7 +126,7 @@
     position_after = positions(entries)
     rig.refused_indexes = {2}
     rig.connect()
-    rig.receive(Entries(START, entries[:2]))
+    rig.receive(Entries(START_POSITION, entries[:2]))
     last = rig.sent()[-1]
     assert (last.position, last.refused_index, last.refused_reason) == (position_after[2], 2, "field: no")
     assert rig.applied == [1]
@@ -142,7 +142,7 @@
     for one in entries:
         state = state.after(one)
     rig.connect()
-    rig.receive(Entries(START, tuple(entries[:2])))
+    rig.receive(Entries(START_POSITION, tuple(entries[:2])))
     assert rig.applied == [1, 2]
     rig.receive(SnapshotTransfer(Snapshot.of(position_after[5], 1, state)))
     assert rig.applied == [1, 2, 3, 4, 5]
@@ -151,7 +151,7 @@
 
 
 def test_purges_that_a_snapshot_no_longer_lists_are_reported_as_missed(rig):
-    position = START
+    position = START_POSITION
     for index in range(1, 10):
         position = position.after(entry(index))
     state = LogState({"configuration": entry(9)}, (), purges_complete_from=5)
@@ -191,14 +191,14 @@
     third.protocol.dataReceived(frame(Goodbye()))
     assert third.transport.aborted
     lose_connection(third.protocol)
-    rig.reactor.advance(TIMING.backoff_max_ms / 1000)
+    rig.reactor.advance(TIMING.max_backoff_ms / 1000)
     assert len(rig.reactor.attempts) == 4
 
 
 def test_a_heartbeat_with_a_lease_makes_the_proxy_current_and_gives_the_number_of_live_proxies(rig):
     subscribe = rig.connect()
     assert not rig.follower.ready
-    rig.receive(Heartbeat(START, subscribe.token, 5000.0, FleetCount(30, 2, True)))
+    rig.receive(Heartbeat(START_POSITION, subscribe.token, 5000.0, FleetCount(30, 2, True)))
     assert rig.follower.ready
     assert rig.follower.status.current
     assert rig.follower.divide_by(480) == 32
@@ -208,7 +208,7 @@
 
 
 def test_a_start_without_any_reachable_node_waits_for_a_bounded_time(rig):
-    while rig.reactor.now_ms() < TIMING.wait_ms:
+    while rig.reactor.now_ms() < TIMING.catch_up_timeout_ms:
         assert not rig.follower.ready
         if rig.last_attempt.factory is not None:
             rig.last_attempt.fail()
@@ -232,7 +232,7 @@
 def test_a_stopped_follower_may_be_started_again(rig):
     entries = (entry(1), entry(2))
     rig.connect()
-    rig.receive(Entries(START, entries[:1]))
+    rig.receive(Entries(START_POSITION, entries[:1]))
     rig.follower.stop()
     lose_connection(rig.last_attempt.protocol)
     rig.follower.start()
@@ -252,7 +252,7 @@
     assert context.reactor.attempts[0].address in REMOTE_NODES.values()
     transport = context.reactor.attempts[0].succeed()
     assert transport.messages()[0].proxy == "hollow-1"
-    context.reactor.attempts[0].protocol.dataReceived(frame(Entries(START, (entry(1), entry(2)))))
+    context.reactor.attempts[0].protocol.dataReceived(frame(Entries(START_POSITION, (entry(1), entry(2)))))
     assert reported == [("control", 1, False, 1), ("control", 2, False, 1)]
     follower.stop()
     assert transport.messages()[-1] == Goodbye()
--- a/tests/test_control_node_server.py
+++ b/tests/test_control_node_server.py
@@ -9,7 +9,7 @@
 from failing_files import Disk, Effect, Fault
 from twisted.internet.address import IPv4Address
 
-from cloverwell.control.entry import START
+from cloverwell.control.entry import START_POSITION
 from cloverwell.control.messages import (
     AppendAnswer,
     AppendEntries,
@@ -28,7 +28,7 @@
 from cloverwell.control.server.node_server import NodeServer
 from cloverwell.control.server.settings import NodeSettings
 from cloverwell.control.storage import MemoryStorage, StorageError
-from cloverwell.control.timing import Timing
+from cloverwell.control.timing import ControlNodeTiming
 
 ADDRESSES = {name: ("127.0.0.1", 7400 + number) for number, name in enumerate("abc")}
 
@@ -141,7 +141,7 @@
 def test_an_entry_is_written_before_it_is_sent_and_committed_before_proxies_receive_it(rig):
     rig.become_leader()
     proxy, to_proxy = rig.connect()
-    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
+    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START_POSITION, 0, 0.0)))
     operator, to_operator = rig.connect()
     to_proxy.messages()
     del rig.order[:]
@@ -178,7 +178,7 @@
 
 def test_a_leader_without_a_quorum_refuses_proposals(rig):
     rig.become_leader()
-    rig.pass_time(Timing().quorum_ms + 100)
+    rig.pass_time(ControlNodeTiming().quorum_timeout_ms + 100)
     operator, transport = rig.connect()
     operator.dataReceived(frame(Propose("id", "configuration", b"{}")) + frame(StatusRequest()))
     answer, status = transport.messages()
@@ -200,7 +200,7 @@
 
 def test_the_nodes_timer_sends_heartbeats_to_proxies(rig):
     proxy, transport = rig.connect()
-    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START, 0, 0.0)))
+    proxy.dataReceived(frame(Subscribe("proxy-1", 1, 1, "fleet", START_POSITION, 0, 0.0)))
     transport.messages()
     rig.pass_time(2500)
     assert [type(message) for message in transport.messages()] == [Heartbeat, Heartbeat]
@@ -208,7 +208,7 @@
 
 def test_the_only_node_of_a_log_elects_itself():
     rig = NodeRig("a")
-    rig.pass_time(Timing().election_max_ms + 100)
+    rig.pass_time(ControlNodeTiming().max_election_timeout_ms + 100)
     assert rig.server.node.consensus.leader == "a"
     assert "info leader: a leads, term 1" in rig.log.lines
 
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -6,8 +6,8 @@
 from control_net_rig import Reactor, RecordingLog, frame
 
 from cloverwell.config import parse_config
-from cloverwell.control.configuration import digest
-from cloverwell.control.entry import START, Entry
+from cloverwell.control.configuration import document_digest
+from cloverwell.control.entry import START_POSITION, Entry
 from cloverwell.control.messages import Acknowledge, Entries, FleetCount, Heartbeat
 from cloverwell.control.proxy.proxy_control import CHECK_INTERVAL_MS, ProxyControl
 from cloverwell.front.operators import OperatorHttpFactory
@@ -38,7 +38,7 @@
         self.control.start(self.on_ready)
         self.node = self.reactor.attempts[0].succeed()
         (self.subscribe,) = self.node.messages()
-        self.position = START
+        self.position = START_POSITION
 
     def on_ready(self):
         self.ready_calls += 1
@@ -84,9 +84,11 @@
     rig.commit(CHANGE)
     assert rig.changes == [(("127.0.0.1", 9), 50)]
     assert rig.acknowledged().refused_index == 0
-    line = f"info version: 1 active, digest {digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
+    line = (
+        f"info version: 1 active, digest {document_digest(CHANGE)}: discovery is at 127.0.0.1:9, 50 proxies"
+    )
     assert line in rig.log.lines
-    assert f"version=1 digest={digest(CHANGE)} position=1" in rig.control.describe()
+    assert f"version=1 digest={document_digest(CHANGE)} position=1" in rig.control.describe()
 
 
 def test_a_version_that_cannot_be_loaded_changes_nothing(rig):
@@ -99,7 +101,7 @@
     refusals = [line for line in rig.log.lines if "2 refused" in line]
     assert len(refusals) == 1
     assert "version 1 stays active" in refusals[0]
-    assert digest(REFUSED_CHANGE) in refusals[0]
+    assert document_digest(REFUSED_CHANGE) in refusals[0]
     assert "version=1" in rig.control.describe()
     assert "refused=2" in rig.control.describe()
     rig.commit(CHANGE)
