--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -23,14 +23,10 @@
 from balancer.timers import Timers
 from balancer.zone_rings import ZoneRings
 
-# The Retry-After of a rejected request; it is MIN_MEMORY_MS instead where crowded servers are the reason.
-RETRY_AFTER_MS = 50.0
-# The tokens of the timer for the next scheduled call and of the timer for the next call for the list.
-WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1
-CHECK_INTERVAL_MS = 25.0  # The time between two checks of a server with attempts in flight.
-# After this share of the permitted time, connections to a removed server are closed a second time: some were
-# still being opened the first time, or were in use by attempts that have been cancelled since.
-CLOSE_AGAIN_SHARE = 0.8
+RETRY_AFTER_MS = 50.0  # the Retry-After of a rejected request; MIN_MEMORY_MS is used if servers are crowded
+WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1  # the tokens of the timers for scheduled calls and for list calls
+CHECK_INTERVAL_MS = 25.0  # the time between two checks of a server with attempts in flight
+CLOSE_AGAIN_SHARE = 0.8  # the part of the permitted time after which connections are closed a second time
 
 
 class Balancer:
@@ -55,9 +51,7 @@
         self._request_factory = RequestFactory(settings, self._random, self._margin_ms)
         self._retry_policy = RetryPolicy(settings, self._retry_budget, self._margin_ms)
         # The latency objectives of the classes that have not had a write so far, by class number.
-        self._read_objectives_ms = {
-            number: cls.latency_objective_ms for number, cls in enumerate(settings.classes)
-        }
+        self._read_objectives_ms = {i: cls.latency_objective_ms for i, cls in enumerate(settings.classes)}
         self._objective_ms = min(self._read_objectives_ms.values())
         self._read_objective_ms = self._objective_ms  # the shortest objective of requests to caches
         self._latency = LatencyEstimate(self._objective_ms * UNCROWDED_SHARE)  # of all cache servers
@@ -127,7 +121,7 @@
         self._rings.update(changed.removed_cache_servers, changed.cache_servers)
 
     def _close_removed(self, now: float, server: Server) -> None:
-        """Closes the idle connections to a removed server now, and again before the permitted time ends."""
+        """Closes a removed server's idle connections now, and later those that are opening or in use now."""
         if self._settings.drain_close_ms:
             self._evaluator.close_idle(now, server)
             self._timers.schedule(
@@ -224,12 +218,10 @@
         self, now: float, request: RequestState, reason: str, retry_after_ms: float = RETRY_AFTER_MS
     ) -> None:
         """Ends the request: rejects it if the client may safely retry it, and fails it otherwise."""
-        request_class = request.request_class
-        # No attempt is in flight by now. Where the group is all servers, each recognises a repeated request.
-        is_recognised = (
-            request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope is DedupScope.ALL
-        )
-        if request.possible_run_ms is None or request_class.idempotency is Idempotency.SAFE or is_recognised:
+        class_ = request.request_class
+        # No attempt is in flight by now. If all servers share their idempotency keys, each detects a repeat.
+        is_recognised = class_.idempotency is Idempotency.KEYED and class_.dedup_scope is DedupScope.ALL
+        if request.possible_run_ms is None or class_.idempotency is Idempotency.SAFE or is_recognised:
             wait_ms = min(retry_after_ms, self._settings.max_retry_after_ms)
             self._actions.append(api.Reject(request.id, wait_ms, reason))
         else:
