--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -17,7 +17,7 @@
 from balancer.request_factory import RequestFactory
 from balancer.request_state import RequestState, Server
 from balancer.retry import DEADLINE_MARGIN_MS, HedgePolicy, RetryBudget, RetryPolicy
-from balancer.server_selection import PREFERENCE_LIST_SIZE, ServerSelector, is_in_dedup_scope
+from balancer.server_selection import PREFERENCE_SET_SIZE, ServerSelector, is_in_dedup_scope
 from balancer.server_set import ServerSet
 from balancer.slow_start import SlowStart
 from balancer.timers import Timers
@@ -296,7 +296,7 @@
             return
         if not can_retry_there:
             request.tried_servers.append(server)
-        if len(request.tried_servers) >= PREFERENCE_LIST_SIZE:
+        if len(request.tried_servers) >= PREFERENCE_SET_SIZE:
             self._reject(now, request, "tried")
         else:
             self._route(now, request)
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -1,4 +1,7 @@
-"""The preference list of a key: the servers clockwise on the ring from the key's position, in order."""
+"""The preference order of a key: the order in which its servers are asked.
+
+The preference set of a key is the first R distinct servers clockwise on the ring from the key's position.
+"""
 
 from collections.abc import Iterator
 
@@ -12,7 +15,7 @@
 MAX_SKIPS_BEFORE_COLD, MAX_SKIPS = 1, 4
 
 
-def preference_list(
+def preference_order(
     now: float, position: int, local_count: int, rings: ZoneRings, slow_start: SlowStart
 ) -> Iterator[Server]:
     """Yields distinct servers clockwise from a position on the ring; inactive tokens are skipped.
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -1,19 +1,19 @@
-"""Selection of the server for an attempt, from the preference list of the request's key."""
+"""Selection of the server for an attempt, in the preference order of the request's key."""
 
 from random import Random
 
 from balancer import hot_keys
 from balancer.admission import should_drop
 from balancer.outlier_detection import OutlierDetector
-from balancer.preference_set import preference_list
+from balancer.preference_set import preference_order
 from balancer.request_state import RequestState, Server
 from balancer.settings_types import Idempotency
 from balancer.slow_start import SlowStart
 from balancer.zone_rings import ZoneRings
 
-# The most servers that requests for a key try. With more, the overload of one server would spread to others,
-# and copies of the value would fill more caches.
-PREFERENCE_LIST_SIZE = 3
+# R, the size of a key's preference set: the most servers that requests for the key try. With more, the load
+# of a crowded server would spread to others, and copies of the value would fill more caches.
+PREFERENCE_SET_SIZE = 3
 # The part of a server's concurrency limit that requests beyond their tenant's quota may use.
 OVER_QUOTA_SHARE = 0.25
 
@@ -42,7 +42,7 @@
         self._outliers = outliers
 
     def select(self, now: float, request: RequestState, objective_ms: float) -> Server | None:
-        """Returns the first suitable server of the preference list, or None if there is none.
+        """Returns the first suitable server in the preference order, or None if there is none.
 
         `objective_ms` is the shortest latency objective of the requests that cache servers answer.
         """
@@ -52,7 +52,7 @@
         spread_count = hot_keys.servers_needed(request.key_load)
         skip_count = self._random.randrange(spread_count)
         for index, server in enumerate(
-            preference_list(now, request.ring_point, spread_count, self._rings, self._slow_start)
+            preference_order(now, request.ring_point, spread_count, self._rings, self._slow_start)
         ):
             if server in request.tried_servers or not is_in_dedup_scope(request, server):
                 continue
@@ -74,7 +74,7 @@
                 ):
                     return server
                 crowded_count += server.ejected_at_ms is None
-                if self._rings.has_few_balancers and crowded_count >= PREFERENCE_LIST_SIZE:
+                if self._rings.has_few_balancers and crowded_count >= PREFERENCE_SET_SIZE:
                     return None
                 fallback = fallback or server
                 continue
@@ -83,6 +83,6 @@
                 fallback = server
             elif len(server.in_flight) < server.limit * (OVER_QUOTA_SHARE if request.over_quota else 1.0):
                 return server
-            elif candidate_count >= skip_count + PREFERENCE_LIST_SIZE:
+            elif candidate_count >= skip_count + PREFERENCE_SET_SIZE:
                 break
         return fallback if candidate_count <= skip_count else None
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,7 +5,7 @@
 from balancer import api, preference_set
 from balancer.balancer import Balancer
 from balancer.hash_ring import ring_position
-from balancer.preference_set import MAX_SKIPS_BEFORE_COLD, preference_list
+from balancer.preference_set import MAX_SKIPS_BEFORE_COLD, preference_order
 from lab.endpoint_registry import EndpointRegistry
 from lab.invariant_checker import InvariantChecker
 from lab.scenario import InvariantLimits, load
@@ -39,9 +39,9 @@
 
 
 def first_servers(balancer, now=100.0):
-    """Returns the first server of each key's preference list; None where the list is empty."""
+    """Returns the first server in each key's preference order; None where it has no servers."""
     servers = (
-        next(preference_list(now, position, 1, balancer._rings, balancer._slow_start), None)
+        next(preference_order(now, position, 1, balancer._rings, balancer._slow_start), None)
         for position in POSITIONS
     )
     return [server and server.entry.name for server in servers]
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -132,7 +132,7 @@
     def remote_order(now, place, near, rings, slow_start):
         return iter(dict.fromkeys(server for _, server in rings.remote.clockwise(place)))
 
-    patch.setattr(server_selection, "preference_list", remote_order)
+    patch.setattr(server_selection, "preference_order", remote_order)
 
 
 def test_the_lab_shows_a_proxy_that_crosses_where_home_would_serve(monkeypatch):
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.internet.protocol import Factory, Protocol
 
-from balancer.preference_set import preference_list
+from balancer.preference_set import preference_order
 from balancer.settings import read_settings
 from cloverwell.config import Config, Limits
 from cloverwell.connections.metrics import ConnectionEvent, ConnectionMetrics
@@ -109,7 +109,7 @@
     balancer = proxy.dispatcher._facade._balancer
     rings, slow_start = balancer._rings, balancer._slow_start
     owners = {
-        next(preference_list(net.now_ms(), place << 47, 1, rings, slow_start)).entry.name
+        next(preference_order(net.now_ms(), place << 47, 1, rings, slow_start)).entry.name
         for place in range(1 << 17)
     }
     assert len(nodes) == NODES
