--- a/balancer/request_factory.py
+++ b/balancer/request_factory.py
@@ -33,7 +33,7 @@
     def make(self, now: float, event: Request, peers_total: int) -> RequestState:
         """Returns the state of a request that arrives now, at one of `peers_total` balancers."""
         request_class = self._classes[event.class_number]
-        ring_point = ring_position(event.key) if event.key is not None else self._random.getrandbits(64)
+        position = ring_position(event.key) if event.key is not None else self._random.getrandbits(64)
         deadline_ms = now + event.time_left_ms - self._margin_ms
         objective_end_ms = (
             now + request_class.latency_objective_ms - self._elapsed_ms(event) - self._margin_ms
@@ -45,7 +45,7 @@
             event.request_id,
             request_class,
             event.key,
-            ring_point,
+            position,
             event.write,
             useful_until_ms,
             deadline_ms,
--- a/balancer/request_state.py
+++ b/balancer/request_state.py
@@ -64,7 +64,7 @@
     id: str
     request_class: api.RequestClass
     key: str | None
-    ring_point: int  # the position on the ring at which the search for a server starts
+    ring_position: int  # the position on the ring at which the search for a server starts
     write: bool
     useful_until_ms: float  # a response after this time is worthless to the client
     deadline_ms: float
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -65,13 +65,18 @@
         self.tokens = min(HEDGE_BURST, self.tokens + HEDGE_SHARE)
 
     def is_due(
-        self, now: float, request: RequestState, sent_ms: float, usual_ms: float, overtaken_ms: float
+        self,
+        now: float,
+        request: RequestState,
+        sent_ms: float,
+        usual_ms: float,
+        newest_answered_sent_ms: float,
     ) -> bool:
         """Returns whether to hedge an attempt that was sent at `sent_ms`; answers usually take `usual_ms`.
 
-        `overtaken_ms` is the time at which the latest attempt was sent that the server has answered.
+        `newest_answered_sent_ms` is the send time of the newest attempt that the server has answered.
         """
-        if sent_ms + usual_ms >= overtaken_ms or now - sent_ms <= self.delay_factor * usual_ms:
+        if sent_ms + usual_ms >= newest_answered_sent_ms or now - sent_ms <= self.delay_factor * usual_ms:
             return False
         if len(request.in_flight) != 1 or request.done or request.stream_started or request.write:
             return False
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -52,7 +52,7 @@
         spread_count = hot_keys.servers_needed(request.key_load)
         skip_count = self._random.randrange(spread_count)
         for index, server in enumerate(
-            preference_order(now, request.ring_point, spread_count, self._rings, self._slow_start)
+            preference_order(now, request.ring_position, spread_count, self._rings, self._slow_start)
         ):
             if server in request.tried_servers or not is_in_dedup_scope(request, server):
                 continue
