--- a/cloverwell/back/cache_connection.py
+++ b/cloverwell/back/cache_connection.py
@@ -25,7 +25,7 @@
         return line.encode() + request.value + b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
-        """Reads the first line of an answer. Raises `MalformedMessageError`, also without an attempt."""
+        """Reads an answer's first line. Raises `MalformedMessageError` for an unknown or unexpected one."""
         if not self.attempts:
             raise MalformedMessageError("an answer without an attempt")
         words = line.split()
@@ -69,7 +69,7 @@
             self.finish_attempt(AttemptOutcome.SERVED, data[: -len(self.delimiter)])
 
     def _check(self, flags: list[bytes], write: bool | None = None) -> None:
-        """Checks that an answer has the id of the oldest attempt and, if `write` is given, is of its kind.
+        """Checks that an answer has the oldest attempt's id, and fits a write or a read as `write` says.
 
         The answer of another request must not reach this one, and a receipt must not be served as a value.
         """
--- a/cloverwell/back/idle_connections.py
+++ b/cloverwell/back/idle_connections.py
@@ -11,7 +11,7 @@
 
 
 class IdleConnections(Generic[NodePool]):
-    """The idle connections to one node, which are also kept in a list of those to all nodes."""
+    """The idle connections to one node, each of which is also in a collection for all nodes."""
 
     def __init__(self, pool: NodePool, of_all_nodes: OrderedDict[NodeConnection, NodePool]) -> None:
         """Starts empty. `of_all_nodes` gets each connection too, and has the longest idle one first."""
@@ -37,7 +37,8 @@
     def take_last_used(self, now: float) -> NodeConnection | None:
         """Removes and returns the usable connection that was used last, or None if there is none.
 
-        A connection on which late data after its last answer is still possible is used only if all are so.
+        A connection on which late data after its last answer may still arrive is used only if there is no
+        other.
         """
         usable = [connection for connection in self.connections if connection.usable_from_ms <= now]
         if not usable:
@@ -48,6 +49,6 @@
         self.remove(found)
         return found
 
-    def count_resting(self, now: float) -> int:
-        """Returns the number of connections that rest after an answer, and are usable a few ms later."""
+    def count_not_yet_usable(self, now: float) -> int:
+        """Returns the number of connections that become usable only a few ms after their last answer."""
         return sum(connection.usable_from_ms > now for connection in self.connections)
--- a/cloverwell/back/node_connection.py
+++ b/cloverwell/back/node_connection.py
@@ -27,7 +27,7 @@
 from cloverwell.streamed_value import StreamedValue
 from cloverwell.timer_wheel import Timer
 
-STREAM_READ_BYTES = 32 * 1024  # bytes of a long value that are read at once, and buffered for a slow client
+STREAM_READ_BYTES = 32 * 1024  # the part of a long value that is read at once, and buffered for a slow client
 FRESH_MS = 10.0  # an unused connection that was opened less than this ago does not count as idle
 LATE_DATA_MS = 15.0  # a duplicate of an answer, or data after it, may arrive up to this much later
 
@@ -46,7 +46,7 @@
     node: str
     address: tuple[str, int] | None
     log: Log
-    tick_ms: float  # the most that `call_at` is late
+    tick_ms: float  # the most ms by which a call of `call_at` is late
     partial_answers: dict[NodeConnection, int]  # the number of checks since the last data of an answer
 
     @property
@@ -60,7 +60,7 @@
         """Calls `call` at the time `when_ms`, or up to a tick later."""
 
     def hold_ms(self) -> float:
-        """Returns how long the last byte of an attempt is held back."""
+        """Returns the time in ms for which the last byte of an attempt is held back."""
 
     def is_too_late(self, attempt: Attempt) -> bool:
         """Returns whether it is too late to write a byte of the attempt."""
@@ -69,7 +69,7 @@
         """Adds a connection that has been opened."""
 
     def connection_freed(self, connection: NodeConnection) -> None:
-        """Is called when the connection has one attempt less; it may carry another if it has none."""
+        """Is called when an attempt on the connection has ended; a free connection may carry another."""
 
     def remove(self, connection: NodeConnection, reason: NodeCloseReason, requests: list[str]) -> None:
         """Removes a connection that has ended; `requests` are the ids of the requests with attempts on it."""
@@ -103,15 +103,15 @@
         self.attempts: deque[Attempt] = deque()
         self.open_started_ms = open_started_ms
         self.idle_since_ms = 0.0  # the time from which it has been idle
-        self.has_served = False  # whether an attempt on it was answered
+        self.has_served = False  # whether an attempt on it has been answered
         self.usable_from_ms = 0.0  # the time before which no attempt is written to it
-        self.address_changed = False  # whether the node has moved; attempts in flight here go on
+        self.address_changed = False  # whether the node has a new address; attempts in flight here continue
         self.stream: StreamedValue | None = None  # the long value that is arriving, if any
         self.last_stream_data_ms = 0.0  # the time at which the last piece of it arrived
-        self._idle_age_ms: float | None = None  # how long it had been idle before its oldest attempt
+        self._idle_age_ms: float | None = None  # the idle time before its oldest attempt was written
         self._first_byte_ms = 0.0  # the time at which the first byte of that attempt was written
         self._partial_write: PartialWrite | None = None  # the attempt whose last byte is held back
-        self._close_after_answer = False  # whether the answer that is arriving is the last one here
+        self._close_after_answer = False  # whether it is closed after the answer that is arriving
 
     def encode_command(self, attempt: Attempt) -> bytes:
         """Returns the command of an attempt, which a subclass encodes in its protocol."""
@@ -133,9 +133,9 @@
         return self._partial_write is not None
 
     def idle_age_ms(self, now: float) -> float | None:
-        """Returns how long the connection has been idle, or None if it is fresh and has not been used."""
-        age = now - self.idle_since_ms
-        return age if self.has_served or age > FRESH_MS else None
+        """Returns the time for which the connection has been idle, or None if it is fresh and unused."""
+        age_ms = now - self.idle_since_ms
+        return age_ms if self.has_served or age_ms > FRESH_MS else None
 
     def is_settled(self, now: float) -> bool:
         """Returns whether any late data after the last answer must have arrived by now.
@@ -147,7 +147,7 @@
     # Writing an attempt ---------------------------------------------------------------------------
 
     def send(self, attempt: Attempt, use: ConnectionUse = ConnectionUse.WRITE_ALL) -> SendResult:
-        """Writes an attempt; if `use` is `SPLIT`, its last byte is held back."""
+        """Writes an attempt; if `use` is `HOLD_LAST_BYTE`, its last byte is held back."""
         now = self._pool.now()
         hold_ms = self._pool.hold_ms() if use is ConnectionUse.HOLD_LAST_BYTE else 0.0
         # The timer wheel rounds the time at which the last byte is written up to its next tick.
@@ -158,21 +158,21 @@
             return SendResult.BROKEN
         attempt.propagated_ms = left_ms
         data = self.encode_command(attempt)
-        rest = data[-1:] if use is ConnectionUse.HOLD_LAST_BYTE else b""
-        held_back = self.try_write_command(data[:-1] if rest else data)
+        unwritten = data[-1:] if use is ConnectionUse.HOLD_LAST_BYTE else b""
+        held_back = self.try_write_command(data[:-1] if unwritten else data)
         if held_back is None:
             return SendResult.BROKEN
         if not self.attempts:
             self._idle_age_ms, self._first_byte_ms = self.idle_age_ms(now), now
-        if rest := held_back + rest:
+        if unwritten := held_back + unwritten:
             timer = self._pool.call_at(now + hold_ms, self._write_last_byte)
-            self._partial_write = PartialWrite(attempt, rest, timer)
+            self._partial_write = PartialWrite(attempt, unwritten, timer)
         else:
             self._record_written(attempt, now)
         return SendResult.WRITTEN
 
     def _record_written(self, attempt: Attempt, before_ms: float) -> None:
-        """Records that an attempt is in flight; `before_ms` is the time before the write, which can stall."""
+        """Records that an attempt is in flight; `before_ms` is the time before the write, which may block."""
         attempt.written_from_ms = before_ms
         attempt.written_ms = self._pool.now()
         self.attempts.append(attempt)
@@ -180,23 +180,23 @@
     def _write_last_byte(self) -> None:
         """Writes the last byte, so that the attempt runs, unless the node has closed the connection."""
         partial = self._partial_write
-        assert partial is not None  # its timer, which makes this call, is cancelled when it is removed
+        assert partial is not None  # Removing the partial write cancels the timer of this call.
         if self._pool.is_too_late(partial.attempt):
             self._partial_write = None
             self.drop(NodeCloseReason.TOO_LATE_TO_WRITE)
             partial.attempt.end(AttemptOutcome.NOT_CONNECTED)
             return
         now = self._pool.now()
-        # A last byte that is later than planned would let the node work for too long: the command is written
-        # again, with less time, to another connection.
+        # A last byte that is written later than planned would let the node work for too long: the command is
+        # written again, with less time, to another connection.
         if self._is_unusable() or partial.attempt.exceeded_deadline_by_ms(now) > 0.0:
             self.drop(NodeCloseReason.UNUSABLE)
             return
-        held_back = partial.rest if self._writing else self.try_write_command(partial.rest)
+        held_back = partial.unwritten if self._writing else self.try_write_command(partial.unwritten)
         if held_back is None:
             self.drop(NodeCloseReason.UNUSABLE)
         elif held_back:
-            partial.rest = held_back
+            partial.unwritten = held_back
             partial.timer = self._pool.call_at(self._pool.now() + self._pool.tick_ms, self._write_last_byte)
         else:
             self._partial_write = None
@@ -235,7 +235,8 @@
     def _answer_complete(self, has_id: bool = True) -> None:
         """Frees the connection after a complete answer, or closes it.
 
-        After an answer without an id it rests: a late duplicate would be read as the next attempt's answer.
+        After an answer without an id it is not used for some ms, since a late duplicate would be read as the
+        next attempt's answer.
         """
         if self._close_after_answer:
             self.drop(NodeCloseReason.LAST_ANSWER)
@@ -278,7 +279,7 @@
         self.last_stream_data_ms = self._pool.now()
         self.transport.bufferSize = STREAM_READ_BYTES
         self.expect_pieces(length)
-        self.hold()  # until the earlier answers to the same client have been sent
+        self.hold()  # Reading continues once the earlier answers to the same client have been sent.
         attempt.end(AttemptOutcome.SERVED, stream)
         if not stream.wanted:  # The answer is too late, or the client has disconnected.
             stream.drop()
@@ -286,7 +287,7 @@
     def pieceReceived(self, data: bytes) -> None:
         """Passes on a piece of a long value."""
         self.last_stream_data_ms = self._pool.now()
-        assert self.stream is not None  # pieces are expected only while a long value arrives
+        assert self.stream is not None  # Pieces are expected only while a long value arrives.
         self.stream.piece(data)
 
     def end_stream(self, has_id: bool = True) -> None:
@@ -314,7 +315,7 @@
             return False
         if self.stream is not None and not self._pool.forbids_concurrent_attempts:
             # The attempt waits behind a long value, after which the connection is closed. Until then it may
-            # run: where a request may have only one attempt in flight, the value is broken off instead.
+            # run: where a request may have only one attempt in flight, the connection is closed now.
             self._close_after_answer = True
             self.attempts.remove(attempt)
             attempt.end(outcome)
@@ -361,13 +362,13 @@
         return partial.attempt
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Ends the attempts with a reset; one whose last byte was not written goes to another connection."""
-        by_node = not self.ended
+        """Ends the attempts with a reset; one whose last byte was not written moves to another connection."""
+        closed_by_node = not self.ended
         super().connectionLost(reason)
         requests = self._request_ids()
         unsent = self._take_partly_written()
         attempts, self.attempts = self.attempts, deque()
-        if by_node:
+        if closed_by_node:
             self._report_closed_by_node(attempts, unsent, by_reset=not reason.check(ConnectionDone))
         self._pool.remove(
             self, NodeCloseReason.BY_NODE_MID_ATTEMPT if requests else NodeCloseReason.BY_NODE, requests
@@ -384,7 +385,7 @@
         if not attempts and unsent is None:
             self._pool.record_idle_close()
             return
-        # The time counts from the last byte: how long that was held back says nothing about the network.
+        # The time counts from the last byte, since the delay before it does not depend on the network.
         written_ms = attempts[0].written_ms if attempts else None
         since_ms = self._first_byte_ms if written_ms is None else written_ms
         self._pool.record_loss(
--- a/cloverwell/back/opener.py
+++ b/cloverwell/back/opener.py
@@ -31,7 +31,7 @@
         """Ends an attempt that waits for a connection, since one was refused or timed out."""
 
     def open_not_started(self, now: float) -> None:
-        """Gives up the attempts that have waited for long, since this machine can't open a connection."""
+        """Gives up attempts that have waited too long, since this machine can't open a connection."""
 
 
 NodePool = TypeVar("NodePool", bound=OpeningPool)
@@ -47,11 +47,11 @@
         self._policy = context.node_policy
         self._wheel = context.timer_wheel
         self._retry = ConnectRetry()
-        self.count = 0  # connections that are being opened
+        self.count = 0  # the number of connections that are being opened
 
     @property
     def fault(self) -> LocalFault | None:
-        """The fault for which this machine could not open the last connection, or None if there was none."""
+        """The fault of this machine that prevented the last connection, or None if there was none."""
         return self._retry.fault
 
     def may_try(self) -> bool:
@@ -82,7 +82,7 @@
     def record_connected(self) -> bool:
         """Records that a connection was established.
 
-        Returns whether further connections were held back by a fault, and may be opened now.
+        Returns whether other connections were postponed by a fault, and may be opened now.
         """
         self.count -= 1
         self._context.wake(self._pool)
@@ -91,7 +91,7 @@
     def record_failure(self, open_started_ms: float, refused: bool) -> None:
         """Records that the node refused a connection or, if `refused` is False, that it timed out."""
         self._opening_ended()
-        others_held_back = self._retry.record_reply()
+        others_postponed = self._retry.record_reply()
         node, open_count = self._pool.node, len(self._pool.connections)
         self._context.metrics.add(ConnectionEvent.CONNECT_REFUSED, node)
         if refused:
@@ -99,11 +99,11 @@
         else:
             self._policy.record_connect_timeout(node, open_count, open_started_ms, self._wheel.now())
         self._pool.open_failed()
-        if others_held_back:
+        if others_postponed:
             self._pool.open_for_waiting()
 
     def record_local_fault(self, fault: LocalFault) -> None:
-        """Records a fault of this machine, for which a connection could not be opened; tries again later."""
+        """Records that a fault of this machine prevented a connection, and schedules another try."""
         self._opening_ended()
         self._context.metrics.add(ConnectionEvent.CONNECT_NOT_BEGUN, self._pool.node)
         now = self._wheel.now()
@@ -122,7 +122,7 @@
 
 
 class ConnectionOpener(ClientFactory):
-    """The Twisted factory of one connection."""
+    """The Twisted factory for one connection that is being opened."""
 
     noisy = False
 
@@ -139,7 +139,7 @@
         return self._owner.build(self._address, self._open_started_ms)
 
     def clientConnectionFailed(self, _connector: IConnector, reason: Failure) -> None:
-        """Reports that a connection failed by a fault of this machine, or of the network or the node."""
+        """Reports that the connection failed, by a fault of this machine or of the network or the node."""
         fault = None if reason.value is None else connect_fault(reason.value)
         if fault is not None:
             self._owner.record_local_fault(fault)
--- a/cloverwell/back/origin_connection.py
+++ b/cloverwell/back/origin_connection.py
@@ -17,7 +17,7 @@
 from cloverwell.request import Attempt
 from cloverwell.streamed_value import LONG, LONGEST
 
-RECEIPT = re.compile(rb"[!-~]{1,250}")  # It is sent to the client as a flag, which is one word.
+RECEIPT = re.compile(rb"[!-~]{1,250}")  # A receipt is sent to the client as a flag: one word without spaces.
 
 
 class OriginConnection(HttpReceiver, NodeConnection):
@@ -36,12 +36,12 @@
             "Request-Info": request.info_with(attempt.propagated_ms),
         }
         method, body = ("PUT", request.value) if request.write else ("GET", None)
-        assert self._pool.address is not None  # the pool had one when it opened the connection
+        assert self._pool.address is not None  # A connection is opened only to a known address.
         host, port = self._pool.address
         return encode_request(method, "/" + quote(request.key), f"{host}:{port}", headers, body)
 
     def _check(self, headers: dict[str, str]) -> None:
-        """Checks that an attempt waits, and that the answer does not have the id of another request."""
+        """Checks that an attempt waits for an answer, and that the answer has no other request's id."""
         if not self.attempts:
             raise MalformedMessageError("an answer without an attempt")
         if headers.get("request-id", self.attempts[0].request.id) != self.attempts[0].request.id:
@@ -66,11 +66,11 @@
             self.end_stream(has_id=False)
 
     def answer_received(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Ends the attempt. Raises `MalformedMessageError` if no attempt waits, or for an unknown answer."""
+        """Ends the attempt with an answer. Raises `MalformedMessageError` for an unknown or unwanted one."""
         self._check(headers)
         closing = headers.get("connection", "").lower() == "close"
         if closing:
-            self.ended = True  # No further attempt may be written to it when this one ends.
+            self.ended = True  # This prevents another attempt from being written here when this one ends.
         outcome = self._outcome(status, headers, body)
         self.finish_attempt(outcome, body if outcome is AttemptOutcome.SERVED else b"", has_id=False)
         if closing:
@@ -80,7 +80,7 @@
     def _outcome(self, status: int, headers: dict[str, str], body: bytes) -> AttemptOutcome:
         if status == 200:
             if self.attempts[0].request.write and not RECEIPT.fullmatch(body):
-                # In the answer to the client it would be invalid, or read as a second flag.
+                # Such a body would make the answer to the client invalid, or be read as a second flag.
                 raise MalformedMessageError("the body of a write's answer is not a receipt")
             return AttemptOutcome.SERVED
         if status in (503, 504) and headers.get("not-started") == "1":
--- a/cloverwell/back/partial_write.py
+++ b/cloverwell/back/partial_write.py
@@ -10,8 +10,8 @@
 
 @dataclass(slots=True)
 class PartialWrite:
-    """An attempt whose last bytes are held back, and without which it can't run at the node."""
+    """An attempt that can't run at its node yet, since its last bytes are held back."""
 
     attempt: Attempt
-    rest: bytes  # the bytes that are held back
-    timer: Timer  # the timer that writes `rest`
+    unwritten: bytes  # the bytes that are held back
+    timer: Timer  # the timer whose call writes them
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -23,7 +23,7 @@
 from cloverwell.request import Attempt
 
 STREAM_STALL_MS = 10_000.0  # the time without data after which a long value is given up
-MAX_REASSIGNMENTS = 4  # connections that may fail under one attempt before its last byte is written
+MAX_REASSIGNMENTS = 4  # the most connections on which an attempt may fail before its last byte is written
 
 
 class Pool:
@@ -40,7 +40,7 @@
         self.address: tuple[str, int] | None = None
         self.log = context.log
         self.now = context.timer_wheel.now
-        self.call_at = context.timer_wheel.not_before  # makes a call at a time, or up to a tick later
+        self.call_at = context.timer_wheel.not_before  # calls a function at a time, or up to a tick later
         self.tick_ms = context.timer_wheel.granularity_ms
         self.connections: list[NodeConnection] = []
         self.has_left = False  # whether the node drains, or is no longer in the endpoint list
@@ -182,7 +182,7 @@
         """Ends an attempt in flight whose connection the proxy itself has closed.
 
         Where a request must not have two attempts in flight at once, this one counts as in flight until the
-        close has reached its node. A further attempt is not written before, since its node may be nearer.
+        close has reached its node. No further attempt is written before, as it might reach its node sooner.
         """
         if self.forbids_concurrent_attempts and attempt.written_ms is not None:
             request = attempt.request
@@ -201,7 +201,7 @@
         self._policy.record_silence(self.node, idle_age_ms, now - first_byte_ms, now)
 
     def hold_ms(self) -> float:
-        """Returns how long the last byte of an attempt is held back."""
+        """Returns the time in ms for which the last byte of an attempt is held back."""
         return self._policy.hold_back_ms(self.node)
 
     # Opening ---------------------------------------------------------------------------------------
@@ -213,13 +213,13 @@
 
     def add(self, connection: NodeConnection) -> None:
         """Adds a connection that has been opened."""
-        others_held_back = self._opening.record_connected()
+        others_postponed = self._opening.record_connected()
         self.connections.append(connection)
         now = connection.idle_since_ms = self.now()
         self._metrics.add(ConnectionEvent.OPENED, self.node)
         self._policy.record_connected(self.node, now - connection.open_started_ms, now)
         self.connection_freed(connection)
-        if others_held_back:
+        if others_postponed:
             self.open_for_waiting()
 
     def open_failed(self) -> None:
@@ -228,7 +228,7 @@
             self._waiting.take_first().end(AttemptOutcome.NOT_CONNECTED)
 
     def open_not_started(self, now: float) -> None:
-        """Gives up the attempts that have waited for long, since this machine can't open a connection.
+        """Gives up attempts that have waited too long, since this machine can't open a connection.
 
         Another node may have an idle connection for their requests. They end before they time out, since this
         node would otherwise count as one that does not answer.
@@ -244,8 +244,8 @@
             self._opening.open()
 
     def _count_soon_free(self) -> int:
-        """Returns the number of connections that are being opened or rest, and will soon be free."""
-        return self._opening.count + self._idle.count_resting(self.now())
+        """Returns the number of connections that are being opened or become usable in a few ms."""
+        return self._opening.count + self._idle.count_not_yet_usable(self.now())
 
     def open_ahead(self, now: float) -> bool:
         """Opens connections before attempts need them.
@@ -276,12 +276,12 @@
 
     def connection_freed(self, connection: NodeConnection) -> None:
         """Writes the attempt that has waited longest to a connection that is free, or lists it as idle."""
-        rest_ms = connection.usable_from_ms - self.now()
+        usable_in_ms = connection.usable_from_ms - self.now()
         while (
             connection.is_free
             and self._waiting.attempts
             and not connection.address_changed
-            and rest_ms <= 0.0
+            and usable_in_ms <= 0.0
         ):
             attempt = self._waiting.take_first()
             result = SendResult.TOO_LATE if self.is_too_late(attempt) else self._write(connection, attempt)
@@ -297,7 +297,7 @@
             self.open_for_waiting()
             return
         self._idle.add(connection)
-        if rest_ms > 0.0:
+        if usable_in_ms > 0.0:
             self.call_at(connection.usable_from_ms, lambda: self._became_usable(connection))
 
     def _became_usable(self, connection: NodeConnection) -> None:
@@ -309,7 +309,7 @@
         """Removes and returns the usable idle connection that was used last, or None if there is none."""
         now = self.now()
         if self.is_origin and self._idle.connections and self._is_unresponsive(now):
-            # What broke the connection of the overdue attempt may have broken the idle ones too.
+            # The fault that broke the connection of the overdue attempt may have broken the idle ones too.
             self.close_idle()
         return self._idle.take_last_used(now)
 
@@ -379,7 +379,7 @@
         self.open_for_waiting()
 
     def next_sweep_ms(self, now: float) -> float:
-        """Returns when a pool that was just swept needs its next sweep, unless its state changes before.
+        """Returns the time of the next sweep of a pool that was just swept, unless its state changes before.
 
         A connection that becomes idle, or begins a long value, after `now` is due only after that time.
         """
--- a/cloverwell/back/pool_context.py
+++ b/cloverwell/back/pool_context.py
@@ -1,4 +1,4 @@
-"""The interface of the pools of all nodes that the pool of one node uses."""
+"""The interface through which the pool of one node uses the state that all pools share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TcpConnector(Protocol):
-    """The part of the reactor that opens connections; `IReactorTCP` itself has no types for callers."""
+    """The part of the reactor that opens connections; `IReactorTCP` itself has no type annotations."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> object:
         """Opens a connection; gives up after `timeout` seconds."""
@@ -27,7 +27,7 @@
 
 
 class PoolContext(Protocol[NodePool]):
-    """What all pools share: the policy, the limits, and the lists of connections of all nodes."""
+    """The state that all pools share: the policy, the limits, and the lists of connections of all nodes."""
 
     reactor: TcpConnector
     timer_wheel: TimerWheel
@@ -35,12 +35,12 @@
     budget: DescriptorBudget
     node_policy: NodeConnectionPolicy
     metrics: ConnectionMetrics
-    max_attempts_per_connection: int  # at the same time
+    max_attempts_per_connection: int  # the most attempts in flight on one connection
     connect_timeout_ms: float
     single_attempt_in_flight: bool  # whether a request must not have two attempts in flight at once
-    idle: OrderedDict[NodeConnection, NodePool]  # those of all nodes, the longest idle one first
+    idle: OrderedDict[NodeConnection, NodePool]  # the idle connections to all nodes, longest idle first
     partial_answers: dict[NodeConnection, int]  # the number of checks since the last data of an answer
-    build: Callable[[NodePool, float], NodeConnection]
+    build: Callable[[NodePool, float], NodeConnection]  # takes the time at which the opening began
 
     def may_open(self, pool: NodePool) -> bool:
         """Returns whether the pool may open a connection within its node's cap and the descriptor budget."""
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -15,10 +15,10 @@
 from cloverwell.log import Log
 from cloverwell.timer_wheel import TimerWheel
 
-SWEEP_MS = 50.0  # between two sweeps of the pools
-CHECK_MS = 25.0  # between two checks of the answers that have begun to arrive
-MAX_CHECKS_WITHOUT_DATA = 4  # checks without new data after which a partial answer is given up
-SPARE_SHARE = 0.1  # the share of the descriptors that connections opened ahead leave free
+SWEEP_MS = 50.0  # the time between two sweeps of the pools
+CHECK_MS = 25.0  # the time between two checks of the answers that have begun to arrive
+MAX_CHECKS_WITHOUT_DATA = 4  # a partial answer is given up after this many checks without new data
+SPARE_SHARE = 0.1  # the share of the descriptors that are kept free while connections are opened ahead
 
 
 class NodePools:
@@ -39,7 +39,7 @@
     ) -> None:
         """Starts the periodic sweeps.
 
-        `build` returns a connection for a pool, which began to open it at the given time.
+        `build` creates a connection from its pool and the time at which the pool began to open it.
         `max_attempts_per_connection` is the most that one connection carries at a time. With
         `single_attempt_in_flight`, an attempt that the proxy closes counts as in flight until the close can
         have reached its node.
@@ -58,8 +58,10 @@
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
         self.node_policy.idle_limits.on_change = self._limits_changed
-        self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()  # of all nodes, longest idle first
-        self.partial_answers: dict[NodeConnection, int] = {}  # checks since the last data
+        self.idle: OrderedDict[NodeConnection, Pool] = (
+            OrderedDict()
+        )  # the idle connections, longest idle first
+        self.partial_answers: dict[NodeConnection, int] = {}  # the number of checks since data last arrived
         self._sweep()
         self._check_partial_answers()
 
@@ -118,8 +120,8 @@
     def pool_of(self, node: str) -> Pool:
         """Returns the pool of a node.
 
-        A node that left after an attempt at it was decided gets a pool without an address, where each attempt
-        ends as not connected.
+        A node that left the endpoint list after it had been selected for an attempt gets a pool without an
+        address, where each attempt ends as not connected.
         """
         if node not in self._pools:
             self._add(node, is_origin=False).has_left = True
@@ -146,13 +148,13 @@
     def close_idle(self, node: str) -> None:
         """Closes a node's idle connections if the node needs them closed; attempts in flight go on.
 
-        They are not closed merely because they may be stale: the age of each is checked before it is used.
+        That a connection may be stale is no reason to close it here: its age is checked before it is used.
         """
         if (pool := self._pools.get(node)) is not None and self.node_policy.should_close_idle(node):
             pool.close_idle()
 
     def mark_left(self, node: str) -> None:
-        """Marks a node that drains or is gone: its connections are closed as soon as they are idle."""
+        """Marks a node that drains or was removed; its connections are closed as soon as they are idle."""
         if (pool := self._pools.get(node)) is not None:
             pool.has_left = True
             self.wake(pool)
--- a/cloverwell/back/waiting_attempts.py
+++ b/cloverwell/back/waiting_attempts.py
@@ -8,11 +8,11 @@
 from cloverwell.request import Attempt
 from cloverwell.timer_wheel import TimerWheel
 
-MAX_WAITING = 256  # attempts that wait for one node
+MAX_WAITING = 256  # the most attempts that may wait for a connection to one node
 
 
 class WaitingAttempts:
-    """A bounded queue of attempts; one that can't be written in time any more is given up."""
+    """A bounded queue of attempts; one that can no longer be written in time is given up."""
 
     def __init__(self, timer_wheel: TimerWheel, give_up: Callable[[Attempt], None]) -> None:
         """Starts empty; `give_up` is called with an attempt that has waited too long."""
--- a/cloverwell/codec/errors.py
+++ b/cloverwell/codec/errors.py
@@ -8,4 +8,4 @@
 
 
 class MalformedMessageError(CodecError):
-    """The received bytes are malformed, so that nothing after them can be cut into messages either."""
+    """The received bytes are malformed, so that the bytes after them can't be decoded either."""
--- a/cloverwell/codec/http.py
+++ b/cloverwell/codec/http.py
@@ -42,12 +42,12 @@
         self._status = 0
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
-        self._received_bytes = self._header_lines = 0  # what has arrived of the body and of the head
+        self._received_bytes = self._header_lines = 0  # the bytes of the body and lines of the head
         self._chunked = self._in_trailer = False
         self._until_close = False
 
     def lineReceived(self, line: bytes) -> None:
-        """Reads a line of a head or a trailer, or before a chunk. Raises `MalformedMessageError`."""
+        """Reads a line of the head or the trailer, or a chunk's size. Raises `MalformedMessageError`."""
         if self._in_trailer:
             if not line:
                 self._complete()
@@ -73,7 +73,7 @@
             raise MalformedMessageError("malformed header")
         name, value = name.strip().lower(), value.strip()
         if name == "content-length" and self._headers.get(name, value) != value:
-            # Whichever length is taken, the body may end in the wrong place.
+            # With either length, the body might end in the wrong place.
             raise MalformedMessageError("conflicting Content-Length headers")
         self._headers[name] = value
 
@@ -100,7 +100,7 @@
         self._expect_more()
 
     def begin_long_body(self, _status: int, _headers: dict[str, str], _length: int) -> bool:
-        """Returns whether a subclass takes the body in pieces; it then calls `_reset` after the last one.
+        """Returns whether a subclass reads the body in pieces; it then calls `_reset` after the last one.
 
         Here it returns False, so that the body is collected.
         """
--- a/cloverwell/codec/lines.py
+++ b/cloverwell/codec/lines.py
@@ -1,6 +1,6 @@
 """A line receiver with two ring buffers, one for incoming and one for outgoing bytes.
 
-The functions ask the kernel about a socket at once, without waiting for a turn of the event loop.
+The functions ask the kernel about a socket directly, without waiting for the event loop.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 MAX_VALUE_BYTES = 1024 * 1024  # the longest value that is buffered until it is complete
 MAX_WRITE_BYTES = 64 * 1024  # the longest value in a client's write command
 PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
-PIECE_BYTES = 64 * 1024  # the most that the transport is given, or that is discarded, at once
+PIECE_BYTES = 64 * 1024  # the most bytes that are written to the transport, or discarded, at once
 LAST_DATA_RECEIVED_OFFSET = 52  # the offset of `tcpi_last_data_recv` in Linux's `tcp_info`, in bytes
 MAX_DISCARD_READS = 16  # the most reads, of `PIECE_BYTES` each, that discard unread data
-POLL_TRIES = 3  # how often a poll is tried that fails because the kernel is short of memory
+POLL_TRIES = 3  # the number of tries of a poll that fails because the kernel is short of memory
 
 
 def closed_by_peer(handles: Iterable[socket.socket | int]) -> set[int]:
@@ -64,7 +64,7 @@
 
 
 def read_now(handle: socket.socket, size: int) -> bytes:
-    """Returns at most `size` bytes that a non-blocking socket can read at once; none after an error."""
+    """Returns at most `size` bytes that a non-blocking socket can read at once; b"" after an error."""
     try:
         return handle.recv(size)
     except OSError:
@@ -82,7 +82,7 @@
 
 
 def received_ago_ms(handle: socket.socket) -> float:
-    """Returns how many ms ago the last bytes arrived, read or not; 0 if the kernel can't tell."""
+    """Returns the ms since bytes last arrived, whether they were read or not; 0 if the kernel can't tell."""
     try:
         info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_OFFSET + 4)
         (ago_ms,) = struct.unpack_from("I", info, LAST_DATA_RECEIVED_OFFSET)
@@ -92,7 +92,7 @@
 
 
 def unacknowledged_bytes(handle: socket.socket | int) -> int:
-    """Returns how many sent bytes the other side has not acknowledged; 0 if the kernel can't tell."""
+    """Returns the number of sent bytes that the peer has not acknowledged; 0 if the kernel can't tell."""
     try:
         answer = fcntl.ioctl(handle, termios.TIOCOUTQ, struct.pack("i", 0))
     except (OSError, ValueError):
@@ -111,7 +111,7 @@
     bytes, whose size bounds what is buffered for a slow reader.
     """
 
-    transport: StreamTransport  # type: ignore[assignment]  # Twisted declares only a part of it
+    transport: StreamTransport  # type: ignore[assignment]  # Twisted declares only some of its methods.
 
     delimiter = b"\r\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -123,9 +123,9 @@
         self._incoming = RingBuffer(self.max_incoming_bytes)
         self._outgoing = RingBuffer(self.max_outgoing_bytes)
         self._awaited_bytes = 0  # the size of the value that comes next, with its line end; 0 before a line
-        self._streamed_bytes_left = 0  # bytes of a long value that have not arrived
-        self._unbuffered_bytes = 0  # bytes that have been read from the socket, but are not in the ring yet
-        self.unparsed_bytes = 0  # bytes that arrived after the message that is being handled
+        self._streamed_bytes_left = 0  # the number of bytes of a long value that have not arrived
+        self._unbuffered_bytes = 0  # the number of bytes read from the socket that are not in the ring yet
+        self.unparsed_bytes = 0  # the number of bytes after the message that is being handled
         self._held = False  # whether `hold` has paused the reading
         self._writing = False  # whether the transport has bytes that it has not sent yet
         self._parsing = False  # whether `_parse_messages` is running; it is not reentrant
@@ -145,17 +145,17 @@
     # Incoming --------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        """Passes on the messages that are complete, and keeps the rest."""
+        """Passes on the complete messages, and keeps the bytes after them."""
         if not (len(self._incoming) or self._held or self._broken or self.ended):
             data = self._parse_messages(data)
         while data and not (self.ended or self._broken):
             if self._held:  # The transport was told to pause, so that only this read exceeds the bound.
                 self._incoming.bound = max(self._incoming.bound, len(self._incoming) + len(data))
-            taken = self._incoming.write(data)
-            if not taken:
+            written_count = self._incoming.write(data)
+            if not written_count:
                 self.framingLost("message too long")
                 return
-            data = data[taken:]
+            data = data[written_count:]
             self._unbuffered_bytes = len(data)
             self.parse()
 
@@ -273,10 +273,10 @@
         return unsent[-1:]
 
     def _send_now(self, data: bytes) -> bytes | None:
-        """Writes what the socket takes at once; returns the rest, or None if the connection is broken."""
+        """Writes what the socket accepts at once; returns the other bytes, or None after an error."""
         if self._writing:
             return data
-        # A write through the reactor costs two more system calls and a turn of the event loop.
+        # A write through the reactor costs two more system calls and an iteration of the event loop.
         try:
             return data[self._socket.send(data) :]
         except BlockingIOError:
--- a/cloverwell/codec/meta.py
+++ b/cloverwell/codec/meta.py
@@ -31,7 +31,7 @@
     key: str
     class_number: int  # the index of its class in the settings
     tenant: int  # the index of its tenant in the settings, or 0 if the command names none
-    wait_ms: float  # how long the client waits, counted from the first byte of the command
+    wait_ms: float  # the time for which the client waits, from the first byte of the command
     info: str  # all names and values of the flag `P`, as they were received
 
 
