--- a/balancer/admission.py
+++ b/balancer/admission.py
@@ -15,7 +15,7 @@
 # Drops begin at this share of the latency objective at the latest, however high the lowest mean latency has
 # been.
 DROP_START_MAX_SHARE = 0.75
-# How fast the share of dropped requests rises with the latency: at 1.5 times the latency at which drops
+# The rise of the share of dropped requests with the latency: at 1.5 times the latency at which drops
 # begin, all requests are dropped.
 DROP_SLOPE = 2.0
 
--- a/balancer/attempt_evaluation.py
+++ b/balancer/attempt_evaluation.py
@@ -80,8 +80,8 @@
         """
         elapsed_ms = now - sent_ms
         idle_ms = sent_ms - server.last_use_ms
-        # A reset that comes this soon was on its way before the attempt was sent: the idle connection had
-        # been closed, and the server has not failed.
+        # A reset that comes this soon was already under way when the attempt was sent: the server had closed
+        # the idle connection, and has not failed.
         stale_ms = STALE_CONNECTION_FACTOR * self._latency.mean_ms
         if status is Status.RESET and elapsed_ms < stale_ms and elapsed_ms < idle_ms < math.inf:
             self.trusted_idle_ms = min(self.trusted_idle_ms, idle_ms) / 2
@@ -107,11 +107,11 @@
         # that was sent later has been answered.
         usual_ms = SILENCE_FACTOR * max(server.latency.mean_ms, self._latency.mean_ms)
         timed_out = status is Status.TIMEOUT
-        says_nothing = timed_out and (
+        is_inconclusive = timed_out and (
             elapsed_ms < usual_ms or sent_ms + usual_ms < server.newest_answered_sent_ms
         )
         is_silent = (
-            timed_out and not (server.is_origin or says_nothing) and server.last_response_ms <= sent_ms
+            timed_out and not (server.is_origin or is_inconclusive) and server.last_response_ms <= sent_ms
         )
         reset_limit = (
             1 if self._settings.may_probe else RESETS_TO_EJECT + (self._reset_rate > RESET_RATE_HIGH)
@@ -126,7 +126,7 @@
             if was_reset or refused_at_once:
                 self._outliers.probe(now, server)
         self._record_latency(now, server, status, elapsed_ms, request, is_silent)
-        if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not says_nothing:
+        if status in (Status.OK, Status.FULL, Status.TIMEOUT) and not is_inconclusive:
             self._adjust_limit(now, server, status)
         return was_reset and not is_broken
 
@@ -140,7 +140,7 @@
         is_silent: bool,
     ) -> None:
         """Records the latency of an attempt; that of a timeout or a full server is estimated."""
-        # A response in place of a refusal by a full server, or of a timeout, would have taken longer.
+        # Had the server not been full, or the attempt not timed out, its response would have come later.
         if status is Status.FULL:
             latency_ms = max(latency_ms, self._objective_ms)
         elif status is Status.TIMEOUT:
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: turns events into actions through the parts that decide. See docs/design/overview.md."""
+"""The balancer: turns events into actions, which other modules decide. See docs/design/overview.md."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -180,7 +180,7 @@
             return
         server = self._selector.select(now, request, self._read_objective_ms)
         if server is None:
-            # While some servers are cold, the others may lack capacity: the origin takes what they cannot.
+            # While some servers are cold, the others may lack capacity: the origin then serves the request.
             if all(self._slow_start.is_warm(now, s) for s in self._servers.values()) and len(self._rings):
                 self._reject(now, request, "bounds", MIN_MEMORY_MS)
             else:
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -1,6 +1,6 @@
 """The limit on the requests in flight at one server: additive increase, multiplicative decrease.
 
-A crowded server works more slowly, so a queue there makes itself longer. All times are in milliseconds.
+A crowded server works more slowly, so its queue grows even faster. All times are in milliseconds.
 """
 
 from balancer.latency import CROWDED_RATIO, UNCROWDED_SHARE
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -31,5 +31,5 @@
     cell: int = 0
 
     def group_number(self, group: DedupScope) -> int:
-        """Returns the number of the server's group; servers with the same number are in the same group."""
+        """Returns the server's group in a scope: servers with the same number share idempotency keys."""
         return 0 if group is DedupScope.ALL else getattr(self, group.value)
--- a/balancer/hash_ring.py
+++ b/balancer/hash_ring.py
@@ -50,7 +50,7 @@
         self.add_all([(owner, name, count)])
 
     def add_all(self, items: Iterable[tuple[Owner, str, int]]) -> None:
-        """Does what `add` does for several distinct owners; at a start these are the whole fleet."""
+        """Adds several distinct owners, as `add` adds one; at a start these are the whole fleet."""
         added: list[int] = []
         for owner, name, count in items:
             if len(self._tokens.get(owner, ())) != count:
--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -16,7 +16,7 @@
 # A server whose mean latency is below this share of the shortest latency objective is never crowded.
 UNCROWDED_SHARE = 0.25
 # A server is crowded when its mean latency exceeds this multiple of the lowest mean latency it has had: half
-# of that excess may be chance, the rest is queueing.
+# of that excess may be chance, the other half is queueing.
 CROWDED_RATIO = 1.5
 # The most votes that a usual timeout can gather, so that about as many requests with another one replace it.
 USUAL_TIMEOUT_VOTES = 100
--- a/balancer/list_subscription.py
+++ b/balancer/list_subscription.py
@@ -16,13 +16,13 @@
 
     def __init__(self, settings: Settings, random: Random) -> None:
         """Starts with the first backoff; `random` is seeded by the balancer, so that runs are repeatable."""
-        self._ask_within_ms = settings.max_poll_interval_ms
+        self._max_poll_interval_ms = settings.max_poll_interval_ms
         self._random = random
         self._backoff_ms = BACKOFF_MS
 
     def initial_delay_ms(self, peers_total: int) -> float:
         """Returns the delay of the first call, which spreads the calls of balancers that start together."""
-        spread_ms = min(self._ask_within_ms / 2, CALL_SPACING_MS * peers_total)
+        spread_ms = min(self._max_poll_interval_ms / 2, CALL_SPACING_MS * peers_total)
         return spread_ms * self._random.random()
 
     def record_failure(self) -> float:
@@ -31,7 +31,7 @@
         The jitter prevents balancers whose calls failed together from calling together again.
         """
         delay_ms = self._backoff_ms * (0.5 + self._random.random())
-        self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS, self._ask_within_ms)
+        self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_MS, self._max_poll_interval_ms)
         return delay_ms
 
     def record_success(self) -> None:
--- a/balancer/origin_fetch.py
+++ b/balancer/origin_fetch.py
@@ -10,7 +10,7 @@
 from balancer.request_state import RequestState
 from balancer.settings_types import Settings
 
-# A request stops waiting this much sooner than it would have to for its fetch to be in time, since timers
+# A request stops waiting this long before the last moment at which its fetch would be in time, since timers
 # fire late.
 WAIT_MARGIN_MS = 50.0
 # The maximum number of requests ahead of a request in the queue; with more ahead of it, it is rejected.
@@ -30,7 +30,7 @@
         return bool(self._entries)
 
     def push(self, now: float, request: RequestState, priority: float) -> int:
-        """Enqueues the request, and returns how many are ahead of it.
+        """Enqueues the request, and returns the number of requests ahead of it.
 
         Requests that have ended are removed from the queue first.
         """
@@ -100,7 +100,7 @@
     def latest_wait_end_ms(self, now: float, request: RequestState, ahead_count: float) -> float | None:
         """Returns the time until which the request may wait, with `ahead_count` requests ahead of it.
 
-        Returns None if its turn would come later than that.
+        Returns None if a slot for it would be free only after that time.
         """
         wait_end_ms = request.useful_until_ms - self._latency.mean_ms - WAIT_MARGIN_MS
         if ahead_count > MAX_QUEUED_AHEAD or wait_end_ms <= now + ahead_count * self._latency.mean_ms:
--- a/balancer/origin_slots.py
+++ b/balancer/origin_slots.py
@@ -32,8 +32,8 @@
     """Returns whether the origin, or the network path to it, may be dead.
 
     The gap between two responses of a working origin is no longer than the latency of the later one. An
-    origin
-    that has become slow therefore counts as silent only until its mean latency has risen."""
+    origin that has become slow therefore counts as silent only until its mean latency has risen.
+    """
     return bool(server.in_flight) and now - server.last_response_ms >= OVERDUE_FACTOR * usual_ms
 
 
@@ -46,16 +46,15 @@
 def can_send(server: Server, usual_ms: float, now: float) -> bool:
     """Returns whether one more attempt may be sent now.
 
-    The server's `next_probe_ms` is the earliest time of the next trial; a trial moves it on.
+    The server's `next_probe_ms` is the earliest time of the next trial; each trial postpones it.
     """
     if slots_in_use(server, usual_ms, now) < server.limit:
         return True
     if now < server.next_probe_ms or not is_silent(server, usual_ms, now):
         return False
     newest_sent_ms = max(sent_ms for _, sent_ms in server.in_flight.values())
-    if (
-        now - newest_sent_ms < OVERDUE_FACTOR * usual_ms
-    ):  # A trial or another new attempt may still be answered.
+    # A trial or another new attempt may still be answered.
+    if now - newest_sent_ms < OVERDUE_FACTOR * usual_ms:
         return False
     server.next_probe_ms = now + TRIAL_INTERVAL_MS
     return True
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -79,8 +79,8 @@
     def eject(self, now: float, server: Server, cancel_attempts: bool = True) -> None:
         """Ejects the server.
 
-        Its attempts in flight are cancelled if `cancel_attempts` says so: each would wait for its timeout
-        otherwise.
+        If `cancel_attempts` is set, its attempts in flight are cancelled, since each would otherwise wait for
+        its timeout.
         """
         if server.ejected_at_ms is None:
             server.ejected_at_ms, server.next_probe_ms = now, now + PROBE_INTERVAL_MS
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -46,12 +46,12 @@
                 seen.add(server)
                 found_count += 1
                 if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
-                    deferred.append(server)  # it comes after the first servers of all zones
+                    deferred.append(server)  # The first servers of all zones come before it.
                 else:
                     zones.add(server.entry.zone)
                     yield server
             elif rings.has_few_balancers and ring is rings.local and not is_warm:
-                # All servers of the local zone may be as cold, and must not get what this one doesn't take.
+                # All servers of the local zone may be as cold, and must not get the keys of this one.
                 break
             else:
                 skipped_count += not is_warm
--- a/balancer/request_factory.py
+++ b/balancer/request_factory.py
@@ -56,7 +56,7 @@
     def _elapsed_ms(self, event: Request) -> float:
         """Returns how much time the client has spent on earlier attempts of the request, in ms.
 
-        A first attempt of the client has the usual timeout of its class; a later one has what is left of it.
+        A first attempt of the client has the usual timeout of its class; a later one has its remainder.
         """
         usual_timeout = self._usual_timeouts[event.class_number]
         if usual_timeout.vote(event.time_left_ms, SAME_TIMEOUT_MS, USUAL_TIMEOUT_VOTES):
--- a/balancer/request_state.py
+++ b/balancer/request_state.py
@@ -1,4 +1,4 @@
-"""What the balancer remembers about a request and about a server: state alone, no decisions.
+"""The state that the balancer keeps for each request and each server. It makes no decisions.
 
 All times are in milliseconds; each field that ends in `_ms` is a point in time.
 """
@@ -32,7 +32,7 @@
     probe_sent_ms: float | None = None  # when the unanswered probe was sent; None if there is none
     check_scheduled: bool = False  # whether a check for silence is scheduled
     last_decrease_ms: float = -math.inf  # when `limit` was last lowered
-    last_use_ms: float = -math.inf  # the last response over a connection that may still be open
+    last_use_ms: float = -math.inf  # the time of the last response over a connection that may still be open
     removed: bool = False  # whether it was removed from the endpoint list
 
     def capacity_share(self, now: float, start_capacity: float, warm_up_ms: float) -> float:
@@ -54,7 +54,7 @@
     """The requests for one key that are sent one at a time."""
 
     requests: "deque[RequestState]" = field(default_factory=deque)  # the requests, oldest first
-    settled_at_ms: float = -math.inf  # until then no request is sent: an earlier attempt may still be running
+    settled_at_ms: float = -math.inf  # no request is sent before this time: an earlier attempt may be running
 
 
 @dataclass(slots=True, eq=False)
--- a/balancer/server_selection.py
+++ b/balancer/server_selection.py
@@ -24,9 +24,11 @@
     After an attempt that may have run, only the servers in the deduplication scope of that attempt's server
     know the idempotency key.
     """
-    ran_on = request.possible_run_server if request.request_class.idempotency is Idempotency.KEYED else None
+    run_server = (
+        request.possible_run_server if request.request_class.idempotency is Idempotency.KEYED else None
+    )
     scope = request.request_class.dedup_scope
-    return ran_on is None or ran_on.entry.group_number(scope) == server.entry.group_number(scope)
+    return run_server is None or run_server.entry.group_number(scope) == server.entry.group_number(scope)
 
 
 class ServerSelector:
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -210,7 +210,7 @@
     return zone
 
 
-def _read_origin_kind(specifics: Section, machine_types: tuple[str, ...]) -> int:
+def _read_origin_machine_type(specifics: Section, machine_types: tuple[str, ...]) -> int:
     is_cache_aside = specifics.fields.get("mode") == "aside"
     origin_machine_type = specifics.value("origin-kind", int, -1) if is_cache_aside else -1
     if not -1 <= origin_machine_type < len(machine_types):
@@ -234,7 +234,7 @@
     specifics, prices = root.section("specifics"), root.section("prices")
     zones, machine_types = root.names("zones"), root.names("machine-types")
     zone = _read_zone(root, zones)
-    origin_machine_type = _read_origin_kind(specifics, machine_types)
+    origin_machine_type = _read_origin_machine_type(specifics, machine_types)
     start_capacity = _read_start_capacity(guarantees)
     return Settings(
         classes=_read_classes(root),
--- a/balancer/settings_types.py
+++ b/balancer/settings_types.py
@@ -74,7 +74,7 @@
     zone: int = 0  # the index in `zones` of this balancer's zone
     cross_zone_cost: float = 0.0  # the cost of an attempt in another zone, in units of importance; 0: none
     weighted_tokens: bool = False  # a server's tokens on the ring are in proportion to its weight
-    is_list_pushed: bool = False  # the endpoint list arrives by itself; otherwise the balancer asks for it
+    is_list_pushed: bool = False  # the endpoint list is sent without a call; otherwise it is polled
     over_quota_importance: float = 1.0  # the factor on the importance of requests beyond their tenant's quota
     max_attempts: int = 3  # the most attempts of one request, the first one included
     may_cancel: bool = True  # attempts may be cancelled
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -32,15 +32,15 @@
         return now >= server.warm_up_start_ms + self._warm_up_ms
 
     def active_share(self, now: float, server: Server) -> float:
-        """Returns the part of the server's tokens that is active, by what it can serve now."""
-        warmth = server.capacity_share(now, self._start_capacity, self._warm_up_ms)
+        """Returns the part of the server's tokens that is active, by the load that it can serve now."""
+        capacity_share = server.capacity_share(now, self._start_capacity, self._warm_up_ms)
         # The weights in the endpoint list overstate old machines, so a machine type that is slower than the
         # mean of all servers has fewer active tokens.
         latency_ms, overload_factor = server.machine_type_latency.mean_ms, 1.0
         # A cold server must get neither the load that slow machine types shed nor a storm of retries that
         # full servers have refused.
-        if warmth < 1.0:
+        if capacity_share < 1.0:
             latency_ms = max(estimate.mean_ms for estimate in self._machine_types.values())
             overload_factor = (1.0 - self.full_response_share) ** 2
         usual_ms = max(self._latency.mean_ms, UNCROWDED_SHARE * self._objective_ms)
-        return warmth * overload_factor * min(1.0, usual_ms / latency_ms) ** 2
+        return capacity_share * overload_factor * min(1.0, usual_ms / latency_ms) ** 2
--- a/balancer/zone_weights.py
+++ b/balancer/zone_weights.py
@@ -1,4 +1,4 @@
-"""The weights of the servers on the rings, summed by zone; an update costs as much as what it changes."""
+"""The weights of the servers on the rings, summed by zone. An update touches only what it changes."""
 
 import math
 from collections import Counter
