--- a/cloverwell/connections/client_policy.py
+++ b/cloverwell/connections/client_policy.py
@@ -29,7 +29,7 @@
 # Timeouts after which a connection is closed, even if descriptors are available.
 FIRST_REQUEST_TIMEOUT_MS = 1900.0  # The platform's limit for a silent connection is 2 s.
 PARTIAL_COMMAND_TIMEOUT_MS = 2400.0  # A client may take 2 s for a command, and must get an error within 3 s.
-IDLE_TIMEOUT_MS = 10_000.0
+IDLE_TIMEOUT_MS = 10_000.0  # the time after which a client without an open request is disconnected
 CLOSE_TIMEOUT_MS = 1000.0  # the time that a client has to close its side once the proxy's side is closed
 CLOSE_TIMEOUT_UNDER_PRESSURE_MS = 100.0  # that time while no descriptor is available
 
@@ -37,7 +37,7 @@
 MIN_FIRST_REQUEST_GRACE_MS = 40.0
 MAX_FIRST_REQUEST_GRACE_MS = 400.0
 INITIAL_FIRST_REQUEST_GRACE_MS = 150.0  # the grace until the first requests have been observed
-GRACE_FACTOR = 3.0  # the grace, in times that nearly all clients need at most for their first request
+GRACE_FACTOR = 3.0  # the grace is this multiple of the time in which 95% of clients send a first request
 PARTIAL_COMMAND_GRACE_MS = 500.0
 RESPONSE_DELIVERY_MS = 20.0  # the time for which a response may still be on its way to its client
 
@@ -113,7 +113,7 @@
         state.request_count += 1
 
     def record_no_open_request(
-        self, client: ClientT, now: float, partial_command: bool, begun_ms: float = math.inf
+        self, client: ClientT, now: float, partial_command: bool, first_byte_ms: float = math.inf
     ) -> None:
         """Record that no request of the client is open.
 
@@ -121,7 +121,7 @@
             client: the connection.
             now: the time in ms.
             partial_command: whether a part of a command has come.
-            begun_ms: when the first byte of that part came, which may be before the last response.
+            first_byte_ms: when the first byte of that part came, which may be before the last response.
         """
         state = self.states.by_client.get(client)
         if state is None or state.stage is ClientStage.CLOSING:
@@ -131,11 +131,11 @@
         else:
             stage = ClientStage.IDLE if state.request_count else ClientStage.NEW
         if stage is state.stage:
-            # The time in the stage goes on, so that a malformed command does not extend a timeout.
+            # The time in the stage is not reset, so that a malformed command does not extend a timeout.
             return
         self.states.move(client, state, stage, now)
-        if partial_command and begun_ms < now:
-            self.states.backdate_partial_command(state, begun_ms)
+        if partial_command and first_byte_ms < now:
+            self.states.backdate_partial_command(state, first_byte_ms)
 
     def record_partial_command_bytes(self, client: ClientT, now: float) -> None:
         """Record that more bytes of a partial command have come."""
@@ -177,7 +177,7 @@
         return None if state is None else state.stage
 
     def first_request_grace_ms(self) -> float:
-        """Return how long in ms a connection without a request is kept although its descriptor is needed."""
+        """Return the ms for which a connection without a request is kept even if its descriptor is needed."""
         usual_ms = GRACE_FACTOR * self._first_request_ms.value
         return min(max(MIN_FIRST_REQUEST_GRACE_MS, usual_ms), MAX_FIRST_REQUEST_GRACE_MS)
 
--- a/cloverwell/connections/client_states.py
+++ b/cloverwell/connections/client_states.py
@@ -86,10 +86,10 @@
             self.new_by_source[state.source] += 1
         self._clients_in_stage_of(state)[client] = None
 
-    def backdate_partial_command(self, state: ClientState, begun_ms: float) -> None:
+    def backdate_partial_command(self, state: ClientState, first_byte_ms: float) -> None:
         """Set the time at which a partial command began, and keep that stage in the order of these times."""
-        state.since_ms = begun_ms
-        for other in [client for client in self.partial if self.by_client[client].since_ms > begun_ms]:
+        state.since_ms = first_byte_ms
+        for other in [client for client in self.partial if self.by_client[client].since_ms > first_byte_ms]:
             self.partial.move_to_end(other)
 
     def older_than(
--- a/cloverwell/connections/close_reason.py
+++ b/cloverwell/connections/close_reason.py
@@ -1,4 +1,4 @@
-"""The reasons for which connections are closed; the values name counters and stand in log lines."""
+"""The reasons for which connections are closed; the values are names of counters and words of the log."""
 
 from enum import Enum
 
--- a/cloverwell/connections/concurrency_forecast.py
+++ b/cloverwell/connections/concurrency_forecast.py
@@ -8,9 +8,9 @@
 import math
 from dataclasses import dataclass
 
-WINDOW_MS = 250.0
+WINDOW_MS = 250.0  # the length of a window whose peak is recorded
 PEAK_WEIGHT = 0.15  # the weight of the last window's peak in the running means
-DEVIATION_MARGIN = 1.5  # how many mean deviations the forecast lies above the mean peak
+DEVIATION_MARGIN = 1.5  # the number of mean deviations that are added to the mean peak for the forecast
 MAX_IDLE_WINDOWS = 40  # the most windows without an attempt that one update adds to the means
 
 
@@ -25,14 +25,14 @@
     peak_deviation: float = 0.0  # the mean deviation of the peaks from their mean
 
     def record(self, in_use: int, now: float) -> None:
-        """Records how many connections are in use from now on."""
+        """Records the number of connections that are in use from now on."""
         if now >= self.window_end_ms:
             self._close_windows(now)
         self.in_use = in_use
         self.peak = max(self.peak, in_use)
 
     def expected_peak(self, now: float) -> int:
-        """Returns how many connections are expected to be needed at once."""
+        """Returns the number of connections that are expected to be needed at once."""
         if now >= self.window_end_ms:
             self._close_windows(now)
         return math.ceil(max(self.mean_peak + DEVIATION_MARGIN * self.peak_deviation, self.peak))
--- a/cloverwell/connections/connection_cap.py
+++ b/cloverwell/connections/connection_cap.py
@@ -25,7 +25,7 @@
 
     def record_refusal(self, open_count: int, now: float) -> None:
         """Records that the node refused a connection while `open_count` others were open."""
-        if not open_count:  # The node may be down, which says nothing about the number that it accepts.
+        if not open_count:  # The node may be down, which is no evidence about the number that it accepts.
             return
         self.refusal_count += 1
         if self.refusal_count >= REFUSALS_AT_CAP:
--- a/cloverwell/connections/connection_loss.py
+++ b/cloverwell/connections/connection_loss.py
@@ -9,7 +9,7 @@
 class ConnectionLoss:
     """The end of a connection by its node while an attempt was on it; times in ms."""
 
-    # How long the connection had stood idle before its oldest attempt; None if it was new or busy.
+    # How long the connection had been idle before its oldest attempt; None if it was new or busy.
     idle_age_ms: float | None
     since_write_ms: float  # the time since the last bytes of that attempt were written
     answer_begun: bool  # whether a part of the answer had come
--- a/cloverwell/connections/idle_limits.py
+++ b/cloverwell/connections/idle_limits.py
@@ -1,6 +1,6 @@
 """Learns the idle time after which a node closes connections without notice. No I/O.
 
-Each attempt that is written to a connection that had stood idle for some time is evidence: if it is
+Each attempt that is written to a connection that had been idle for some time is evidence: if it is
 answered, the connection was open at that idle age; if it is reset at once, it was not. If the share of resets
 jumps from one age on, that age is the limit. Resets that are as frequent on young connections have other
 causes: they lower the jump, not the limit.
@@ -51,7 +51,7 @@
 
 
 class IdleEvidence(Enum):
-    """The outcome of an attempt on a connection that had stood idle."""
+    """The outcome of an attempt on a connection that had been idle."""
 
     ANSWERED = "answered"  # The node answered.
     RESET = "reset"  # The node reset or closed the connection at once.
@@ -100,7 +100,7 @@
         self.gain = 0.0  # the log-likelihood ratio of the limit over no limit
 
     def learn(self, age_ms: float, evidence: IdleEvidence, now: float) -> None:
-        """Counts one attempt on a connection that had stood idle for `age_ms`."""
+        """Counts one attempt on a connection that had been idle for `age_ms`."""
         self.decay(now)
         if evidence is IdleEvidence.ANSWERED:
             self._answered[bucket_index(age_ms)] += 1.0
@@ -204,7 +204,7 @@
         return len(self._nodes)
 
     def learn(self, node: str, node_type: str, age_ms: float, evidence: IdleEvidence, now: float) -> None:
-        """Counts one attempt on a connection to the node that had stood idle for `age_ms`."""
+        """Counts one attempt on a connection to the node that had been idle for `age_ms`."""
         for table, name, owner in ((self._nodes, node, node), (self._types, node_type, None)):
             histogram = table.get(name)
             if histogram is None:
--- a/cloverwell/connections/metrics.py
+++ b/cloverwell/connections/metrics.py
@@ -19,7 +19,7 @@
     REUSED = "reused"  # An attempt was written to a connection that had served before.
     RETIRED = "retired"  # The proxy closed an idle connection.
     CLOSED_BY_NODE = "closed_by_node"  # The node closed an idle connection.
-    STALE = "stale"  # An attempt was lost on a connection that had stood idle.
+    STALE = "stale"  # An attempt was lost on a connection that had been idle.
     # A connection ended before the attempt's last byte was written, so that the attempt could go elsewhere.
     STALE_DETECTED = "caught"
     RESET = "reset"  # An attempt was lost on a new or busy connection.
--- a/cloverwell/connections/node_policy.py
+++ b/cloverwell/connections/node_policy.py
@@ -8,8 +8,8 @@
 **Validation.** A node may have closed a connection without the proxy knowing, and a request that is reset
 may have run. So the last byte of an attempt is held back if its loss would be costly, or if its connection
 has been idle for longer than any that is known to have stayed open. A node that has closed the connection
-answers the other bytes with a reset. Without its last byte the request has not run, so it goes elsewhere at
-no loss. Validation costs one round trip.
+answers the other bytes with a reset. Without its last byte the request has not run, so it can be sent to
+another connection. Validation costs one round trip.
 
 **Opening ahead.** Connections are opened before attempts need them if attempts come so fast that the
 connections will be used before they are too old, if handshakes are slow, and if the node is neither cold nor
@@ -41,7 +41,7 @@
 MAX_RESET_MS = 60.0  # a reset that took longer interrupted the node's work, and did not answer a write
 INITIAL_ANSWER_MS, INITIAL_GAP_MS = 50.0, 1000.0  # the running means before anything is known
 MAX_GAP_MS = 10_000.0  # a longer gap between attempts counts as this long
-# The weight of the last answer time, gap and handshake in the running mean of each.
+# The weight of the last answer time, gap and handshake time in the running mean of each.
 ANSWER_WEIGHT, GAP_WEIGHT, CONNECT_WEIGHT = 0.1, 0.1, 0.2
 
 
@@ -142,8 +142,8 @@
         """Records that a handshake begun at `asked_ms` timed out while `open_count` connections were open.
 
         A node at its cap still answers on its open connections, and then this counts as a refusal. A node
-        that is cut off or gone answers nothing, which says nothing about its cap: if it were capped at the
-        connections open then, it would hardly get an attempt once it is back.
+        that is cut off or has stopped answers nothing, which is no evidence about its cap: if it were capped
+        at the connections open then, it would hardly get an attempt once it is back.
         """
         entry = self._nodes.get(node)
         if entry is not None and entry.last_answer_ms > asked_ms:
@@ -152,7 +152,7 @@
     def record_answer(self, node: str, idle_age_ms: float | None, elapsed_ms: float, now: float) -> None:
         """Records an answer that took `elapsed_ms`.
 
-        Before the attempt the connection had stood idle for `idle_age_ms`; None if it was new or busy.
+        Before the attempt the connection had been idle for `idle_age_ms`; None if it was new or busy.
         """
         entry = self._nodes.get(node)
         if entry is None:
@@ -185,7 +185,7 @@
         """Records an attempt that was abandoned `elapsed_ms` after its first byte, with no byte of an answer.
 
         A network device may drop a connection's packets, so that no reset ever comes. An overloaded node
-        leaves attempts on connections of any age without an answer, and that moves no idle limit.
+        leaves attempts on connections of any age without an answer, and that changes no idle limit.
         """
         entry = self._nodes.get(node)
         if entry is None or idle_age_ms is None:
@@ -209,7 +209,7 @@
     # Decisions ----------------------------------------------------------------------------------
 
     def choose_use(self, node: str, idle_age_ms: float | None, costly: bool) -> ConnectionUse:
-        """Decides how to use a connection that has stood idle for `idle_age_ms`; None if it is new or busy.
+        """Decides how to use a connection that has been idle for `idle_age_ms`; None if it is new or busy.
 
         `costly` tells whether the loss of the attempt would be costly, since it may not run twice.
         """
@@ -293,7 +293,7 @@
         entry = self._nodes.get(node)
         if entry is None or not self._may_open_ahead(entry) or now < entry.cold_until_ms:
             return 0
-        # Spare connections take turns with those in use, so that each is used about once in `wanted` gaps.
+        # Spare and busy connections are used alternately, so that each is used about once in `wanted` gaps.
         wanted = entry.concurrency.expected_peak(now)
         if wanted * entry.mean_gap_ms > MAX_AHEAD_IDLE_SHARE * self._limit_ms(entry, node):
             return 0
--- a/cloverwell/connections/node_type.py
+++ b/cloverwell/connections/node_type.py
@@ -7,9 +7,9 @@
 RESET_WEIGHT = 0.03  # the weight of one attempt in the recent share of resets
 LONG_RESET_WEIGHT = 0.005  # the weight of one attempt in the share of resets over a longer time
 STALE_WEIGHT = 0.001  # the weight of one attempt in the share of stale connections
-RESET_TIME_WEIGHT = 0.05  # the weight of one reset in the time that resets take, while that time sinks
+RESET_TIME_WEIGHT = 0.05  # the weight of one reset in the time that resets take, while that time falls
 FREQUENT_RESET_SHARE = 0.004  # the resets per attempt above which even fresh connections are validated
-COMMON_RESET_SHARE = 0.02  # the resets per attempt from which one more reset says nothing about its node
+COMMON_RESET_SHARE = 0.02  # the resets per attempt from which one more reset is no evidence about its node
 STALE_SHARE = 0.0005  # the stale connections per attempt below which idle connections of any age are trusted
 # The share of losses without a reset above which dead connections of the type count as silent.
 SILENT_SHARE = 0.5
@@ -23,7 +23,7 @@
     long_reset_share: float = 0.0  # the same share over a longer time, with attempts lost in silence
     stale_share: float = 0.0  # the share of attempts lost on idle connections, over a long time
     silent_share: float = 0.0  # the share of the losses on idle connections that came without a reset
-    reset_ms: float = 0.0  # the longest time that a reset took to arrive; it sinks slowly
+    reset_ms: float = 0.0  # the longest time that a reset took to arrive; it falls slowly
 
     @property
     def resets_are_frequent(self) -> bool:
@@ -32,7 +32,7 @@
 
     @property
     def resets_are_rare(self) -> bool:
-        """Tells whether resets are so rare that one more says something about its node."""
+        """Tells whether resets are so rare that one more is evidence about its node."""
         return self.long_reset_share < COMMON_RESET_SHARE
 
     @property
@@ -60,7 +60,7 @@
             self.reset_ms = max(since_write_ms, decayed_ms)
 
     def record_stale(self) -> None:
-        """Records that the connection of the last `record_loss` had stood idle before its attempt."""
+        """Records that the connection of the last `record_loss` had been idle before its attempt."""
         self.stale_share += STALE_WEIGHT * (1.0 - self.stale_share)
         self.silent_share *= 0.5
 
--- a/cloverwell/connections/schedule.py
+++ b/cloverwell/connections/schedule.py
@@ -3,7 +3,7 @@
 A sweep over all items does the same work each time, even if most of them have nothing to do. In a `Schedule`
 an item is visited when it has changed (`wake`), or at the time that was set at its last visit (`visit_at`).
 The items are visited in the order in which they were added, as by a loop over all of them. An item that is
-woken during a sweep is visited in the same sweep if its place in that order is still to come.
+woken during a sweep is visited in the same sweep if no later item has been visited yet.
 
 Times are milliseconds of one clock.
 """
@@ -53,7 +53,7 @@
             self._woken.discard(number)
 
     def wake(self, item: Item) -> None:
-        """Makes the next sweep visit the item, or the current sweep if the item's turn is still to come."""
+        """Makes the next sweep visit the item, or the current one if it has visited no later item."""
         number = self._numbers.get(item)
         if number is None or number in self._woken:
             return
--- a/cloverwell/connections/unsent_retry.py
+++ b/cloverwell/connections/unsent_retry.py
@@ -27,7 +27,7 @@
 
 
 def retry_at_ms(request: UnsentRequest, now: float, tick_ms: float) -> float | None:
-    """Returns the time in ms at which to decide the request again, or None if the present decision stands.
+    """Returns the time in ms at which to decide the request again, or None to keep the present decision.
 
     `tick_ms` is the granularity of the timer wheel.
     """
