--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -26,7 +26,7 @@
 RETRY_AFTER_MS = 50.0  # the Retry-After of a rejected request; MIN_MEMORY_MS is used if servers are crowded
 WAKE_TOKEN, RESUBSCRIBE_TOKEN = 0, 1  # the tokens of the timers for scheduled calls and for list calls
 CHECK_INTERVAL_MS = 25.0  # the time between two checks of a server with attempts in flight
-CLOSE_AGAIN_SHARE = 0.8  # the part of the permitted time after which connections are closed a second time
+CLOSE_AGAIN_SHARE = 0.8  # a removed server's connections are closed again at this share of `drain_close_ms`
 
 
 class Balancer:
--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -71,7 +71,7 @@
     votes: int = 0
 
     def vote(self, time_left_ms: float, tolerance_ms: float, max_votes: int) -> bool:
-        """Counts the vote of a request with so much time left; returns whether it has the usual timeout."""
+        """Counts the vote of a request with `time_left_ms`; returns whether it has the usual timeout."""
         is_usual = abs(time_left_ms - self.timeout_ms) <= tolerance_ms
         self.votes = min(self.votes + 1, max_votes) if is_usual else self.votes - 1
         if self.votes < 0:  # Most of the recent requests had another timeout.
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -29,21 +29,21 @@
     # Ten bits of the position, which are random, decide if the key is in the local zone's share.
     if (position >> 10) % 1024 >= 1024 * rings.local_share:
         ring_order.reverse()
-    seen, zones, deferred = set[Server](), set[int](), list[Server]()
+    seen_servers, zones, deferred = set[Server](), set[int](), list[Server]()
     for ring in ring_order:
         # Both rings may hold the same server, so this one may hold some that are seen already.
-        found_count, skipped_count = sum(server in ring for server in seen), 0
+        found_count, skipped_count = sum(server in ring for server in seen_servers), 0
         max_count = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
         for token, server in ring.clockwise(position):
             if found_count >= max_count or skipped_count > MAX_SKIPS:
                 break
-            if server in seen:
+            if server in seen_servers:
                 continue
             is_warm = slow_start.is_warm(now, server)
             is_allowed = is_warm or skipped_count <= MAX_SKIPS_BEFORE_COLD
             # The low ten bits of a token, which are random, decide if the token is in the active share.
             if is_allowed and token % 1024 < 1024 * slow_start.active_share(now, server):
-                seen.add(server)
+                seen_servers.add(server)
                 found_count += 1
                 if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
                     deferred.append(server)  # The first servers of all zones come before it.
--- a/cloverwell/back/idle_connections.py
+++ b/cloverwell/back/idle_connections.py
@@ -43,11 +43,11 @@
         usable = [connection for connection in self.connections if connection.usable_from_ms <= now]
         if not usable:
             return None
-        found = next(
+        selected = next(
             (connection for connection in reversed(usable) if connection.is_settled(now)), usable[-1]
         )
-        self.remove(found)
-        return found
+        self.remove(selected)
+        return selected
 
     def count_not_yet_usable(self, now: float) -> int:
         """Returns the number of connections that become usable only a few ms after their last answer."""
--- a/cloverwell/back/pool.py
+++ b/cloverwell/back/pool.py
@@ -254,13 +254,13 @@
         """
         if self._opening.fault is not None:
             return False
-        wanted = self._policy.open_ahead_count(self.node, self.connection_count, now)
-        for _ in range(wanted):
+        wanted_count = self._policy.open_ahead_count(self.node, self.connection_count, now)
+        for _ in range(wanted_count):
             if not self._context.may_open_spare():
                 break
             self._metrics.add(ConnectionEvent.OPENED_AHEAD, self.node)
             self._opening.open()
-        return wanted > 0
+        return wanted_count > 0
 
     # Connections -----------------------------------------------------------------------------------
 
@@ -385,14 +385,14 @@
         """
         if self._waiting.attempts or self.has_left:
             return now
-        ahead_again_ms = self._policy.next_open_ahead_ms(self.node)
+        open_ahead_due_ms = self._policy.next_open_ahead_ms(self.node)
         if not self.connections:
-            return ahead_again_ms
+            return open_ahead_due_ms
         last_data_ms = min((one.last_stream_data_ms for one in self.connections if one.stream), default=now)
         idle = self._idle.connections
         idle_since_ms = idle[0].idle_since_ms if idle else now
         return min(
             last_data_ms + STREAM_STALL_MS,
             idle_since_ms + self._policy.idle_limit_ms(self.node),
-            ahead_again_ms,
+            open_ahead_due_ms,
         )
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -92,8 +92,8 @@
         if pool.has_left and pool.is_unused:  # New nodes have new names: old pools would accumulate.
             self._remove(pool)
             return
-        wanted = not pool.has_left and pool.open_ahead(now)
-        self._schedule.visit_at(pool, now if wanted else pool.next_sweep_ms(now))
+        wants_open_ahead = not pool.has_left and pool.open_ahead(now)
+        self._schedule.visit_at(pool, now if wants_open_ahead else pool.next_sweep_ms(now))
 
     def _remove(self, pool: Pool) -> None:
         del self._pools[pool.node]
--- a/cloverwell/codec/meta.py
+++ b/cloverwell/codec/meta.py
@@ -14,8 +14,8 @@
 
 from cloverwell.codec.errors import CodecError
 
-MAX_KEY_LENGTH = 250  # characters
-MAX_ID_LENGTH = 64  # characters
+MAX_KEY_LENGTH = 250  # the longest key, in characters
+MAX_ID_LENGTH = 64  # the longest id of a request, in characters
 MAX_WAIT_MS = 3_600_000  # the longest time that a client may say it waits
 
 
--- a/cloverwell/codec/ring_buffer.py
+++ b/cloverwell/codec/ring_buffer.py
@@ -25,7 +25,7 @@
         return self.bound - self._size
 
     def write(self, data: bytes | memoryview) -> int:
-        """Writes as much of the data as there is room for, and returns how many bytes that was."""
+        """Writes as much of the data as there is room for, and returns the number of bytes written."""
         written = min(len(data), self.room)
         if not written:
             return 0
@@ -71,10 +71,10 @@
         """Removes all bytes."""
         self._data, self._head, self._size = bytearray(), 0, 0
 
-    def find(self, mark: bytes) -> int:
-        """Returns the number of bytes before the first occurrence of `mark`, or -1 if there is none."""
+    def find(self, pattern: bytes) -> int:
+        """Returns the number of bytes before the first occurrence of `pattern`, or -1 if there is none."""
         end = self._head + self._size
         if end <= len(self._data):
-            index = self._data.find(mark, self._head, end)
+            index = self._data.find(pattern, self._head, end)
             return index - self._head if index >= 0 else -1
-        return self.peek(self._size).find(mark)
+        return self.peek(self._size).find(pattern)
