--- a/balancer/events.py
+++ b/balancer/events.py
@@ -20,7 +20,11 @@
 
 
 class Status(Enum):
-    """The outcome of an attempt."""
+    """The outcome of an attempt.
+
+    FULL: the server refused it, since its queue was full. ABANDONED: the caller did not send it, since the
+    request was over or the caller's machine was at fault, so the outcome is no evidence about the server.
+    """
 
     OK = "ok"
     MISS = "miss"
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -31,7 +31,7 @@
         ring_order.reverse()
     seen_servers, zones, deferred = set[Server](), set[int](), list[Server]()
     for ring in ring_order:
-        # Both rings may hold the same server, so this one may hold some that are seen already.
+        # Both rings may hold the same server, so this ring may hold some that were found on the other.
         found_count, skipped_count = sum(server in ring for server in seen_servers), 0
         max_count = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
         for token, server in ring.clockwise(position):
--- a/cloverwell/back/pools.py
+++ b/cloverwell/back/pools.py
@@ -58,15 +58,14 @@
         self._pools: dict[str, Pool] = {}
         self._schedule: Schedule[Pool] = Schedule()
         self.node_policy.idle_limits.on_change = self._limits_changed
-        self.idle: OrderedDict[NodeConnection, Pool] = (
-            OrderedDict()
-        )  # the idle connections, longest idle first
+        # The idle connections to all nodes, the longest idle one first.
+        self.idle: OrderedDict[NodeConnection, Pool] = OrderedDict()
         self.partial_answers: dict[NodeConnection, int] = {}  # the number of checks since data last arrived
         self._sweep()
         self._check_partial_answers()
 
     def _check_partial_answers(self) -> None:
-        """Closes connections on which an answer has begun and does not go on.
+        """Closes connections on which an answer has begun to arrive and then stopped.
 
         Checks are counted instead of time: after an event-loop stall, data that arrived meanwhile is unread.
         """
