--- a/cloverwell/back/pool_context.py
+++ b/cloverwell/back/pool_context.py
@@ -17,7 +17,7 @@
 
 
 class TcpConnector(Protocol):
-    """The part of the reactor that opens connections; `IReactorTCP` itself has no type annotations."""
+    """The part of the reactor that opens connections; mypy can't check calls through `IReactorTCP`."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> object:
         """Opens a connection; gives up after `timeout` seconds."""
--- a/cloverwell/codec/transport.py
+++ b/cloverwell/codec/transport.py
@@ -9,7 +9,7 @@
 
 
 class StreamTransport(Protocol):
-    """The methods of Twisted's TCP transport that are used; its own interfaces have no type annotations."""
+    """The methods of Twisted's TCP transport in use; mypy can't check calls through its own interfaces."""
 
     bufferSize: int  # the most bytes that are read at once
 
