--- a/balancer/latency.py
+++ b/balancer/latency.py
@@ -16,7 +16,7 @@
 # A server whose mean latency is below this share of the shortest latency objective is never crowded.
 UNCROWDED_SHARE = 0.25
 # A server is crowded when its mean latency exceeds this multiple of the lowest mean latency it has had: half
-# of that excess may be chance, the rest is queueing.
+# of that excess may be chance, the other half is queueing.
 CROWDED_RATIO = 1.5
 # The most votes that a usual timeout can gather, so that about as many requests with another one replace it.
 USUAL_TIMEOUT_VOTES = 100
@@ -71,7 +71,7 @@
     votes: int = 0
 
     def vote(self, time_left_ms: float, tolerance_ms: float, max_votes: int) -> bool:
-        """Counts the vote of a request with so much time left; returns whether it has the usual timeout."""
+        """Counts the vote of a request with `time_left_ms`; returns whether it has the usual timeout."""
         is_usual = abs(time_left_ms - self.timeout_ms) <= tolerance_ms
         self.votes = min(self.votes + 1, max_votes) if is_usual else self.votes - 1
         if self.votes < 0:  # Most of the recent requests had another timeout.
--- a/balancer/preference_set.py
+++ b/balancer/preference_set.py
@@ -1,4 +1,7 @@
-"""The preference list of a key: the servers clockwise on the ring from the key's position, in order."""
+"""The preference order of a key: the order in which its servers are asked.
+
+The preference set of a key is the first R distinct servers clockwise on the ring from the key's position.
+"""
 
 from collections.abc import Iterator
 
@@ -12,7 +15,7 @@
 MAX_SKIPS_BEFORE_COLD, MAX_SKIPS = 1, 4
 
 
-def preference_list(
+def preference_order(
     now: float, position: int, local_count: int, rings: ZoneRings, slow_start: SlowStart
 ) -> Iterator[Server]:
     """Yields distinct servers clockwise from a position on the ring; inactive tokens are skipped.
@@ -26,29 +29,29 @@
     # Ten bits of the position, which are random, decide if the key is in the local zone's share.
     if (position >> 10) % 1024 >= 1024 * rings.local_share:
         ring_order.reverse()
-    seen, zones, deferred = set[Server](), set[int](), list[Server]()
+    seen_servers, zones, deferred = set[Server](), set[int](), list[Server]()
     for ring in ring_order:
-        # Both rings may hold the same server, so this one may hold some that are seen already.
-        found_count, skipped_count = sum(server in ring for server in seen), 0
+        # Both rings may hold the same server, so this ring may hold some that were found on the other.
+        found_count, skipped_count = sum(server in ring for server in seen_servers), 0
         max_count = local_count if rings.has_few_balancers and ring is rings.local else len(ring)
         for token, server in ring.clockwise(position):
             if found_count >= max_count or skipped_count > MAX_SKIPS:
                 break
-            if server in seen:
+            if server in seen_servers:
                 continue
             is_warm = slow_start.is_warm(now, server)
             is_allowed = is_warm or skipped_count <= MAX_SKIPS_BEFORE_COLD
             # The low ten bits of a token, which are random, decide if the token is in the active share.
             if is_allowed and token % 1024 < 1024 * slow_start.active_share(now, server):
-                seen.add(server)
+                seen_servers.add(server)
                 found_count += 1
                 if rings.has_few_balancers and ring is rings.remote and server.entry.zone in zones:
-                    deferred.append(server)  # it comes after the first servers of all zones
+                    deferred.append(server)  # The first servers of all zones come before it.
                 else:
                     zones.add(server.entry.zone)
                     yield server
             elif rings.has_few_balancers and ring is rings.local and not is_warm:
-                # All servers of the local zone may be as cold, and must not get what this one doesn't take.
+                # All servers of the local zone may be as cold, and must not get the keys of this one.
                 break
             else:
                 skipped_count += not is_warm
