--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -88,7 +88,7 @@
     facade: Facade
     dispatcher: Dispatcher
     endpoint_discovery: EndpointDiscovery
-    side: ClientConnections
+    client_connections: ClientConnections
 
 
 def reserved_descriptors(config: Config) -> int:
@@ -213,8 +213,8 @@
 def _connect(parts: ProxyParts) -> None:
     """Gives each part the calls that it makes to others."""
     parts.endpoint_discovery.on_update = parts.dispatcher.update_endpoints
-    parts.dispatcher.watch = parts.endpoint_discovery.watch
-    parts.dispatcher.list_age_ms = parts.endpoint_discovery.age_ms
+    parts.dispatcher.watch = parts.endpoint_discovery.request_poll
+    parts.dispatcher.list_age_ms = parts.endpoint_discovery.last_answer_age_ms
     # Either side that finds no descriptors left asks the other to close what is idle beyond its floor.
-    parts.pools.request_descriptor = parts.side.release_descriptor
-    parts.side.request_descriptor = parts.pools.release_descriptor
+    parts.pools.request_descriptor = parts.client_connections.release_descriptor
+    parts.client_connections.request_descriptor = parts.pools.release_descriptor
--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -13,7 +13,7 @@
 
 import click
 
-from cloverwell.cli.main import refuse
+from cloverwell.cli.main import exit_with_error
 
 # What serves or sends is imported where it is used: the other commands must not wait for it.
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
     """
     from cloverwell.control.server.program import serve as serve_node
 
-    sys.exit(serve_node(file, lambda text: refuse(f"{file}: {text}")))
+    sys.exit(serve_node(file, lambda text: exit_with_error(f"{file}: {text}")))
 
 
 @control.command()
@@ -97,9 +97,9 @@
         document = file.read_bytes()
         check_document(document)
     except OSError as error:
-        refuse(f"FILE: {error.strerror}: {file}")
+        exit_with_error(f"FILE: {error.strerror}: {file}")
     except ConfigError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     return document
 
 
@@ -174,4 +174,4 @@
     try:
         return split_address(text)
     except EndpointListError as error:
-        refuse(f"--to: {error}")
+        exit_with_error(f"--to: {error}")
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -19,7 +19,7 @@
 ENTRY_POINTS = "cloverwell.commands"
 
 
-def refuse(text: str) -> NoReturn:
+def exit_with_error(text: str) -> NoReturn:
     """Ends the program with exit code 2 and the text in one line on standard error."""
     click.echo(f"cloverwell: {text}".replace("\n", " "), err=True)
     raise SystemExit(EXIT_BAD_INPUT)
@@ -61,7 +61,7 @@
     try:
         config = proxy_config.read_config({"EDGE_CONFIG": file})
     except proxy_config.ConfigError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     click.echo(f"{file}: good; {_summary(config)}")
 
 
@@ -72,7 +72,7 @@
     if config.operator is not None:
         operator_host, operator_port = config.operator
         parts.append(f"operators call {operator_host}:{operator_port}")
-    parts.append(f"{len(config.known.members)} known members")
+    parts.append(f"{len(config.known_endpoints.members)} known members")
     return ", ".join(parts)
 
 
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -72,19 +72,19 @@
     control: ControlSection | None = None
 
 
-class ControlNodes(msgspec.Struct):
-    """Which control nodes a proxy may follow, by name: `home` are those of its own region."""
+class ControlConfig(msgspec.Struct):
+    """Which control nodes a proxy may follow, by name: `local_nodes` are those of its own region."""
 
     log: str
-    home: dict[str, Address]
-    elsewhere: dict[str, Address]
+    local_nodes: dict[str, Address]
+    remote_nodes: dict[str, Address]
     region: str
-    wait_ms: float
+    catch_up_timeout_ms: float
 
     @property
     def nodes(self) -> dict[str, Address]:
         """All of them."""
-        return self.home | self.elsewhere
+        return self.local_nodes | self.remote_nodes
 
 
 class Config(msgspec.Struct):
@@ -99,10 +99,10 @@
     discovery: Address
     seed: int
     limits: Limits
-    known: EndpointList
+    known_endpoints: EndpointList
     settings: Settings
     operator: Address | None = None
-    control: ControlNodes | None = None
+    control: ControlConfig | None = None
     document: bytes = b""
 
 
@@ -136,7 +136,7 @@
         discovery=_read_discovery(file.discovery, environ.get("EDGE_DISCOVERY", ""), reloading),
         seed=_read_seed(file.seed),
         limits=file.limits,
-        known=_check_endpoints(file.known),
+        known_endpoints=_check_endpoints(file.known),
         settings=settings,
         control=None if file.control is None else _read_control(file.control, name),
         document=b"" if file.control is None else document,
@@ -208,7 +208,7 @@
     return known
 
 
-def _read_control(section: ControlSection, proxy: str) -> ControlNodes:
+def _read_control(section: ControlSection, proxy: str) -> ControlConfig:
     """`proxy`: this proxy's name."""
     if not proxy:
         raise ConfigError("name", "is missing, and the control log knows a proxy by it")
@@ -218,10 +218,10 @@
         raise ConfigError("control.nodes", "is missing")
     if not 0.0 <= section.wait_ms <= MAX_CONTROL_WAIT_MS:
         raise ConfigError("control.wait_ms", f"must be from 0 to {MAX_CONTROL_WAIT_MS:g}")
-    control = ControlNodes(section.log, {}, {}, section.region, section.wait_ms)
+    control = ControlConfig(section.log, {}, {}, section.region, section.wait_ms)
     for node in section.nodes:
         address = _read_control_node(node, control.nodes)
-        group = control.home if node.region == section.region else control.elsewhere
+        group = control.local_nodes if node.region == section.region else control.remote_nodes
         group[node.name] = address
     return control
 
--- a/cloverwell/connections/closing.py
+++ b/cloverwell/connections/closing.py
@@ -2,7 +2,7 @@
 
 Every wait here has an end of its own. A client that always has a request open, that sends without pause, that
 reads nothing or that never closes its side gets the same instants as any other: they are those of
-`serving.EndInstants`, in ms of the caller's clock.
+`serving.DrainTimes`, in ms of the caller's clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from cloverwell.serving import EndInstants
+from cloverwell.serving import DrainTimes
 
 # What a new connection's first request may take to come: closed before, it would be read and not answered.
 FIRST_REQUEST_WAIT_MS = 250.0
@@ -53,7 +53,7 @@
 
 
 def closing_step(
-    state: ClosingState, instants: EndInstants, now: float, after_stall: bool = False
+    state: ClosingState, instants: DrainTimes, now: float, after_stall: bool = False
 ) -> ClosingStep:
     """Return what to do with the connection now.
 
@@ -68,7 +68,7 @@
 _UNCONDITIONAL = (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
 
 
-def _due_step(state: ClosingState, instants: EndInstants, now: float) -> ClosingStep:
+def _due_step(state: ClosingState, instants: DrainTimes, now: float) -> ClosingStep:
     if now < instants.close_idle_ms:
         return ClosingStep.KEEP
     if now >= _release_by_ms(state, instants):
@@ -77,7 +77,7 @@
         return ClosingStep.CLOSE if now - state.half_closed_ms >= instants.linger_ms else ClosingStep.KEEP
     if state.responses_pending or _awaits_first_request(state, instants, now):
         return ClosingStep.KEEP
-    if now >= instants.end_ms:
+    if now >= instants.half_close_ms:
         return ClosingStep.HALF_CLOSE
     if state.reading_paused:
         return ClosingStep.KEEP
@@ -88,14 +88,14 @@
     return ClosingStep.KEEP
 
 
-def _release_by_ms(state: ClosingState, instants: EndInstants) -> float:
+def _release_by_ms(state: ClosingState, instants: DrainTimes) -> float:
     """Return when the connection is closed on both sides, whatever its client does."""
     if state.streaming:
-        return instants.stream_ms
-    return max(instants.release_ms, state.accepted_ms + instants.newcomer_ms)
+        return instants.close_stream_ms
+    return max(instants.close_ms, state.accepted_ms + instants.late_connection_ms)
 
 
-def _awaits_first_request(state: ClosingState, instants: EndInstants, now: float) -> bool:
+def _awaits_first_request(state: ClosingState, instants: DrainTimes, now: float) -> bool:
     """Tell whether the first request may be on its way."""
     if not state.nothing_read:
         return False
--- a/cloverwell/control/proxy/proxy_control.py
+++ b/cloverwell/control/proxy/proxy_control.py
@@ -35,7 +35,7 @@
     def activate(self, discovery: Address, peers_total: int) -> None:
         """Takes discovery's address, and the number of proxies by which fleet-wide bounds are divided."""
 
-    def resize(self, peers_total: int) -> None:
+    def set_peers_total(self, peers_total: int) -> None:
         """Takes the number of proxies alone."""
 
 
@@ -77,13 +77,13 @@
         self._divided_by = config.settings.peers_total
         self.follower = Follower(
             reactor,
-            (control.home, control.elsewhere),
+            (control.local_nodes, control.remote_nodes),
             control.log,
             config.name,
             self.apply_entry,
             log,
             now=timer_wheel.now,
-            timing=SubscriptionTiming(wait_ms=control.wait_ms),
+            timing=SubscriptionTiming(wait_ms=control.catch_up_timeout_ms),
         )
 
     def start(self, on_ready: Callable[[], None]) -> None:
@@ -174,5 +174,5 @@
         divided_by = self.follower.divide_by(self.version.peers_total)
         if divided_by != self._divided_by:
             self._divided_by = divided_by
-            self._target.resize(divided_by)
+            self._target.set_peers_total(divided_by)
             self._log.info("fleet", f"bounds are divided by {divided_by}")
--- a/cloverwell/front/client_connection.py
+++ b/cloverwell/front/client_connection.py
@@ -132,7 +132,7 @@
         """Answer whether this process serves."""
         self._malformed_count = 0
         self._owner.request_started(self)
-        self._send_line(SERVING if self._owner.serving.wanted else DRAINING)
+        self._send_line(SERVING if self._owner.serving.is_in_rotation else DRAINING)
 
     def request_received(self, fields: CommandFields, write: bool, value: bytes) -> None:
         """Start a request, whose response has its place behind those of the commands before it."""
--- a/cloverwell/front/connection_closing.py
+++ b/cloverwell/front/connection_closing.py
@@ -70,7 +70,7 @@
     def advance(self, connection: ClientConnection) -> None:
         """Close the connection as far as it is due."""
         now, after_stall = self._timer_wheel.now(), self._timer_wheel.just_stalled
-        match closing_step(connection.closing_state(), self._serving.instants, now, after_stall):
+        match closing_step(connection.closing_state(), self._serving.drain_times, now, after_stall):
             case ClosingStep.HALF_CLOSE_IF_ALL_READ:
                 connection.close_between_requests(CloseReason.DRAIN)
             case ClosingStep.REJECT_PARTIAL_COMMAND_IF_ALL_READ:
--- a/cloverwell/graceful_shutdown.py
+++ b/cloverwell/graceful_shutdown.py
@@ -58,7 +58,7 @@
         self._schedule_check()
 
     def _schedule_check(self) -> None:
-        if self._check_scheduled or self._over or not self._serving.draining:
+        if self._check_scheduled or self._over or not self._serving.is_draining:
             return
         self._check_scheduled = True
         next_tick_ms = self._timer_wheel.now() + self._timer_wheel.granularity_ms
@@ -71,7 +71,7 @@
         # First, so that nothing that fails below is the end of the checks.
         self._schedule_check()
         now = self._timer_wheel.now()
-        if not self._serving.accepts(now):
+        if not self._serving.accepts_connections(now):
             self._client_port.close()
         # After a stall, what has come meanwhile is read before anything is ended for being late.
         after_stall = self._timer_wheel.just_stalled
@@ -82,9 +82,11 @@
             self._end()
 
     def _is_over(self, now: float) -> bool:
-        if now >= self._serving.instants.release_ms:
+        if now >= self._serving.drain_times.close_ms:
             return True
-        return not (self._serving.accepts(now) or self._dispatcher.open_count or self._side.connections)
+        return not (
+            self._serving.accepts_connections(now) or self._dispatcher.open_count or self._side.connections
+        )
 
     def _end(self) -> None:
         if self._side.connections:
@@ -96,13 +98,13 @@
 
     def _schedule_report(self) -> None:
         """Has the connections logged that are held when the drain should be over."""
-        began_ms = self._serving.since_ms
+        began_ms = self._serving.drain_began_ms
         if self._serving.state is ServingState.DRAINED and began_ms != self._report_scheduled_for_ms:
             self._report_scheduled_for_ms = began_ms
             self._timer_wheel.not_before(began_ms + DRAIN_REPORT_MS, lambda: self._report_held(began_ms))
 
     def _report_held(self, began_ms: float) -> None:
-        if self._serving.state is not ServingState.DRAINED or self._serving.since_ms != began_ms:
+        if self._serving.state is not ServingState.DRAINED or self._serving.drain_began_ms != began_ms:
             return
         write = self._log.warn if self._side.connections else self._log.info
         write("held", self._side.describe_open_connections())
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -65,10 +65,10 @@
         Raises `HandoverError` if there is nothing to hand over.
         """
 
-    def succeeded(self) -> None:
+    def successor_started(self) -> None:
         """Take notice that the successor accepts connections."""
 
-    def successor_lost(self) -> None:
+    def successor_exited(self) -> None:
         """Take back what was handed over: the successor has exited."""
 
 
@@ -164,7 +164,7 @@
         self._connection_count -= 1
         if self.successor is connection:
             self.successor = None
-            self.proxy.successor_lost()
+            self.proxy.successor_exited()
 
 
 class SuccessorConnection(LineReceiver):
@@ -201,7 +201,7 @@
 
     def _successor_line_received(self, line: bytes) -> None:
         if messages.decode(line, Serves).serves:
-            self._successor_listener.proxy.succeeded()
+            self._successor_listener.proxy.successor_started()
 
     def lineLengthExceeded(self, _line: bytes) -> None:
         """Refuse a process that sends more than a hello."""
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -75,10 +75,12 @@
     _reactor: ReadingReactor
     _on_exit: Callable[[], None]
 
-    def __init__(self, handover_state: HandoverState, listening: int, connection: socket.socket) -> None:
+    def __init__(
+        self, handover_state: HandoverState, listening_descriptor: int, connection: socket.socket
+    ) -> None:
         """`connection` is the one on which the state was received."""
         self.handover_state = handover_state
-        self.listening = listening
+        self.listening_descriptor = listening_descriptor
         self._connection = connection
 
     def watch(self, reactor: ReadingReactor, on_exit: Callable[[], None]) -> None:
--- a/cloverwell/handover_coordinator.py
+++ b/cloverwell/handover_coordinator.py
@@ -67,7 +67,7 @@
 
     def initial_list(self) -> tuple[EndpointList, KnownStarts | None]:
         """The newest endpoint list known before discovery answers, and when its nodes started, if known."""
-        configured = self._config.known
+        configured = self._config.known_endpoints
         if self.predecessor is None:
             return configured, None
         state = self.predecessor.handover_state
@@ -77,9 +77,9 @@
     def watch_predecessor(self, reactor: ProxyReactor) -> None:
         """This process serves now: tells the predecessor, and waits for its end."""
         if self.predecessor is not None:
-            self.predecessor.watch(reactor, self.predecessor_gone)
+            self.predecessor.watch(reactor, self.predecessor_exited)
 
-    def predecessor_gone(self) -> None:
+    def predecessor_exited(self) -> None:
         """The predecessor has ended: all descriptors are this process's."""
         self.predecessor = None
         self._divide_descriptors(self._config.limits.sockets)
@@ -119,12 +119,12 @@
         handover_state = HandoverState(
             PROTOCOL_VERSION,
             max(MIN_SOCKETS, total - max(kept, held)),
-            self._parts.endpoint_discovery.listing(),
+            self._parts.endpoint_discovery.current_list(),
             self._parts.endpoint_discovery.node_starts(),
         )
         return handover_state, self._client_port.listening.share_socket()
 
-    def succeeded(self) -> None:
+    def successor_started(self) -> None:
         """The successor serves: it accepts all further connections."""
         self.successor_serves = True
         if self.control is not None:
@@ -132,7 +132,7 @@
         self._client_port.pause()
         self._log.info("handover", "the successor serves")
 
-    def successor_lost(self) -> None:
+    def successor_exited(self) -> None:
         """The successor has ended: this process accepts again and has all descriptors, unless it stops."""
         state = self._parts.serving.state
         if state is ServingState.STOPPING:
@@ -160,5 +160,7 @@
     def _divide_descriptors(self, sockets: int) -> None:
         """From now on this process has that many descriptors; idle connections beyond them are closed."""
         self._parts.budget.resize(connection_budget(self._config, sockets))
-        self._parts.side.policy.max_clients = self._parts.budget.max_held(DescriptorSide.CLIENTS)
+        self._parts.client_connections.policy.max_clients = self._parts.budget.max_held(
+            DescriptorSide.CLIENTS
+        )
         self._parts.pools.shrink()
--- a/cloverwell/membership/endpoint_discovery.py
+++ b/cloverwell/membership/endpoint_discovery.py
@@ -98,7 +98,7 @@
         """
         if inherited is not None:
             self._table.inherit_starts(inherited)
-        self.apply(known, held=True)
+        self.apply(known, predates_process=True)
         if not known.members:
             # Asked for changes since an empty list, discovery might wait for one.
             self._revision = None
@@ -113,7 +113,7 @@
         self._cancel_pending_poll()
         self._close_connection()
 
-    def watch(self) -> None:
+    def request_poll(self) -> None:
         """Poll, as the balancer asks, unless a poll is pending or a backoff is running.
 
         The balancer's own backoff grows longer than a change may stay unknown, and a poll at the end of both
@@ -122,7 +122,7 @@
         if self._backoff_timer is None:
             self._poll()
 
-    def move(self, discovery: tuple[str, int]) -> None:
+    def change_address(self, discovery: tuple[str, int]) -> None:
         """Poll discovery at another host and port from now on, beginning with its complete list."""
         if discovery == self._discovery:
             return
@@ -133,26 +133,28 @@
         self._close_connection()
         self._poll()
 
-    def listing(self) -> EndpointList:
+    def current_list(self) -> EndpointList:
         """Return the complete list, for another process."""
-        return self._table.listing()
+        return self._table.current_list()
 
     def node_starts(self) -> KnownStarts:
         """Return when the nodes started, for another process on this machine."""
         return self._table.node_starts()
 
-    def age_ms(self) -> float:
+    def last_answer_age_ms(self) -> float:
         """Return the time since discovery's last answer, or since the start."""
         return self._timer_wheel.now() - self._last_answer_ms
 
-    def apply(self, endpoint_list: EndpointList, held: bool = False) -> None:
-        """Apply a list and report it to the balancer. `held`: it was known before this process began.
+    def apply(self, endpoint_list: EndpointList, predates_process: bool = False) -> None:
+        """Apply a list and report it to the balancer.
+
+        `predates_process`: it was known before this process began.
 
         Raises:
             EndpointListError: the list is unusable. Nothing of it has been applied then.
 
         """
-        update = self._table.apply(endpoint_list, held)
+        update = self._table.apply(endpoint_list, predates_process)
         # Set before `on_update`, which may begin a poll for what is newer.
         self._revision = endpoint_list.revision
         self.on_update(update)
@@ -177,7 +179,7 @@
         """Return how long the poll waits for a change, 0 if it does not."""
         if immediate or self._revision is None:
             return 0.0
-        if self._backoff.failing and not self._settings.is_list_pushed:
+        if self._backoff.is_failing and not self._settings.is_list_pushed:
             # While discovery fails, a poll that waits would hide for too long that it will not be answered.
             return 0.0
         return min(MAX_WAIT_MS, WAIT_SHARE * self._settings.max_poll_interval_ms)
@@ -186,7 +188,7 @@
         """Return how long the answer may take after the poll's wait."""
         if wait_ms:
             return LATE_MS
-        if self._backoff.failing or self._table.empty:
+        if self._backoff.is_failing or self._table.is_empty:
             # A discovery with too many clients is slow, and polls that are abandoned cost it work too.
             return RETRY_TIMEOUT_MS
         return ANSWER_TIMEOUT_MS
@@ -215,7 +217,7 @@
         """Whether the source is the one in use. What an abandoned one reports must be ignored."""
         return source in (self._connection, self._connector)
 
-    def opened(self, connection: WatchConnection) -> None:
+    def connection_opened(self, connection: WatchConnection) -> None:
         """Use the connection that has come up."""
         self._connection = connection
         self._connector = None
@@ -236,18 +238,18 @@
         if self._pending is not None:
             self._connect(target)
 
-    def answered(self, status: int, body: bytes) -> None:
+    def poll_answered(self, status: int, body: bytes) -> None:
         """Apply the list in the answer, and poll for the next change at once, so that none is known late."""
         if self._pending is None:
             return
         if status != HTTP_OK:
-            self.failed(f"status {status}")
+            self.poll_failed(f"status {status}")
             return
         try:
             endpoint_list = msgspec.json.decode(body, type=EndpointList)
             self.apply(endpoint_list)
         except (msgspec.MsgspecError, EndpointListError, UnicodeDecodeError) as error:
-            self.failed(f"malformed: {error}")
+            self.poll_failed(f"malformed: {error}")
             return
         self._last_answer_ms = self._timer_wheel.now()
         self._backoff.reset()
@@ -255,7 +257,7 @@
         self._cancel_pending_poll()
         self._poll()
 
-    def failed(self, reason: str) -> None:
+    def poll_failed(self, reason: str) -> None:
         """Keep the list, and poll again after a backoff."""
         if self._pending is None:
             return
@@ -264,13 +266,13 @@
         self._close_connection()
         self._counters.add("list.failed")
         self._log.warn("discovery", f"call failed: {reason}")
-        due_ms = self._timer_wheel.now() + self._backoff.failed(took_ms)
+        due_ms = self._timer_wheel.now() + self._backoff.record_failure(took_ms)
         self._backoff_timer = self._timer_wheel.not_before(due_ms, self._poll)
         self.on_update(EndpointUpdateFailed())
 
     def _timed_out(self) -> None:
         if self._pending is None or not self._pending.is_long_poll:
-            self.failed("no answer in time")
+            self.poll_failed("no answer in time")
             return
         # The connection seems to be dead. A backoff as after a failure would take too long.
         self._counters.add("list.silent")
--- a/cloverwell/membership/endpoint_table.py
+++ b/cloverwell/membership/endpoint_table.py
@@ -46,11 +46,11 @@
         self._endpoints: dict[str, Endpoint] = {}
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether no endpoint is listed."""
         return not self._endpoints
 
-    def listing(self) -> EndpointList:
+    def current_list(self) -> EndpointList:
         """Return the complete list, for another process."""
         return EndpointList(self._revision, True, list(self._endpoints.values()))
 
@@ -62,12 +62,12 @@
         """Use the nodes' starts as a predecessor knew them, which reads the same clock."""
         self._node_starts.inherit(known, self._timer_wheel.now())
 
-    def apply(self, endpoint_list: EndpointList, held: bool) -> EndpointUpdate:
+    def apply(self, endpoint_list: EndpointList, predates_process: bool) -> EndpointUpdate:
         """Open pools for the nodes that are ready, record the list, and return the update for the balancer.
 
         Args:
             endpoint_list: complete, or just what changed.
-            held: whether the list was known before this process began.
+            predates_process: whether the list was known before this process began.
 
         Raises:
             EndpointListError: the list is unusable. Nothing of it has been applied then.
@@ -76,10 +76,10 @@
         endpoints = _without_duplicates(endpoint_list.members)
         # The whole list is checked before any of it takes effect: half a list would be worse than none.
         addresses = _check(endpoints)
-        entries = self._entries(endpoints, held)
+        entries = self._entries(endpoints, predates_process)
         self._open_pools(entries, addresses)
         self._record(endpoints, endpoint_list)
-        return EndpointUpdate(endpoint_list.revision, endpoint_list.complete, entries, held)
+        return EndpointUpdate(endpoint_list.revision, endpoint_list.complete, entries, predates_process)
 
     def drain_pools(self, update: EndpointUpdate) -> None:
         """Let go of connections to nodes that the update shows to be draining or removed.
@@ -113,10 +113,10 @@
                 self._endpoints[endpoint.id] = endpoint
         self._node_starts.forget_removed(self._endpoints.keys())
 
-    def _entries(self, endpoints: Sequence[Endpoint], held: bool) -> tuple[ServerEntry, ...]:
+    def _entries(self, endpoints: Sequence[Endpoint], predates_process: bool) -> tuple[ServerEntry, ...]:
         up_since_ms = {endpoint.id: endpoint.up_since_ms for endpoint in endpoints}
         now = self._timer_wheel.now()
-        started_ms = self._node_starts.take(up_since_ms, now, self._read_epoch_ms(), held)
+        started_ms = self._node_starts.record_list(up_since_ms, now, self._read_epoch_ms(), predates_process)
         return tuple(self._entry(endpoint, started_ms[endpoint.id]) for endpoint in endpoints)
 
     def _entry(self, endpoint: Endpoint, started_ms: float) -> ServerEntry:
--- a/cloverwell/membership/node_starts.py
+++ b/cloverwell/membership/node_starts.py
@@ -67,8 +67,8 @@
         self._last_list_ms: float | None = None
         self._starts: dict[str, NodeStart] = {}
 
-    def take(
-        self, up_since_ms: Mapping[str, float], now_ms: float, epoch_ms: float, held: bool
+    def record_list(
+        self, up_since_ms: Mapping[str, float], now_ms: float, epoch_ms: float, predates_process: bool
     ) -> dict[str, float]:
         """Record the starts in a list, and return when each of its nodes started.
 
@@ -77,14 +77,15 @@
             now_ms: the monotonic clock's reading.
             epoch_ms: reading of the monotonic clock at Unix time 0, by the wall clock at this moment. It
                 differs from the one at the process's start if that clock was stepped; a start may fit either.
-            held: whether the list was known before the process began. Such a list may be of any age.
+            predates_process: whether the list was known before the process began. Such a list may be of
+                any age.
 
         """
         started_ms = {
-            node: self._record(node, node_up_since_ms, now_ms, epoch_ms, held)
+            node: self._record(node, node_up_since_ms, now_ms, epoch_ms, predates_process)
             for node, node_up_since_ms in up_since_ms.items()
         }
-        if not held:
+        if not predates_process:
             self._last_list_ms = now_ms
         return started_ms
 
@@ -109,12 +110,14 @@
             for node, start in known.starts.items()
         }
 
-    def _record(self, node: str, up_since_ms: float, now_ms: float, epoch_ms: float, held: bool) -> float:
+    def _record(
+        self, node: str, up_since_ms: float, now_ms: float, epoch_ms: float, predates_process: bool
+    ) -> float:
         known = self._starts.get(node)
         if up_since_ms == 0.0:
             # The node started long ago, unless a later start of it is known already.
             return LONG_AGO if known is None else known.started_ms
-        if known is not None and _is_known_start(up_since_ms, known, held):
+        if known is not None and _is_known_start(up_since_ms, known, predates_process):
             return known.started_ms
         started_ms = self._started_ms(up_since_ms, known, now_ms, epoch_ms)
         if known is not None:
@@ -143,7 +146,7 @@
         return reading_ms
 
 
-def _is_known_start(up_since_ms: float, known: NodeStart, held: bool) -> bool:
+def _is_known_start(up_since_ms: float, known: NodeStart, predates_process: bool) -> bool:
     """Whether a list names no restart: it has the known start, or is older than what a predecessor knew."""
-    older_list = held and up_since_ms < known.up_since_ms
+    older_list = predates_process and up_since_ms < known.up_since_ms
     return up_since_ms == known.up_since_ms or older_list
--- a/cloverwell/membership/poll_backoff.py
+++ b/cloverwell/membership/poll_backoff.py
@@ -51,7 +51,7 @@
         self._failures = 0
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last poll that ended has failed."""
         return self._failures > 0
 
@@ -59,7 +59,7 @@
         """Record that a poll was answered."""
         self._failures = 0
 
-    def failed(self, took_ms: float) -> float:
+    def record_failure(self, took_ms: float) -> float:
         """Record that a poll failed `took_ms` after its start, and return the delay before the next one."""
         earlier_failures = self._failures
         self._failures += 1
--- a/cloverwell/membership/watch_connection.py
+++ b/cloverwell/membership/watch_connection.py
@@ -30,7 +30,7 @@
     def is_current(self, source: WatchConnection | WatchConnector) -> bool:
         """Whether the source is the one in use. What an abandoned one reports must be ignored."""
 
-    def opened(self, connection: WatchConnection) -> None:
+    def connection_opened(self, connection: WatchConnection) -> None:
         """Take the connection that has come up; it sends the poll itself."""
 
     def connect_not_started(self, connector: WatchConnector) -> None:
@@ -39,10 +39,10 @@
     def connection_closed_idle(self, target: str) -> None:
         """Handle the end of a kept connection that came before any byte of the answer to `target`."""
 
-    def answered(self, status: int, body: bytes) -> None:
+    def poll_answered(self, status: int, body: bytes) -> None:
         """Take the answer to the poll."""
 
-    def failed(self, reason: str) -> None:
+    def poll_failed(self, reason: str) -> None:
         """Handle a poll that was not answered, or with a malformed answer."""
 
 
@@ -63,7 +63,7 @@
     def connectionMade(self) -> None:
         """Send the first poll."""
         super().connectionMade()
-        self._observer.opened(self)
+        self._observer.connection_opened(self)
         self.poll(self._target)
 
     def dataReceived(self, data: bytes) -> None:
@@ -83,13 +83,13 @@
             self.end()
         self._reused = True
         if self._observer.is_current(self):
-            self._observer.answered(status, body)
+            self._observer.poll_answered(status, body)
 
     def framingLost(self, reason: str) -> None:
         """Close the connection, as nothing that follows a malformed answer can be parsed."""
         self.end(abort=True)
         if self._observer.is_current(self):
-            self._observer.failed(f"malformed: {reason}")
+            self._observer.poll_failed(f"malformed: {reason}")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Report the end of the connection if a poll was pending on it."""
@@ -102,7 +102,7 @@
             # backoff would delay changes by up to half a second.
             self._observer.connection_closed_idle(self._target)
         else:
-            self._observer.failed("connection lost")
+            self._observer.poll_failed("connection lost")
 
 
 class WatchConnector(ClientFactory):
@@ -129,4 +129,4 @@
         if connect_fault(reason.value) is not None:
             self._observer.connect_not_started(self)
         else:
-            self._observer.failed(f"not connected: {reason.getErrorMessage()}")
+            self._observer.poll_failed(f"not connected: {reason.getErrorMessage()}")
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -96,14 +96,20 @@
         self.facade = parts.facade
         self.dispatcher = parts.dispatcher
         self.endpoint_discovery = parts.endpoint_discovery
-        self.side = parts.side
-        self._client_port = ClientPort(parts.side)
+        self.client_connections = parts.client_connections
+        self._client_port = ClientPort(parts.client_connections)
         self._operator_port: SharedListeningPort | None = None
         self._control: ProxyControl | None = None  # where the configuration has a `control` section
         self._metrics_log = MetricsLog(parts.timer_wheel, log, parts.metrics, parts.counts)
         self._handover = HandoverCoordinator(config, log, parts, self._client_port, predecessor)
         self._shutdown = GracefulShutdown(
-            parts.timer_wheel, parts.serving, parts.dispatcher, parts.side, self._client_port, log, self._end
+            parts.timer_wheel,
+            parts.serving,
+            parts.dispatcher,
+            parts.client_connections,
+            self._client_port,
+            log,
+            self._end,
         )
 
     # Start --------------------------------------------------------------------------------------------
@@ -132,11 +138,11 @@
     def _open_client_port(self, listen: Listen, adopt: Adopt) -> None:
         predecessor = self._handover.predecessor
         if predecessor is not None:
-            listening = adopt(self._reactor, predecessor.listening, self.side)
+            listening = adopt(self._reactor, predecessor.listening_descriptor, self.client_connections)
         else:
             # Where processes are replaced beside each other, and no predecessor could be asked.
             shared = self._config.operator is not None
-            listening = listen(self._reactor, *self._config.listen, self.side, BACKLOG, shared)
+            listening = listen(self._reactor, *self._config.listen, self.client_connections, BACKLOG, shared)
         self._client_port.open(listening)
 
     def _open_operator_port(self, listen: Listen, host: str, port: int) -> None:
@@ -192,10 +198,10 @@
 
     def activate(self, discovery: tuple[str, int], peers_total: int) -> None:
         """Changes all that may change at run time, at once: discovery's address and the number of proxies."""
-        self.endpoint_discovery.move(discovery)
-        self.resize(peers_total)
+        self.endpoint_discovery.change_address(discovery)
+        self.set_peers_total(peers_total)
 
-    def resize(self, peers_total: int) -> None:
+    def set_peers_total(self, peers_total: int) -> None:
         """From now on that many proxies share the nodes."""
         if peers_total != self.facade.settings.peers_total:
             self.facade.resize(peers_total)
@@ -206,19 +212,19 @@
         """See `HandoverCoordinator.hand_over`."""
         return self._handover.hand_over()
 
-    def succeeded(self) -> None:
-        """See `HandoverCoordinator.succeeded`."""
-        self._handover.succeeded()
+    def successor_started(self) -> None:
+        """See `HandoverCoordinator.successor_started`."""
+        self._handover.successor_started()
 
-    def predecessor_gone(self) -> None:
-        """See `HandoverCoordinator.predecessor_gone`."""
-        self._handover.predecessor_gone()
+    def predecessor_exited(self) -> None:
+        """See `HandoverCoordinator.predecessor_exited`."""
+        self._handover.predecessor_exited()
 
     # What operators ask -------------------------------------------------------------------------------
 
     def ready(self) -> bool:
         """Whether this process can serve."""
-        return self.serving.ready
+        return self.serving.can_serve
 
     def drain(self) -> bool:
         """Closes clients' connections between requests; requests that come all the same are served.
--- a/cloverwell/serving.py
+++ b/cloverwell/serving.py
@@ -26,28 +26,28 @@
     """What happens to connections and requests how long after a drain or a shutdown began.
 
     Attributes:
-        accept_ms: until then connections are accepted.
+        stop_accepting_ms: until then connections are accepted.
         close_idle_ms: from then on connections are closed between requests.
         reject_ms: from then on new requests are rejected, so that their connections come to an end.
         close_mid_command_ms: from then on connections are closed also with half a command.
-        answer_ms: by then all requests have been answered.
-        end_ms: by then our side of each connection is closed, also where something is unread.
-        release_ms: by then each connection is closed on both sides.
-        stream_ms: by then also one on which a long value is sent.
-        newcomer_ms: what a connection has that is accepted when it should be closed already.
+        answer_deadline_ms: by then all requests have been answered.
+        half_close_ms: by then our side of each connection is closed, also where something is unread.
+        close_ms: by then each connection is closed on both sides.
+        close_stream_ms: by then also one on which a long value is sent.
+        late_connection_ms: what a connection has that is accepted when it should be closed already.
         linger_ms: what a client has to close its side after ours.
 
     """
 
-    accept_ms: float
+    stop_accepting_ms: float
     close_idle_ms: float
     reject_ms: float
     close_mid_command_ms: float
-    answer_ms: float
-    end_ms: float
-    release_ms: float
-    stream_ms: float
-    newcomer_ms: float = 0.0
+    answer_deadline_ms: float
+    half_close_ms: float
+    close_ms: float
+    close_stream_ms: float
+    late_connection_ms: float = 0.0
     linger_ms: float = math.inf
 
 
@@ -55,16 +55,16 @@
 # the drain is over. At 4 s no connection may be held that is idle or has had a request in the last 2 s; what
 # is left before then covers a stall of the event loop.
 DRAIN_SCHEDULE = DrainSchedule(
-    accept_ms=math.inf,
+    stop_accepting_ms=math.inf,
     close_idle_ms=400.0,
     reject_ms=1000.0,
     close_mid_command_ms=2500.0,
-    answer_ms=3200.0,
-    end_ms=3450.0,
-    release_ms=3700.0,
+    answer_deadline_ms=3200.0,
+    half_close_ms=3450.0,
+    close_ms=3700.0,
     # A value that has begun is passed on as long as its client reads it, but not without end.
-    stream_ms=10_000.0,
-    newcomer_ms=250.0,
+    close_stream_ms=10_000.0,
+    late_connection_ms=250.0,
 )
 # After SIGTERM clients may not have been told yet: new connections are accepted for so long, and what comes
 # on open ones is served for a little longer.
@@ -86,62 +86,62 @@
     `longest_deadline_ms`: the longest deadline that clients have; `handed_over`: another process has the
     port, so that clients whose connections are closed find it there at once.
     """
-    accept_ms = 0.0 if handed_over else SHUTDOWN_ACCEPT_MS
+    stop_accepting_ms = 0.0 if handed_over else SHUTDOWN_ACCEPT_MS
     kill_ms = min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
-    answer_ms, release_ms = kill_ms - KILL_MARGIN_MS, kill_ms - RELEASE_MARGIN_MS
-    cut_ms = min(accept_ms + SHUTDOWN_MID_COMMAND_MS, answer_ms - MIN_CUT_LEAD_MS)
+    answer_deadline_ms, close_ms = kill_ms - KILL_MARGIN_MS, kill_ms - RELEASE_MARGIN_MS
+    cut_ms = min(stop_accepting_ms + SHUTDOWN_MID_COMMAND_MS, answer_deadline_ms - MIN_CUT_LEAD_MS)
     return DrainSchedule(
-        accept_ms=accept_ms,
-        close_idle_ms=accept_ms,
+        stop_accepting_ms=stop_accepting_ms,
+        close_idle_ms=stop_accepting_ms,
         reject_ms=cut_ms,
         close_mid_command_ms=cut_ms,
-        answer_ms=answer_ms,
-        end_ms=(answer_ms + release_ms) / 2.0,
-        release_ms=release_ms,
-        stream_ms=release_ms,
+        answer_deadline_ms=answer_deadline_ms,
+        half_close_ms=(answer_deadline_ms + close_ms) / 2.0,
+        close_ms=close_ms,
+        close_stream_ms=close_ms,
         linger_ms=SHUTDOWN_LINGER_MS,
     )
 
 
 @dataclass(slots=True, frozen=True)
-class EndInstants:
+class DrainTimes:
     """The instants of a schedule, in ms of the process's clock, and its two durations.
 
     The attributes are those of `DrainSchedule`.
     """
 
-    accept_ms: float = math.inf
+    stop_accepting_ms: float = math.inf
     close_idle_ms: float = math.inf
     reject_ms: float = math.inf
     close_mid_command_ms: float = math.inf
-    answer_ms: float = math.inf
-    end_ms: float = math.inf
-    release_ms: float = math.inf
-    stream_ms: float = math.inf
-    newcomer_ms: float = math.inf
+    answer_deadline_ms: float = math.inf
+    half_close_ms: float = math.inf
+    close_ms: float = math.inf
+    close_stream_ms: float = math.inf
+    late_connection_ms: float = math.inf
     linger_ms: float = math.inf
 
-    def earlier(self, other: "EndInstants") -> "EndInstants":
+    def earlier(self, other: "DrainTimes") -> "DrainTimes":
         """Of each instant and duration the earlier one."""
         pairs = ((getattr(self, field.name), getattr(other, field.name)) for field in fields(self))
-        return EndInstants(*(min(pair) for pair in pairs))
+        return DrainTimes(*(min(pair) for pair in pairs))
 
 
-NO_END = EndInstants()  # of a process that goes on
+NO_DRAIN = DrainTimes()  # of a process that goes on
 
 
-def instants_of(schedule: DrainSchedule, since_ms: float) -> EndInstants:
-    """The instants of a schedule that began at `since_ms`."""
-    return EndInstants(
-        accept_ms=since_ms + schedule.accept_ms,
-        close_idle_ms=since_ms + schedule.close_idle_ms,
-        reject_ms=since_ms + schedule.reject_ms,
-        close_mid_command_ms=since_ms + schedule.close_mid_command_ms,
-        answer_ms=since_ms + schedule.answer_ms,
-        end_ms=since_ms + schedule.end_ms,
-        release_ms=since_ms + schedule.release_ms,
-        stream_ms=since_ms + schedule.stream_ms,
-        newcomer_ms=schedule.newcomer_ms,
+def drain_times_from(schedule: DrainSchedule, began_ms: float) -> DrainTimes:
+    """The instants of a schedule that began at `began_ms`."""
+    return DrainTimes(
+        stop_accepting_ms=began_ms + schedule.stop_accepting_ms,
+        close_idle_ms=began_ms + schedule.close_idle_ms,
+        reject_ms=began_ms + schedule.reject_ms,
+        close_mid_command_ms=began_ms + schedule.close_mid_command_ms,
+        answer_deadline_ms=began_ms + schedule.answer_deadline_ms,
+        half_close_ms=began_ms + schedule.half_close_ms,
+        close_ms=began_ms + schedule.close_ms,
+        close_stream_ms=began_ms + schedule.close_stream_ms,
+        late_connection_ms=schedule.late_connection_ms,
         linger_ms=schedule.linger_ms,
     )
 
@@ -152,9 +152,9 @@
     def __init__(self) -> None:
         """A process that is starting."""
         self.state = ServingState.STARTING
-        self.instants = NO_END
+        self.drain_times = NO_DRAIN
         self._handed_over = False
-        self.since_ms = 0.0  # when the drain or shutdown began
+        self.drain_began_ms = 0.0  # when the drain or shutdown began
 
     # Changes: each returns whether the state is now the one asked for ---------------------------------
 
@@ -167,15 +167,15 @@
         """Drains a ready process; a repeated call does not begin the schedule again."""
         if self.state is ServingState.READY:
             self.state = ServingState.DRAINED
-            self.instants = instants_of(DRAIN_SCHEDULE, now)
-            self.since_ms = now
+            self.drain_times = drain_times_from(DRAIN_SCHEDULE, now)
+            self.drain_began_ms = now
         return self.state is ServingState.DRAINED
 
     def undrain(self) -> bool:
         """Takes a drain back."""
         if self.state is ServingState.DRAINED:
             self.state = ServingState.READY
-            self.instants = NO_END
+            self.drain_times = NO_DRAIN
         return self.state is ServingState.READY
 
     def stop(self, now: float, longest_deadline_ms: float, handed_over: bool = False) -> bool:
@@ -187,45 +187,45 @@
         if self.state is ServingState.STOPPING:
             return False
         self.state = ServingState.STOPPING
-        shutdown = instants_of(shutdown_schedule(longest_deadline_ms, handed_over), now)
-        self.instants = self.instants.earlier(shutdown)
+        shutdown = drain_times_from(shutdown_schedule(longest_deadline_ms, handed_over), now)
+        self.drain_times = self.drain_times.earlier(shutdown)
         self._handed_over = handed_over
-        self.since_ms = now
+        self.drain_began_ms = now
         return True
 
     # What follows from the state ----------------------------------------------------------------------
 
     @property
-    def ready(self) -> bool:
+    def can_serve(self) -> bool:
         """This process can serve; drained, it still can, but no clients are sent to it."""
         return self.state in (ServingState.READY, ServingState.DRAINED)
 
     @property
-    def wanted(self) -> bool:
+    def is_in_rotation(self) -> bool:
         """The answer to `mn`. The question is put to an address, which a successor may serve by now."""
         return self.state is ServingState.READY or self._handed_over
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """The process is drained or stopping."""
-        return self.instants is not NO_END
+        return self.drain_times is not NO_DRAIN
 
-    def accepts(self, now: float) -> bool:
+    def accepts_connections(self, now: float) -> bool:
         """New connections are accepted."""
-        return now < self.instants.accept_ms
+        return now < self.drain_times.stop_accepting_ms
 
     def closes_idle_connections(self, now: float) -> bool:
         """Connections are closed between requests."""
-        return now >= self.instants.close_idle_ms
+        return now >= self.drain_times.close_idle_ms
 
     def rejects_requests(self, now: float) -> bool:
         """New requests are rejected."""
-        return now >= self.instants.reject_ms
+        return now >= self.drain_times.reject_ms
 
     def closes_mid_command(self, now: float) -> bool:
         """Connections are closed also where half a command has come."""
-        return now >= self.instants.close_mid_command_ms
+        return now >= self.drain_times.close_mid_command_ms
 
     def answer_by_ms(self) -> float:
         """The time by which all requests must have been answered; infinite while there is none."""
-        return self.instants.answer_ms
+        return self.drain_times.answer_deadline_ms
--- a/lab/cli.py
+++ b/lab/cli.py
@@ -6,7 +6,7 @@
 
 import click
 
-from cloverwell.cli.main import refuse
+from cloverwell.cli.main import exit_with_error
 from lab.scale.cli import scale
 from lab.scenario import load, names
 from lab.scenario_error import ScenarioError
@@ -53,7 +53,7 @@
     try:
         scenario = load(world)
     except ScenarioError as error:
-        refuse(str(error))
+        exit_with_error(str(error))
     simulation = Simulation(scenario, seed)
     summary = {"world": world} | simulation.run()
     if out is not None:
--- a/lab/list_fleet.py
+++ b/lab/list_fleet.py
@@ -189,7 +189,7 @@
     def knowing(self) -> int:
         """Returns how many proxies have discovery's present list."""
         revision = self.discovery.revision
-        return sum(proxy.endpoint_discovery.listing().revision == revision for proxy in self.proxies)
+        return sum(proxy.endpoint_discovery.current_list().revision == revision for proxy in self.proxies)
 
     def learning_times(self, longest: float) -> list[float]:
         """Runs until all proxies have the present list, or for `longest` seconds.
--- a/lab/scale/cli.py
+++ b/lab/scale/cli.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from cloverwell.cli.main import refuse
+from cloverwell.cli.main import exit_with_error
 from lab.scale import machine, plan
 from lab.scale.errors import RunInterruptedError, ScaleRunError
 from lab.scale.scenario import ScaleScenario, ScaleScenarioError, check, load, shipped
@@ -76,9 +76,9 @@
         scenario = _with_sizes(load(world), name, seed, hollow, nodes)
         plan.check_fits(scenario, machine.memory_mb(), name)
     except ScaleScenarioError as error:
-        refuse(str(error))
+        exit_with_error(str(error))
     if out is not None and not out.parent.is_dir():
-        refuse(f"--out: {out.parent} is no folder")
+        exit_with_error(f"--out: {out.parent} is no folder")
     _run_and_report(scenario, Path(world).stem, out, logs)
 
 
@@ -155,7 +155,7 @@
         lines = fit_all(runs)
         quantities = _read_run(measured, axis).quantities if measured is not None else {}
     except (FitError, KeyError, ValueError) as error:
-        refuse(f"FILES: {error}")
+        exit_with_error(f"FILES: {error}")
     for name, line in lines.items():
         row = _line_row(name, line, predicted_size, quantities.get(name))
         click.echo(json.dumps(row) if as_json else " ".join(f"{key}={value}" for key, value in row.items()))
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -89,8 +89,8 @@
         """Puts this object's methods in front of the proxy's own ones, which they call."""
         self._apply_update = self.service.endpoint_discovery.on_update
         self.service.endpoint_discovery.on_update = self._on_update
-        self._handle_answer = self.service.endpoint_discovery.answered
-        self.service.endpoint_discovery.answered = self._on_answer  # type: ignore[method-assign]
+        self._handle_answer = self.service.endpoint_discovery.poll_answered
+        self.service.endpoint_discovery.poll_answered = self._on_answer  # type: ignore[method-assign]
 
     def start(self) -> None:
         """Applies the list known at the start, and begins to follow discovery."""
@@ -130,7 +130,7 @@
 
     def final_list(self) -> messages.FinalEndpointList:
         """Returns the list as the proxy would hand it to a successor."""
-        listing = self.service.endpoint_discovery.listing()
+        listing = self.service.endpoint_discovery.current_list()
         return messages.FinalEndpointList(self.name, listing.revision, digest(listing.members))
 
 
@@ -141,7 +141,7 @@
         discovery=spec.discovery,
         seed=spec.seed,
         limits=Limits(),
-        known=known,
+        known_endpoints=known,
         settings=read_settings(spec.settings),
     )
 
--- a/lab/simulated_proxy.py
+++ b/lab/simulated_proxy.py
@@ -120,13 +120,13 @@
     def __init__(self, old: Proxy) -> None:
         """Asks the old process to hand over, and keeps what it leaves."""
         self._old = old
-        self.handover_state, self.listening = old.hand_over()
+        self.handover_state, self.listening_descriptor = old.hand_over()
         self._on_end: Callable[[], None] | None = None
 
     def watch(self, _reactor: object, gone: Callable[[], None]) -> None:
         """The successor serves from now on; `gone` is called when this process has ended."""
         self._on_end = gone
-        self._old.succeeded()
+        self._old.successor_started()
 
     def end(self) -> None:
         """The process has ended: its successor is told."""
--- a/lab/soak/cli.py
+++ b/lab/soak/cli.py
@@ -13,7 +13,7 @@
 
 import click
 
-from cloverwell.cli.main import refuse
+from cloverwell.cli.main import exit_with_error
 from lab.soak.defects import DEFECTS
 from lab.soak.plan import SoakInputError, SoakPlan, draw_plan, load_plan, read_seeds
 from lab.soak.result import SoakResult, Verdict
@@ -55,7 +55,7 @@
     try:
         plans = [load_plan(faults)] if faults is not None else [draw_plan(seed) for seed in read_seeds(seeds)]
     except SoakInputError as error:
-        refuse(str(error))
+        exit_with_error(str(error))
     results = _play_all(plans, minutes, jobs, defect or "", logs, as_json, faults)
     verdicts = [result.verdict for result in results]
     if not as_json:
--- a/lab/soak/defects.py
+++ b/lab/soak/defects.py
@@ -13,7 +13,15 @@
     from cloverwell import serving
 
     endless = dict.fromkeys(
-        ("reject_ms", "close_mid_command_ms", "answer_ms", "end_ms", "release_ms", "stream_ms"), float("inf")
+        (
+            "reject_ms",
+            "close_mid_command_ms",
+            "answer_deadline_ms",
+            "half_close_ms",
+            "close_ms",
+            "close_stream_ms",
+        ),
+        float("inf"),
     )
     serving.DRAIN_SCHEDULE = replace(serving.DRAIN_SCHEDULE, **endless)
 
@@ -29,7 +37,7 @@
         schedule = real(longest_deadline_ms, handed_over)
         bounds = {
             name: getattr(schedule, name) + LATE_MS
-            for name in ("end_ms", "release_ms", "stream_ms", "linger_ms")
+            for name in ("half_close_ms", "close_ms", "close_stream_ms", "linger_ms")
         }
         return replace(schedule, **bounds)
 
--- a/tests/test_bounded_waits.py
+++ b/tests/test_bounded_waits.py
@@ -32,7 +32,7 @@
 
 
 def connections(proxy):
-    return proxy.service.side.connections
+    return proxy.service.client_connections.connections
 
 
 def unreading_client(proxy, data):
@@ -53,7 +53,7 @@
     node = proxy.nodes[0].accept()
     name = proxy.receive_until(node, b"\r\n").split()[3][1:]
     node.sendall(b"VA %d O%s\r\n" % (len(LONG_VALUE), name))
-    proxy.run_until(lambda: proxy.service.side.stream_count)
+    proxy.run_until(lambda: proxy.service.client_connections.stream_count)
 
     def passed_on():
         try:
@@ -64,7 +64,7 @@
 
     proxy.run_until(passed_on)  # as far as the client's kernel, ours and the buffers between take it
     still_ms = proxy.now() + STREAM_STALL_MS + SLACK_MS
-    assert play_until(proxy, lambda: not proxy.service.side.stream_count, still_ms)
+    assert play_until(proxy, lambda: not proxy.service.client_connections.stream_count, still_ms)
     by_ms = proxy.now() + LAST_READ_TIMEOUT_MS + SLACK_MS
     assert play_until(proxy, lambda: not connections(proxy), by_ms)
     assert "broken_value" in proxy.log.getvalue()
@@ -129,7 +129,7 @@
     node.sendall(answer)
     (connection,) = connections(proxy)
     proxy.run_until(lambda: not (connection.has_open_request or connection.has_unsent_responses))
-    proxy.service.side._closer.close([CloseClient(connection, reason, abort=True)], 1)
+    proxy.service.client_connections._closer.close([CloseClient(connection, reason, abort=True)], 1)
     proxy.run_until(lambda: not connections(proxy))  # its descriptor is free
     got = b""
     while len(got) < len(answer):
--- a/tests/test_change_propagation.py
+++ b/tests/test_change_propagation.py
@@ -38,7 +38,9 @@
 
 
 def phase_of(proxy):
-    return next(member.phase for member in proxy.endpoint_discovery.listing().members if member.id == CHANGED)
+    return next(
+        member.phase for member in proxy.endpoint_discovery.current_list().members if member.id == CHANGED
+    )
 
 
 @pytest.mark.parametrize("how", ["down", "dead", "hung"])
@@ -84,7 +86,7 @@
 
 def test_a_list_of_1024_nodes_is_known_in_time():
     fleet = settled_fleet(2, nodes=1024)
-    assert all(len(proxy.endpoint_discovery.listing().members) == 1025 for proxy in fleet.proxies)
+    assert all(len(proxy.endpoint_discovery.current_list().members) == 1025 for proxy in fleet.proxies)
     fleet.fail("down")
     fleet.run(8.0)
     for proxy in fleet.proxies:  # each polls for the complete list, as it does from another discovery
@@ -126,7 +128,7 @@
 
 def test_a_longer_backoff_would_let_a_change_arrive_too_late(monkeypatch):
     """The measurement above can fail: a backoff like the balancer's longest makes a change too late."""
-    monkeypatch.setattr(poll_backoff.PollBackoff, "failed", lambda backoff, took_ms: 12_000.0)
+    monkeypatch.setattr(poll_backoff.PollBackoff, "record_failure", lambda backoff, took_ms: 12_000.0)
     fleet = settled_fleet(8)
     fail_for(fleet, "down", 4.0)
     fleet.change()
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -67,7 +67,7 @@
     leave(conn)
     proxy.advance_clock(50 * errors)
     assert not begun
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 @LEAVE
@@ -81,13 +81,13 @@
     leave(conn)
     proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 def test_all_connections_that_are_not_read_are_checked_in_one_call(rig, monkeypatch):
     proxy = rig(sockets=512)
     conns = [proxy.client() for _ in range(60)]
-    side = proxy.service.side
+    side = proxy.service.client_connections
     proxy.run_until(lambda: len(side.connections) == 60)
     for connection in side.connections:
         connection.hold()
@@ -204,7 +204,7 @@
     proxy = rig()
     conn = proxy.client()
     proxy.run_iterations()
-    (connection,) = proxy.service.side.connections
+    (connection,) = proxy.service.client_connections.connections
     connection.dataReceived(write(1))  # taken: its connection to the origin is on the way
     proxy.reactor.runUntilCurrent()
     opening = [one for one in proxy.reactor._selectables.values() if isinstance(one, tcp.BaseClient)]
@@ -224,7 +224,7 @@
     # Each close once cancelled an open read; its place at the origin went to the next disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
-    proxy.run_until(lambda: len(proxy.service.side.connections) == number)
+    proxy.run_until(lambda: len(proxy.service.client_connections.connections) == number)
     proxy.run_iterations(5)
     before = len(begun)
     assert 1 < before < number
@@ -257,17 +257,17 @@
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
-    proxy.run_until(lambda: proxy.service.side.stream_count)
+    proxy.run_until(lambda: proxy.service.client_connections.stream_count)
     proxy.nodes[0].fill_accept_queue()
     conn.sendall(
         b"".join(read(number) for number in range(2, 2 + 2 * MAX_PIPELINED_COMMANDS)) + b"ms k9 70 O9"
     )
-    proxy.run_until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.client_connections.paused_connections)
     leave(conn)
     proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
-    assert not proxy.service.side.stream_count
+    assert not proxy.service.client_connections.connections
+    assert not proxy.service.client_connections.stream_count
     assert nothing_begins(proxy, begun, 1)
 
 
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -34,7 +34,7 @@
     proxy.receive_until(proxy.nodes[0].accept(), b"mg k1 ")
     idle.close()
     waiting.close()
-    proxy.run_until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.client_connections.connections)
     assert sorted(reasons(proxy, "close")) == ["by_client", "left"]
 
 
@@ -53,7 +53,7 @@
     proxy.advance_clock(wait_ms)
     assert proxy.receive_to_end(conn).endswith(b"END")
     conn.close()
-    proxy.run_until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.client_connections.connections)
     assert reasons(proxy, "close") == [reason]
 
 
@@ -79,7 +79,7 @@
     proxy.client(write(1, 9000) + write(2, 9000))
     proxy.receive_until(proxy.origin.accept(), b"PUT /k1 ")
     proxy.service.drain()
-    over_ms = proxy.service.serving.since_ms + DRAIN_REPORT_MS
+    over_ms = proxy.service.serving.drain_began_ms + DRAIN_REPORT_MS
     while proxy.now() < over_ms - 100:
         proxy.advance_clock(5)
     assert not lines(proxy, "held")
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -19,7 +19,7 @@
     ClosingStep,
     closing_step,
 )
-from cloverwell.serving import DRAIN_SCHEDULE, NO_END, Serving, instants_of, shutdown_schedule
+from cloverwell.serving import DRAIN_SCHEDULE, NO_DRAIN, Serving, drain_times_from, shutdown_schedule
 
 TICK_MS = 20.0
 DRAIN_BOUND_MS = 4000.0  # the page's: at that time no connection is held
@@ -122,7 +122,7 @@
             connection.client(event)
         place += 1
         connection.read_all(now >= instants.reject_ms)
-        if now >= instants.answer_ms and connection.open_requests:
+        if now >= instants.answer_deadline_ms and connection.open_requests:
             connection._answer_all()
         connection.carry_out(closing_step(connection.state(), instants, now), now)
         now += TICK_MS
@@ -142,10 +142,10 @@
     if not values:
         events = [[event for event in group if event != "value"] for group in events]
     connection = Connection(accepted_ms=start_ms - accepted_before_ms)
-    instants = instants_of(DRAIN_SCHEDULE, start_ms)
+    instants = drain_times_from(DRAIN_SCHEDULE, start_ms)
     play(connection, instants, events, start_ms + 60_000.0, start_ms)
     assert connection.closed_ms is not None
-    bound_ms = DRAIN_SCHEDULE.stream_ms + TICK_MS if values else DRAIN_BOUND_MS
+    bound_ms = DRAIN_SCHEDULE.close_stream_ms + TICK_MS if values else DRAIN_BOUND_MS
     assert connection.closed_ms <= start_ms + bound_ms
     assert not connection.unanswered
 
@@ -165,7 +165,7 @@
         serving.drain(-drained_before_ms)
     serving.stop(0.0, longest_ms, handed_over)
     connection = Connection(accepted_ms=-100.0)
-    play(connection, serving.instants, events, 60_000.0, 0.0)
+    play(connection, serving.drain_times, events, 60_000.0, 0.0)
     assert connection.closed_ms is not None
     assert connection.closed_ms < min(longest_ms, 3000.0) + PAGE_KILL_MS - TICK_MS
     assert not connection.unanswered
@@ -176,24 +176,24 @@
 @given(accepted_ms=st.floats(0.0, 100_000.0), events=STEPS)
 def test_who_connects_late_in_a_drain_is_let_go_as_soon(accepted_ms, events):
     events = [[event for event in group if event != "value"] for group in events]
-    instants = instants_of(DRAIN_SCHEDULE, 0.0)
+    instants = drain_times_from(DRAIN_SCHEDULE, 0.0)
     connection = Connection(accepted_ms=accepted_ms)
     play(connection, instants, events, accepted_ms + 60_000.0, accepted_ms)
-    newcomer_ms = accepted_ms + DRAIN_SCHEDULE.newcomer_ms + TICK_MS
-    assert connection.closed_ms <= max(DRAIN_BOUND_MS, newcomer_ms)
+    late_connection_ms = accepted_ms + DRAIN_SCHEDULE.late_connection_ms + TICK_MS
+    assert connection.closed_ms <= max(DRAIN_BOUND_MS, late_connection_ms)
 
 
 @pytest.mark.parametrize("state", [ClosingState(0.0), ClosingState(0.0, half_closed_ms=1.0)])
 @pytest.mark.parametrize("now", [0.0, 1e9])
 def test_in_a_process_that_goes_on_nothing_is_closed(state, now):
-    assert closing_step(state, NO_END, now) is ClosingStep.KEEP
+    assert closing_step(state, NO_DRAIN, now) is ClosingStep.KEEP
 
 
 @pytest.mark.parametrize(
     ("now", "wait_ms"), [(500.0, FIRST_REQUEST_WAIT_MS), (1500.0, LATE_FIRST_REQUEST_WAIT_MS)]
 )
 def test_a_new_connection_has_a_while_for_its_first_request(now, wait_ms):
-    instants = instants_of(DRAIN_SCHEDULE, 0.0)
+    instants = drain_times_from(DRAIN_SCHEDULE, 0.0)
     for age_ms, step in ((wait_ms - 1.0, ClosingStep.KEEP), (wait_ms, ClosingStep.HALF_CLOSE_IF_ALL_READ)):
         state = ClosingState(now - age_ms, nothing_read=True)
         assert closing_step(state, instants, now) is step
@@ -202,7 +202,7 @@
 
 @given(st.floats(0.0, 20_000.0), st.booleans(), st.booleans(), st.booleans())
 def test_behind_a_stall_nothing_is_closed_whatever_is_unread(now, pending, partial, paused):
-    instants = instants_of(DRAIN_SCHEDULE, 0.0)
+    instants = drain_times_from(DRAIN_SCHEDULE, 0.0)
     state = ClosingState(0.0, False, pending, False, partial, paused)
     step = closing_step(state, instants, now, after_stall=True)
     assert step not in (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
@@ -212,5 +212,10 @@
 def test_the_instants_of_a_schedule_come_in_their_order(longest_ms, handed_over):
     for schedule in (DRAIN_SCHEDULE, shutdown_schedule(longest_ms, handed_over)):
         assert schedule.close_idle_ms < schedule.reject_ms <= schedule.close_mid_command_ms
-        assert schedule.close_mid_command_ms < schedule.answer_ms <= schedule.end_ms <= schedule.release_ms
-        assert schedule.release_ms <= schedule.stream_ms < math.inf
+        assert (
+            schedule.close_mid_command_ms
+            < schedule.answer_deadline_ms
+            <= schedule.half_close_ms
+            <= schedule.close_ms
+        )
+        assert schedule.close_ms <= schedule.close_stream_ms < math.inf
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -239,11 +239,11 @@
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     reached(proxy, proxy.discovery, b"GET /v1/servers")
     assert failing.failed >= 1
     assert "call failed" not in proxy.log.getvalue()
-    assert not proxy.service.endpoint_discovery._backoff.failing
+    assert not proxy.service.endpoint_discovery._backoff.is_failing
 
 
 def test_a_call_to_discovery_that_can_not_be_made_in_its_time_is_a_failed_one(rig, outgoing):
@@ -251,7 +251,7 @@
     failing = fail(outgoing, proxy.discovery.address, "socket", always=errno.ENFILE)
     proxy.service.endpoint_discovery._revision = None  # a call that does not wait for news
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     begun_ms = proxy.now()
     proxy.advance_clock(1950)
     assert "call failed: no answer in time" in proxy.log.getvalue()
@@ -266,7 +266,7 @@
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     proxy.run_until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
 
--- a/tests/test_control_cli.py
+++ b/tests/test_control_cli.py
@@ -157,7 +157,7 @@
     assert proxy.control.nodes == node.nodes
     assert proxy.control.log == node.log
     assert proxy.control.region in node.regions.values()
-    assert proxy.control.home
+    assert proxy.control.local_nodes
     change = (DEPLOY / "change.json").read_bytes()
     assert read_change(proxy.document, change, {}).discovery != proxy.discovery
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -41,10 +41,10 @@
 
 def test_the_nodes_of_the_own_region_stand_apart():
     control = parse(OWN).control
-    assert control.home == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
-    assert control.elsewhere == {"south-1": ("127.0.0.1", 7402)}
+    assert control.local_nodes == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
+    assert control.remote_nodes == {"south-1": ("127.0.0.1", 7402)}
     assert control.region == "north"
-    assert control.wait_ms == 5000.0
+    assert control.catch_up_timeout_ms == 5000.0
     assert control.log == "fleet"
 
 
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -46,7 +46,7 @@
     def activate(self, discovery, peers_total):
         self.done.append((discovery, peers_total))
 
-    def resize(self, peers_total):
+    def set_peers_total(self, peers_total):
         self.done.append(peers_total)
 
     def tell(self, message):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -179,10 +179,10 @@
     old.play(f"discovery send 200 {json.dumps(listing)}")
     endpoint_discovery = old.service.endpoint_discovery
     state = HandoverState(
-        messages.PROTOCOL_VERSION, 200, endpoint_discovery.listing(), endpoint_discovery.node_starts()
+        messages.PROTOCOL_VERSION, 200, endpoint_discovery.current_list(), endpoint_discovery.node_starts()
     )
     state = messages.decode(messages.encode(state).rstrip(), HandoverState)
-    left = SimpleNamespace(handover_state=state, listening=0, watch=lambda reactor, gone: None)
+    left = SimpleNamespace(handover_state=state, listening_descriptor=0, watch=lambda reactor, gone: None)
     epoch_ms = EPOCH_MS + HOUR_MS
     new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
     new.start(adopt=lambda reactor, descriptor, factory: None)
@@ -225,7 +225,7 @@
         thread.start()
         left = request_handover(path, listening.getsockname(), Log(monotonic_ms, log), PATIENCE_S)
         assert left is not None, log.getvalue()
-        os.close(left.listening)
+        os.close(left.listening_descriptor)
         left._connection.close()
         thread.join()
     assert (left.handover_state.node_starts is not None) is kept
--- a/tests/test_lab_clock_steps.py
+++ b/tests/test_lab_clock_steps.py
@@ -175,7 +175,7 @@
             node: told_ms + starts._epoch_ms if told_ms else LONG_AGO for node, told_ms in up_since_ms.items()
         }
 
-    monkeypatch.setattr(NodeStarts, "take", as_told)
+    monkeypatch.setattr(NodeStarts, "record_list", as_told)
     assert "cold" in broken(Simulation(soon_cold(7.1), 3).run())
 
 
--- a/tests/test_lab_planted_defects.py
+++ b/tests/test_lab_planted_defects.py
@@ -65,7 +65,7 @@
 
 def drops_what_is_open_at_its_end(patch):
     def stop(self):
-        for connection in list(self.side.connections):
+        for connection in list(self.client_connections.connections):
             connection.transport.abortConnection()
 
     patch.setattr(proxy_module.Proxy, "stop", stop)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -63,7 +63,10 @@
     assert not [
         name for name in pools.node_names() if name[0] == "b" and not pools.pool_of(name).opening_count
     ]
-    assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
+    assert {member.id for member in player.service.endpoint_discovery.current_list().members} == {
+        "s1",
+        "origin",
+    }
 
 
 @pytest.mark.parametrize(
@@ -76,7 +79,7 @@
     listing = {"revision": 42, "complete": True, "members": [member]}
     player.play(f"discovery send 200 {json.dumps(listing)}")
     assert player.log.getvalue().count("call failed: malformed") == 1
-    assert player.service.endpoint_discovery.listing().revision == 41
+    assert player.service.endpoint_discovery.current_list().revision == 41
     assert_serves(player)
 
 
@@ -88,4 +91,4 @@
     assert_serves(player)
     player.play("wait 400")
     assert "s1" not in player.service.pools.node_names()
-    assert "s1" not in {member.id for member in player.service.endpoint_discovery.listing().members}
+    assert "s1" not in {member.id for member in player.service.endpoint_discovery.current_list().members}
--- a/tests/test_node_starts.py
+++ b/tests/test_node_starts.py
@@ -141,7 +141,10 @@
     row = f'{{"id":"s9","host_port":"127.0.0.9:209","up_since_ms":{number}}}'
     player.play(f'discovery send 200 {{"revision":42,"complete":true,"members":[{row}]}}')
     assert player.log.getvalue().count("call failed: malformed") == 1
-    assert {member.id for member in player.service.endpoint_discovery.listing().members} == {"s1", "origin"}
+    assert {member.id for member in player.service.endpoint_discovery.current_list().members} == {
+        "s1",
+        "origin",
+    }
     assert player.service.endpoint_discovery.node_starts().starts == {}
 
 
@@ -184,14 +187,14 @@
 def starts_at(now, listed=True):
     """A fleet of one node, `old`, as a proxy knows it that has begun an hour ago by an exact clock."""
     starts = NodeStarts(0.0, WARM_UP_MS)
-    starts.take({"old": now - 2 * HOUR_MS}, now - HOUR_MS, 0.0, held=not listed)
+    starts.record_list({"old": now - 2 * HOUR_MS}, now - HOUR_MS, 0.0, predates_process=not listed)
     return starts
 
 
 def test_at_the_start_of_a_process_the_wall_clock_decides_within_its_bound():
     starts = NodeStarts(-100.0, WARM_UP_MS)
     up_since_ms = {"old": 50.0, "fresh": 1000.0, "ahead": 9000.0, "ages": 0.0}
-    assert starts.take(up_since_ms, 1000.0, -100.0, held=True) == {
+    assert starts.record_list(up_since_ms, 1000.0, -100.0, predates_process=True) == {
         "old": -50.0,
         "fresh": 900.0,
         "ahead": 1000.0,
@@ -201,38 +204,44 @@
 
 def test_of_a_long_warm_up_no_more_than_a_second_is_believed_from_before_the_last_list():
     starts = NodeStarts(0.0, 20_000.0)
-    starts.take({}, 1e9, 0.0, held=False)
+    starts.record_list({}, 1e9, 0.0, predates_process=False)
     up_since_ms = {"soon": 1e9 - 1000.0, "late": 1e9 - 1001.0}
-    started_ms = starts.take(up_since_ms, 1e9 + 500.0, 0.0, held=False)
+    started_ms = starts.record_list(up_since_ms, 1e9 + 500.0, 0.0, predates_process=False)
     assert started_ms == {"soon": 1e9 - 1000.0, "late": 1e9 + 500.0}
 
 
 def test_a_held_list_has_no_date():
-    assert starts_at(1e9, listed=False).take({"s1": 1e9 - 2 * HOUR_MS}, 1e9, 0.0, held=False) == {
-        "s1": 1e9 - 2 * HOUR_MS
+    assert starts_at(1e9, listed=False).record_list(
+        {"s1": 1e9 - 2 * HOUR_MS}, 1e9, 0.0, predates_process=False
+    ) == {"s1": 1e9 - 2 * HOUR_MS}
+    assert starts_at(1e9).record_list({"s1": 1e9 - 2 * HOUR_MS}, 1e9, 0.0, predates_process=False) == {
+        "s1": 1e9
     }
-    assert starts_at(1e9).take({"s1": 1e9 - 2 * HOUR_MS}, 1e9, 0.0, held=False) == {"s1": 1e9}
 
 
 def test_a_start_between_two_lists_is_believed_where_it_fits_between_them():
     starts = starts_at(1e9)
-    starts.take({}, 1e9 + 1000.0, 0.0, held=False)
-    assert starts.take({"s1": 1e9 + 1500.0}, 1e9 + 2000.0, 0.0, held=False) == {"s1": 1e9 + 1500.0}
+    starts.record_list({}, 1e9 + 1000.0, 0.0, predates_process=False)
+    assert starts.record_list({"s1": 1e9 + 1500.0}, 1e9 + 2000.0, 0.0, predates_process=False) == {
+        "s1": 1e9 + 1500.0
+    }
     # One node has registered some time after its start; the clock of the other one was ahead.
     late_ms = REGISTRATION_DELAY_SHARE * WARM_UP_MS
     up_since_ms = {"s2": 1e9 + 2000.0 - late_ms, "s3": 1e9 + 1999.0 - late_ms}
-    assert starts.take(up_since_ms, 1e9 + 3000.0, 0.0, held=False) == up_since_ms | {"s3": 1e9 + 3000.0}
+    assert starts.record_list(up_since_ms, 1e9 + 3000.0, 0.0, predates_process=False) == up_since_ms | {
+        "s3": 1e9 + 3000.0
+    }
 
 
 def test_long_ago_is_no_restart():
     starts = NodeStarts(0.0, WARM_UP_MS)
-    starts.take({"s1": 900.0}, 1000.0, 0.0, held=False)
-    assert starts.take({"s1": 0.0}, 5000.0, 0.0, held=False) == {"s1": 900.0}
-    assert starts.take({"s1": 900.0}, 6000.0, 0.0, held=False) == {"s1": 900.0}
+    starts.record_list({"s1": 900.0}, 1000.0, 0.0, predates_process=False)
+    assert starts.record_list({"s1": 0.0}, 5000.0, 0.0, predates_process=False) == {"s1": 900.0}
+    assert starts.record_list({"s1": 900.0}, 6000.0, 0.0, predates_process=False) == {"s1": 900.0}
 
 
 def test_a_start_at_exactly_0_is_not_taken_for_long_ago():
-    started_ms = NodeStarts(0.0, WARM_UP_MS).take({"s1": 5.0}, 0.0, 0.0, held=False)["s1"]
+    started_ms = NodeStarts(0.0, WARM_UP_MS).record_list({"s1": 5.0}, 0.0, 0.0, predates_process=False)["s1"]
     assert started_ms != 0.0
     assert started_ms == pytest.approx(0.0)
 
@@ -240,7 +249,7 @@
 def test_the_starts_of_nodes_that_are_gone_are_kept_to_a_bound():
     starts = NodeStarts(0.0, WARM_UP_MS)
     for number in range(5 * MAX_REMOVED):
-        starts.take({f"s{number}": 1.0 + number}, 1e9 + number, 0.0, held=False)
+        starts.record_list({f"s{number}": 1.0 + number}, 1e9 + number, 0.0, predates_process=False)
         starts.forget_removed({"s0": None, f"s{number}": None})
         assert len(starts.snapshot(1e9).starts) <= MAX_REMOVED + 2
     assert {"s0", f"s{5 * MAX_REMOVED - 1}"} <= set(starts.snapshot(1e9).starts)
@@ -252,26 +261,31 @@
 def test_a_successor_knows_the_starts_as_its_predecessor_did():
     """Its own wall clock is an hour behind: by it the warm node would have started just now."""
     old = starts_at(1e9)
-    old.take({"new": 1e9 - 500.0}, 1e9, 0.0, held=False)
+    old.record_list({"new": 1e9 - 500.0}, 1e9, 0.0, predates_process=False)
     new = NodeStarts(HOUR_MS * 3, WARM_UP_MS)
     new.inherit(old.snapshot(1e9), 1e9 + 20.0)
     up_since_ms = {"old": 1e9 - 2 * HOUR_MS, "new": 1e9 - 500.0}
-    assert new.take(up_since_ms, 1e9 + 20.0, 3 * HOUR_MS, held=True) == up_since_ms
+    assert new.record_list(up_since_ms, 1e9 + 20.0, 3 * HOUR_MS, predates_process=True) == up_since_ms
     # Its first list from discovery stands behind the predecessor's last one.
-    assert new.take({"next": 5.0}, 1e9 + 100.0, 3 * HOUR_MS, held=False) == {"next": 1e9 + 100.0}
+    assert new.record_list({"next": 5.0}, 1e9 + 100.0, 3 * HOUR_MS, predates_process=False) == {
+        "next": 1e9 + 100.0
+    }
 
 
 def test_a_held_list_that_is_older_than_the_inherited_starts_changes_none():
     new = NodeStarts(0.0, WARM_UP_MS)
     new.inherit(KnownStarts(1e6, 1e6, {"s1": NodeStart(500.0, 9e5)}), 1e6)
-    assert new.take({"s1": 400.0}, 1e6, 0.0, held=True) == {"s1": 9e5}
-    assert new.take({"s1": 400.0}, 1e6 + 5.0, 0.0, held=False) == {"s1": 1e6 + 5.0}
+    assert new.record_list({"s1": 400.0}, 1e6, 0.0, predates_process=True) == {"s1": 9e5}
+    assert new.record_list({"s1": 400.0}, 1e6 + 5.0, 0.0, predates_process=False) == {"s1": 1e6 + 5.0}
 
 
 def test_no_inherited_start_lies_in_the_future():
     new = NodeStarts(0.0, WARM_UP_MS)
     new.inherit(KnownStarts(1e9, 2e9, {"s1": NodeStart(500.0, 2e9)}), 1e9)
-    assert new.take({"s1": 500.0, "s2": 1e9 - WARM_UP_MS}, 1e9, 0.0, held=True) == {"s1": 1e9, "s2": 1e9}
+    assert new.record_list({"s1": 500.0, "s2": 1e9 - WARM_UP_MS}, 1e9, 0.0, predates_process=True) == {
+        "s1": 1e9,
+        "s2": 1e9,
+    }
 
 
 # Whatever the clocks do ----------------------------------------------------------------------------
@@ -317,7 +331,7 @@
 
 
 def listed_nodes(player):
-    return [member.id for member in player.service.endpoint_discovery.listing().members]
+    return [member.id for member in player.service.endpoint_discovery.current_list().members]
 
 
 def without_starts(updates):
--- a/tests/test_poll_backoff.py
+++ b/tests/test_poll_backoff.py
@@ -36,27 +36,27 @@
 def test_the_next_poll_begins_in_time_whichever_polls_failed_before(seed, proxies, failures):
     backoff = backoff_of(seed, proxies)
     for took_ms in failures:
-        backoff_ms = backoff.failed(took_ms)
+        backoff_ms = backoff.record_failure(took_ms)
         assert backoff_ms >= MIN_SLOW_FAILURE_BACKOFF_MS
         assert took_ms + backoff_ms <= max(MAX_BACKOFF_MS, took_ms + MAX_SLOW_FAILURE_BACKOFF_MS)
-        assert backoff.failing
+        assert backoff.is_failing
     backoff.reset()
-    assert not backoff.failing
+    assert not backoff.is_failing
 
 
 def test_the_backoff_grows_from_a_short_one_and_is_reset_by_an_answer():
     backoff = backoff_of(1)
-    grown = [backoff.failed(0.0) for _ in range(8)]
+    grown = [backoff.record_failure(0.0) for _ in range(8)]
     assert grown[0] <= INITIAL_BACKOFF_MS == 600.0
     assert INITIAL_BACKOFF_MS < grown[1] < grown[2]
     assert min(grown[2:]) >= 0.5 * MAX_BACKOFF_MS
     backoff.reset()
-    assert backoff.failed(0.0) <= INITIAL_BACKOFF_MS
+    assert backoff.record_failure(0.0) <= INITIAL_BACKOFF_MS
 
 
 @pytest.mark.parametrize("proxies", [200, 480, 1024])
 def test_many_proxies_that_lose_their_watch_at_once_spread_their_polls_from_the_first_one_on(proxies):
-    backoffs = sorted(backoff_of(seed, proxies).failed(0.0) for seed in range(proxies))
+    backoffs = sorted(backoff_of(seed, proxies).record_failure(0.0) for seed in range(proxies))
     tenths = [
         sum(start <= backoff_ms < start + 100.0 for backoff_ms in backoffs)
         for start in range(0, int(MAX_BACKOFF_MS), 100)
@@ -73,4 +73,4 @@
 ):
     guarantees = SETTINGS["guarantees"] | {"drain-grace": grace_ms}
     backoff = backoff_of(1, 200, **{"membership-mode": "pushed", "guarantees": guarantees})
-    assert {backoff.failed(took_ms) for took_ms in (0.0, 50.0, 5000.0) * 9} == {expected_ms}
+    assert {backoff.record_failure(took_ms) for took_ms in (0.0, 50.0, 5000.0) * 9} == {expected_ms}
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -368,7 +368,7 @@
     timer_wheel.start()
     for _, took_ms, _ in turns:
         timer_wheel.not_before(
-            timer_wheel.now() + retry.failed(took_ms), lambda: calls.append(timer_wheel.now())
+            timer_wheel.now() + retry.record_failure(took_ms), lambda: calls.append(timer_wheel.now())
         )
         clock.pump([0.02] * 350)
     return calls
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -80,7 +80,7 @@
 
     def knowing(self):
         return sum(
-            proxy.process.proxy.endpoint_discovery.listing().revision >= self.discovery.revision
+            proxy.process.proxy.endpoint_discovery.current_list().revision >= self.discovery.revision
             for proxy in self.proxies
         )
 
--- a/tests/test_scale_hollow.py
+++ b/tests/test_scale_hollow.py
@@ -48,8 +48,8 @@
 def test_a_failed_call_is_counted():
     proxy = hollow([])
     proxy.start()
-    proxy.service.endpoint_discovery.watch()
-    proxy.service.endpoint_discovery.failed("for the test")
+    proxy.service.endpoint_discovery.request_poll()
+    proxy.service.endpoint_discovery.poll_failed("for the test")
     assert proxy.failed_calls == 1
 
 
@@ -101,9 +101,9 @@
     rows = []
     proxy = hollow(rows)
     proxy.start()
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     listing = EndpointList(8, False, [Endpoint("node-2", "127.0.0.1:3", "east-0", "large")])
-    proxy.service.endpoint_discovery.answered(200, msgspec.json.encode(listing))
+    proxy.service.endpoint_discovery.poll_answered(200, msgspec.json.encode(listing))
     assert (rows[-1].revision, rows[-1].lines, rows[-1].held) == (8, 1, False)
     assert rows[-1].cpu_ms > 0.0
     assert rows[0].cpu_ms == 0.0
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -65,7 +65,7 @@
     player.play(f"client#{budget + 1} send mg k v Ox Pc=page,t=acme,d=900")
     player.play(f"client#{budget + 1} expect SERVER_ERROR busy 1000")
     # At the last descriptors no more connections are taken, until one closes.
-    port = player.service.side.port = Transport()
+    port = player.service.client_connections.port = Transport()
     place = budget + 1
     while player.service.budget.available(DescriptorSide.CLIENTS):
         place += 1
@@ -105,7 +105,7 @@
 def test_who_is_turned_away_for_want_of_descriptors_is_told_the_sites_own_time(limits, answer):
     # It was 1000 ms also where clients are told none.
     player = Player(settings=SETTINGS | {"limits": SETTINGS["limits"] | limits})
-    player.service.side.should_reject = lambda request: True
+    player.service.client_connections.should_reject = lambda request: True
     player.play(f"client send mg k v O1 Pc=page,t=acme,d=900\nclient expect SERVER_ERROR {answer}")
 
 
@@ -164,7 +164,7 @@
     # Hundreds that connect and say nothing must not shut out those that ask; their descriptors come free at
     # once, whether or not they ever close their side. One with an unread request is not closed.
     player = Player(sockets=64)
-    port = player.service.side.port = Transport()
+    port = player.service.client_connections.port = Transport()
     budget = player.service.budget
     player.play("client#1 send mn\nclient#1 expect MN\nclient#2 expect nothing\nclient#3 expect nothing")
     player.connection("client", 1)[1].unread = b"m"
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -37,17 +37,19 @@
             assert serving.stop(now, 2000.0) == (stopped_ms is None)
             stopped_ms = now if stopped_ms is None else stopped_ms
         assert (serving.state is ServingState.STOPPING) == (stopped_ms is not None)
-        assert serving.wanted == (serving.state is ServingState.READY)
-        assert serving.ready or not serving.wanted
-        assert serving.draining == (serving.state in (ServingState.DRAINED, ServingState.STOPPING))
+        assert serving.is_in_rotation == (serving.state is ServingState.READY)
+        assert serving.can_serve or not serving.is_in_rotation
+        assert serving.is_draining == (serving.state in (ServingState.DRAINED, ServingState.STOPPING))
         if serving.state is ServingState.STOPPING:
-            assert serving.accepts(now) == (now - stopped_ms < shutdown_schedule(2000.0, False).accept_ms)
+            assert serving.accepts_connections(now) == (
+                now - stopped_ms < shutdown_schedule(2000.0, False).stop_accepting_ms
+            )
         else:
-            assert serving.accepts(now)
+            assert serving.accepts_connections(now)
         if serving.state is ServingState.DRAINED:
             assert serving.closes_idle_connections(now) == (now - drained_ms >= DRAIN_SCHEDULE.close_idle_ms)
             assert serving.closes_mid_command(now) <= serving.closes_idle_connections(now)
-        elif not serving.draining:
+        elif not serving.is_draining:
             assert not serving.closes_idle_connections(now)
             assert not serving.closes_mid_command(now)
 
@@ -56,10 +58,10 @@
 def test_a_planned_end_is_over_before_the_platform_kills(longest_ms, handed_over):
     schedule = shutdown_schedule(longest_ms, handed_over)
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert schedule.accept_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
-    assert schedule.answer_ms < kill_ms
+    assert schedule.stop_accepting_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
+    assert schedule.answer_deadline_ms < kill_ms
     # What comes last has its whole time, as far as the platform gives it.
-    assert schedule.answer_ms - schedule.close_idle_ms >= min(longest_ms, 3000.0) - 1e-6
+    assert schedule.answer_deadline_ms - schedule.close_idle_ms >= min(longest_ms, 3000.0) - 1e-6
 
 
 def test_callers_that_finish_nothing_never_stand_in_the_way_and_are_bounded():
@@ -91,8 +93,8 @@
 
 def test_a_crowd_of_clients_does_not_shut_operators_out():
     player = Player(sockets=64, operator=True)
-    player.service.side.port, place = Transport(), 0
-    while player.service.side.accept_limit():
+    player.service.client_connections.port, place = Transport(), 0
+    while player.service.client_connections.accept_limit():
         place += 1
         player.play(f"client#{place} send ms k 9 O{place} Pc=order,t=acme,d=1900|a")
     player.play("operator send GET /ready\noperator expect HTTP/1.1 200 *yes")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -26,11 +26,11 @@
     proxy.nodes[0].fill_accept_queue()
     conn = proxy.client(b"".join(read(number) for number in range(3 * MAX_PIPELINED_COMMANDS)))
     proxy.run_until(lambda: proxy.service.dispatcher.open_count == MAX_PIPELINED_COMMANDS)
-    assert proxy.service.side.paused_connections
+    assert proxy.service.client_connections.paused_connections
     leave(conn)
     proxy.advance_clock(100)
     assert proxy.service.dispatcher.open_count == 0
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 @pytest.mark.parametrize("number", [1, 40, 3 * MAX_PIPELINED_COMMANDS])
@@ -44,7 +44,7 @@
         sent += node in proxy.origin.accepted
     proxy.advance_clock(300)
     assert proxy.service.dispatcher.open_count <= sent
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
     assert proxy.origin.accept_nowait() is None
 
 
@@ -59,7 +59,7 @@
     proxy.stall(350.0)
     proxy.run_iterations()
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
     assert proxy.origin.accept_nowait() is None
     assert proxy.nodes[0].accept_nowait() is None
 
@@ -206,7 +206,7 @@
     node = proxy.nodes[0].accept()
     served(proxy, conn, node, 1)
     node.sendall(noise)  # it is there, and not read yet, when the next request is
-    next(iter(proxy.service.side.connections)).dataReceived(read(2))
+    next(iter(proxy.service.client_connections.connections)).dataReceived(read(2))
     second = proxy.nodes[0].accept()
     served(proxy, conn, second, 2, b"two")
     assert proxy.receive_to_end(node).endswith((b"END", b"RESET"))
--- a/tests/test_states_against_ends.py
+++ b/tests/test_states_against_ends.py
@@ -139,7 +139,7 @@
 
 
 def replaced(play):
-    play.rig.service.succeeded()
+    play.rig.service.successor_started()
     play.stop()
 
 
@@ -241,7 +241,7 @@
         for number in range(90):
             play.clients[number] = Crowding(play.rig)
         play.rig.run_iterations()
-        assert play.rig.service.side._full
+        assert play.rig.service.client_connections._full
         end(play)
         play.finish()
         assert all(client.eof or client.was_reset for client in play.clients.values())
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -140,7 +140,7 @@
     node.dataReceived(HEAD + VALUE[:100])
     player.play("client close")
     assert transport.aborted
-    assert not player.service.side.stream_count
+    assert not player.service.client_connections.stream_count
 
 
 def test_one_too_long_is_refused_and_the_read_goes_on_elsewhere():
@@ -166,7 +166,7 @@
         while transport.producerState == "producing":
             node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
             node.rest = node.rest[STREAM_READ_BYTES:]
-    side = player.service.side
+    side = player.service.client_connections
     assert side.stream_count == number
     held = sum(
         len(slow.held) + len(slow.transport.protocol._outgoing) + len(node._incoming)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -103,7 +103,7 @@
     failing = CallFaults(number)
     outgoing.at(proxy.discovery.address, **{calls: failing})
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     discovery = whole(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -120,7 +120,7 @@
     exchange(proxy, conn, 1)
     peek.faults = [errno.ENOMEM]
     conn.sendall(read(5, 30_000))
-    (connection,) = proxy.service.side.connections
+    (connection,) = proxy.service.client_connections.connections
     # As the sweep does with one that is overdue.
     assert not connection.close_overdue(CloseReason.PARTIAL_COMMAND)
     assert peek.failed == 1
@@ -141,7 +141,7 @@
     proxy.receive_until(conn, b"x\r\n")
     node.sendall(b"VA 1 O1\r\nx\r\n")  # a second copy, that the look would have found
     peek.faults = [number]
-    next(iter(proxy.service.side.connections)).dataReceived(read(2))
+    next(iter(proxy.service.client_connections.connections)).dataReceived(read(2))
     second = proxy.nodes[0].accept()
     proxy.receive_until(second, b"mg k2 ")
     second.sendall(b"VA 3 O2\r\ntwo\r\n")
@@ -341,7 +341,7 @@
     failing.always = None
     proxy.advance_clock(300)
     assert proxy.origin.accept_nowait() is None
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 class Telling:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -36,7 +36,7 @@
     conn = proxy.client()  # its request is on the way
     proxy.stall(600)  # the port closes before the reactor has looked at it
     proxy.run_iterations()
-    assert proxy.service.side.connections
+    assert proxy.service.client_connections.connections
     assert proxy.service._port is None
     conn.sendall(read(1, 900))
     proxy.advance_clock(10)
@@ -79,7 +79,10 @@
     proxy.receive_until(conn, b"HD O1 cr1\r\n")
     play_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
     assert (
-        proxy.service.side.policy.stage_of(next(iter(proxy.service.side.connections))) is ClientStage.CLOSING
+        proxy.service.client_connections.policy.stage_of(
+            next(iter(proxy.service.client_connections.connections))
+        )
+        is ClientStage.CLOSING
     )
     assert proxy.receive_to_end(conn) == b"CLIENT_ERROR half a command\r\nEND"
 
@@ -150,14 +153,16 @@
 def test_a_connection_that_was_not_read_for_a_while_is_read_as_any_other_afterwards(rig):
     proxy = rig()
     conn = proxy.client(b"".join(read(number) for number in range(MAX_PIPELINED_COMMANDS)))
-    proxy.run_until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.client_connections.paused_connections)
     conn.sendall(
         read(MAX_PIPELINED_COMMANDS)
     )  # it stands unread when the first answer lets the reading go on
     proxy.run_iterations(5)
     # All answers are there at once, so that the connection is not held a second time.
     answer_reads(proxy, proxy.nodes[0])
-    proxy.run_until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
+    proxy.run_until(
+        lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.client_connections.paused_connections
+    )
     proxy.advance_clock(3000)
     conn.sendall(write(100))
     proxy.receive_until(proxy.origin.accept(), b"PUT /k100 ")  # not refused as late
@@ -189,7 +194,7 @@
     proxy = rig(sockets=64)
     crowd = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._full
+    assert proxy.service.client_connections._full
     conn = proxy.client()
     conn.sendall(write(1, 300))
     time.sleep(0.6)  # of the kernel's clock, which no test moves
@@ -203,7 +208,7 @@
     proxy = rig(sockets=64)
     crowd = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._full
+    assert proxy.service.client_connections._full
     proxy.advance_clock(300)
     for conn in crowd:
         conn.close()
@@ -314,7 +319,10 @@
     proxy.run_until(lambda: proxy.service.pools.pool_of("s1").connections)
     proxy.run_until(lambda: proxy.service.pools.pool_of("origin").connections)
     pools = [proxy.service.pools.pool_of(name) for name in ("s1", "origin")]
-    made = [*proxy.service.side.connections, *(one for pool in pools for one in pool.connections)]
+    made = [
+        *proxy.service.client_connections.connections,
+        *(one for pool in pools for one in pool.connections),
+    ]
     assert len(made) == 3
     for connection in made:
         handle = connection.transport.getHandle()
@@ -337,7 +345,7 @@
     proxy.receive_until(node, b"mg k1 ")
     answer = memoryview(b"VA %d O1\r\n" % len(VALUE) + VALUE + b"\r\n")
     got = bytearray()
-    side = proxy.service.side
+    side = proxy.service.client_connections
 
     def pass_on():
         nonlocal answer
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -96,9 +96,11 @@
     proxy = service(net, [ORIGIN])
     body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
     listen_as_discovery(net, body)
-    proxy.endpoint_discovery.watch()
+    proxy.endpoint_discovery.request_poll()
     net.run_for(6.0)
-    assert len(proxy.endpoint_discovery.listing().members) == NODES + 1, proxy._log._stream.getvalue()[:500]
+    assert len(proxy.endpoint_discovery.current_list().members) == NODES + 1, proxy._log._stream.getvalue()[
+        :500
+    ]
     assert len(proxy.pools.node_names()) == NODES + 1
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -15,7 +15,7 @@
 
 def knows_draining(player):
     """Whether the proxy knows that s1 is draining."""
-    return player.service.endpoint_discovery.listing().members[0].phase == "terminating"
+    return player.service.endpoint_discovery.current_list().members[0].phase == "terminating"
 
 
 def delay_of_next_poll_ms(player, ms, connection):
