--- a/cloverwell/client_port.py
+++ b/cloverwell/client_port.py
@@ -11,46 +11,46 @@
     """A listening port whose socket can be given to another process."""
 
     def share_socket(self) -> int:
-        """The descriptor of the socket; connections in its queue wait for both processes."""
+        """Returns the socket's descriptor; either process may accept the connections in its accept queue."""
 
     def stopListening(self) -> object:
         """Closes the port, as Twisted's `IListeningPort` does."""
 
 
 class ClientPort:
-    """Whether connections are accepted: the one place that opens, pauses and closes the listening port.
+    """The one place that opens, pauses, resumes and closes the port that clients connect to.
 
-    `listening` is None before `open` and after `close`.
+    `listening_port` is None before `open` and after `close`.
     """
 
-    def __init__(self, side: ClientConnections) -> None:
-        """`side`: the connections that are accepted."""
-        self._side = side
-        self.listening: SharedListeningPort | None = None
+    def __init__(self, client_connections: ClientConnections) -> None:
+        """`client_connections`: the owner of the connections that are accepted."""
+        self._client_connections = client_connections
+        self.listening_port: SharedListeningPort | None = None
 
-    def open(self, listening: SharedListeningPort) -> None:
-        """Takes a port that listens; connections are accepted as the reactor reads it."""
-        self.listening = listening
+    def open(self, listening_port: SharedListeningPort) -> None:
+        """Takes a port that listens already; its connections are accepted as soon as the reactor reads it."""
+        self.listening_port = listening_port
 
-    def attach(self) -> None:
-        """From now on `ClientConnections` pauses and resumes the port by itself, as descriptors run short."""
-        self._side.port = self.listening
+    def enable_automatic_pauses(self) -> None:
+        """Lets `ClientConnections` pause the port when descriptors run short, and resume it later."""
+        self._client_connections.port = self.listening_port
 
     def pause(self) -> None:
-        """Accepts nothing until `resume`; new connections wait in the kernel's accept queue."""
-        self._side.port = None
-        if self.listening is not None:
-            self.listening.pauseProducing()
-        self._side.accept_paused()
+        """Accepts no connections until `resume`; new ones wait in the kernel's accept queue."""
+        self._client_connections.port = None
+        if self.listening_port is not None:
+            self.listening_port.pauseProducing()
+        self._client_connections.accept_paused()
 
     def resume(self) -> None:
-        """Accepts again after `pause`."""
-        if self.listening is not None:
-            self.listening.resumeProducing()
+        """Accepts connections again after `pause`."""
+        if self.listening_port is not None:
+            self.listening_port.resumeProducing()
 
     def close(self) -> None:
-        """Stops listening for good."""
-        if self.listening is None:
+        """Closes the port for good."""
+        if self.listening_port is None:
             return
-        self.listening.stopListening()
-        self.listening = self._side.port = None
+        self.listening_port.stopListening()
+        self.listening_port = self._client_connections.port = None
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -15,26 +15,27 @@
 from balancer.settings import check_required_settings, read_settings
 from cloverwell.membership.endpoint_list import STATE_BY_PHASE, EndpointList, EndpointListError, split_address
 
-MIN_SOCKETS = 64  # for the descriptors that are reserved, and some connections on either side
-# Nine in ten restarts must be ready within 10 s, whichever other processes are down.
+MIN_SOCKETS = 64  # enough for the reserved descriptors, and for some connections to clients and nodes
+# The longest time that a start may wait for the control log. Nine in ten restarted proxies must be ready
+# within 10 s, whichever other processes are down.
 MAX_CONTROL_WAIT_MS = 8000.0
-MAX_QUOTED_CHARS = 60  # of a value that an error message quotes
+MAX_QUOTED_CHARS = 60  # the longest quotation of a value in an error message
 
 Address = tuple[str, int]
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used: `field` names the place, `problem` says what is wrong with it."""
+    """A configuration can't be used: `field` names the field, `problem` says what is wrong with it."""
 
     def __init__(self, field: str, problem: str = "") -> None:
-        """`problem` may be empty where the error of a reader names the field by itself."""
+        """`problem` may be empty if `field` holds an error text that names the field itself."""
         super().__init__(f"{field}: {problem}" if problem else field)
         self.field = field
         self.problem = problem
 
 
 class Limits(msgspec.Struct):
-    """What this process may use of its machine. `sockets`: file descriptors, for all purposes together."""
+    """The resources that this process may use; `sockets` is the number of file descriptors of all kinds."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -42,7 +43,7 @@
 
 
 class ControlNodeAddress(msgspec.Struct):
-    """One node of the control log, as the file names it."""
+    """The name, address and region of one node of the control log."""
 
     name: str = ""
     address: str = ""
@@ -50,7 +51,7 @@
 
 
 class ControlSection(msgspec.Struct):
-    """The file's `control`: the nodes, this proxy's region, and how long a start waits to be caught up."""
+    """The control log and its nodes, this proxy's region, and how long a start waits to catch up."""
 
     log: str = "fleet"
     nodes: list[ControlNodeAddress] = msgspec.field(default_factory=list)
@@ -59,7 +60,7 @@
 
 
 class ConfigFile(msgspec.Struct):
-    """The configuration file as it is written; addresses and settings are not checked yet."""
+    """The configuration file, with addresses and settings as they are written, not checked yet."""
 
     listen: str = ""
     discovery: str = ""
@@ -73,7 +74,10 @@
 
 
 class ControlConfig(msgspec.Struct):
-    """Which control nodes a proxy may follow, by name: `local_nodes` are those of its own region."""
+    """The control nodes that a proxy may follow, by name; `local_nodes` are those of its own region.
+
+    `catch_up_timeout_ms` is how long a start waits until the proxy has caught up with the control log.
+    """
 
     log: str
     local_nodes: dict[str, Address]
@@ -83,15 +87,15 @@
 
     @property
     def nodes(self) -> dict[str, Address]:
-        """All of them."""
+        """The control nodes of all regions."""
         return self.local_nodes | self.remote_nodes
 
 
 class Config(msgspec.Struct):
     """A configuration that has been read and checked.
 
-    `operator`: where operators' calls are answered, None for nowhere; `control`: None where the proxy follows
-    no control log; `document`: the file's text, where a control log may change it.
+    `operator`: the address at which operators' calls are answered, or None; `control`: None if the proxy
+    follows no control log; `document`: the file's text, kept only if a control log may change it.
     """
 
     name: str
@@ -107,10 +111,10 @@
 
 
 def read_config(environ: Mapping[str, str] = os.environ, reloading: bool = False) -> Config:
-    """The configuration in the file that $EDGE_CONFIG names. Raises `ConfigError`.
+    """Returns the configuration in the file that $EDGE_CONFIG names. Raises `ConfigError`.
 
-    `reloading`: the file has been replaced since the start, and its address of discovery is newer than
-    the one in the environment.
+    `reloading`: the file has been replaced since the start, so its address of discovery is newer than the one
+    in the environment and overrides it.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
@@ -123,7 +127,7 @@
 
 
 def parse_config(document: bytes, environ: Mapping[str, str], reloading: bool = False) -> Config:
-    """The configuration in the text of a file. Raises `ConfigError`. `reloading`: as for `read_config`."""
+    """Returns the configuration in the text of a file; see `read_config`. Raises `ConfigError`."""
     file = _decode(document)
     _check_limits(file.limits)
     settings = _read_settings(file.settings)
@@ -144,7 +148,7 @@
 
 
 def read_address(field: str, text: str) -> Address:
-    """The address HOST:PORT in a field. Raises `ConfigError`."""
+    """Returns the address HOST:PORT that is the text of a field. Raises `ConfigError`."""
     if not text:
         raise ConfigError(field, "is missing")
     try:
@@ -168,7 +172,7 @@
         raise ConfigError("limits.sockets", f"must be at least {MIN_SOCKETS}")
     for field, value in (("limits.cores", limits.cores), ("limits.memory_mb", limits.memory_mb)):
         if not 0.0 < value < math.inf:
-            raise ConfigError(field, "must be over 0")
+            raise ConfigError(field, "must be greater than 0")
 
 
 def _read_settings(document: object) -> Settings:
@@ -182,7 +186,7 @@
 def _read_operator(text: str, listen: Address) -> Address | None:
     operator = read_address("operator", text) if text else None
     if operator == listen:
-        raise ConfigError("operator", "is the address of listen")
+        raise ConfigError("operator", "is the same address as listen")
     return operator
 
 
@@ -208,10 +212,10 @@
     return known
 
 
-def _read_control(section: ControlSection, proxy: str) -> ControlConfig:
-    """`proxy`: this proxy's name."""
-    if not proxy:
-        raise ConfigError("name", "is missing, and the control log knows a proxy by it")
+def _read_control(section: ControlSection, proxy_name: str) -> ControlConfig:
+    """Returns the checked section; `proxy_name`: this proxy's name."""
+    if not proxy_name:
+        raise ConfigError("name", "is missing, but the control log identifies a proxy by it")
     if not section.log:
         raise ConfigError("control.log", "is missing")
     if not section.nodes:
@@ -227,12 +231,12 @@
 
 
 def _read_control_node(node: ControlNodeAddress, others: dict[str, Address]) -> Address:
-    """The node's address; `others`: the nodes that stand before it in the file."""
+    """Returns the node's address, after checking that no node in `others` has its name or address."""
     address = read_address("control.nodes.address", node.address)
     if not node.name:
         raise ConfigError("control.nodes.name", "is missing")
     if node.name in others:
-        raise ConfigError("control.nodes.name", f"{node.name[:MAX_QUOTED_CHARS]!r} stands there twice")
+        raise ConfigError("control.nodes.name", f"{node.name[:MAX_QUOTED_CHARS]!r} is used twice")
     if address in others.values():
-        raise ConfigError("control.nodes.address", f"{node.address} stands there twice")
+        raise ConfigError("control.nodes.address", f"{node.address} is used twice")
     return address
--- a/cloverwell/handover/messages.py
+++ b/cloverwell/handover/messages.py
@@ -21,21 +21,21 @@
 
 PROTOCOL_VERSION = 1
 MAX_HELLO_BYTES = 1024
-MAX_STATE_BYTES = 2 * MAX_LIST_BYTES  # In bytes: for the endpoint list, and for the starts of its nodes.
+MAX_STATE_BYTES = 2 * MAX_LIST_BYTES  # Enough for the endpoint list and the starts of its nodes.
 MESSAGE_END = b"\n"
 
 MessageT = TypeVar("MessageT", bound=msgspec.Struct)
 
 
 class HandoverError(Exception):
-    """The handover can't go on; the text says why, and is written to the log."""
+    """An error that ends the handover; its text is written to the log."""
 
 
 class MalformedMessageError(HandoverError):
     """A line is not a message of the expected type; `problem` is the decoder's description."""
 
     def __init__(self, problem: str) -> None:
-        """Describe the line that was received by `problem`."""
+        """`problem` describes what is wrong with the line that was received."""
         super().__init__(f"malformed: {problem}")
         self.problem = problem
 
@@ -45,15 +45,15 @@
 
     def __init__(self, version: int) -> None:
         """`version` is what the other process has sent."""
-        super().__init__(f"version {version}, not {PROTOCOL_VERSION}")
+        super().__init__(f"version {version} is not supported, only version {PROTOCOL_VERSION}")
         self.version = version
 
 
 class InvalidEndpointError(HandoverError):
-    """The endpoint list names an address that can't be used; `problem` says which."""
+    """The endpoint list has an address that can't be used; `problem` says which."""
 
     def __init__(self, problem: str) -> None:
-        """Take the description of the endpoint list's own check."""
+        """`problem` is the error text of the endpoint list's own check."""
         super().__init__(problem)
         self.problem = problem
 
@@ -66,9 +66,9 @@
 
 
 class HandoverState(msgspec.Struct):
-    """What the predecessor leaves to its successor.
+    """The state that the predecessor hands over to its successor.
 
-    `sockets` is the number of descriptors that the successor may hold until its predecessor has exited;
+    `sockets` is the number of descriptors that the successor may use until its predecessor has exited;
     `table` is the endpoint list as it was received last; `node_starts` is when its nodes started, by the
     monotonic clock that both processes read.
     """
--- a/cloverwell/handover/predecessor.py
+++ b/cloverwell/handover/predecessor.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of a handover: it waits for a successor, and leaves it its state and its port."""
+"""The predecessor's side of a handover: waits for a successor, and gives it this process's state and port."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from cloverwell.timer_wheel import Timer, TimerWheel
 
 HELLO_TIMEOUT_MS = 1000.0
-MAX_CONNECTIONS = 2  # At once, so that a connection that sends nothing does not keep the successor out.
-MAX_LOGGED_ADDRESS = 60  # Characters of an address that another process has sent.
+MAX_CONNECTIONS = 2  # Open at once: a connection that sends nothing must not keep the successor out.
+MAX_LOGGED_ADDRESS_CHARS = 60  # The longest quotation of an address that another process has sent.
 SOCKET_MODE = 0o600
 SOCKET_UMASK = 0o177
 
 
 class Refusal(Enum):
-    """Why another process can't be the successor; the values are written to the log."""
+    """The reasons why another process can't be the successor; the values are written to the log."""
 
-    SILENT = "it says nothing"
-    OTHER_USER = "it is another user's"
-    HELLO_TOO_LONG = "it says too much"
-    SUCCESSOR_EXISTS = "there is a successor already"
+    SILENT = "it sent no hello in time"
+    OTHER_USER = "it runs as another user"
+    HELLO_TOO_LONG = "its message is too long"
+    SUCCESSOR_EXISTS = "another process is the successor already"
 
 
 class HandoverRefusedError(HandoverError):
@@ -52,21 +52,21 @@
 
     def __init__(self, listen: str) -> None:
         """`listen` is the address as the other process has sent it."""
-        super().__init__(f"it serves at {listen[:MAX_LOGGED_ADDRESS]!r}")
+        super().__init__(f"it serves at another address: {listen[:MAX_LOGGED_ADDRESS_CHARS]!r}")
         self.listen = listen
 
 
 class ServingProxy(Protocol):
-    """The proxy whose address is taken over."""
+    """The proxy that a successor takes over from."""
 
     def hand_over(self) -> tuple[HandoverState, int]:
-        """Return what the successor gets, and the listening socket's descriptor.
+        """Return the state for the successor, and the listening socket's descriptor.
 
         Raises `HandoverError` if there is nothing to hand over.
         """
 
     def successor_started(self) -> None:
-        """Take notice that the successor accepts connections."""
+        """Stop accepting connections: the successor accepts them now."""
 
     def successor_exited(self) -> None:
         """Take back what was handed over: the successor has exited."""
@@ -93,7 +93,7 @@
         timer_wheel: TimerWheel,
         log: Log,
     ) -> None:
-        """`path` is the socket's; `listen` is the address at which `proxy` serves clients."""
+        """`path` is the path of the Unix socket; `listen` is the address at which `proxy` serves clients."""
         self._reactor = reactor
         self._path = path
         self._listen = f"{listen[0]}:{listen[1]}"
@@ -107,14 +107,14 @@
     def open(self) -> None:
         """Listen for a successor.
 
-        Where that fails a line is logged, and a successor shares the address by SO_REUSEPORT instead.
+        If that fails, a line is logged, and a successor shares the address by SO_REUSEPORT instead.
         """
         try:
             with _umask(SOCKET_UMASK):
                 remove_stale_socket(self._path)
                 self._port = self._start_port()
         except (CannotListenError, OSError) as error:
-            self.log.warn("handover", f"no successor can ask: {error}".replace("\n", " "))
+            self.log.warn("handover", f"can't listen for a successor: {error}".replace("\n", " "))
 
     def _start_port(self) -> _UnixPort:
         with short_path(self._path) as name:
@@ -135,7 +135,7 @@
 
     def accept_failed(self, reason: str) -> None:
         """Log that a connection could not be accepted; see `BackoffPort`."""
-        self.log.warn("handover", f"no successor could be let in for a moment: {reason}")
+        self.log.warn("handover", f"a successor's connection can't be accepted for a moment: {reason}")
 
     def buildProtocol(self, _address: IAddress | None) -> SuccessorConnection | None:
         """Return the protocol of a new connection; None closes it, since too many are open."""
@@ -153,14 +153,15 @@
             raise OtherAddressError(hello.listen)
         self.successor = connection
         self.close()  # From now on the path is the successor's.
-        handover_state, listening = self.proxy.hand_over()
-        connection.send_state(handover_state, listening)
+        handover_state, listening_descriptor = self.proxy.hand_over()
+        connection.send_state(handover_state, listening_descriptor)
         self.log.info(
-            "handover", f"a successor has the port, {handover_state.sockets} descriptors and the list"
+            "handover",
+            f"a successor got the port, {handover_state.sockets} descriptors and the endpoint list",
         )
 
     def connection_closed(self, connection: SuccessorConnection) -> None:
-        """Free the connection's place; if it was the successor's, the proxy serves alone again."""
+        """Count the connection as closed; if it was the successor's, the proxy serves alone again."""
         self._connection_count -= 1
         if self.successor is connection:
             self.successor = None
@@ -176,7 +177,7 @@
     _hello_timer: Timer
 
     def __init__(self, successor_listener: SuccessorListener) -> None:
-        """`successor_listener` has accepted the connection."""
+        """`successor_listener` is the listener that has accepted the connection."""
         self._successor_listener = successor_listener
 
     def connectionMade(self) -> None:
@@ -207,17 +208,19 @@
         """Refuse a process that sends more than a hello."""
         self._refuse(Refusal.HELLO_TOO_LONG.value)
 
-    def send_state(self, handover_state: HandoverState, listening: int) -> None:
-        """Send what the successor gets, with the listening socket's descriptor."""
-        self.transport.sendFileDescriptor(listening)
+    def send_state(self, handover_state: HandoverState, listening_descriptor: int) -> None:
+        """Send this process's state, with the listening socket's descriptor."""
+        self.transport.sendFileDescriptor(listening_descriptor)
         self.transport.write(messages.encode(handover_state))
 
     def _refuse(self, reason: str) -> None:
-        self._successor_listener.log.warn("handover", f"a caller is refused: {reason}".replace("\n", " "))
+        self._successor_listener.log.warn(
+            "handover", f"a process can't become the successor: {reason}".replace("\n", " ")
+        )
         self.transport.abortConnection()
 
     def connectionLost(self, _reason: Failure = connectionDone) -> None:
-        """Tell the listener that the other process has exited, or was refused."""
+        """Report to the listener that the other process has exited, or was refused."""
         self._hello_timer.cancel()
         self._successor_listener.connection_closed(self)
 
--- a/cloverwell/handover/sockets.py
+++ b/cloverwell/handover/sockets.py
@@ -6,7 +6,7 @@
 import struct
 from collections.abc import Iterator
 
-MAX_SOCKET_PATH_BYTES = 100  # A Unix socket's address has 108 bytes; a few of them are left unused.
+MAX_SOCKET_PATH_BYTES = 100  # A Unix socket's address has 108 bytes; a few of them stay unused.
 _PEER_CREDENTIALS = struct.Struct("3i")  # Process, user and group, as in `struct ucred` of unix(7).
 
 
@@ -28,7 +28,7 @@
 
 
 def remove_stale_socket(path: str) -> None:
-    """Remove a socket at which no process listens: the process that made it was killed."""
+    """Remove a socket at which no process listens, because the process that made it was killed."""
     with short_path(path) as name, socket.socket(socket.AF_UNIX) as probe, contextlib.suppress(OSError):
         try:
             probe.connect(name)
@@ -37,7 +37,7 @@
 
 
 def is_same_user(connection: socket.socket) -> bool:
-    """Whether the process at the other end belongs to the same user as this one."""
+    """Return whether the process at the other end runs as the same user as this one."""
     credentials = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
     _, user, _ = _PEER_CREDENTIALS.unpack(credentials)
     return bool(user == os.geteuid())
--- a/cloverwell/handover/successor.py
+++ b/cloverwell/handover/successor.py
@@ -1,5 +1,4 @@
-"""The successor's side of a handover: it takes over the listening socket, and learns when its predecessor
-exits."""
+"""The successor's side of a handover: takes over the listening socket, and notices the predecessor's exit."""
 
 from __future__ import annotations
 
@@ -22,21 +21,21 @@
 from cloverwell.system_calls import TRANSIENT_ERRORS
 from cloverwell.timer_wheel import monotonic_ms
 
-ANSWER_TIMEOUT_S = 1.0  # For a silent predecessor; the platform waits 6 s until a new process must serve.
-RESEND_INTERVAL_S = 0.02  # After a send that the kernel did not take.
+ANSWER_TIMEOUT_S = 1.0  # For the whole exchange: the platform requires that a new process serves within 6 s.
+RESEND_INTERVAL_S = 0.02  # The delay before data is sent again that the kernel did not take.
 MIN_TIMEOUT_S = 0.001  # A timeout of 0 would make a socket non-blocking.
-MAX_RECEIVED_BYTES = 65536  # In one call.
-MAX_RECEIVED_DESCRIPTORS = 4  # In one call.
+MAX_RECEIVED_BYTES = 65536  # The limit of one call.
+MAX_RECEIVED_DESCRIPTORS = 4  # The limit of one call.
 
 
 class TakeoverProblem(Enum):
-    """Why nothing can be taken over; the values are written to the log."""
+    """The reasons why nothing can be taken over; the values are written to the log."""
 
-    PREDECESSOR_GONE = "the process that left its socket there has gone"
-    OTHER_USER = "the process there is another user's"
-    ANSWER_INCOMPLETE = "the answer is cut off"
+    PREDECESSOR_EXITED = "the process that created the socket has exited"
+    OTHER_USER = "the process at the socket runs as another user"
+    ANSWER_INCOMPLETE = "the answer is incomplete"
     ANSWER_TOO_LONG = "the answer is too long"
-    NOT_LISTENING = "the socket that came does not listen at our address"
+    NOT_LISTENING = "the received socket does not listen at this address"
 
 
 class TakeoverError(HandoverError):
@@ -49,16 +48,16 @@
 
 
 class DescriptorCountError(HandoverError):
-    """The answer came with `count` descriptors in place of one."""
+    """The answer came with `count` descriptors instead of one."""
 
     def __init__(self, count: int) -> None:
-        """`count` is how many descriptors came."""
-        super().__init__(f"{count} sockets came, not one")
+        """`count` is the number of received descriptors."""
+        super().__init__(f"{count} sockets were received instead of one")
         self.count = count
 
 
 class ReadingReactor(Protocol):
-    """What a `Predecessor` needs of a reactor: of Twisted's `IReactorFDSet` and `IReactorTime`."""
+    """The part of Twisted's `IReactorFDSet` and `IReactorTime` that a `Predecessor` needs."""
 
     addReader: Callable[[Predecessor], None]
     removeReader: Callable[[Predecessor], None]
@@ -69,7 +68,7 @@
 class Predecessor:
     """The predecessor's state and listening socket, and the connection that ends when it exits.
 
-    `listening` is the descriptor of the socket in whose queue clients' connections wait.
+    `listening_descriptor` is the descriptor of the socket in whose accept queue clients' connections wait.
     """
 
     _reactor: ReadingReactor
@@ -84,8 +83,8 @@
         self._connection = connection
 
     def watch(self, reactor: ReadingReactor, on_exit: Callable[[], None]) -> None:
-        """Tell the predecessor that this process serves from now on; `on_exit` is called once, when it
-        exits."""
+        """Tell the predecessor that this process serves from now on; `on_exit` is called once, at
+        the predecessor's exit."""
         self._reactor = reactor
         self._on_exit = on_exit
         self._connection.setblocking(False)
@@ -93,11 +92,11 @@
         self._send(messages.encode(Serves(True)))
 
     def _send(self, data: bytes) -> None:
-        """Send until all is sent: the predecessor accepts connections, too, until it has the message."""
+        """Send until all is sent: the predecessor goes on accepting connections until it has the message."""
         try:
             sent = self._connection.send(data)
         except OSError as error:
-            if not _is_momentary(error):
+            if not _is_transient(error):
                 return  # The predecessor has exited, and `doRead` will notice.
             sent = 0
         if sent < len(data):
@@ -114,11 +113,11 @@
         return "predecessor"
 
     def doRead(self) -> None:
-        """Notice the end of the connection. Data is ignored, since a later version may send more messages."""
+        """Notice the end of the connection. Data is ignored, since a later release may send more messages."""
         try:
             data = self._connection.recv(4096)
         except OSError as error:
-            if _is_momentary(error):
+            if _is_transient(error):
                 return
             data = b""
         if data:
@@ -128,7 +127,7 @@
         self._on_exit()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Ignore the end of the reactor: the process exits with it."""
+        """Do nothing when the reactor ends, since the process exits with it."""
 
 
 def request_handover(
@@ -151,7 +150,7 @@
             listening = _checked_listening_socket(descriptors, listen)
             cleanup.pop_all()
     except (OSError, HandoverError) as error:
-        log.warn("handover", f"nothing is taken over: {error}".replace("\n", " "))
+        log.warn("handover", f"the handover failed: {error}".replace("\n", " "))
         return None
     return Predecessor(handover_state, listening, connection)
 
@@ -165,7 +164,7 @@
         except FileNotFoundError:
             return False
         except ConnectionRefusedError:
-            raise TakeoverError(TakeoverProblem.PREDECESSOR_GONE) from None
+            raise TakeoverError(TakeoverProblem.PREDECESSOR_EXITED) from None
     if not is_same_user(connection):
         raise TakeoverError(TakeoverProblem.OTHER_USER)
     return True
@@ -181,7 +180,7 @@
     line = _receive_line(connection, descriptors, deadline_s)
     handover_state = messages.decode(line, HandoverState)
     if not handover_state.check_clock(requested_ms, monotonic_ms()):
-        log.warn("handover", "the predecessor reads another clock: its nodes' starts are not taken over")
+        log.warn("handover", "the predecessor reads another clock: its starts of nodes are not used")
     return handover_state
 
 
@@ -221,6 +220,6 @@
     return max(MIN_TIMEOUT_S, deadline_s - time.monotonic())
 
 
-def _is_momentary(error: OSError) -> bool:
-    """Whether the call may succeed when it is repeated."""
+def _is_transient(error: OSError) -> bool:
+    """Return whether the call may succeed when it is repeated."""
     return error.errno in TRANSIENT_ERRORS or isinstance(error, BlockingIOError)
--- a/cloverwell/handover_coordinator.py
+++ b/cloverwell/handover_coordinator.py
@@ -1,8 +1,7 @@
-"""A proxy's own part in a handover: what it leaves its successor, and what it has of its predecessor.
+"""A proxy's part in handovers: what it takes over from its predecessor and hands over to its successor.
 
-The conversations between the processes are those of `cloverwell.handover`; here the port and the descriptors
-change hands. The platform's limits count both processes as one proxy, so the descriptors are divided between
-them.
+`cloverwell.handover` exchanges the messages between the processes; here the port and the descriptors change
+hands. The platform's limits count both processes as one proxy, so the descriptors are divided between them.
 """
 
 from __future__ import annotations
@@ -29,20 +28,20 @@
 
 
 class ControlSubscriber(Protocol):
-    """What follows the control log under this proxy's name, which one process at a time may do."""
+    """The subscriber to the control log under this proxy's name; only one process at a time may subscribe."""
 
     def stop(self) -> None:
-        """Follows the log no more; the active configuration stays."""
+        """Ends the subscription to the log; the active configuration stays."""
 
     def resume(self) -> None:
-        """Follows the log again after `stop`; without one nothing changes."""
+        """Subscribes again after `stop`; does nothing if the subscription was not stopped."""
 
 
 class HandoverCoordinator:
-    """The handovers of one process: at its start from a predecessor, later to a successor.
+    """Carries out the handovers of one process: at its start from a predecessor, later to a successor.
 
-    It is the `Owner` of the `SuccessorListener`. `control` is set where the proxy follows a control log;
-    `successor_serves` tells whether another process has the port now.
+    It implements `ServingProxy` for the `SuccessorListener`. `control` is None if the proxy follows no
+    control log; `successor_serves` is True while a successor accepts the connections on the port.
     """
 
     def __init__(
@@ -53,7 +52,7 @@
         client_port: ClientPort,
         predecessor: Predecessor | None,
     ) -> None:
-        """`predecessor`: what `cloverwell.handover.successor.request_handover` has found."""
+        """`predecessor`: the result of `cloverwell.handover.successor.request_handover`."""
         self._config = config
         self._log = log
         self._parts = parts
@@ -66,7 +65,7 @@
     # From a predecessor -------------------------------------------------------------------------------
 
     def initial_list(self) -> tuple[EndpointList, KnownStarts | None]:
-        """The newest endpoint list known before discovery answers, and when its nodes started, if known."""
+        """Returns the newest endpoint list known before discovery answers, and its nodes' known starts."""
         configured = self._config.known_endpoints
         if self.predecessor is None:
             return configured, None
@@ -75,20 +74,20 @@
         return newest, state.node_starts
 
     def watch_predecessor(self, reactor: ProxyReactor) -> None:
-        """This process serves now: tells the predecessor, and waits for its end."""
+        """Tells the predecessor that this process serves now, and watches for the predecessor's exit."""
         if self.predecessor is not None:
             self.predecessor.watch(reactor, self.predecessor_exited)
 
     def predecessor_exited(self) -> None:
-        """The predecessor has ended: all descriptors are this process's."""
+        """Takes over all descriptors: the predecessor has exited."""
         self.predecessor = None
-        self._divide_descriptors(self._config.limits.sockets)
-        self._log.info("handover", f"the predecessor has gone: {self._config.limits.sockets} descriptors")
+        self._limit_descriptors(self._config.limits.sockets)
+        self._log.info("handover", f"the predecessor has exited: {self._config.limits.sockets} descriptors")
 
     # To a successor -----------------------------------------------------------------------------------
 
     def open(self, reactor: ProxyReactor, folder: str) -> None:
-        """Waits for a successor on a Unix socket in `folder`."""
+        """Listens for a successor on a Unix socket in `folder`."""
         self._successor_listener = SuccessorListener(
             reactor,
             handover_socket_path(folder, self._config.listen),
@@ -100,66 +99,66 @@
         self._successor_listener.open()
 
     def close(self) -> None:
-        """Waits for no successor any more."""
+        """Stops listening for a successor."""
         if self._successor_listener is not None:
             self._successor_listener.close()
 
     def hand_over(self) -> tuple[HandoverState, int]:
-        """What the successor needs, and the descriptor of the port; divides the descriptors between both.
+        """Divides the descriptors; returns the state for the successor, and the port's descriptor.
 
-        Raises `HandoverError` where the port is closed already.
+        Raises `HandoverError` if the port is closed already.
         """
-        if self._client_port.listening is None:
-            raise HandoverError("it listens no more")
-        total = self._config.limits.sockets
-        kept = self._kept_descriptors(total)
-        self._divide_descriptors(kept)
+        if self._client_port.listening_port is None:
+            raise HandoverError("the port is closed already")
+        total_count = self._config.limits.sockets
+        kept_count = self._kept_descriptors(total_count)
+        self._limit_descriptors(kept_count)
         budget = self._parts.budget
-        held = reserved_descriptors(self._config) + sum(budget.held.values())
+        used_count = reserved_descriptors(self._config) + sum(budget.held.values())
         handover_state = HandoverState(
             PROTOCOL_VERSION,
-            max(MIN_SOCKETS, total - max(kept, held)),
+            max(MIN_SOCKETS, total_count - max(kept_count, used_count)),
             self._parts.endpoint_discovery.current_list(),
             self._parts.endpoint_discovery.node_starts(),
         )
-        return handover_state, self._client_port.listening.share_socket()
+        return handover_state, self._client_port.listening_port.share_socket()
 
     def successor_started(self) -> None:
-        """The successor serves: it accepts all further connections."""
+        """Leaves all further connections to the successor, which serves now."""
         self.successor_serves = True
         if self.control is not None:
-            self.control.stop()  # the successor follows the control log under the same name
+            self.control.stop()  # The successor subscribes to the control log under the same name.
         self._client_port.pause()
         self._log.info("handover", "the successor serves")
 
     def successor_exited(self) -> None:
-        """The successor has ended: this process accepts again and has all descriptors, unless it stops."""
+        """Accepts connections again, unless this process stops, because the successor has exited."""
         state = self._parts.serving.state
         if state is ServingState.STOPPING:
             return
         self.successor_serves = False
-        self._divide_descriptors(self._config.limits.sockets)
+        self._limit_descriptors(self._config.limits.sockets)
         if state is not ServingState.STARTING:
-            self._client_port.attach()
+            self._client_port.enable_automatic_pauses()
             self._client_port.resume()
         if self._successor_listener is not None:
             self._successor_listener.open()
         if self.control is not None:
             self.control.resume()
-        self._log.warn("handover", "the successor has gone: all is as it was")
+        self._log.warn("handover", "the successor has exited: this process accepts connections again")
 
     # Descriptors --------------------------------------------------------------------------------------
 
-    def _kept_descriptors(self, total: int) -> int:
-        """Half of the descriptors, or what is in use here and some to spare; the successor has the rest."""
+    def _kept_descriptors(self, total_count: int) -> int:
+        """Returns how many descriptors this process keeps: half, or those in use and some to spare."""
         held = self._parts.budget.held
         in_use = held[DescriptorSide.CLIENTS] + held[DescriptorSide.NODES] - len(self._parts.pools.idle)
         needed = reserved_descriptors(self._config) + in_use + SPARE_DESCRIPTORS
-        return min(total - MIN_SOCKETS, max(total // 2, needed))
+        return min(total_count - MIN_SOCKETS, max(total_count // 2, needed))
 
-    def _divide_descriptors(self, sockets: int) -> None:
-        """From now on this process has that many descriptors; idle connections beyond them are closed."""
-        self._parts.budget.resize(connection_budget(self._config, sockets))
+    def _limit_descriptors(self, max_descriptors: int) -> None:
+        """Limits this process to `max_descriptors`; closes idle connections beyond them."""
+        self._parts.budget.resize(connection_budget(self._config, max_descriptors))
         self._parts.client_connections.policy.max_clients = self._parts.budget.max_held(
             DescriptorSide.CLIENTS
         )
--- a/cloverwell/proxy.py
+++ b/cloverwell/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy process, from its start to its end, and what operators may ask of it."""
+"""One proxy process: starts its parts, carries out operators' requests, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 if TYPE_CHECKING:
     from cloverwell.control.proxy.proxy_control import ProxyControl
 
-OPERATOR_BACKLOG = 16
+OPERATOR_BACKLOG = 16  # connections that wait to be accepted at the operators' port
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
-class Listen(Protocol):
-    """How a port is opened: `front.port.listen` in a real process."""
+class ListenFunction(Protocol):
+    """The function that opens a listening port: `front.port.listen` in a real process."""
 
     def __call__(
         self,
@@ -41,22 +41,25 @@
         backlog: int,
         shared: bool = False,
     ) -> SharedListeningPort:
-        """`shared`: another process may listen at the same address. Raises `CannotListenError`."""
+        """Opens a port; `shared`: another process may listen at the same address.
+
+        Raises `CannotListenError`.
+        """
 
 
-class Adopt(Protocol):
-    """How the port of a predecessor is taken over: `front.port.adopt` in a real process."""
+class AdoptFunction(Protocol):
+    """The function that takes over the port of a predecessor: `front.port.adopt` in a real process."""
 
     def __call__(
         self, reactor: ProxyReactor, descriptor: int, factory: ClientConnections
     ) -> SharedListeningPort:
-        """`descriptor`: of the listening socket; it is taken."""
+        """Returns a port with the listening socket `descriptor`, which the port owns from now on."""
 
 
 def _listen(
     reactor: ProxyReactor, host: str, port: int, factory: Factory, backlog: int, shared: bool = False
 ) -> SharedListeningPort:
-    """Twisted's own port, as tests and the simulation use it; `shared` has no meaning there."""
+    """Opens a port of Twisted's own, as tests and the simulation use it; `shared` has no effect there."""
     del shared
     return cast(SharedListeningPort, reactor.listenTCP(port, factory, backlog=backlog, interface=host))
 
@@ -66,9 +69,9 @@
 
 
 class Proxy:
-    """One proxy: starts its parts, which are also its attributes, and ends them.
+    """One proxy: creates, starts and ends its parts, which are also its attributes.
 
-    It is the `OperatorService` of the operators' port and the `ConfigurationTarget` of the control log.
+    It implements `OperatorService` for the operators' port, and `ConfigurationTarget` for the control log.
     """
 
     def __init__(
@@ -80,8 +83,11 @@
         read_epoch_ms: Callable[[], float],
         predecessor: Predecessor | None = None,
     ) -> None:
-        """`now`: ms of the monotonic clock; `read_epoch_ms`: what that clock showed when Unix time was 0;
-        `predecessor`: the process that serves at the same address as yet, with what it hands over."""
+        """Creates the parts; nothing listens or runs before `start`.
+
+        `now`: the monotonic clock in ms; `read_epoch_ms`: returns the reading of that clock at Unix time 0;
+        `predecessor`: the process that still serves at the same address, with the state that it hands over.
+        """
         self._reactor = reactor
         self._config = config
         self._log = log
@@ -99,7 +105,7 @@
         self.client_connections = parts.client_connections
         self._client_port = ClientPort(parts.client_connections)
         self._operator_port: SharedListeningPort | None = None
-        self._control: ProxyControl | None = None  # where the configuration has a `control` section
+        self._control: ProxyControl | None = None  # None without a `control` section in the configuration
         self._metrics_log = MetricsLog(parts.timer_wheel, log, parts.metrics, parts.counts)
         self._handover = HandoverCoordinator(config, log, parts, self._client_port, predecessor)
         self._shutdown = GracefulShutdown(
@@ -114,11 +120,14 @@
 
     # Start --------------------------------------------------------------------------------------------
 
-    def start(self, listen: Listen = _listen, adopt: Adopt = _adopt, folder: str = "") -> None:
-        """Takes the endpoint list, opens the ports and serves, once a control log is caught up with.
+    def start(
+        self, listen: ListenFunction = _listen, adopt: AdoptFunction = _adopt, handover_folder: str = ""
+    ) -> None:
+        """Applies the known endpoint list, opens the ports, and serves.
 
-        It listens only when the list is known, so that whoever connects is served. `folder`: where a
-        successor asks for a handover, "" for nowhere. Raises `CannotListenError`.
+        The ports open only when the list is applied, so that whoever connects can be served. With a control
+        log the proxy serves once it has caught up with the log. `handover_folder`: the folder of the socket
+        at which a successor asks for a handover, "" if none may ask. Raises `CannotListenError`.
         """
         self.timer_wheel.start()
         self.endpoint_discovery.start(*self._handover.initial_list())
@@ -126,36 +135,38 @@
         self._open_client_port(listen, adopt)
         if self._config.operator is not None:
             self._open_operator_port(listen, *self._config.operator)
-            if folder:
-                self._handover.open(self._reactor, folder)
+            if handover_folder:
+                self._handover.open(self._reactor, handover_folder)
         else:
-            self._log.info("operator", "no address is configured, no call is answered")
+            self._log.info("operator", "no operator address is configured: operators' calls are not answered")
         if self._config.control is None:
             self._serve()
         else:
             self._follow_control()
 
-    def _open_client_port(self, listen: Listen, adopt: Adopt) -> None:
+    def _open_client_port(self, listen: ListenFunction, adopt: AdoptFunction) -> None:
         predecessor = self._handover.predecessor
         if predecessor is not None:
-            listening = adopt(self._reactor, predecessor.listening_descriptor, self.client_connections)
+            listening_port = adopt(self._reactor, predecessor.listening_descriptor, self.client_connections)
         else:
-            # Where processes are replaced beside each other, and no predecessor could be asked.
+            # With an operators' port, an old process that could not hand its port over may still listen here.
             shared = self._config.operator is not None
-            listening = listen(self._reactor, *self._config.listen, self.client_connections, BACKLOG, shared)
-        self._client_port.open(listening)
+            listening_port = listen(
+                self._reactor, *self._config.listen, self.client_connections, BACKLOG, shared
+            )
+        self._client_port.open(listening_port)
 
-    def _open_operator_port(self, listen: Listen, host: str, port: int) -> None:
-        # Imported here, so that a proxy without the port does not load the HTTP parser for it.
+    def _open_operator_port(self, listen: ListenFunction, host: str, port: int) -> None:
+        # Imported here, so that a proxy without an operators' port does not load its HTTP parser.
         from cloverwell.front.operators import OperatorHttpFactory
 
         operators = OperatorHttpFactory(self, self.timer_wheel, self._log)
         self._operator_port = listen(self._reactor, host, port, operators, OPERATOR_BACKLOG)
-        self._log.info("operator", f"calls are answered at {host}:{port}")
+        self._log.info("operator", f"operators' calls are answered at {host}:{port}")
 
     def _follow_control(self) -> None:
-        """Whoever connects waits until this proxy is caught up with the control log, for a bounded time."""
-        # Imported here, so that a proxy without a control log does not load it.
+        """Keeps clients waiting until this proxy has caught up with the control log, or has timed out."""
+        # Imported here, so that a proxy without a control log does not load its code.
         from cloverwell.control.proxy.proxy_control import ProxyControl
 
         self._client_port.pause()
@@ -169,7 +180,7 @@
             self._serve()
 
     def _serve(self) -> None:
-        self._client_port.attach()
+        self._client_port.enable_automatic_pauses()
         self._change_state(self.serving.serve)
         self._handover.watch_predecessor(self._reactor)
         host, port = self._config.listen
@@ -177,78 +188,81 @@
 
     @property
     def _port(self) -> SharedListeningPort | None:
-        """The port that clients connect to, while it is open."""
-        return self._client_port.listening
+        """The port that clients connect to; None while it is not open."""
+        return self._client_port.listening_port
 
     # Configuration ------------------------------------------------------------------------------------
 
-    def reload(self, read: Callable[[], Config]) -> None:
-        """The file has been replaced: discovery's address is taken from it, all else at the next start.
+    def reload(self, read_new_config: Callable[[], Config]) -> None:
+        """Applies discovery's address from a replaced configuration file; all else applies at the next start.
 
-        `read` returns the new configuration; where it raises `ConfigError` nothing changes.
+        `read_new_config` returns the new configuration. If it raises `ConfigError`, nothing changes.
         """
         try:
-            config = read()
+            config = read_new_config()
         except ConfigError as error:
-            self._log.warn("reload", f"all stays as it is: {error}".replace("\n", " "))
+            self._log.warn(
+                "reload",
+                f"the configuration can't be reloaded and stays unchanged: {error}".replace("\n", " "),
+            )
             return
         host, port = config.discovery
         self._log.info("reload", f"discovery is at {host}:{port}")
         self.activate(config.discovery, self.facade.settings.peers_total)
 
     def activate(self, discovery: tuple[str, int], peers_total: int) -> None:
-        """Changes all that may change at run time, at once: discovery's address and the number of proxies."""
+        """Applies all that may change at run time: discovery's address and the number of proxies."""
         self.endpoint_discovery.change_address(discovery)
         self.set_peers_total(peers_total)
 
     def set_peers_total(self, peers_total: int) -> None:
-        """From now on that many proxies share the nodes."""
+        """Sets the number of proxies that share the nodes."""
         if peers_total != self.facade.settings.peers_total:
             self.facade.resize(peers_total)
 
-    # Handover, as the simulation has it without a conversation between processes ----------------------
+    # Handover: the simulation calls these directly, without messages between processes ----------------
 
     def hand_over(self) -> tuple[HandoverState, int]:
-        """See `HandoverCoordinator.hand_over`."""
+        """Returns what a successor needs; see `HandoverCoordinator.hand_over`."""
         return self._handover.hand_over()
 
     def successor_started(self) -> None:
-        """See `HandoverCoordinator.successor_started`."""
+        """Leaves new connections to the successor; see `HandoverCoordinator.successor_started`."""
         self._handover.successor_started()
 
     def predecessor_exited(self) -> None:
-        """See `HandoverCoordinator.predecessor_exited`."""
+        """Takes over all descriptors; see `HandoverCoordinator.predecessor_exited`."""
         self._handover.predecessor_exited()
 
-    # What operators ask -------------------------------------------------------------------------------
+    # Operators' requests ------------------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether this process can serve."""
+        """Returns whether this process can serve."""
         return self.serving.can_serve
 
     def drain(self) -> bool:
-        """Closes clients' connections between requests; requests that come all the same are served.
+        """Drains the process: closes clients' connections between requests, and serves what still arrives.
 
-        Returns whether the process is drained now.
+        `serving.DRAIN_SCHEDULE` says for how long. Returns whether the process is drained now.
         """
         drained = self._change_state(lambda: self.serving.drain(self.timer_wheel.now()))
         self._shutdown.begin()
         return drained
 
     def undrain(self) -> bool:
-        """Takes a drain back; returns whether the process is ready now."""
+        """Ends a drain; returns whether the process is ready now."""
         undrained = self._change_state(self.serving.undrain)
         self._shutdown.begin()
         return undrained
 
     def configuration(self) -> str | None:
-        """One line on the active version of the configuration; None without a control log."""
+        """Returns one line on the active version of the configuration; None without a control log."""
         return None if self._control is None else self._control.describe()
 
     # End ----------------------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Begins a graceful shutdown: all open requests are answered, then the program ends."""
+        """Begins a graceful shutdown: answers all open requests, then ends the program."""
         longest_deadline_ms = max(cls.deadline_ms for cls in self._config.settings.classes)
         now = self.timer_wheel.now()
         handed_over = self._handover.successor_serves
@@ -256,10 +270,10 @@
             self._log.info("stop", f"draining, {self.dispatcher.open_count} requests open")
             self._shutdown.begin()
         else:
-            self._log.info("stop", "asked again, the shutdown goes on as it has begun")
+            self._log.info("stop", "the shutdown has begun already and continues unchanged")
 
-    def _change_state(self, change: Callable[[], T]) -> T:
-        """Makes a change of the serving state, and logs what it was and is."""
+    def _change_state(self, change: Callable[[], ResultT]) -> ResultT:
+        """Applies a change of the serving state, and logs the states before and after it."""
         before = self.serving.state
         result = change()
         if self.serving.state is not before:
@@ -272,10 +286,10 @@
         self._handover.close()
         self.endpoint_discovery.stop()
         self._metrics_log.log_final()
-        self._log.info("stop", "all is answered")
+        self._log.info("stop", "the shutdown is complete")
         if self._control is None:
             self._reactor.stop()
         else:
             self._control.stop()
-            # The control node is told in this turn of the event loop.
+            # The reactor stops one turn later, so that the notice to the control node is sent before.
             self._reactor.callLater(0, self._reactor.stop)
--- a/cloverwell/serving.py
+++ b/cloverwell/serving.py
@@ -1,10 +1,10 @@
-"""Whether this process serves, and when its connections are closed. No I/O, times in ms.
+"""The serving state of a process, and when it closes its clients' connections. No I/O; all times in ms.
 
 The answers to `mn` and `GET /ready`, the listening port and the closing of clients' connections follow from
-this one state. A drain and a graceful shutdown close connections in the same way and differ in their
-schedules alone: for a while connections are still accepted, since those who send clients here have not been
-told yet; then each connection is closed between requests, and what is left is brought to its end step by
-step, whatever clients and nodes do. docs/design/ends.md argues the steps.
+this one state. A drain and a graceful shutdown close connections in the same way and differ only in their
+schedules. At first connections are still accepted, because the front layer may not know yet that it must not
+send clients here. Then each connection is closed between requests, and the remaining ones are closed step by
+step, whatever clients and nodes do. docs/design/ends.md gives the reasons for the steps.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 
 class ServingState(Enum):
-    """The life of a proxy process, from its start to its shutdown."""
+    """The states of a proxy process, from its start to its shutdown."""
 
     STARTING = "starting"
     READY = "ready"
@@ -23,19 +23,19 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainSchedule:
-    """What happens to connections and requests how long after a drain or a shutdown began.
+    """The steps of a drain or a shutdown, as times in ms after its beginning, and two durations in ms.
 
     Attributes:
-        stop_accepting_ms: until then connections are accepted.
-        close_idle_ms: from then on connections are closed between requests.
-        reject_ms: from then on new requests are rejected, so that their connections come to an end.
-        close_mid_command_ms: from then on connections are closed also with half a command.
-        answer_deadline_ms: by then all requests have been answered.
-        half_close_ms: by then our side of each connection is closed, also where something is unread.
-        close_ms: by then each connection is closed on both sides.
-        close_stream_ms: by then also one on which a long value is sent.
-        late_connection_ms: what a connection has that is accepted when it should be closed already.
-        linger_ms: what a client has to close its side after ours.
+        stop_accepting_ms: new connections are accepted until then.
+        close_idle_ms: connections are closed between requests from then on.
+        reject_ms: new requests are rejected from then on, so that their connections can be closed.
+        close_mid_command_ms: connections on which a partial command has arrived are closed from then on.
+        answer_deadline_ms: all requests have been answered by then.
+        half_close_ms: our side of each connection is closed by then, even if data on it is unread.
+        close_ms: each connection is closed on both sides by then.
+        close_stream_ms: a connection on which a long value is being sent is closed by then.
+        late_connection_ms: how long a connection may stay open after it was accepted, even past `close_ms`.
+        linger_ms: how long a client may take to close its side after our side is closed.
 
     """
 
@@ -51,9 +51,9 @@
     linger_ms: float = math.inf
 
 
-# The front layer is told within 0.1 s, sends clients for a further 0.2 s, and asks on new connections whether
-# the drain is over. At 4 s no connection may be held that is idle or has had a request in the last 2 s; what
-# is left before then covers a stall of the event loop.
+# The front layer learns of a drain within 0.1 s, sends clients for a further 0.2 s, and asks on new
+# connections whether the drain is over. After 4 s no connection may be open that is idle or has had a request
+# in the last 2 s; the steps are over a little earlier, so that a stall of the event loop does no harm.
 DRAIN_SCHEDULE = DrainSchedule(
     stop_accepting_ms=math.inf,
     close_idle_ms=400.0,
@@ -62,39 +62,40 @@
     answer_deadline_ms=3200.0,
     half_close_ms=3450.0,
     close_ms=3700.0,
-    # A value that has begun is passed on as long as its client reads it, but not without end.
+    # A long value is still sent as long as its client reads it, but not without end.
     close_stream_ms=10_000.0,
     late_connection_ms=250.0,
 )
-# After SIGTERM clients may not have been told yet: new connections are accepted for so long, and what comes
-# on open ones is served for a little longer.
+# After SIGTERM clients may still be sent here, so new connections are accepted for `SHUTDOWN_ACCEPT_MS`.
+# Requests on open connections are served for `SHUTDOWN_MID_COMMAND_MS` longer.
 SHUTDOWN_ACCEPT_MS = 500.0
 SHUTDOWN_MID_COMMAND_MS = 250.0
-MIN_CUT_LEAD_MS = 50.0  # half a command is answered as busy so long before all must be answered
-# A client that does not close its side must not keep the process from its end.
+# A partial command is answered as busy at least this long before all requests must be answered.
+MIN_CUTOFF_LEAD_MS = 50.0
+# A client that does not close its side must not delay the end of the process for longer than this.
 SHUTDOWN_LINGER_MS = 500.0
-# The platform sends SIGKILL so long after the longest deadline, which it counts as no more than the maximum.
+# The platform sends SIGKILL `KILL_DELAY_MS` after the longest deadline, or after this maximum if it is less.
 MAX_COUNTED_DEADLINE_MS = 3000.0
 KILL_DELAY_MS = 700.0
-KILL_MARGIN_MS = 200.0  # all is answered so long before SIGKILL
-RELEASE_MARGIN_MS = 150.0  # and all is closed, so that a stall of this length does no harm
+KILL_MARGIN_MS = 200.0  # All requests are answered this long before SIGKILL.
+RELEASE_MARGIN_MS = 150.0  # All connections are closed this long before it; a stall as long does no harm.
 
 
 def shutdown_schedule(longest_deadline_ms: float, handed_over: bool) -> DrainSchedule:
-    """The schedule of a graceful shutdown.
+    """Returns the schedule of a graceful shutdown.
 
-    `longest_deadline_ms`: the longest deadline that clients have; `handed_over`: another process has the
-    port, so that clients whose connections are closed find it there at once.
+    `longest_deadline_ms`: the longest deadline of any request; `handed_over`: a successor accepts connections
+    on the port, so clients whose connections are closed reach it at once.
     """
     stop_accepting_ms = 0.0 if handed_over else SHUTDOWN_ACCEPT_MS
     kill_ms = min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_DELAY_MS
     answer_deadline_ms, close_ms = kill_ms - KILL_MARGIN_MS, kill_ms - RELEASE_MARGIN_MS
-    cut_ms = min(stop_accepting_ms + SHUTDOWN_MID_COMMAND_MS, answer_deadline_ms - MIN_CUT_LEAD_MS)
+    cutoff_ms = min(stop_accepting_ms + SHUTDOWN_MID_COMMAND_MS, answer_deadline_ms - MIN_CUTOFF_LEAD_MS)
     return DrainSchedule(
         stop_accepting_ms=stop_accepting_ms,
         close_idle_ms=stop_accepting_ms,
-        reject_ms=cut_ms,
-        close_mid_command_ms=cut_ms,
+        reject_ms=cutoff_ms,
+        close_mid_command_ms=cutoff_ms,
         answer_deadline_ms=answer_deadline_ms,
         half_close_ms=(answer_deadline_ms + close_ms) / 2.0,
         close_ms=close_ms,
@@ -105,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainTimes:
-    """The instants of a schedule, in ms of the process's clock, and its two durations.
+    """The steps of a drain or a shutdown, as times of the process's clock in ms, and two durations in ms.
 
     The attributes are those of `DrainSchedule`.
     """
@@ -122,16 +123,16 @@
     linger_ms: float = math.inf
 
     def earlier(self, other: "DrainTimes") -> "DrainTimes":
-        """Of each instant and duration the earlier one."""
+        """Returns the earlier of the two times, or the shorter of the two durations, for each attribute."""
         pairs = ((getattr(self, field.name), getattr(other, field.name)) for field in fields(self))
         return DrainTimes(*(min(pair) for pair in pairs))
 
 
-NO_DRAIN = DrainTimes()  # of a process that goes on
+NO_DRAIN = DrainTimes()  # The times of a process that neither drains nor stops: all are infinite.
 
 
 def drain_times_from(schedule: DrainSchedule, began_ms: float) -> DrainTimes:
-    """The instants of a schedule that began at `began_ms`."""
+    """Returns the times of a schedule that began at `began_ms`."""
     return DrainTimes(
         stop_accepting_ms=began_ms + schedule.stop_accepting_ms,
         close_idle_ms=began_ms + schedule.close_idle_ms,
@@ -150,21 +151,21 @@
     """The serving state of one process, its changes, and what follows from it at a given time."""
 
     def __init__(self) -> None:
-        """A process that is starting."""
+        """Sets up the state of a process that is starting."""
         self.state = ServingState.STARTING
         self.drain_times = NO_DRAIN
         self._handed_over = False
-        self.drain_began_ms = 0.0  # when the drain or shutdown began
+        self.drain_began_ms = 0.0  # the beginning of the last drain or shutdown
 
-    # Changes: each returns whether the state is now the one asked for ---------------------------------
+    # Changes of the state -----------------------------------------------------------------------------
 
     def serve(self) -> None:
-        """The endpoint list is usable and the port listens."""
+        """Makes a starting process ready: it has an endpoint list, and its port listens."""
         if self.state is ServingState.STARTING:
             self.state = ServingState.READY
 
     def drain(self, now: float) -> bool:
-        """Drains a ready process; a repeated call does not begin the schedule again."""
+        """Drains a ready process; returns whether it is drained. A repeated call changes no schedule."""
         if self.state is ServingState.READY:
             self.state = ServingState.DRAINED
             self.drain_times = drain_times_from(DRAIN_SCHEDULE, now)
@@ -172,17 +173,16 @@
         return self.state is ServingState.DRAINED
 
     def undrain(self) -> bool:
-        """Takes a drain back."""
+        """Ends a drain; returns whether the process is ready now."""
         if self.state is ServingState.DRAINED:
             self.state = ServingState.READY
             self.drain_times = NO_DRAIN
         return self.state is ServingState.READY
 
     def stop(self, now: float, longest_deadline_ms: float, handed_over: bool = False) -> bool:
-        """Begins a graceful shutdown, which no other call takes back; False if it has begun before.
+        """Begins a graceful shutdown, which no other call can undo; returns False if it had begun already.
 
-        What a drain would have ended earlier ends then all the same. Arguments as those of
-        `shutdown_schedule`.
+        Steps that are due earlier by a drain stay that early. For the arguments see `shutdown_schedule`.
         """
         if self.state is ServingState.STOPPING:
             return False
@@ -197,35 +197,35 @@
 
     @property
     def can_serve(self) -> bool:
-        """This process can serve; drained, it still can, but no clients are sent to it."""
+        """True if this process can serve. It still can while drained, but no clients are sent to it."""
         return self.state in (ServingState.READY, ServingState.DRAINED)
 
     @property
     def is_in_rotation(self) -> bool:
-        """The answer to `mn`. The question is put to an address, which a successor may serve by now."""
+        """True if clients may be sent to this address, also if a successor serves it: the answer to `mn`."""
         return self.state is ServingState.READY or self._handed_over
 
     @property
     def is_draining(self) -> bool:
-        """The process is drained or stopping."""
+        """True if the process is drained or stopping."""
         return self.drain_times is not NO_DRAIN
 
     def accepts_connections(self, now: float) -> bool:
-        """New connections are accepted."""
+        """Returns whether new connections are accepted."""
         return now < self.drain_times.stop_accepting_ms
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Connections are closed between requests."""
+        """Returns whether connections are closed between requests."""
         return now >= self.drain_times.close_idle_ms
 
     def rejects_requests(self, now: float) -> bool:
-        """New requests are rejected."""
+        """Returns whether new requests are rejected."""
         return now >= self.drain_times.reject_ms
 
     def closes_mid_command(self, now: float) -> bool:
-        """Connections are closed also where half a command has come."""
+        """Returns whether connections are closed even if a partial command has arrived."""
         return now >= self.drain_times.close_mid_command_ms
 
     def answer_by_ms(self) -> float:
-        """The time by which all requests must have been answered; infinite while there is none."""
+        """Returns the time by which all requests must be answered; infinite without a drain or a shutdown."""
         return self.drain_times.answer_deadline_ms
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -183,14 +183,16 @@
         "drained -> ready",
         "ready -> stopping",
     ]
-    assert "asked again, the shutdown goes on as it has begun" in lines(player, "stop")
+    assert "the shutdown has begun already and continues unchanged" in lines(player, "stop")
 
 
 @pytest.mark.parametrize("operator", [True, False])
 def test_the_log_says_where_operators_are_answered_or_that_they_are_not(operator):
     said = lines(Player(operator=operator), "operator")
-    where = "calls are answered at 127.0.0.1:11212"
-    assert said == [where if operator else "no address is configured, no call is answered"]
+    where = "operators' calls are answered at 127.0.0.1:11212"
+    assert said == [
+        where if operator else "no operator address is configured: operators' calls are not answered"
+    ]
 
 
 def test_an_operators_connection_without_a_call_is_told():
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -277,7 +277,7 @@
     assert replaced.configuration()["version"] == str(first)
     before.wait_for_log("the successor serves")
     assert before.end(signal.SIGTERM) == 0
-    replaced.process.wait_for_log("the predecessor has gone")
+    replaced.process.wait_for_log("the predecessor has exited")
     last = fleet.commit(fleet.nodes.leader(), discovery())
     for proxy in fleet.proxies:
         proxy.comes_to(version=last)
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -1,4 +1,4 @@
-"""Messages of a handover stay the same to the byte: the two processes may be of two releases.
+"""The messages of a handover stay the same to the byte, because the two processes may be of two releases.
 
 The bytes in `data/handover_messages.json` were written by release 777463e, each ending in its newline.
 """
@@ -16,7 +16,7 @@
 GOLDEN = json.loads((Path(__file__).parent / "data" / "handover_messages.json").read_text())
 
 
-def node_starts(value):
+def build_node_starts(value):
     if value is None:
         return None
     starts = {
@@ -25,20 +25,20 @@
     return KnownStarts(value["clock_ms"], value["listed_ms"], starts)
 
 
-def handover_state(value):
+def build_handover_state(value):
     members = [Endpoint(**member) for member in value["table"]["members"]]
     table = EndpointList(value["table"]["revision"], value["table"]["complete"], members)
-    return HandoverState(value["version"], value["sockets"], table, node_starts(value["node_starts"]))
+    return HandoverState(value["version"], value["sockets"], table, build_node_starts(value["node_starts"]))
 
 
 BUILDERS = {
     "hello": lambda value: Hello(value["version"], value["listen"]),
-    "handover_state": handover_state,
+    "handover_state": build_handover_state,
     "serves": lambda value: Serves(value["serves"]),
 }
 
 
-def expected(row):
+def build_message(row):
     return BUILDERS[row["type"]](row["value"])
 
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("row", GOLDEN, ids=lambda row: row["name"])
 def test_a_recorded_message_is_decoded_to_the_same_value(row):
-    message = expected(row)
+    message = build_message(row)
     data = bytes.fromhex(row["hex"])
     assert data.endswith(b"\n")
     assert decode(data.removesuffix(b"\n"), type(message)) == message
@@ -62,9 +62,9 @@
 
 @pytest.mark.parametrize("row", GOLDEN, ids=lambda row: row["name"])
 def test_a_value_is_encoded_to_the_recorded_message(row):
-    assert encode(expected(row)).hex() == row["hex"]
+    assert encode(build_message(row)).hex() == row["hex"]
 
 
 @pytest.mark.parametrize("row", GOLDEN, ids=lambda row: row["name"])
 def test_the_fields_on_the_wire_are_those_recorded(row):
-    assert msgspec.to_builtins(expected(row)) == row["value"]
+    assert msgspec.to_builtins(build_message(row)) == row["value"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process takes over from another: real processes on loopback, waited for by what they say."""
+"""One process takes over from another: real processes on loopback, which are awaited by their log lines."""
 
 import contextlib
 import io
@@ -30,61 +30,61 @@
 
 
 @pytest.fixture
-def place(tmp_path):
-    here = ProxyFixture(tmp_path)
-    yield here
-    here.close()
+def proxy_fixture(tmp_path):
+    fixture = ProxyFixture(tmp_path)
+    yield fixture
+    fixture.close()
 
 
-def test_a_successor_takes_over_under_load_and_nothing_is_lost(place):
-    old = place.start().ready()
-    clients = SteadyClients(place.listen)
+def test_a_successor_takes_over_under_load_and_nothing_is_lost(proxy_fixture):
+    old = proxy_fixture.start().ready()
+    clients = SteadyClients(proxy_fixture.listen)
     clients.wait_for_answers()
-    for _ in range(2):  # and is succeeded in its turn
-        new = place.start().ready()
+    for _ in range(2):  # The second successor takes over from the first one.
+        new = proxy_fixture.start().ready()
         old.wait_for_log("the successor serves")
         clients.wait_for_answers()
         assert old.end(signal.SIGTERM) == 0
-        new.wait_for_log("the predecessor has gone: 256 descriptors")
+        new.wait_for_log("the predecessor has exited: 256 descriptors")
         clients.wait_for_answers()
         old = new
     clients.stop()
     # At most the one request that crosses its connection's close, for each client and replacement.
     assert clients.crossed <= 2 * 8
     assert old.end(signal.SIGTERM) == 0
-    assert not os.path.exists(place.path)
+    assert not os.path.exists(proxy_fixture.path)
 
 
-def test_the_old_process_killed_leaves_the_port_to_the_new(place):
-    old, new = place.start().ready(), place.start().ready()
+def test_a_predecessor_that_is_killed_leaves_the_port_to_its_successor(proxy_fixture):
+    old, new = proxy_fixture.start().ready(), proxy_fixture.start().ready()
     old.end(signal.SIGKILL)
-    new.wait_for_log("the predecessor has gone")
-    clients = SteadyClients(place.listen)
+    new.wait_for_log("the predecessor has exited")
+    clients = SteadyClients(proxy_fixture.listen)
     clients.wait_for_answers()
     clients.stop()
 
 
-def test_the_old_process_serves_on_when_its_successor_dies(place):
-    old, new = place.start().ready(), place.start().ready()
+def test_the_predecessor_goes_on_serving_when_its_successor_is_killed(proxy_fixture):
+    old, new = proxy_fixture.start().ready(), proxy_fixture.start().ready()
     old.wait_for_log("the successor serves")
     new.end(signal.SIGKILL)
-    old.wait_for_log("the successor has gone")
-    clients = SteadyClients(place.listen)
+    old.wait_for_log("the successor has exited")
+    clients = SteadyClients(proxy_fixture.listen)
     clients.wait_for_answers()
-    third = place.start().ready()
+    third = proxy_fixture.start().ready()
     old.wait_for_log("the successor serves")
     assert old.end(signal.SIGTERM) == 0
-    third.wait_for_log("the predecessor has gone")
+    third.wait_for_log("the predecessor has exited")
     clients.wait_for_answers()
     clients.stop()
 
 
 @pytest.mark.parametrize("answer", [b"", b'{"version":0,"sockets":9}\n', b"\xff\n", b"silence"])
-def test_what_can_not_be_understood_costs_one_line_and_the_port_is_shared(place, answer):
-    old = place.start().ready()
-    os.unlink(place.path)  # another process, of another version, stands there instead
+def test_a_malformed_answer_is_logged_once_and_the_address_is_shared(proxy_fixture, answer):
+    old = proxy_fixture.start().ready()
+    os.unlink(proxy_fixture.path)  # A process of another version listens at the path instead.
     with socket.socket(socket.AF_UNIX) as other:
-        other.bind(place.path)
+        other.bind(proxy_fixture.path)
         other.listen()
 
         def reply():
@@ -97,21 +97,21 @@
                         pass
 
         threading.Thread(target=reply, daemon=True).start()
-        new = place.start().ready()
-    assert new.log.read_text().count("nothing is taken over") == 1
+        new = proxy_fixture.start().ready()
+    assert new.log.read_text().count("the handover failed") == 1
     assert old.end(signal.SIGTERM) == 0
-    clients = SteadyClients(place.listen)
+    clients = SteadyClients(proxy_fixture.listen)
     clients.wait_for_answers()
     clients.stop()
 
 
-def test_a_stale_socket_is_removed_and_garbage_does_not_disturb_who_serves(place):
-    place.start().ready().end(signal.SIGKILL)
-    assert os.path.exists(place.path)
-    process = place.start().ready()
-    assert "has gone" in process.log.read_text()
-    assert os.stat(place.path).st_mode & 0o777 == 0o600
-    for garbage in (
+def test_a_stale_socket_is_removed_and_malformed_requests_do_not_disturb_the_proxy(proxy_fixture):
+    proxy_fixture.start().ready().end(signal.SIGKILL)
+    assert os.path.exists(proxy_fixture.path)
+    process = proxy_fixture.start().ready()
+    assert "the process that created the socket has exited" in process.log.read_text()
+    assert os.stat(proxy_fixture.path).st_mode & 0o777 == 0o600
+    for malformed in (
         b"\xff\xfe\n",
         b'{"version":9,"listen":"x"}\n',
         b"x" * 9000,
@@ -119,23 +119,28 @@
     ):
         with socket.socket(socket.AF_UNIX) as caller:
             caller.settimeout(PATIENCE_S)
-            caller.connect(place.path)
+            caller.connect(proxy_fixture.path)
             with contextlib.suppress(OSError):
-                caller.sendall(garbage)
+                caller.sendall(malformed)
                 assert caller.recv(100) == b""
-    assert process.log.read_text().count("a caller is refused") == 4
-    for reason in ("malformed: ", "version 9, not 1", "it says too much", "it serves at 'x'"):
-        assert process.log.read_text().count(f"a caller is refused: {reason}") == 1
-    assert place.start().ready().log.read_text().count("nothing is taken over") == 0
+    assert process.log.read_text().count("a process can't become the successor") == 4
+    for reason in (
+        "malformed: ",
+        "version 9 is not supported, only version 1",
+        "its message is too long",
+        "it serves at another address: 'x'",
+    ):
+        assert process.log.read_text().count(f"a process can't become the successor: {reason}") == 1
+    assert proxy_fixture.start().ready().log.read_text().count("the handover failed") == 0
 
 
-def test_an_operators_address_that_is_taken_ends_with_2_and_the_field(place):
-    place.start().ready()
+def test_an_operators_address_in_use_ends_the_program_with_exit_code_2_and_names_the_field(proxy_fixture):
+    proxy_fixture.start().ready()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         environ = os.environ | {
-            "EDGE_CONFIG": str(place.config),
+            "EDGE_CONFIG": str(proxy_fixture.config),
             "EDGE_OPERATOR": f"127.0.0.1:{taken.getsockname()[1]}",
         }
         run = subprocess.run(
@@ -146,10 +151,10 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(data):
-    for kind in (Hello, HandoverState):
+def test_decoding_any_bytes_raises_no_other_error_than_a_handover_error(data):
+    for message_type in (Hello, HandoverState):
         with contextlib.suppress(HandoverError):
-            messages.decode(data, kind)
+            messages.decode(data, message_type)
 
 
 def test_a_handover_state_is_read_as_it_was_written():
@@ -162,12 +167,12 @@
         messages.decode(messages.encode(handover_state), HandoverState)
 
 
-# When the nodes started ------------------------------------------------------------------------------
+# Starts of nodes -------------------------------------------------------------------------------------
 
 HOUR_MS = 3_600_000.0
 
 
-def test_a_successor_whose_wall_clock_was_stepped_back_takes_no_warm_node_for_a_cold_one():
+def test_a_successor_whose_wall_clock_was_stepped_back_does_not_warm_up_a_warm_node():
     old = Player()
     old.play("wait 100\ndiscovery expect GET *")
     up_since_ms_of = {"warm": old.now() - EPOCH_MS - 5000.0, "cold": old.now() - EPOCH_MS - 100.0}
@@ -182,9 +187,11 @@
         messages.PROTOCOL_VERSION, 200, endpoint_discovery.current_list(), endpoint_discovery.node_starts()
     )
     state = messages.decode(messages.encode(state).rstrip(), HandoverState)
-    left = SimpleNamespace(handover_state=state, listening_descriptor=0, watch=lambda reactor, gone: None)
+    predecessor = SimpleNamespace(
+        handover_state=state, listening_descriptor=0, watch=lambda reactor, on_exit: None
+    )
     epoch_ms = EPOCH_MS + HOUR_MS
-    new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, left)
+    new = Proxy(old.reactor, old.config, Log(old.now, old.log), old.now, lambda: epoch_ms, predecessor)
     new.start(adopt=lambda reactor, descriptor, factory: None)
     cold_ms = {name: new.node_policy._nodes[name].cold_until_ms - old.now() for name in up_since_ms_of}
     assert cold_ms["warm"] < 0.0
@@ -204,7 +211,9 @@
 
 
 @pytest.mark.parametrize(("offset_ms", "kept"), [(0.0, True), (HOUR_MS, False), (-HOUR_MS, False)])
-def test_a_predecessor_that_reads_another_clock_leaves_all_but_the_starts(tmp_path, offset_ms, kept):
+def test_of_a_predecessor_that_reads_another_clock_all_but_the_nodes_starts_is_used(
+    tmp_path, offset_ms, kept
+):
     path, log = str(tmp_path / "handover.sock"), io.StringIO()
     with socket.socket() as listening, socket.socket(socket.AF_UNIX) as predecessor:
         listening.bind(("127.0.0.1", 0))
@@ -223,24 +232,24 @@
 
         thread = threading.Thread(target=answer)
         thread.start()
-        left = request_handover(path, listening.getsockname(), Log(monotonic_ms, log), PATIENCE_S)
-        assert left is not None, log.getvalue()
-        os.close(left.listening_descriptor)
-        left._connection.close()
+        handover = request_handover(path, listening.getsockname(), Log(monotonic_ms, log), PATIENCE_S)
+        assert handover is not None, log.getvalue()
+        os.close(handover.listening_descriptor)
+        handover._connection.close()
         thread.join()
-    assert (left.handover_state.node_starts is not None) is kept
+    assert (handover.handover_state.node_starts is not None) is kept
     assert log.getvalue().count("reads another clock") == (not kept)
 
 
 class OlderHandoverState(msgspec.Struct):
-    """As the version before wrote and read it."""
+    """The state as the release before wrote and read it."""
 
     version: int
     sockets: int
     table: EndpointList
 
 
-def test_an_older_process_beside_a_newer_one_is_understood_either_way():
+def test_processes_of_an_older_and_a_newer_release_understand_each_other():
     table = EndpointList(7, True, [Endpoint("a", "127.0.0.1:1", up_since_ms=5.0)])
     written = messages.encode(OlderHandoverState(1, 200, table)).rstrip()
     assert messages.decode(written, HandoverState) == HandoverState(1, 200, table, None)
@@ -249,7 +258,7 @@
     assert messages.decode(written, HandoverState).node_starts == STARTS
 
 
-def test_a_smaller_budget_takes_no_more_until_enough_is_given_back():
+def test_a_smaller_budget_grants_no_descriptors_until_enough_are_released():
     budget = DescriptorBudget(100)
     for _ in range(60):
         budget.acquire(DescriptorSide.CLIENTS)
--- a/tests/test_handover_calls.py
+++ b/tests/test_handover_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail between one process and the next: nothing is taken for gone that is there."""
+"""System calls of a handover that fail for a moment: the other process must not count as exited for that."""
 
 import errno
 import os
@@ -11,7 +11,7 @@
 from cloverwell.handover import predecessor as handover
 from cloverwell.handover.successor import Predecessor
 
-PASSING = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
+TRANSIENT_ERRORS = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR]
 
 
 class Reactor(Clock):
@@ -26,7 +26,7 @@
         self.readers.remove(reader)
 
 
-class Conversation:
+class FakeSocket:
     """The socket between two processes, as `Predecessor` uses it."""
 
     def __init__(self, recv, send):
@@ -50,35 +50,35 @@
         self.closed = True
 
 
-@pytest.mark.parametrize("number", [*PASSING, errno.EAGAIN])
-def test_a_predecessor_learns_that_we_serve_and_is_not_taken_for_gone(number):
-    gone, reactor = [], Reactor()
-    conversation = Conversation(CallFaults(number), CallFaults(number, None, number, most=6))
-    predecessor = Predecessor(None, -1, conversation)
-    predecessor.watch(reactor, lambda: gone.append(True))
+@pytest.mark.parametrize("error_number", [*TRANSIENT_ERRORS, errno.EAGAIN])
+def test_a_predecessor_learns_that_the_successor_serves_and_does_not_count_as_exited(error_number):
+    exits, reactor = [], Reactor()
+    connection = FakeSocket(CallFaults(error_number), CallFaults(error_number, None, error_number, most=6))
+    predecessor = Predecessor(None, -1, connection)
+    predecessor.watch(reactor, lambda: exits.append(True))
     for _ in range(6):
         reactor.advance(0.02)
-    assert conversation.sent == b'{"serves":true}\n'
+    assert connection.sent == b'{"serves":true}\n'
     predecessor.doRead()
-    assert not gone
+    assert not exits
     assert predecessor in reactor.readers
-    predecessor.doRead()  # now it has ended
-    assert gone
-    assert conversation.closed
+    predecessor.doRead()  # This read finds the end of the connection.
+    assert exits
+    assert connection.closed
     assert not reactor.readers
 
 
-def test_a_place_that_can_not_be_looked_at_ends_no_start(tmp_path, monkeypatch):
+def test_a_socket_path_that_cannot_be_checked_does_not_end_the_start(tmp_path, monkeypatch):
     def remove_stale_socket(path):
         raise OSError(errno.ENFILE, os.strerror(errno.ENFILE))
 
     monkeypatch.setattr(handover, "remove_stale_socket", remove_stale_socket)
     warnings = []
-    log = SimpleNamespace(warn=lambda where, what: warnings.append(what))
+    log = SimpleNamespace(warn=lambda source, text: warnings.append(text))
     timer_wheel = SimpleNamespace()
     listener = handover.SuccessorListener(
         Reactor(), str(tmp_path / "x.sock"), ("127.0.0.1", 1), None, timer_wheel, log
     )
     listener.open()
     assert len(warnings) == 1
-    assert warnings[0].startswith("no successor can ask")
+    assert warnings[0].startswith("can't listen for a successor")
--- a/tests/test_handover_errors.py
+++ b/tests/test_handover_errors.py
@@ -1,4 +1,4 @@
-"""Each reason for which nothing is taken over, or a process is refused, is one line of the log."""
+"""Each reason for which a handover fails on the successor's side is logged in one line."""
 
 import contextlib
 import socket
@@ -53,8 +53,8 @@
         yield made
 
 
-def line_of(predecessor, listen=("127.0.0.1", 1)):
-    """The line that is logged when nothing can be taken over."""
+def failure_line(predecessor, listen=("127.0.0.1", 1)):
+    """Requests a handover that fails, and returns the line that is logged."""
     lines = Lines()
     assert request_handover(predecessor.path, listen, lines, WAIT_S) is None
     (line,) = lines.lines
@@ -64,57 +64,57 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (b"", "the answer is cut off"),
-        (b'{"version":1', "the answer is cut off"),
+        (b"", "the answer is incomplete"),
+        (b'{"version":1', "the answer is incomplete"),
         (b" " * (messages.MAX_STATE_BYTES + 1), "the answer is too long"),
         (b'{"version":1,"listen":"x"}\n', "malformed: Object missing required field `sockets`"),
         (
             b'{"version":9,"sockets":1,"table":{"revision":1,"complete":true,"members":[]}}\n',
-            "version 9, not 1",
+            "version 9 is not supported, only version 1",
         ),
         (messages.encode(BAD_ENDPOINTS), "not an address: 'nowhere'"),
-        (messages.encode(STATE), "0 sockets came, not one"),
+        (messages.encode(STATE), "0 sockets were received instead of one"),
     ],
 )
-def test_an_answer_that_cannot_be_used_is_one_line(predecessor, data, reason):
+def test_a_malformed_answer_is_logged_in_one_line(predecessor, data, reason):
     predecessor.data = data
-    assert line_of(predecessor) == f"warn handover: nothing is taken over: {reason}"
+    assert failure_line(predecessor) == f"warn handover: the handover failed: {reason}"
 
 
-def test_two_sockets_in_place_of_one_are_one_line(predecessor, listening):
+def test_two_sockets_instead_of_one_are_logged_in_one_line(predecessor, listening):
     predecessor.data = messages.encode(STATE)
     predecessor.sockets = [listening, listening]
-    expected = "warn handover: nothing is taken over: 2 sockets came, not one"
-    assert line_of(predecessor, listening.getsockname()) == expected
+    expected = "warn handover: the handover failed: 2 sockets were received instead of one"
+    assert failure_line(predecessor, listening.getsockname()) == expected
 
 
-def test_a_socket_at_another_address_is_one_line(predecessor, listening):
+def test_a_socket_at_another_address_is_logged_in_one_line(predecessor, listening):
     predecessor.data = messages.encode(STATE)
     predecessor.sockets = [listening]
-    expected = "warn handover: nothing is taken over: the socket that came does not listen at our address"
-    assert line_of(predecessor) == expected
+    expected = "warn handover: the handover failed: the received socket does not listen at this address"
+    assert failure_line(predecessor) == expected
 
 
-def test_a_socket_that_does_not_listen_is_one_line(predecessor):
+def test_a_socket_that_does_not_listen_is_logged_in_one_line(predecessor):
     predecessor.data = messages.encode(STATE)
-    expected = "warn handover: nothing is taken over: the socket that came does not listen at our address"
+    expected = "warn handover: the handover failed: the received socket does not listen at this address"
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         predecessor.sockets = [bound]
-        assert line_of(predecessor, bound.getsockname()) == expected
+        assert failure_line(predecessor, bound.getsockname()) == expected
 
 
-def test_a_socket_at_which_nobody_listens_is_one_line(tmp_path):
+def test_a_stale_handover_socket_is_logged_in_one_line(tmp_path):
     path = str(tmp_path / "stale.sock")
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(path)
     lines = Lines()
     assert request_handover(path, ("127.0.0.1", 1), lines, WAIT_S) is None
-    reason = "the process that left its socket there has gone"
-    assert lines.lines == [f"warn handover: nothing is taken over: {reason}"]
+    reason = "the process that created the socket has exited"
+    assert lines.lines == [f"warn handover: the handover failed: {reason}"]
 
 
-def test_no_socket_at_all_is_no_line(tmp_path):
+def test_a_missing_handover_socket_is_not_logged(tmp_path):
     lines = Lines()
     assert request_handover(str(tmp_path / "none.sock"), ("127.0.0.1", 1), lines, WAIT_S) is None
     assert lines.lines == []
--- a/tests/test_handover_failures.py
+++ b/tests/test_handover_failures.py
@@ -1,4 +1,4 @@
-"""The folder of the handover fails: the proxy serves on, and a line says that no successor can ask."""
+"""Faults of the handover's folder and socket: the proxy goes on serving, and logs one line."""
 
 import errno
 import os
@@ -14,81 +14,85 @@
 
 LISTEN = ("127.0.0.1", 1)
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES, errno.EMFILE]
-TOO_LONG = "x" * 120  # for a Unix socket's address: the folder is opened
+TOO_LONG = (
+    "x" * 120
+)  # Too long for a Unix socket's address: the path goes through a descriptor of its folder.
 
 
 class Reactor:
     def addReader(self, reader):
-        raise AssertionError("nothing listens")
+        raise AssertionError("no port may listen")
 
 
-def failing(number):
+def failing(error_number):
     def fail(*_arguments, **_named):
-        raise OSError(number, os.strerror(number))
+        raise OSError(error_number, os.strerror(error_number))
 
     return fail
 
 
-def listener(path, lines):
+def successor_listener(path, lines):
     return SuccessorListener(Reactor(), str(path), LISTEN, None, None, lines)
 
 
-def check_one_warning(lines, number):
+def check_one_warning(lines, error_number):
     (line,) = lines.lines
-    assert line.startswith("warn handover: no successor can ask")
-    assert os.strerror(number) in line
+    assert line.startswith("warn handover: can't listen for a successor")
+    assert os.strerror(error_number) in line
 
 
-@pytest.mark.parametrize("number", ERRORS)
+@pytest.mark.parametrize("error_number", ERRORS)
 @pytest.mark.parametrize("call", ["bind", "chmod", "socket"])
-def test_a_socket_that_cannot_be_made_is_one_line(tmp_path, monkeypatch, call, number):
+def test_a_socket_that_cannot_be_created_is_logged_in_one_line(tmp_path, monkeypatch, call, error_number):
     class Socket(socket.socket):
-        bind = failing(number)
+        bind = failing(error_number)
 
     if call == "bind":
         monkeypatch.setattr(unix.Port, "createInternetSocket", lambda _: Socket(socket.AF_UNIX))
     elif call == "chmod":
-        monkeypatch.setattr(unix.os, "chmod", failing(number))
+        monkeypatch.setattr(unix.os, "chmod", failing(error_number))
     else:
-        monkeypatch.setattr(sockets.socket, "socket", failing(number))
+        monkeypatch.setattr(sockets.socket, "socket", failing(error_number))
     lines = Lines()
-    opened = listener(tmp_path / "s", lines)
-    opened.open()
+    listener = successor_listener(tmp_path / "s", lines)
+    listener.open()
     monkeypatch.undo()
-    check_one_warning(lines, number)
-    opened.close()  # and the end is as without it
+    check_one_warning(lines, error_number)
+    listener.close()  # Closing raises nothing although no port listens.
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_a_folder_that_cannot_be_opened_is_one_line(tmp_path, monkeypatch, number):
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_a_folder_that_cannot_be_opened_is_logged_in_one_line(tmp_path, monkeypatch, error_number):
     path = tmp_path / TOO_LONG / "s"
-    monkeypatch.setattr(sockets.os, "open", failing(number))
+    monkeypatch.setattr(sockets.os, "open", failing(error_number))
     lines = Lines()
-    listener(path, lines).open()
+    successor_listener(path, lines).open()
     monkeypatch.undo()
-    check_one_warning(lines, number)
+    check_one_warning(lines, error_number)
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_a_successor_that_cannot_make_a_socket_takes_nothing_over_and_serves(tmp_path, monkeypatch, number):
-    monkeypatch.setattr(successor.socket, "socket", failing(number))
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_a_successor_that_cannot_create_a_socket_starts_without_a_handover(
+    tmp_path, monkeypatch, error_number
+):
+    monkeypatch.setattr(successor.socket, "socket", failing(error_number))
     lines = Lines()
     assert request_handover(str(tmp_path / "s"), LISTEN, lines) is None
     monkeypatch.undo()
     (line,) = lines.lines
-    assert line.startswith("warn handover: nothing is taken over")
-    assert os.strerror(number) in line
+    assert line.startswith("warn handover: the handover failed")
+    assert os.strerror(error_number) in line
 
 
-@pytest.mark.parametrize("number", ERRORS)
-def test_a_stale_socket_that_cannot_be_removed_is_one_line(tmp_path, monkeypatch, number):
+@pytest.mark.parametrize("error_number", ERRORS)
+def test_a_stale_socket_that_cannot_be_removed_is_logged_in_one_line(tmp_path, monkeypatch, error_number):
     path = tmp_path / "s"
     with socket.socket(socket.AF_UNIX) as stale:
         stale.bind(str(path))
-    monkeypatch.setattr(sockets.os, "unlink", failing(number))
+    monkeypatch.setattr(sockets.os, "unlink", failing(error_number))
     lines = Lines()
-    opened = listener(path, lines)
-    opened.open()
+    listener = successor_listener(path, lines)
+    listener.open()
     monkeypatch.undo()
     check_one_warning(lines, errno.EADDRINUSE)
-    opened.close()
+    listener.close()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The serving state under any order of calls, and the operators' port with callers that finish nothing."""
+"""The serving state under any order of calls, and the operators' port with incomplete requests."""
 
 import json
 
@@ -18,10 +18,10 @@
 
 
 @given(CALLS)
-def test_what_follows_from_any_order_of_calls(calls):
+def test_the_serving_state_is_consistent_under_any_order_of_calls(calls):
     serving, now, stopped_ms, drained_ms = Serving(), 0.0, None, None
-    for name, step in calls:
-        now += step
+    for name, step_ms in calls:
+        now += step_ms
         before = serving.state
         if name == "serve":
             serving.serve()
@@ -30,7 +30,7 @@
             assert serving.drain(now) == (before in (ServingState.READY, ServingState.DRAINED))
             drained_ms = (
                 now if before is ServingState.READY else drained_ms
-            )  # repeated, it does not begin anew
+            )  # A repeated drain starts no new schedule.
         elif name == "undrain":
             assert serving.undrain() == (before in (ServingState.READY, ServingState.DRAINED))
         else:
@@ -55,20 +55,20 @@
 
 
 @given(st.floats(100.0, 10_000.0), st.booleans())
-def test_a_planned_end_is_over_before_the_platform_kills(longest_ms, handed_over):
+def test_a_graceful_shutdown_is_over_before_the_platform_kills_the_process(longest_ms, handed_over):
     schedule = shutdown_schedule(longest_ms, handed_over)
     kill_ms = min(longest_ms, 3000.0) + 700.0
     assert schedule.stop_accepting_ms <= schedule.close_idle_ms < schedule.close_mid_command_ms
     assert schedule.answer_deadline_ms < kill_ms
-    # What comes last has its whole time, as far as the platform gives it.
+    # The last accepted request has its whole deadline, as far as the platform counts it.
     assert schedule.answer_deadline_ms - schedule.close_idle_ms >= min(longest_ms, 3000.0) - 1e-6
 
 
-def test_callers_that_finish_nothing_never_stand_in_the_way_and_are_bounded():
+def test_incomplete_operator_requests_are_bounded_and_block_no_others():
     player = Player(operator=True)
-    for place in range(1, 3 * MAX_OPERATOR_CONNECTIONS):
-        player.play(f"operator#{place} send GET /ready HTTP/1.1|Host: x\noperator#{place} expect nothing")
-        player.play(f"operator#{place + 100} send GET /ready\noperator#{place + 100} expect HTTP/1.1 200 *")
+    for number in range(1, 3 * MAX_OPERATOR_CONNECTIONS):
+        player.play(f"operator#{number} send GET /ready HTTP/1.1|Host: x\noperator#{number} expect nothing")
+        player.play(f"operator#{number + 100} send GET /ready\noperator#{number + 100} expect HTTP/1.1 200 *")
     operators = player.reactor.tcpServers[1][1]
     assert len(operators.connections) <= MAX_OPERATOR_CONNECTIONS
     player.play("wait 5100")
@@ -78,12 +78,12 @@
 @pytest.mark.parametrize(
     "head", ["GET /ready HTTP/1.1|X: " + "y" * 2 * MAX_HEAD_BYTES, "y" * 2 * MAX_HEAD_BYTES]
 )
-def test_a_head_without_end_is_refused(head):
+def test_a_request_head_without_end_is_rejected(head):
     player = Player(operator=True)
     player.play(f"operator send {head}|\noperator expect HTTP/1.1 4* *\noperator expect end")
 
 
-def test_a_body_without_end_is_refused():
+def test_a_request_body_without_end_is_rejected():
     player = Player(operator=True)
     player.play(
         f"operator send PUT /drain HTTP/1.1|Host: x|Content-Length: 99999||{'y' * 2 * MAX_BODY_BYTES}"
@@ -91,17 +91,17 @@
     player.play("operator expect HTTP/1.1 413 *\noperator expect end\nclient send mn\nclient expect MN")
 
 
-def test_a_crowd_of_clients_does_not_shut_operators_out():
+def test_many_clients_do_not_keep_operators_from_connecting():
     player = Player(sockets=64, operator=True)
-    player.service.client_connections.port, place = Transport(), 0
+    player.service.client_connections.port, number = Transport(), 0
     while player.service.client_connections.accept_limit():
-        place += 1
-        player.play(f"client#{place} send ms k 9 O{place} Pc=order,t=acme,d=1900|a")
+        number += 1
+        player.play(f"client#{number} send ms k 9 O{number} Pc=order,t=acme,d=1900|a")
     player.play("operator send GET /ready\noperator expect HTTP/1.1 200 *yes")
 
 
 @pytest.mark.parametrize(
-    ("variable", "field", "reads"),
+    ("variable", "field", "expected"),
     [
         ("", "", None),
         ("", "127.0.0.1:9", ("127.0.0.1", 9)),
@@ -111,12 +111,12 @@
         ("127.0.0.1:7", "", ConfigError),  # the clients' address
     ],
 )
-def test_the_operators_address_is_read(tmp_path, variable, field, reads):
+def test_the_operators_address_is_read(tmp_path, variable, field, expected):
     document = {"listen": "127.0.0.1:7", "discovery": "127.0.0.1:6", "operator": field, "settings": SETTINGS}
     (tmp_path / "config.json").write_text(json.dumps(document))
     environ = {"EDGE_CONFIG": str(tmp_path / "config.json"), "EDGE_OPERATOR": variable}
-    if reads is ConfigError:
+    if expected is ConfigError:
         with pytest.raises(ConfigError, match=r"^operator: "):
             read_config(environ)
     else:
-        assert read_config(environ).operator == reads
+        assert read_config(environ).operator == expected
