--- a/cloverwell/__main__.py
+++ b/cloverwell/__main__.py
@@ -1,7 +1,7 @@
 """The proxy as a program: `python -m cloverwell`, configured by the environment and a file.
 
-Exit codes: 0 after a graceful shutdown; 2, with one line that names the field, where the configuration can't
-be used or an address can't be listened on.
+Exit codes: 0 after a graceful shutdown; 2, with one line that names the field, if the configuration can't be
+used or the program can't listen at an address.
 """
 
 from __future__ import annotations
@@ -30,16 +30,17 @@
 from cloverwell.unix_time import read_epoch_ms
 
 EXIT_BAD_INPUT = 2
-# Net new objects before a collection of the youngest generation, and collections of each generation before
-# one of the next older: under load they come every 3, 9 and 27 s or so.
+# The number of net new objects that starts a collection of the youngest generation, and the numbers of
+# collections of one generation that start one of the next older generation. Under load the three generations
+# are collected about every 3, 9 and 27 s.
 COLLECTION_THRESHOLDS = (10_000, 3, 3)
 
 
 def tune_garbage_collector() -> None:
-    """Excludes what exists now from garbage collection for good, and collects all else seldom.
+    """Excludes the objects that exist now from garbage collection, and collects newer ones rarely.
 
-    Every connection is a reference cycle by itself (transport and protocol), so an old one must be collected
-    in the end.
+    Collection can't be switched off: every connection is a reference cycle (of transport and protocol), which
+    only a collection frees.
     """
     gc.collect()
     gc.freeze()
@@ -47,9 +48,9 @@
 
 
 def install_signal_handlers(proxy: Proxy, call_in_reactor: Callable[..., object]) -> None:
-    """SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration file again.
+    """Has SIGTERM and SIGINT begin a graceful shutdown, and SIGHUP read the configuration file again.
 
-    `call_in_reactor` has the event loop make a call: a signal may come in the middle of anything.
+    `call_in_reactor` has the event loop make a call later, since a signal may interrupt any code.
     """
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: call_in_reactor(proxy.stop))
@@ -59,9 +60,9 @@
 
 
 def ignore_signals() -> None:
-    """Has a signal that comes while the interpreter ends change nothing: all is answered and closed.
+    """Ignores signals that arrive while the interpreter exits, after all requests have been answered.
 
-    Python's end puts each handler back to the default, which is the end by the signal, but for ignored ones.
+    At its exit Python resets handled signals, but not ignored ones, to the default, which kills the process.
     """
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
@@ -76,16 +77,18 @@
     config.limits.sockets = min(config.limits.sockets, raise_descriptor_limit(config.limits.sockets))
     log = Log(monotonic_ms)
     globalLogBeginner.beginLoggingTo([cast(ILogObserver, log.fault)], redirectStandardIO=False)
-    folder = _handover_folder(config)
+    handover_folder = _handover_folder(config)
     predecessor = (
-        request_handover(handover_socket_path(folder, config.listen), config.listen, log) if folder else None
+        request_handover(handover_socket_path(handover_folder, config.listen), config.listen, log)
+        if handover_folder
+        else None
     )
     reactor = install_reactor()
     # Twisted's reactors declare their interfaces to zope, which a type checker without a plugin can't read.
     proxy = Proxy(cast(ProxyReactor, reactor), config, log, monotonic_ms, read_epoch_ms, predecessor)
     install_signal_handlers(proxy, reactor.callFromThread)
     try:
-        proxy.start(listen, adopt, folder)
+        proxy.start(listen, adopt, handover_folder)
     except CannotListenError as error:
         field = "operator" if (error.interface, error.port) == config.operator else "listen"
         return _fail(f"{field}: {error}")
@@ -96,8 +99,10 @@
 
 
 def _handover_folder(config: Config) -> str:
-    """Where predecessor and successor meet, the same folder for both; "" where processes are not replaced
-    beside each other."""
+    """Returns the folder of the handover's socket, the same for predecessor and successor.
+
+    It is "" without an operators' port, since a process is then not replaced while it still serves.
+    """
     return os.environ.get("TMPDIR", "") if config.operator else ""
 
 
--- a/cloverwell/cli/__init__.py
+++ b/cloverwell/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for people. `python -m cloverwell`, the platform's start, imports nothing of it."""
+"""The command line for people. The platform starts `python -m cloverwell`, which does not import it."""
--- a/cloverwell/cli/control.py
+++ b/cloverwell/cli/control.py
@@ -1,6 +1,7 @@
-"""`cloverwell control`: runs a node of the control log, and sends operators' requests to one.
+"""`cloverwell control`: runs a control node, and sends operators' requests to one.
 
-Exit codes: 0 done; 1 not done, or no answer; 2 bad input; 3 it may have been done, repeat it with its --id.
+Exit codes: 0 done; 1 not done, or no answer; 2 bad input; 3 unknown: the proposal may have been committed,
+and can be repeated with its --id.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from cloverwell.cli.main import exit_with_error
 
-# What serves or sends is imported where it is used: the other commands must not wait for it.
+# Modules that serve or send are imported where they are used, so that all other commands start quickly.
 if TYPE_CHECKING:
     from cloverwell.control.fleet import ActivationCount
     from cloverwell.control.messages import ProposalAnswer
@@ -29,7 +30,7 @@
 
 @click.group()
 def control() -> None:
-    """The fleet's control log: run a node of it, propose a change, see where it is in force.
+    """The fleet's control log: run a node of it, propose a change, see where a change is in force.
 
     \b
     cloverwell control serve deploy/control/node.toml
@@ -54,7 +55,12 @@
 @control.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--to", required=True, help="HOST:PORT of any control node.")
-@click.option("--id", "proposal_id", default="", help="The same for a repeat, which is then done once.")
+@click.option(
+    "--id",
+    "proposal_id",
+    default="",
+    help="Id of the proposal; repeated with the same id, it is committed only once.",
+)
 @click.option("--expect", default=None, type=int, help="Index of the configuration that this one replaces.")
 @click.option(
     "--wait", "timeout_s", default=DEFAULT_TIMEOUT_S, show_default=True, help="Seconds for an answer."
@@ -89,7 +95,7 @@
 
 
 def _read_document(file: Path) -> bytes:
-    """Returns the content of a configuration file; ends the program where that can't be proposed."""
+    """Returns the content of a configuration file; ends the program if it can't be proposed."""
     from cloverwell.config import ConfigError
     from cloverwell.control.configuration import check_document
 
@@ -104,7 +110,7 @@
 
 
 def _describe_outcome(answer: ProposalAnswer, digest: str) -> str:
-    """Returns one line that says what became of a proposal with this digest."""
+    """Returns one line with the outcome of a proposal; `digest` is that of the proposed document."""
     if answer.index:
         return f"committed as version {answer.index}, digest {digest}"
     leader = f", the leader is {answer.leader}" if answer.leader else ""
@@ -114,12 +120,12 @@
 
 @control.command()
 @click.option("--to", required=True, help="HOST:PORT of any control node.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @click.option(
     "--wait", "timeout_s", default=DEFAULT_TIMEOUT_S, show_default=True, help="Seconds for an answer."
 )
 def status(to: str, as_json: bool, timeout_s: float) -> None:
-    """Who leads, how far the log is committed, and where that is in force.
+    """Show who leads, how far the log is committed, and where that is in force.
 
     \b
     Example: cloverwell control status --to 127.0.0.1:7401
@@ -138,7 +144,7 @@
 
 
 def _describe_status(answer: StatusAnswer) -> str:
-    """Returns the status in lines for a person."""
+    """Returns the status of a control node as text for a person."""
     status, own = answer.status, answer.own
     leader = f"{status.leader} at {answer.leader_address}" if status.leader else "none known"
     quorum = "takes proposals" if status.has_quorum else "takes no proposals"
@@ -168,7 +174,7 @@
 
 
 def _read_address(text: str) -> Address:
-    """Returns the address of the option --to; ends the program where it is none."""
+    """Returns the address in the option --to; ends the program if it is malformed."""
     from cloverwell.membership.endpoint_list import EndpointListError, split_address
 
     try:
--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -1,7 +1,7 @@
 """The command `cloverwell` and its sub-commands for a proxy.
 
-Bad input ends with exit code 2 and one line that names the field. Other packages bring sub-commands of their
-own by the entry points `cloverwell.commands`.
+Bad input ends a command with exit code 2 and one line that names the field. Other packages add sub-commands
+through the entry point group `cloverwell.commands`.
 """
 
 import json
@@ -20,14 +20,14 @@
 
 
 def exit_with_error(text: str) -> NoReturn:
-    """Ends the program with exit code 2 and the text in one line on standard error."""
+    """Ends the program with exit code 2, after writing the text in one line to standard error."""
     click.echo(f"cloverwell: {text}".replace("\n", " "), err=True)
     raise SystemExit(EXIT_BAD_INPUT)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """A proxy for memcache clients before cache nodes and one origin, and a world to try it in.
+    """A memcache proxy in front of cache nodes and one origin, and a simulator to try it in.
 
     \b
     cloverwell lab run calm               see it work, in virtual time
@@ -66,7 +66,7 @@
 
 
 def _summary(config: proxy_config.Config) -> str:
-    """The addresses of a configuration, and its endpoints, in one line."""
+    """Returns one line with the addresses of a configuration and the number of its endpoints."""
     host, port = config.listen
     parts = [f"listens on {host}:{port}"]
     if config.operator is not None:
@@ -78,7 +78,7 @@
 
 @cli.group()
 def config() -> None:
-    """The configuration's format."""
+    """Show the format of the configuration."""
 
 
 @config.command()
@@ -92,8 +92,8 @@
 
 
 def main() -> None:
-    """The console script: adds the commands of other packages and runs the one that was given."""
-    # The simulation stands above the proxy, so nothing here may import it.
+    """Runs the command that was given, after adding the commands of other packages."""
+    # No module of the proxy may import the simulator, so its commands are found by their entry points.
     for entry in entry_points(group=ENTRY_POINTS):
         cli.add_command(entry.load())
     cli()
