--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports run downwards, in no circle, and the platform's bare start needs Twisted and msgspec alone."""
+"""Modules import only lower layers, without cycles, and the proxy itself needs only Twisted and msgspec."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("cloverwell", "balancer", "lab")
 
-# From the bottom up. A module may import what stands in its own line or below; the longest prefix counts.
-# A new package is put where it belongs here, see docs/design/overview.md.
-LEVELS = (
+# The layers from the lowest to the highest. A module may import modules of its own layer and of lower ones;
+# the longest matching prefix decides. A new package has to be added here, see docs/design/overview.md.
+LAYERS = (
     ("balancer",),
     ("cloverwell.descriptors", "cloverwell.log_stream", "cloverwell.system_calls"),
     ("cloverwell.monotonic_reactor",),
@@ -46,12 +46,12 @@
     ("cloverwell.cli",),
     ("lab",),
 )
-# What the packages' own `__init__` imports stands with its package.
-OPEN_ROOTS = ("cloverwell", "balancer", "lab")
+# The `__init__` modules of these packages may import, and be imported by, modules of any layer.
+UNRESTRICTED_PACKAGES = ("cloverwell", "balancer", "lab")
 
 
 def modules() -> dict[str, Path]:
-    """Each module by its name; a package by its own."""
+    """Returns the path of each module and package, by its dotted name."""
     found = {}
     for package in PACKAGES:
         for path in sorted((ROOT / package).rglob("*.py")):
@@ -61,7 +61,7 @@
 
 
 def imported(source: str, known: set[str]) -> set[str]:
-    """What of the known a source imports, anywhere in it: in functions and under TYPE_CHECKING too."""
+    """Returns which of the known modules a source imports, also in functions and under TYPE_CHECKING."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
@@ -74,13 +74,13 @@
     return found & known
 
 
-def graph() -> dict[str, set[str]]:
+def import_graph() -> dict[str, set[str]]:
     paths = modules()
     return {name: imported(path.read_text(), set(paths)) for name, path in paths.items()}
 
 
-def circle(edges: dict[str, set[str]]) -> list[str]:
-    """The modules of one circle, or none."""
+def find_cycle(edges: dict[str, set[str]]) -> list[str]:
+    """Returns the modules of one import cycle, or an empty list."""
     try:
         TopologicalSorter(edges).prepare()
     except CycleError as error:
@@ -88,38 +88,40 @@
     return []
 
 
-def level(module: str) -> int:
-    fitting = [
-        (len(prefix), number)
-        for number, prefixes in enumerate(LEVELS)
+def layer_of(module: str) -> int:
+    matching = [
+        (len(prefix), layer)
+        for layer, prefixes in enumerate(LAYERS)
         for prefix in prefixes
         if module == prefix or module.startswith(prefix + ".")
     ]
-    assert fitting, f"{module} stands in no line of LEVELS"
-    return max(fitting)[1]
+    assert matching, f"{module} is in no layer of LAYERS"
+    return max(matching)[1]
 
 
-def upwards(edges: dict[str, set[str]]) -> list[str]:
+def upward_imports(edges: dict[str, set[str]]) -> list[str]:
     return [
         f"{module} imports {other}"
         for module, others in sorted(edges.items())
         for other in sorted(others)
-        if module not in OPEN_ROOTS and other not in OPEN_ROOTS and level(other) > level(module)
+        if module not in UNRESTRICTED_PACKAGES
+        and other not in UNRESTRICTED_PACKAGES
+        and layer_of(other) > layer_of(module)
     ]
 
 
-def test_no_module_imports_itself_by_way_of_others():
-    assert circle(graph()) == []
+def test_imports_have_no_cycle():
+    assert find_cycle(import_graph()) == []
 
 
-def test_imports_run_downwards():
-    assert upwards(graph()) == []
+def test_no_module_imports_a_higher_layer():
+    assert upward_imports(import_graph()) == []
 
 
 def test_only_lab_imports_lab():
     found = [
         f"{module} imports {other}"
-        for module, others in graph().items()
+        for module, others in import_graph().items()
         for other in others
         if not module.startswith("lab") and (other == "lab" or other.startswith("lab."))
     ]
@@ -131,14 +133,14 @@
     hidden = "if TYPE_CHECKING:\n    from cloverwell.back.pool import Pool\n"
     assert imported(hidden, known) == {"cloverwell.back.pool"}
     assert imported("def late():\n    from cloverwell.back import pool\n", known) == {"cloverwell.back.pool"}
-    assert circle({"a": {"b"}, "b": {"a"}})
+    assert find_cycle({"a": {"b"}, "b": {"a"}})
     edges = {"cloverwell.request": {"cloverwell.back.pool"}, "cloverwell.front.port": {"cloverwell.request"}}
-    assert upwards(edges) == ["cloverwell.request imports cloverwell.back.pool"]
+    assert upward_imports(edges) == ["cloverwell.request imports cloverwell.back.pool"]
     with pytest.raises(AssertionError):
-        level("cloverwell.unheard_of")
+        layer_of("cloverwell.unheard_of")
 
 
-# What `run` loads ----------------------------------------------------------------------------------
+# Packages that `run` loads -------------------------------------------------------------------------
 
 LIST_LOADED = """
 import sys
@@ -153,15 +155,15 @@
 
 
 def installed_requires(name: str) -> list[str]:
-    """Requirements of a distribution; none where its marker kept it from this machine."""
+    """Returns the requirements of a distribution; none if a marker kept it from being installed here."""
     try:
         return requires(name) or []
     except PackageNotFoundError:
         return []
 
 
-def needed_by(names: set[str]) -> set[str]:
-    """The distributions, and what they need in turn, extras left out."""
+def required_by(names: set[str]) -> set[str]:
+    """Returns the distributions and all that they require, directly or not, without extras."""
     found: set[str] = set()
     queue = list(names)
     while queue:
@@ -177,8 +179,8 @@
     return found
 
 
-def strangers(listing: str, allowed: set[str]) -> list[str]:
-    """Of lines `module distribution...`, those that belong to none of the allowed."""
+def unexpected_modules(listing: str, allowed: set[str]) -> list[str]:
+    """Returns the lines `module distribution...` that belong to none of the allowed distributions."""
     found = []
     for line in listing.splitlines():
         top, *owners = line.split()
@@ -188,11 +190,14 @@
     return found
 
 
-def test_run_loads_twisted_and_msgspec_alone():
+def test_run_loads_only_twisted_and_msgspec():
     loaded = subprocess.run(
         [sys.executable, "-c", LIST_LOADED], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout
     assert "twisted" in loaded
     assert "msgspec" in loaded
-    assert strangers(loaded, needed_by({"Twisted", "msgspec"})) == []
-    assert strangers("click click\nlab\n", needed_by({"Twisted", "msgspec"})) == ["click click", "lab"]
+    assert unexpected_modules(loaded, required_by({"Twisted", "msgspec"})) == []
+    assert unexpected_modules("click click\nlab\n", required_by({"Twisted", "msgspec"})) == [
+        "click click",
+        "lab",
+    ]
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Whole processes on loopback: killed and started again all at once, and ended with requests in hand."""
+"""Real processes on loopback: killed and restarted all at once, and shut down with open requests."""
 
 import contextlib
 import json
@@ -10,12 +10,12 @@
 
 from lab.processes import PATIENCE_S, CacheNodeHandler, ProxyFixture, SteadyClients
 
-FLEET = 6
-READY_S = 10.0  # nine in ten of those that come back have so long
+FLEET_SIZE = 6
+READY_S = 10.0  # the time within which nine in ten restarted proxies must be ready
 
 
-class Hanging(CacheNodeHandler):
-    """Takes what asks for a key in `h`, and never answers it."""
+class HangingHandler(CacheNodeHandler):
+    """Never answers requests whose key begins with `h`, and answers all others."""
 
     def handle(self):
         for line in self.rfile:
@@ -25,101 +25,101 @@
 
 
 @pytest.fixture
-def places(tmp_path):
-    made = []
+def make_proxies(tmp_path):
+    fixtures = []
 
-    def make(number=1, discovery=None):
-        for _ in range(number):
-            folder = tmp_path / str(len(made))
+    def make(count=1, discovery=None):
+        for _ in range(count):
+            folder = tmp_path / str(len(fixtures))
             folder.mkdir()
-            made.append(here := ProxyFixture(folder))
+            fixtures.append(fixture := ProxyFixture(folder))
             if discovery is not None:
-                document = json.loads(here.config.read_text()) | {"discovery": "{}:{}".format(*discovery)}
-                here.config.write_text(json.dumps(document))
-        return made[-number:]
+                document = json.loads(fixture.config.read_text()) | {"discovery": "{}:{}".format(*discovery)}
+                fixture.config.write_text(json.dumps(document))
+        return fixtures[-count:]
 
     yield make
-    for one in made:
-        one.close()
+    for created in fixtures:
+        created.close()
 
 
-def connect(place):
-    conn = socket.create_connection(place.listen, PATIENCE_S)
+def connect(proxy):
+    conn = socket.create_connection(proxy.listen, PATIENCE_S)
     conn.settimeout(PATIENCE_S)
     return conn
 
 
-def says_mn(place):
+def is_ready(proxy):
     try:
-        with connect(place) as conn:
+        with connect(proxy) as conn:
             conn.sendall(b"mn\r\n")
             return conn.recv(100) == b"MN\r\n"
     except ConnectionError:
         return False
 
 
-def read(key, name, wait_ms=1000):
-    return f"mg {key} v O{name} Pc=page,t=acme,d={wait_ms}\r\n".encode()
+def read_command(key, request_id, deadline_ms=1000):
+    return f"mg {key} v O{request_id} Pc=page,t=acme,d={deadline_ms}\r\n".encode()
 
 
-def all_that_comes(conn):
+def read_to_end(conn):
     data = b""
-    while piece := conn.recv(1 << 16):
-        data += piece
+    while received := conn.recv(1 << 16):
+        data += received
     return data
 
 
-@pytest.mark.parametrize("discovery", ["down", "overbooked"])
-def test_a_fleet_killed_with_requests_in_hand_comes_back_at_once_and_serves(places, discovery):
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        if discovery == "overbooked":  # connections come up, and calls are never answered
-            full.listen(4 * FLEET)
-        fleet = places(FLEET, full.getsockname())
-        for place in fleet:
-            place.node.RequestHandlerClass = Hanging
-        before = [place.start() for place in fleet]
-        for process in before:
+@pytest.mark.parametrize("discovery", ["down", "silent"])
+def test_a_fleet_that_is_killed_with_open_requests_is_ready_and_serves_soon(make_proxies, discovery):
+    with socket.socket() as discovery_socket:
+        discovery_socket.bind(("127.0.0.1", 0))
+        if discovery == "silent":  # Connections are established, and polls are never answered.
+            discovery_socket.listen(4 * FLEET_SIZE)
+        fleet = make_proxies(FLEET_SIZE, discovery_socket.getsockname())
+        for proxy in fleet:
+            proxy.node.RequestHandlerClass = HangingHandler
+        first_processes = [proxy.start() for proxy in fleet]
+        for process in first_processes:
             process.ready()
-        held = [connect(place) for place in fleet]
-        for conn in held:
-            conn.sendall(read("hang", "1"))
-        for process in before:
+        connections = [connect(proxy) for proxy in fleet]
+        for conn in connections:
+            conn.sendall(read_command("hang", "1"))
+        for process in first_processes:
             process.end(signal.SIGKILL)
-        for conn in held:
+        for conn in connections:
             with contextlib.suppress(ConnectionResetError):
                 assert conn.recv(100) == b""
-        begun = time.monotonic()
-        for place in fleet:
-            place.start()
+        started_s = time.monotonic()
+        for proxy in fleet:
+            proxy.start()
         waiting = set(fleet)
-        while waiting and time.monotonic() - begun < READY_S:
-            waiting -= {place for place in waiting if says_mn(place)}
+        while waiting and time.monotonic() - started_s < READY_S:
+            waiting -= {proxy for proxy in waiting if is_ready(proxy)}
             time.sleep(0.01)
         assert not waiting
-        for place in fleet:
-            clients = SteadyClients(place.listen, 2)
+        for proxy in fleet:
+            clients = SteadyClients(proxy.listen, 2)
             clients.wait_for_answers(10)
             clients.stop()
 
 
-def test_ended_with_requests_in_hand_it_answers_each_and_exits_with_0(places):
-    (place,) = places()
-    place.node.RequestHandlerClass = Hanging
-    process = place.start().ready()
-    piped, resting, half, hung = (connect(place) for _ in range(4))
-    resting.sendall(b"mn\r\n")
-    assert resting.recv(100) == b"MN\r\n"
-    hung.sendall(read("h1", "h1", 1500))
-    piped.sendall(b"".join(read("h" if n % 3 == 0 else "k", f"p{n}", 900) for n in range(9)))
-    half.sendall(read("k", "half")[:-9])
+def test_a_shutdown_answers_all_open_requests_and_exits_with_0(make_proxies):
+    (proxy,) = make_proxies()
+    proxy.node.RequestHandlerClass = HangingHandler
+    process = proxy.start().ready()
+    pipelined, idle, partial, hung = (connect(proxy) for _ in range(4))
+    idle.sendall(b"mn\r\n")
+    assert idle.recv(100) == b"MN\r\n"
+    hung.sendall(read_command("h1", "h1", 1500))
+    pipelined.sendall(b"".join(read_command("h" if n % 3 == 0 else "k", f"p{n}", 900) for n in range(9)))
+    partial.sendall(read_command("k", "half")[:-9])
     process.popen.send_signal(signal.SIGTERM)
     process.wait_for_log("draining")
-    resting.sendall(read("k", "late"))  # on an open connection, after the signal
-    new = connect(place)
-    new.sendall(read("k", "new"))
-    for conn, number in ((resting, 1), (new, 1), (piped, 9), (hung, 1)):
-        answers = all_that_comes(conn)  # its end is an end, and no reset
-        assert answers.count(b"VA ") + answers.count(b"SERVER_ERROR busy") == number, answers
-    assert all_that_comes(half) == b"SERVER_ERROR busy\r\n"
+    idle.sendall(read_command("k", "late"))  # On an open connection, after the signal.
+    new = connect(proxy)
+    new.sendall(read_command("k", "new"))
+    for conn, request_count in ((idle, 1), (new, 1), (pipelined, 9), (hung, 1)):
+        answers = read_to_end(conn)  # A reset of the connection would raise.
+        assert answers.count(b"VA ") + answers.count(b"SERVER_ERROR busy") == request_count, answers
+    assert read_to_end(partial) == b"SERVER_ERROR busy\r\n"
     assert process.popen.wait(PATIENCE_S) == 0
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 nodes and settings of 1,024 proxies: nothing is truncated, memory grows with the list."""
+"""Lists of 1,024 nodes, settings of 1,024 proxies: nothing is truncated, and memory grows with the list."""
 
 import io
 import json
@@ -26,21 +26,21 @@
 ORIGIN = Endpoint("origin", "127.0.2.1:80", flavor="origin")
 LISTEN = ("127.0.0.1", 11211)
 DISCOVERY = ("127.0.3.1", 8500)
-LONG_NAME = "cache-node-" + "x" * 889  # a list is bounded by its lines, not by what they hold
+LONG_NAME = "cache-node-" + "x" * 889  # The length of a list is limited, not that of its lines.
 
 
 def address(number):
     return f"10.{number // 250}.1.{number % 250 + 1}", 11211
 
 
-def member(number, name="cache-node"):
+def endpoint(number, name="cache-node"):
     host, port = address(number)
-    up_since_ms = 500_000_000 + number  # long ago: it is warm
+    up_since_ms = 500_000_000 + number  # Long ago, so the node is warm.
     return Endpoint(f"{name}-{number}", f"{host}:{port}", "east", "large", 7, up_since_ms=up_since_ms)
 
 
-def service(net, known, settings=SETTINGS):
-    """A proxy of a fleet of 1,024, on a site that allows 32 MB and 256 descriptors."""
+def start_proxy(net, known, settings=SETTINGS):
+    """Starts a proxy of a fleet of 1,024, which may use 32 MB and 256 descriptors."""
     fleet_settings = read_settings(settings | {"peers-total": PROXIES})
     limits = Limits(sockets=256, memory_mb=32.0)
     config = Config("p", LISTEN, DISCOVERY, 1, limits, EndpointList(41, True, known), fleet_settings)
@@ -50,7 +50,7 @@
 
 
 class Discovery(Protocol):
-    """Answers the first poll with the body, and no other."""
+    """Answers the first poll with the body, and no other poll."""
 
     body = b""
 
@@ -66,35 +66,35 @@
     net.listenTCP(DISCOVERY[1], Factory.forProtocol(Discovery), interface=DISCOVERY[0])
 
 
-def indented(members):
+def indented_list(members):
     listing = {"revision": 42, "complete": True, "members": [msgspec.to_builtins(one) for one in members]}
     return json.dumps(listing, indent=8).encode()
 
 
 class Client(Protocol):
     def __init__(self):
-        self.got = b""
+        self.received = b""
 
     def dataReceived(self, data):
-        self.got += data
+        self.received += data
 
 
-def ask(net, number, wait_ms=900):
-    factory, made = Factory.forProtocol(Client), []
-    factory.buildProtocol = lambda addr: made.append(Client()) or made[0]
+def send_read(net, number, deadline_ms=900):
+    factory, clients = Factory.forProtocol(Client), []
+    factory.buildProtocol = lambda addr: clients.append(Client()) or clients[0]
     factory.clientConnectionFailed = lambda connector, reason: None
     net.connectTCP(*LISTEN, factory)
     net.run_for(0.01)
-    made[0].transport.write(f"mg k{number} v O{number} Pc=page,t=acme,d={wait_ms}\r\n".encode())
+    clients[0].transport.write(f"mg k{number} v O{number} Pc=page,t=acme,d={deadline_ms}\r\n".encode())
     net.run_for(0.2)
-    return made[0].got
+    return clients[0].received
 
 
 @pytest.mark.parametrize("name", ["cache-node", LONG_NAME])
-def test_a_list_of_1024_nodes_is_taken_whole_however_it_is_written(name):
+def test_all_of_1024_nodes_are_applied_though_their_names_are_long_and_the_list_is_indented(name):
     net = Net()
-    proxy = service(net, [ORIGIN])
-    body = indented([*(member(number, name) for number in range(NODES)), ORIGIN])
+    proxy = start_proxy(net, [ORIGIN])
+    body = indented_list([*(endpoint(number, name) for number in range(NODES)), ORIGIN])
     listen_as_discovery(net, body)
     proxy.endpoint_discovery.request_poll()
     net.run_for(6.0)
@@ -104,10 +104,10 @@
     assert len(proxy.pools.node_names()) == NODES + 1
 
 
-def test_every_one_of_1024_nodes_is_asked_for_its_keys():
+def test_each_of_1024_nodes_owns_some_keys():
     net = Net()
     nodes = [CacheNode(net, address(number), seed=number) for number in range(NODES)]
-    proxy = service(net, [*map(member, range(NODES)), ORIGIN])
+    proxy = start_proxy(net, [*map(endpoint, range(NODES)), ORIGIN])
     balancer = proxy.dispatcher._facade._balancer
     rings, slow_start = balancer._rings, balancer._slow_start
     owners = {
@@ -116,18 +116,18 @@
     }
     assert len(nodes) == NODES
     assert len(owners) == NODES
-    assert all(ask(net, number).startswith(b"VA ") for number in range(40))
+    assert all(send_read(net, number).startswith(b"VA ") for number in range(40))
 
 
-def test_the_figures_of_1024_nodes_are_counted_by_name():
+def test_metrics_are_counted_by_name_for_1024_nodes():
     metrics = ConnectionMetrics()
     for number in range(NODES):
         metrics.add(ConnectionEvent.OPENED, f"cache-node-{number}")
     assert len(metrics.counts_by_name(ConnectionEvent.OPENED)) == NODES
 
 
-def test_another_process_takes_over_a_list_of_1024_nodes():
-    members = [member(number, LONG_NAME) for number in range(NODES)]
+def test_a_handover_message_can_hold_a_list_of_1024_nodes():
+    members = [endpoint(number, LONG_NAME) for number in range(NODES)]
     line = messages.encode(
         messages.HandoverState(messages.PROTOCOL_VERSION, 256, EndpointList(42, True, members))
     )
@@ -135,35 +135,35 @@
     assert len(messages.decode(line, messages.HandoverState).table.members) == NODES
 
 
-def test_the_lab_plays_as_many_proxies():
+def test_a_scenario_of_the_simulator_can_have_1024_proxies_and_nodes():
     world = msgspec.convert({"proxies": PROXIES, "nodes": {"count": NODES}}, Scenario)
     assert world.proxies == PROXIES
 
 
-def memory_of(nodes):
-    """Return the bytes that a proxy with so many nodes holds after applying its list."""
+def memory_bytes(node_count):
+    """Returns the memory in bytes that a proxy allocates for a list of that many nodes."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     net = Net()
-    proxy = service(net, [*map(member, range(nodes)), ORIGIN])
+    proxy = start_proxy(net, [*map(endpoint, range(node_count)), ORIGIN])
     net.run_for(1.0)
-    size = tracemalloc.get_traced_memory()[0] - before
+    size_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(proxy.pools.node_names()) == nodes + 1
-    return size
+    assert len(proxy.pools.node_names()) == node_count + 1
+    return size_bytes
 
 
-def test_memory_goes_by_the_list_and_leaves_room_where_32_mb_are_allowed():
-    few, many = memory_of(200), memory_of(NODES)
-    each = (many - few) / (NODES - 200)
-    assert each < 20_000, (few, many)
-    assert many < 16 * 1024 * 1024, (few, many)
+def test_memory_grows_with_the_list_and_stays_far_below_32_mb():
+    small_bytes, large_bytes = memory_bytes(200), memory_bytes(NODES)
+    bytes_per_node = (large_bytes - small_bytes) / (NODES - 200)
+    assert bytes_per_node < 20_000, (small_bytes, large_bytes)
+    assert large_bytes < 16 * 1024 * 1024, (small_bytes, large_bytes)
 
 
-def test_what_no_request_uses_costs_no_sweep(monkeypatch):
+def test_unused_pools_are_not_swept(monkeypatch):
     net = Net()
-    proxy = service(net, [*map(member, range(NODES)), ORIGIN])
-    net.run_for(0.5)  # each pool is swept once after the list that names it
+    proxy = start_proxy(net, [*map(endpoint, range(NODES)), ORIGIN])
+    net.run_for(0.5)  # Each pool is swept once after the list that names its node.
     swept = []
     monkeypatch.setattr(
         type(proxy.pools.pool_of("origin")), "sweep", lambda pool, now: swept.append(pool.node)
