--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -49,7 +49,7 @@
         clients.wait_for_answers()
         old = new
     clients.stop()
-    # At most the one request that crosses its connection's close, for each client and replacement.
+    # For each client and replacement, at most one request crosses the close of its connection.
     assert clients.crossed <= 2 * 8
     assert old.end(signal.SIGTERM) == 0
     assert not os.path.exists(proxy_fixture.path)
@@ -211,9 +211,7 @@
 
 
 @pytest.mark.parametrize(("offset_ms", "kept"), [(0.0, True), (HOUR_MS, False), (-HOUR_MS, False)])
-def test_of_a_predecessor_that_reads_another_clock_all_but_the_nodes_starts_is_used(
-    tmp_path, offset_ms, kept
-):
+def test_the_nodes_starts_of_a_predecessor_that_reads_another_clock_are_not_used(tmp_path, offset_ms, kept):
     path, log = str(tmp_path / "handover.sock"), io.StringIO()
     with socket.socket() as listening, socket.socket(socket.AF_UNIX) as predecessor:
         listening.bind(("127.0.0.1", 0))
--- a/tests/test_handover_failures.py
+++ b/tests/test_handover_failures.py
@@ -14,9 +14,8 @@
 
 LISTEN = ("127.0.0.1", 1)
 ERRORS = [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES, errno.EMFILE]
-TOO_LONG = (
-    "x" * 120
-)  # Too long for a Unix socket's address: the path goes through a descriptor of its folder.
+# Too long for a Unix socket's address: the path goes through a descriptor of its folder.
+TOO_LONG = "x" * 120
 
 
 class Reactor:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -174,7 +174,9 @@
         for line in installed_requires(name):
             requirement, _, marker = line.partition(";")
             if "extra" not in marker:
-                end = next((at for at, c in enumerate(requirement) if not (c.isalnum() or c in "-_.")), None)
+                end = next(
+                    (i for i, char in enumerate(requirement) if not (char.isalnum() or char in "-_.")), None
+                )
                 queue.append(requirement[:end])
     return found
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -28,9 +28,8 @@
             assert before is not ServingState.STARTING or serving.state is ServingState.READY
         elif name == "drain":
             assert serving.drain(now) == (before in (ServingState.READY, ServingState.DRAINED))
-            drained_ms = (
-                now if before is ServingState.READY else drained_ms
-            )  # A repeated drain starts no new schedule.
+            # A repeated drain starts no new schedule.
+            drained_ms = now if before is ServingState.READY else drained_ms
         elif name == "undrain":
             assert serving.undrain() == (before in (ServingState.READY, ServingState.DRAINED))
         else:
--- a/tests/test_thousand_nodes.py
+++ b/tests/test_thousand_nodes.py
@@ -26,7 +26,7 @@
 ORIGIN = Endpoint("origin", "127.0.2.1:80", flavor="origin")
 LISTEN = ("127.0.0.1", 11211)
 DISCOVERY = ("127.0.3.1", 8500)
-LONG_NAME = "cache-node-" + "x" * 889  # The length of a list is limited, not that of its lines.
+LONG_NAME = "cache-node-" + "x" * 889  # A list must be accepted even if its names are long.
 
 
 def address(number):
@@ -67,7 +67,11 @@
 
 
 def indented_list(members):
-    listing = {"revision": 42, "complete": True, "members": [msgspec.to_builtins(one) for one in members]}
+    listing = {
+        "revision": 42,
+        "complete": True,
+        "members": [msgspec.to_builtins(member) for member in members],
+    }
     return json.dumps(listing, indent=8).encode()
 
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -68,9 +68,8 @@
     player = Player()
     player.play("wait 100\ndiscovery expect GET *\nproxy send discovery2\ndiscovery expect end")
     player.play("discovery2 expect GET /v1/servers HTTP*\nwait 1890\ndiscovery2 expect nothing")
-    player.play(
-        "wait 620\ndiscovery2#2 expect GET /v1/servers HTTP*"
-    )  # A list at the new address counts as known 4 s later.
+    # A list at the new address counts as known 4 s later.
+    player.play("wait 620\ndiscovery2#2 expect GET /v1/servers HTTP*")
     body = json.dumps(json.loads(S1_DRAINS) | {"complete": True}, indent=4)  # Lists may be indented.
     protocol, _ = player.connection("discovery2", 1)
     protocol.dataReceived(f"HTTP/1.1 200 -\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -86,7 +85,7 @@
 
 @pytest.mark.parametrize(("mode", "poll_count"), [("pushed", 1), ("on_request", 0)])
 def test_in_the_pushed_mode_discovery_is_polled_from_the_start(mode, poll_count):
-    # The fault: in the pushed mode no poll was ever made, and nodes that had drained got requests all day.
+    # The fault: in the pushed mode no poll was made, and nodes that had drained went on getting requests.
     player = Player(settings=SETTINGS | {"membership-mode": mode, "peers-total": 200})
     assert len([client for client in player.reactor.tcpClients if client[1] == 100]) == poll_count
     if poll_count:
