--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -62,8 +62,14 @@
         ({"nodes": [{"name": "a"}]}, "control.nodes.address: is missing"),
         ({"nodes": [{"name": "a", "address": "here"}]}, "control.nodes.address: not an address"),
         ({"nodes": [{"address": "127.0.0.1:7"}]}, "control.nodes.name: is missing"),
-        ({"nodes": [NODES[0], NODES[1] | {"name": "north-1"}]}, "control.nodes.name: 'north-1' is used twice"),
-        ({"nodes": [NODES[0], NODES[0] | {"name": "b"}]}, "control.nodes.address: 127.0.0.1:7401 is used twice"),
+        (
+            {"nodes": [NODES[0], NODES[1] | {"name": "north-1"}]},
+            "control.nodes.name: 'north-1' is used twice",
+        ),
+        (
+            {"nodes": [NODES[0], NODES[0] | {"name": "b"}]},
+            "control.nodes.address: 127.0.0.1:7401 is used twice",
+        ),
         ({"nodes": NODES, "log": ""}, "control.log: is missing"),
         ({"nodes": NODES, "wait_ms": -1}, "control.wait_ms"),
         ({"nodes": NODES, "wait_ms": 60_000}, "control.wait_ms"),
