--- a/cloverwell/assembly.py
+++ b/cloverwell/assembly.py
@@ -216,8 +216,8 @@
 def _connect(parts: ProxyParts) -> None:
     """Gives each part the methods of other parts that it calls."""
     parts.endpoint_discovery.on_update = parts.dispatcher.update_endpoints
-    parts.dispatcher.watch_endpoints = parts.endpoint_discovery.watch
-    parts.dispatcher.list_age_ms = parts.endpoint_discovery.age_ms
+    parts.dispatcher.watch_endpoints = parts.endpoint_discovery.request_poll
+    parts.dispatcher.list_age_ms = parts.endpoint_discovery.last_answer_age_ms
     # When one side needs a descriptor and none is left, it asks the other side to close idle connections, as
     # far as that side uses more than its guaranteed share.
     parts.pools.request_descriptor = parts.client_connections.release_descriptor
--- a/cloverwell/connections/closing.py
+++ b/cloverwell/connections/closing.py
@@ -2,7 +2,7 @@
 
 The caller gives the state of a connection and gets the next step for it. Every wait has an end of its own: a
 client that always has a request open, that sends without pause, that reads nothing or that never closes its
-side is subject to the same instants as any other. These are `serving.EndInstants`, in ms of the caller's
+side is subject to the same instants as any other. These are `serving.DrainTimes`, in ms of the caller's
 clock.
 """
 
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from cloverwell.serving import EndInstants
+from cloverwell.serving import DrainTimes
 
 # How long a new connection is kept open for its first request. If the proxy closed its side while the request
 # is on its way, the request would be read but get no answer.
@@ -57,7 +57,7 @@
 
 
 def closing_step(
-    state: ClosingState, instants: EndInstants, now: float, after_stall: bool = False
+    state: ClosingState, instants: DrainTimes, now: float, after_stall: bool = False
 ) -> ClosingStep:
     """Return the step to take with the connection now.
 
@@ -71,7 +71,7 @@
 _STEPS_LOSING_UNREAD_BYTES = (ClosingStep.HALF_CLOSE, ClosingStep.CLOSE)
 
 
-def _due_step(state: ClosingState, instants: EndInstants, now: float) -> ClosingStep:
+def _due_step(state: ClosingState, instants: DrainTimes, now: float) -> ClosingStep:
     if now < instants.close_idle_ms:
         return ClosingStep.KEEP
     if now >= _close_by_ms(state, instants):
@@ -80,7 +80,7 @@
         return ClosingStep.CLOSE if now - state.half_closed_ms >= instants.linger_ms else ClosingStep.KEEP
     if state.responses_pending or _awaits_first_request(state, instants, now):
         return ClosingStep.KEEP
-    if now >= instants.end_ms:
+    if now >= instants.half_close_ms:
         return ClosingStep.HALF_CLOSE
     if state.reading_paused:
         return ClosingStep.KEEP
@@ -91,14 +91,14 @@
     return ClosingStep.KEEP
 
 
-def _close_by_ms(state: ClosingState, instants: EndInstants) -> float:
+def _close_by_ms(state: ClosingState, instants: DrainTimes) -> float:
     """Return the time by which the connection is closed on both sides, whatever its client does."""
     if state.streaming:
-        return instants.stream_ms
-    return max(instants.release_ms, state.accepted_ms + instants.newcomer_ms)
+        return instants.close_stream_ms
+    return max(instants.close_ms, state.accepted_ms + instants.late_connection_ms)
 
 
-def _awaits_first_request(state: ClosingState, instants: EndInstants, now: float) -> bool:
+def _awaits_first_request(state: ClosingState, instants: DrainTimes, now: float) -> bool:
     """Return whether the first request may still be on its way."""
     if not state.nothing_read:
         return False
--- a/tests/test_bounded_waits.py
+++ b/tests/test_bounded_waits.py
@@ -32,7 +32,7 @@
 
 
 def connections(proxy):
-    return proxy.service.side.connections
+    return proxy.service.client_connections.connections
 
 
 def unreading_client(proxy, data):
@@ -53,7 +53,7 @@
     node = proxy.nodes[0].accept()
     name = proxy.receive_until(node, b"\r\n").split()[3][1:]
     node.sendall(b"VA %d O%s\r\n" % (len(LONG_VALUE), name))
-    proxy.run_until(lambda: proxy.service.side.stream_count)
+    proxy.run_until(lambda: proxy.service.client_connections.stream_count)
 
     def are_buffers_full():
         try:
@@ -64,7 +64,7 @@
 
     proxy.run_until(are_buffers_full)  # the client's, the proxy's, and the kernel's on both sides
     stalled_ms = proxy.now() + STREAM_STALL_MS + SLACK_MS
-    assert run_until(proxy, lambda: not proxy.service.side.stream_count, stalled_ms)
+    assert run_until(proxy, lambda: not proxy.service.client_connections.stream_count, stalled_ms)
     by_ms = proxy.now() + LAST_READ_TIMEOUT_MS + SLACK_MS
     assert run_until(proxy, lambda: not connections(proxy), by_ms)
     assert "broken_value" in proxy.log.getvalue()
@@ -130,7 +130,7 @@
     node.sendall(answer)
     (connection,) = connections(proxy)
     proxy.run_until(lambda: not (connection.has_open_request or connection.has_unsent_responses))
-    proxy.service.side._closer.close([CloseClient(connection, reason, abort=True)], 1)
+    proxy.service.client_connections._closer.close([CloseClient(connection, reason, abort=True)], 1)
     proxy.run_until(lambda: not connections(proxy))  # The descriptor is free then.
     response = b""
     while len(response) < len(answer):
--- a/tests/test_clients_gone.py
+++ b/tests/test_clients_gone.py
@@ -69,7 +69,7 @@
     leave(conn)
     proxy.advance_clock(50 * errors)
     assert not started_attempts
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 @CLOSE_OR_RESET
@@ -83,13 +83,13 @@
     leave(conn)
     proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 def test_all_paused_connections_are_checked_in_one_system_call(rig, monkeypatch):
     proxy = rig(sockets=512)
     conns = [proxy.client() for _ in range(60)]
-    side = proxy.service.side
+    side = proxy.service.client_connections
     proxy.run_until(lambda: len(side.connections) == 60)
     for connection in side.connections:
         connection.hold()
@@ -219,7 +219,7 @@
     proxy = rig()
     conn = proxy.client()
     proxy.run_iterations()
-    (connection,) = proxy.service.side.connections
+    (connection,) = proxy.service.client_connections.connections
     connection.dataReceived(write(1))  # starts a connection to the origin
     proxy.reactor.runUntilCurrent()
     opening = [one for one in proxy.reactor._selectables.values() if isinstance(one, tcp.BaseClient)]
@@ -241,7 +241,7 @@
     # Each close cancels an open read, whose place at the origin must not go to another disconnected client.
     proxy = rig(nodes=0, sockets=1024)
     conns = [proxy.client(read(n, 30_000)) for n in range(number)]
-    proxy.run_until(lambda: len(proxy.service.side.connections) == number)
+    proxy.run_until(lambda: len(proxy.service.client_connections.connections) == number)
     proxy.run_iterations(5)
     before = len(started_attempts)
     assert 1 < before < number
@@ -276,17 +276,17 @@
     node = proxy.nodes[0].accept()
     proxy.receive_until(node, b"mg k1 ")
     node.sendall(b"VA 1000000 O1\r\n" + b"v" * 200_000)
-    proxy.run_until(lambda: proxy.service.side.stream_count)
+    proxy.run_until(lambda: proxy.service.client_connections.stream_count)
     proxy.nodes[0].fill_accept_queue()
     conn.sendall(
         b"".join(read(number) for number in range(2, 2 + 2 * MAX_PIPELINED_COMMANDS)) + b"ms k9 70 O9"
     )
-    proxy.run_until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.client_connections.paused_connections)
     leave(conn)
     proxy.advance_clock(DISCONNECT_LIMIT_MS / 2 - 10)
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
-    assert not proxy.service.side.stream_count
+    assert not proxy.service.client_connections.connections
+    assert not proxy.service.client_connections.stream_count
     assert nothing_is_sent(proxy, started_attempts, 1)
 
 
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -34,7 +34,7 @@
     proxy.receive_until(proxy.nodes[0].accept(), b"mg k1 ")
     idle.close()
     waiting.close()
-    proxy.run_until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.client_connections.connections)
     assert sorted(reasons(proxy, "close")) == ["by_client", "left"]
 
 
@@ -53,7 +53,7 @@
     proxy.advance_clock(wait_ms)
     assert proxy.receive_to_end(conn).endswith(b"END")
     conn.close()
-    proxy.run_until(lambda: not proxy.service.side.connections)
+    proxy.run_until(lambda: not proxy.service.client_connections.connections)
     assert reasons(proxy, "close") == [reason]
 
 
@@ -79,7 +79,7 @@
     proxy.client(write(1, 9000) + write(2, 9000))
     proxy.receive_until(proxy.origin.accept(), b"PUT /k1 ")
     proxy.service.drain()
-    report_ms = proxy.service.serving.since_ms + DRAIN_REPORT_MS
+    report_ms = proxy.service.serving.drain_began_ms + DRAIN_REPORT_MS
     while proxy.now() < report_ms - 100:
         proxy.advance_clock(5)
     assert not lines(proxy, "held")
@@ -185,14 +185,16 @@
         "drained -> ready",
         "ready -> stopping",
     ]
-    assert "asked again, the shutdown goes on as it has begun" in lines(player, "stop")
+    assert "the shutdown has begun already and continues unchanged" in lines(player, "stop")
 
 
 @pytest.mark.parametrize("operator", [True, False])
 def test_the_log_says_where_operators_calls_are_answered_or_that_none_is(operator):
     logged = lines(Player(operator=operator), "operator")
-    address_line = "calls are answered at 127.0.0.1:11212"
-    assert logged == [address_line if operator else "no address is configured, no call is answered"]
+    address_line = "operators' calls are answered at 127.0.0.1:11212"
+    assert logged == [
+        address_line if operator else "no operator address is configured: operators' calls are not answered"
+    ]
 
 
 def test_an_operators_connection_that_closes_without_a_call_is_logged():
--- a/tests/test_connect_errors.py
+++ b/tests/test_connect_errors.py
@@ -259,11 +259,11 @@
     proxy = rig(settings=SETTINGS | {"membership-mode": "on_request"})
     failing = fail(outgoing, proxy.discovery.address, stage, number, *[number] * 3 * (stage != "error"))
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     connection_with(proxy, proxy.discovery, b"GET /v1/servers")
     assert failing.failed >= 1
     assert "call failed" not in proxy.log.getvalue()
-    assert not proxy.service.endpoint_discovery._backoff.failing
+    assert not proxy.service.endpoint_discovery._backoff.is_failing
 
 
 def test_a_poll_of_discovery_that_can_not_be_sent_in_time_has_failed(rig, outgoing):
@@ -271,7 +271,7 @@
     failing = fail(outgoing, proxy.discovery.address, "socket", always=errno.ENFILE)
     proxy.service.endpoint_discovery._revision = None  # a poll that is answered at once
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     started_ms = proxy.now()
     proxy.advance_clock(1950)
     assert "call failed: no answer in time" in proxy.log.getvalue()
@@ -286,7 +286,7 @@
     proxy = rig()
     fail(outgoing, proxy.discovery.address, "connect", number)
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     proxy.run_until(lambda: "call failed: not connected" in proxy.log.getvalue())
 
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -46,10 +46,10 @@
 
 def test_the_nodes_of_the_own_region_are_listed_apart():
     control = parse_document(OWN_FILE).control
-    assert control.home == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
-    assert control.elsewhere == {"south-1": ("127.0.0.1", 7402)}
+    assert control.local_nodes == {"north-1": ("127.0.0.1", 7401), "north-2": ("127.0.0.1", 7403)}
+    assert control.remote_nodes == {"south-1": ("127.0.0.1", 7402)}
     assert control.region == "north"
-    assert control.wait_ms == 5000.0
+    assert control.catch_up_timeout_ms == 5000.0
     assert control.log == "fleet"
 
 
@@ -67,8 +67,14 @@
         ({"nodes": [{"name": "a"}]}, "control.nodes.address: is missing"),
         ({"nodes": [{"name": "a", "address": "here"}]}, "control.nodes.address: not an address"),
         ({"nodes": [{"address": "127.0.0.1:7"}]}, "control.nodes.name: is missing"),
-        ({"nodes": [NODES[0], NODES[1] | {"name": "north-1"}]}, "control.nodes.name: 'north-1' stands"),
-        ({"nodes": [NODES[0], NODES[0] | {"name": "b"}]}, "control.nodes.address: 127.0.0.1:7401 stands"),
+        (
+            {"nodes": [NODES[0], NODES[1] | {"name": "north-1"}]},
+            "control.nodes.name: 'north-1' is used twice",
+        ),
+        (
+            {"nodes": [NODES[0], NODES[0] | {"name": "b"}]},
+            "control.nodes.address: 127.0.0.1:7401 is used twice",
+        ),
         ({"nodes": NODES, "log": ""}, "control.log: is missing"),
         ({"nodes": NODES, "wait_ms": -1}, "control.wait_ms"),
         ({"nodes": NODES, "wait_ms": 60_000}, "control.wait_ms"),
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -290,7 +290,7 @@
     assert replaced.configuration()["version"] == str(first)
     predecessor.wait_for_log("the successor serves")
     assert predecessor.end(signal.SIGTERM) == 0
-    replaced.process.wait_for_log("the predecessor has gone")
+    replaced.process.wait_for_log("the predecessor has exited")
     last = fleet.commit(fleet.nodes.leader(), discovery_change())
     for proxy in fleet.proxies:
         proxy.wait_for_fields(version=last)
--- a/tests/test_control_proxy.py
+++ b/tests/test_control_proxy.py
@@ -46,7 +46,7 @@
     def activate(self, discovery, peers_total):
         self.changes.append((discovery, peers_total))
 
-    def resize(self, peers_total):
+    def set_peers_total(self, peers_total):
         self.changes.append(peers_total)
 
     def receive(self, message):
--- a/tests/test_real_time.py
+++ b/tests/test_real_time.py
@@ -371,7 +371,8 @@
     timer_wheel.start()
     for _, failed_after_ms, _ in attempts:
         timer_wheel.call_not_before(
-            timer_wheel.now() + backoff.failed(failed_after_ms), lambda: times_ms.append(timer_wheel.now())
+            timer_wheel.now() + backoff.record_failure(failed_after_ms),
+            lambda: times_ms.append(timer_wheel.now()),
         )
         clock.pump([0.02] * 350)
     return times_ms
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -66,7 +66,7 @@
     player.play(f"client#{max_active + 1} send mg k v Ox Pc=page,t=acme,d=900")
     player.play(f"client#{max_active + 1} expect SERVER_ERROR busy 1000")
     # When no descriptor is left for clients, no more connections are accepted until one closes.
-    port = player.service.side.port = Transport()
+    port = player.service.client_connections.port = Transport()
     number = max_active + 1
     while player.service.budget.available(DescriptorSide.CLIENTS):
         number += 1
@@ -106,7 +106,7 @@
 def test_a_client_rejected_for_lack_of_descriptors_gets_the_configured_retry_time(limits, answer):
     # A built-in time of 1000 ms would also be sent where the settings forbid any.
     player = Player(settings=SETTINGS | {"limits": SETTINGS["limits"] | limits})
-    player.service.side.should_reject = lambda request: True
+    player.service.client_connections.should_reject = lambda request: True
     player.play(f"client send mg k v O1 Pc=page,t=acme,d=900\nclient expect SERVER_ERROR {answer}")
 
 
@@ -168,7 +168,7 @@
     # descriptors are freed at once, whether or not they ever close their side. One with an unread request is
     # not closed.
     player = Player(sockets=64)
-    port = player.service.side.port = Transport()
+    port = player.service.client_connections.port = Transport()
     budget = player.service.budget
     player.play("client#1 send mn\nclient#1 expect MN\nclient#2 expect nothing\nclient#3 expect nothing")
     player.connection("client", 1)[1].unread = b"m"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -29,11 +29,11 @@
     proxy.nodes[0].fill_accept_queue()
     conn = proxy.client(b"".join(read(number) for number in range(3 * MAX_PIPELINED_COMMANDS)))
     proxy.run_until(lambda: proxy.service.dispatcher.open_count == MAX_PIPELINED_COMMANDS)
-    assert proxy.service.side.paused_connections
+    assert proxy.service.client_connections.paused_connections
     leave(conn)
     proxy.advance_clock(100)
     assert proxy.service.dispatcher.open_count == 0
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 @pytest.mark.parametrize("number", [1, 40, 3 * MAX_PIPELINED_COMMANDS])
@@ -47,7 +47,7 @@
         sent += node in proxy.origin.accepted
     proxy.advance_clock(300)
     assert proxy.service.dispatcher.open_count <= sent
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
     assert proxy.origin.accept_nowait() is None
 
 
@@ -63,7 +63,7 @@
     proxy.stall(350.0)
     proxy.run_iterations()
     assert not proxy.service.dispatcher.open_count
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
     assert proxy.origin.accept_nowait() is None
     assert proxy.nodes[0].accept_nowait() is None
 
@@ -215,7 +215,7 @@
     node = proxy.nodes[0].accept()
     served(proxy, conn, node, 1)
     node.sendall(extra_answer)  # It is still unread when the next request comes.
-    next(iter(proxy.service.side.connections)).dataReceived(read(2))
+    next(iter(proxy.service.client_connections.connections)).dataReceived(read(2))
     second = proxy.nodes[0].accept()
     served(proxy, conn, second, 2, b"two")
     assert proxy.receive_to_end(node).endswith((b"END", b"RESET"))
--- a/tests/test_states_against_ends.py
+++ b/tests/test_states_against_ends.py
@@ -142,7 +142,7 @@
 
 
 def replaced(run):
-    run.rig.service.succeeded()
+    run.rig.service.successor_started()
     run.stop()
 
 
@@ -244,7 +244,7 @@
         for number in range(90):
             run.clients[number] = Crowding(run.rig)
         run.rig.run_iterations()
-        assert run.rig.service.side._accepting_paused
+        assert run.rig.service.client_connections._accepting_paused
         end(run)
         run.finish()
         assert all(client.eof or client.was_reset for client in run.clients.values())
--- a/tests/test_streamed_value.py
+++ b/tests/test_streamed_value.py
@@ -152,7 +152,7 @@
     node.dataReceived(HEAD + VALUE[:100])
     player.play("client close")
     assert transport.aborted
-    assert not player.service.side.stream_count
+    assert not player.service.client_connections.stream_count
 
 
 def test_a_value_above_the_limit_is_refused_and_the_read_is_retried():
@@ -178,7 +178,7 @@
         while transport.producerState == "producing":
             node.dataReceived(bytes(node.rest[:STREAM_READ_BYTES]))
             node.rest = node.rest[STREAM_READ_BYTES:]
-    side = player.service.side
+    side = player.service.client_connections
     assert side.stream_count == number
     buffered_bytes = sum(
         len(slow_client.unsent) + len(slow_client.transport.protocol._outgoing) + len(node._incoming)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -113,7 +113,7 @@
     failing = CallFaults(number)
     outgoing.plan_calls(proxy.discovery.address, **{calls: failing})
     cancel_watch(proxy)
-    proxy.service.endpoint_discovery.watch()
+    proxy.service.endpoint_discovery.request_poll()
     discovery = connection_with(proxy, proxy.discovery, b"GET /v1/servers", b"\r\n\r\n")
     body = b'{"revision":42,"complete":false,"members":[]}'
     discovery.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -130,7 +130,7 @@
     exchange(proxy, conn, 1)
     peek.faults = [errno.ENOMEM]
     conn.sendall(read(5, 30_000))
-    (connection,) = proxy.service.side.connections
+    (connection,) = proxy.service.client_connections.connections
     # The sweep calls this for an overdue connection.
     assert not connection.close_overdue(CloseReason.PARTIAL_COMMAND)
     assert peek.failed == 1
@@ -151,7 +151,7 @@
     proxy.receive_until(conn, b"x\r\n")
     node.sendall(b"VA 1 O1\r\nx\r\n")  # a duplicate, which the failed check would have found
     peek.faults = [number]
-    next(iter(proxy.service.side.connections)).dataReceived(read(2))
+    next(iter(proxy.service.client_connections.connections)).dataReceived(read(2))
     second = proxy.nodes[0].accept()
     proxy.receive_until(second, b"mg k2 ")
     second.sendall(b"VA 3 O2\r\ntwo\r\n")
@@ -353,7 +353,7 @@
     failing.always = None
     proxy.advance_clock(300)
     assert proxy.origin.accept_nowait() is None
-    assert not proxy.service.side.connections
+    assert not proxy.service.client_connections.connections
 
 
 class SocketWithInfo:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -39,7 +39,7 @@
     conn = proxy.client()  # Its request has not come yet.
     proxy.stall(600)  # The port closes before the reactor has read from it.
     proxy.run_iterations()
-    assert proxy.service.side.connections
+    assert proxy.service.client_connections.connections
     assert proxy.service._port is None
     conn.sendall(read(1, 900))
     proxy.advance_clock(10)
@@ -82,7 +82,10 @@
     proxy.receive_until(conn, b"HD O1 cr1\r\n")
     advance_until(proxy, first_byte_ms + BAD_CLIENT_MS - 400)
     assert (
-        proxy.service.side.policy.stage_of(next(iter(proxy.service.side.connections))) is ClientStage.CLOSING
+        proxy.service.client_connections.policy.stage_of(
+            next(iter(proxy.service.client_connections.connections))
+        )
+        is ClientStage.CLOSING
     )
     assert proxy.receive_to_end(conn) == b"CLIENT_ERROR half a command\r\nEND"
 
@@ -158,13 +161,15 @@
 def test_a_pause_of_reading_does_not_shorten_the_deadlines_of_later_requests(rig):
     proxy = rig()
     conn = proxy.client(b"".join(read(number) for number in range(MAX_PIPELINED_COMMANDS)))
-    proxy.run_until(lambda: proxy.service.side.paused_connections)
+    proxy.run_until(lambda: proxy.service.client_connections.paused_connections)
     # This command is unread when the first answer resumes reading.
     conn.sendall(read(MAX_PIPELINED_COMMANDS))
     proxy.run_iterations(5)
     # All answers come at once, so that reading is not paused a second time.
     answer_reads(proxy, proxy.nodes[0])
-    proxy.run_until(lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.side.paused_connections)
+    proxy.run_until(
+        lambda: answer_reads(proxy, proxy.nodes[0]) or not proxy.service.client_connections.paused_connections
+    )
     proxy.advance_clock(3000)
     conn.sendall(write(100))
     proxy.receive_until(proxy.origin.accept(), b"PUT /k100 ")  # The write is not refused as late.
@@ -196,7 +201,7 @@
     proxy = rig(sockets=64)
     idle_clients = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._accepting_paused
+    assert proxy.service.client_connections._accepting_paused
     conn = proxy.client()
     conn.sendall(write(1, 300))
     time.sleep(0.6)  # in real time, since the kernel's clock can't be advanced by a test
@@ -210,7 +215,7 @@
     proxy = rig(sockets=64)
     idle_clients = [proxy.client() for _ in range(60)]
     proxy.run_iterations()
-    assert proxy.service.side._accepting_paused
+    assert proxy.service.client_connections._accepting_paused
     proxy.advance_clock(300)
     for conn in idle_clients:
         conn.close()
@@ -321,7 +326,10 @@
     proxy.run_until(lambda: proxy.service.pools.pool_of("s1").connections)
     proxy.run_until(lambda: proxy.service.pools.pool_of("origin").connections)
     pools = [proxy.service.pools.pool_of(name) for name in ("s1", "origin")]
-    made = [*proxy.service.side.connections, *(one for pool in pools for one in pool.connections)]
+    made = [
+        *proxy.service.client_connections.connections,
+        *(one for pool in pools for one in pool.connections),
+    ]
     assert len(made) == 3
     for connection in made:
         handle = connection.transport.getHandle()
@@ -344,7 +352,7 @@
     proxy.receive_until(node, b"mg k1 ")
     answer = memoryview(b"VA %d O1\r\n" % len(VALUE) + VALUE + b"\r\n")
     got = bytearray()
-    side = proxy.service.side
+    side = proxy.service.client_connections
 
     def forward_and_read():
         nonlocal answer
