--- a/cloverwell/cli/main.py
+++ b/cloverwell/cli/main.py
@@ -72,7 +72,7 @@
     if config.operator is not None:
         operator_host, operator_port = config.operator
         parts.append(f"operators call {operator_host}:{operator_port}")
-    parts.append(f"{len(config.known_endpoints.members)} known members")
+    parts.append(f"{len(config.known.members)} known members")
     return ", ".join(parts)
 
 
--- a/cloverwell/config.py
+++ b/cloverwell/config.py
@@ -103,7 +103,7 @@
     discovery: Address
     seed: int
     limits: Limits
-    known_endpoints: EndpointList
+    known: EndpointList
     settings: Settings
     operator: Address | None = None
     control: ControlConfig | None = None
@@ -140,7 +140,7 @@
         discovery=_read_discovery(file.discovery, environ.get("EDGE_DISCOVERY", ""), reloading),
         seed=_read_seed(file.seed),
         limits=file.limits,
-        known_endpoints=_check_endpoints(file.known),
+        known=_check_endpoints(file.known),
         settings=settings,
         control=None if file.control is None else _read_control(file.control, name),
         document=b"" if file.control is None else document,
--- a/cloverwell/handover_coordinator.py
+++ b/cloverwell/handover_coordinator.py
@@ -66,7 +66,7 @@
 
     def initial_list(self) -> tuple[EndpointList, KnownStarts | None]:
         """Returns the newest endpoint list known before discovery answers, and its nodes' known starts."""
-        configured = self._config.known_endpoints
+        configured = self._config.known
         if self.predecessor is None:
             return configured, None
         state = self.predecessor.handover_state
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -141,7 +141,7 @@
         discovery=spec.discovery,
         seed=spec.seed,
         limits=Limits(),
-        known_endpoints=known,
+        known=known,
         settings=read_settings(spec.settings),
     )
 
--- a/tests/test_control_configuration.py
+++ b/tests/test_control_configuration.py
@@ -124,6 +124,7 @@
         ({"listen": "127.0.0.1:8"}, "listen"),
         ({"name": "proxy-2"}, "name"),
         ({"limits": {"sockets": 99}}, "limits"),
+        ({"known": {"revision": 7, "complete": True, "members": []}}, "known"),
         ({"control": {"nodes": NODES[:1]}}, "control"),
         (with_settings(granularity=11), "settings.granularity"),
         (with_settings(limits=SETTINGS["limits"] | {"send-cap": 2}), "settings.limits.send-cap"),
